--- /dev/null
+++ b/dappledrum/standins/scenario.py
@@ -0,0 +1,122 @@
+"""One scenario over five whole controllers: users, a trouble that a test brings about, and the end
+at which every accepted job must be known and over.
+
+A test calls `play` with a seed and a coroutine that makes the trouble; users, moments and machines
+are drawn from the seed, and the rules are checked at each step.
+"""
+
+import asyncio
+import random
+from collections.abc import Awaitable, Callable
+from dataclasses import dataclass, field
+from typing import Any
+
+from dappledrum.standins.pairs import FIVE, submission, user
+from dappledrum.standins.time import run
+from dappledrum.standins.world import World, job
+
+LEASE_S = 9.0
+CANCEL_S = 30.0
+USERS = 10
+MACHINES = 9
+
+
+def now() -> float:
+    """Virtual time in seconds."""
+    return asyncio.get_running_loop().time()
+
+
+def later(seconds: float, act: Callable[..., object], *arguments: object) -> None:
+    """Call something after so many seconds."""
+    asyncio.get_running_loop().call_later(seconds, act, *arguments)
+
+
+@dataclass
+class Scenario:
+    """A world in which something goes wrong, and the jobs that the test itself submitted."""
+
+    world: World
+    rng: random.Random
+    names: list[str] = field(default_factory=list)
+
+    def others(self) -> list[str]:
+        """Controllers that do not lead."""
+        return [member for member in FIVE if member != self.world.leader()]
+
+    async def submit_long(self, *numbers: int, **changes: Any) -> None:  # noqa: ANN401 - any field
+        """Submit jobs whose three tasks end after 2 s, 25 s and 60 s."""
+        for number in numbers:
+            spec = job(900 + number, beats=3, runS=[2.0, 25.0, 60.0], expectedS=60.0, dueS=None)
+            self.names.append(spec["id"])
+            assert await self.world.submit(spec | changes, 60) in (200, 201)
+
+    async def cancel(self, number: int, member: str) -> None:
+        """Cancel one of these jobs at a controller that must answer at once."""
+        name = f"j-{900 + number:06d}"
+        self.world.rules.cancel_asked(name)
+        reply = await self.world._ask("POST", f"/submissions/{name}/cancel", b"", member)
+        assert reply is not None and reply.status == 200
+        self.world.rules.poll_answer(now(), name, 200, "cancelled")
+
+    def machines_of(self, number: int) -> set[str]:
+        """Machines on which tasks of one of these jobs run."""
+        name = f"j-{900 + number:06d}"
+        running = self.world.rules.running.items()
+        return {machine for (job_id, _), where in running if job_id == name for machine in where}
+
+    async def until_led(self, *besides: str) -> None:
+        """Wait until somebody leads who is none of these."""
+        await self.world.until(lambda: self.world.leader() not in (None, *besides), most=60)
+
+
+def end_troubles(world: World) -> None:
+    """End everything that a test may have left broken; the rules' quiet time begins."""
+    network = world.network
+    network.heal()
+    network.copies = network.late_writes = network.watcher = None
+    world.state.refused.clear()
+    if world.state.out:
+        world.state.end_outage()
+    for worker in world.cloud.workers():
+        worker.hung = False
+    for member in FIVE:
+        world.thaw(member)
+        if not world.alive(member):
+            world.start(member)
+    world.rules.quiet_at = now()
+
+
+def play(
+    seed: int,
+    act: Callable[[Scenario], Awaitable[None]],
+    machines: int = MACHINES,
+    users: int = USERS,
+) -> None:
+    """Play one scenario to its end, at which all jobs are over and the same at each controller."""
+
+    async def main() -> None:
+        world = World(seed=seed, members=FIVE, lease_s=LEASE_S)
+        world.cloud.most = machines + 4
+        rng = random.Random(f"meeting {seed}")
+        for _ in range(machines):
+            world.cloud.add(("small", rng.choice(("a", "b")), rng.random() < 0.8))
+        await world.until(lambda: world.leader() is not None)
+        asking = []
+        for number in range(users):
+            one = random.Random(f"{seed} {number}")
+            asking.append(asyncio.ensure_future(user(world, submission(number, one), one)))
+        scenario = Scenario(world, rng)
+        await world.wait(10)
+        await act(scenario)
+        end_troubles(world)
+        while not all(one.done() for one in asking):
+            await world.wait(1)
+        accepted = [name for one in asking if (name := one.result()) is not None]
+        names = accepted + scenario.names
+        await world.finish(names, most=500)
+        for name in names:
+            for member in FIVE:
+                await world.poll(name, member)
+        assert not world.rules.broken, world.rules.broken
+
+    run(main())
