--- a/dappledrum/standins/network.py
+++ b/dappledrum/standins/network.py
@@ -2,6 +2,7 @@
 
 import asyncio
 import contextvars
+import json
 import random
 from collections.abc import Callable, Coroutine
 from datetime import timedelta
@@ -33,6 +34,9 @@
     most_s: float
     targets: tuple[str, ...]  # of reports; anything else comes again where it came before
     paths: tuple[str, ...] = ("/hello",)
+    #: Reports: the copy is kept until a report was answered with a higher token than any before,
+    #: and then reaches the controller that gave that answer.
+    for_next: bool = False
 
 
 class LateWrites(NamedTuple):
@@ -67,6 +71,8 @@
         self.watcher: Callable[[Sent], float | None] | None = None
         self.copies: Copies | None = None
         self.copied = 0
+        self.kept: list[tuple[str, bytes]] = []  # copies for the next leader: source and report
+        self.token = 0  # the highest that a worker was answered with
         self.late_writes: LateWrites | None = None
         self.held: list[tuple[str, str, str, str, bytes]] = []
         self.late = 0
@@ -117,14 +123,30 @@
             return
         if self.rng.random() >= copies.share:
             return
+        self.copied += 1
+        if path == "/hello" and copies.for_next:
+            self.kept.append((source, body))
+            return
         if path == "/hello":
             target = self.rng.choice(copies.targets)
-        self.copied += 1
         after = self.rng.uniform(copies.least_s, copies.most_s)
         asyncio.get_running_loop().create_task(
             self._late(source, target, method, path, body, after), context=contextvars.Context()
         )
 
+    def _answered(self, controller: str, answer: bytes) -> None:
+        """A report was answered; if by a new leader, it gets the copies kept for it, in order."""
+        token = json.loads(answer).get("baton", 0)
+        if token <= self.token:
+            return
+        self.token = token
+        kept, self.kept = self.kept, []
+        for source, body in kept:
+            asyncio.get_running_loop().create_task(
+                self._late(source, controller, "POST", "/hello", body),
+                context=contextvars.Context(),
+            )
+
     def caller(self, source: str, target: str) -> "Link":
         """A client at one host for a service at another."""
         return Link(self, source, target)
@@ -186,6 +208,8 @@
             service(self.source, method, path, body), context=contextvars.Context()
         )
         reply = await asyncio.shield(served)
+        if path == "/hello" and reply.status == 200:
+            network._answered(self.target, reply.body)
         await asyncio.sleep(network.rng.uniform(0.0005, 0.004) + network.slow.get(back, 0.0))
         if pair in network.cuts or pair in network.deaf or back in network.blocked:
             await asyncio.sleep(3600)
