--- a/dappledrum/workers/bookkeeping.py
+++ b/dappledrum/workers/bookkeeping.py
@@ -214,7 +214,9 @@
                 self._lost(machine, placement, "no longer there", Entry.LOST_STOPPED)
         if vain:
             self._vain(machine, "does not begin what it is given")
-        if machine.hearing.deaf:
+        # Only once it has shown this term's token: before, old copies look like reports that show
+        # neither the token nor what a predecessor has started since, and stopped what was running.
+        if machine.hearing.deaf and machine.up:
             for placement in machine.placements.values():
                 # Not offered any more, so the next report without it proves that it is not there.
                 placement.lost |= not placement.seen
--- a/dappledrum/workers/test_bookkeeping.py
+++ b/dappledrum/workers/test_bookkeeping.py
@@ -314,3 +314,24 @@
         assert desk.gone
 
     run(main())
+
+
+@pytest.mark.parametrize("copies", range(6))
+def test_old_copies_after_a_takeover_give_nothing_up_that_was_started_since(copies):
+    """They show neither the new token nor the task, so the machine may be taken for deaf; what it
+    is then thought never to have begun was stopped when its next report showed it."""
+
+    def check(desk):
+        machine = desk.roster.get("m")
+        desk.roster.machines.clear()
+        desk.books.restore(desk.job)
+        assert desk.roster.get("m") is not machine
+        desk.save()
+        for sequence in range(2, 2 + copies):
+            desk.report(sequence, token=TOKEN - 1)
+        assert not desk.placement.lost
+        assert desk.report(20, RUNNING, token=TOKEN - 1) == []
+        assert desk.report(21, RUNNING) == []
+        assert not desk.gone
+
+    case(check)
