--- /dev/null
+++ b/dappledrum/standins/truth.py
@@ -0,0 +1,107 @@
+"""Compares what leaders take for proven with what is so on the machines.
+
+A loop of a leader would only log a failed assertion and go on, so everything wrong is collected
+and looked at in the end.
+"""
+
+import asyncio
+from collections.abc import Iterator
+from contextlib import contextmanager
+from typing import Any
+from unittest.mock import patch
+
+from dappledrum.accounts.entries import Entry
+from dappledrum.jobs.record import Placement
+from dappledrum.standins.fleet import CloudService
+from dappledrum.workers.bookkeeping import Bookkeeper
+from dappledrum.workers.messages import Report
+from dappledrum.workers.roster import Machine
+
+
+class Truth:
+    """Which machines are gone, and what was wrongly concluded of any."""
+
+    def __init__(self) -> None:
+        self.clouds: list[CloudService] = []
+        self.gone_at: dict[str, float] = {}
+        self.began_at: dict[Bookkeeper, float] = {}  # of each term
+        self.proofs = 0
+        self.wrong: list[str] = []
+
+    def check_gone(self, machine: str, task: str, attempt: int, why: str) -> None:
+        """A leader takes an attempt for gone from a machine."""
+        self.proofs += 1
+        if self._is_there(machine, task, attempt):
+            self.wrong.append(f"{task} is on {machine}, not gone: {why}")
+
+    def _is_there(self, machine: str, task: str, attempt: int) -> bool:
+        for cloud in self.clouds:
+            rented = cloud.machines.get(machine)
+            worker = rented.worker if rented is not None else None
+            there = worker.attempts.get((task, attempt)) if worker is not None else None
+            if there is not None and there.state != "ended":
+                return True
+        return False
+
+    def check_alive(self, books: Bookkeeper, machine: Machine) -> None:
+        """A leader has taken a report of a machine."""
+        gone = self.gone_at.get(machine.name)
+        if machine.up and gone is not None and gone < self.began_at[books]:
+            self.wrong.append(f"{machine.name} is gone and looks alive")
+
+    def check_never_begun(self, machine: Machine, lost_before: set[Placement]) -> None:
+        """A machine may have been taken for deaf, and what it has not shown for never begun."""
+        if not machine.hearing.deaf:
+            return
+        for placement in machine.placements.values():
+            if placement.seen or not placement.lost or placement in lost_before:
+                continue
+            task = f"{placement.page.job.id}/{placement.task}"
+            if self._is_there(machine.name, task, placement.attempt):
+                self.wrong.append(f"{task} is on {machine.name}, and will be stopped")
+
+
+@contextmanager
+def watched() -> Iterator[Truth]:
+    """Watch all leaders and clouds until the end of the block."""
+    truth = Truth()
+    begin, take, lose = Bookkeeper.__init__, Bookkeeper.take, Bookkeeper._lost
+    open_cloud, remove = CloudService.__init__, CloudService.take
+
+    def begun(books: Bookkeeper, *parts: Any, **more: Any) -> None:  # noqa: ANN401 - passed on
+        begin(books, *parts, **more)
+        truth.began_at[books] = asyncio.get_running_loop().time()
+
+    def taken(books: Bookkeeper, report: Report) -> Machine | None:
+        known = books.roster.get(report.machine)
+        placements = known.placements.values() if known is not None else ()
+        lost_before = {placement for placement in placements if placement.lost}
+        machine = take(books, report)
+        if machine is not None:
+            truth.check_alive(books, machine)
+            truth.check_never_begun(machine, lost_before)
+        return machine
+
+    def lost(
+        books: Bookkeeper, machine: Machine, placement: Placement, why: str, entry: Entry
+    ) -> None:
+        task = f"{placement.page.job.id}/{placement.task}"
+        truth.check_gone(machine.name, task, placement.attempt, why)
+        lose(books, machine, placement, why, entry)
+
+    def opened(cloud: CloudService, *parts: Any, **more: Any) -> None:  # noqa: ANN401 - passed on
+        open_cloud(cloud, *parts, **more)
+        truth.clouds.append(cloud)
+
+    def removed(cloud: CloudService, name: str) -> None:
+        truth.gone_at.setdefault(name, asyncio.get_running_loop().time())
+        remove(cloud, name)
+
+    with (
+        patch.object(Bookkeeper, "__init__", begun),
+        patch.object(Bookkeeper, "take", taken),
+        patch.object(Bookkeeper, "_lost", lost),
+        patch.object(CloudService, "__init__", opened),
+        patch.object(CloudService, "take", removed),
+    ):
+        yield truth
