--- a/dappledrum/jobs/recorder.py
+++ b/dappledrum/jobs/recorder.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from dappledrum.jobs.messages import JobRecord
+from dappledrum.jobs.messages import EndedRecord, JobRecord, Outcome
 from dappledrum.jobs.record import Job, Page, ended_key, head_key, rows_key, spec_key
 from dappledrum.leadership.elector import LEADER, Term
 from dappledrum.settings import StateLimits
@@ -257,7 +257,8 @@
                 log.info("%s was cancelled meanwhile", job.id)
                 self.on_cancelled(job)
         elif page.index == 0:
-            self._ended(job)  # only this leader's own ending removes a head
+            await self._read_end(job)
+            self._ended(job)
             await self._tell()
             return False
         else:
@@ -265,6 +266,23 @@
         page.uncertain = False
         return True
 
+    async def _read_end(self, job: Job) -> None:
+        """Take over how a job without a head has ended, as it is stored.
+
+        A leader that has been replaced, and does not know it yet, finds heads gone that its
+        successor has removed: jobs that it had taken for done and that users have cancelled since.
+        It once answered users from what it remembered of them.
+        """
+        entry = await self.state.get(ended_key(job.id), Rank.RECORD)
+        try:
+            if entry is None:
+                raise msgspec.DecodeError("no record")
+            stored = msgspec.json.decode(entry.value, type=EndedRecord)
+        except msgspec.DecodeError as error:  # must not keep everything else from being written
+            log.error("how %s has ended can't be read: %s", job.id, error)
+            return
+        job.cancelled = stored.state is Outcome.CANCELLED
+
     def _ended(self, job: Job) -> None:
         if job.over:
             return
--- /dev/null
+++ b/dappledrum/standins/users.py
@@ -0,0 +1,191 @@
+"""Users that ask at all controllers within milliseconds, and the order of what they are told.
+
+An answer may not be older than one that ended before its question began, at whichever controller;
+of answers that overlap in time nothing is said.
+"""
+
+import asyncio
+import json
+import random
+from collections.abc import Awaitable, Callable, Iterable
+from dataclasses import dataclass, field
+from datetime import timedelta
+from typing import Any, NamedTuple
+
+from dappledrum.http.client import NoResponseError, Reply
+from dappledrum.standins.world import World
+
+PATIENCE = timedelta(seconds=2)
+UNKNOWN, ACCEPTED, FINAL = range(3)
+FINAL_STATES = ("done", "cancelled")
+OK, CREATED, BAD_REQUEST, NOT_FOUND, UNPROCESSABLE = 200, 201, 400, 404, 422
+
+
+class Answer(NamedTuple):
+    """What one user was told of a job, and when the question began and the answer ended."""
+
+    asked: float
+    answered: float
+    member: str
+    level: int
+    state: str | None
+
+
+@dataclass
+class AnswerOrder:
+    """Checks the answers about each job against all that ended before their questions began."""
+
+    answers: dict[str, list[Answer]] = field(default_factory=dict)
+    broken: list[str] = field(default_factory=list)
+
+    def note(self, name: str, answer: Answer) -> None:
+        """One more answer."""
+        told = self.answers.setdefault(name, [])
+        for before in told:
+            if before.answered < answer.asked and before.level > answer.level:
+                self.broken.append(f"{name}: {before}, then {answer}")
+            both_final = before.level == answer.level == FINAL
+            if both_final and before.state != answer.state:
+                self.broken.append(f"{name}: {before} and {answer}")
+        told.append(answer)
+
+    def level(self, name: str) -> int:
+        """The newest that anybody was told of a job."""
+        return max((answer.level for answer in self.answers.get(name, ())), default=UNKNOWN)
+
+
+def _now() -> float:
+    return asyncio.get_running_loop().time()
+
+
+def sent_form(spec: dict[str, Any]) -> bytes:
+    """A submission as it goes over the wire."""
+    return json.dumps({k: v for k, v in spec.items() if k not in ("runS", "broken")}).encode()
+
+
+class ImpatientUser:
+    """Submits one job, and looks at it closely around its acceptance, cancellation and end."""
+
+    def __init__(
+        self, world: World, order: AnswerOrder, spec: dict[str, Any], rng: random.Random
+    ) -> None:
+        self.world = world
+        self.order = order
+        self.spec = spec
+        self.name = str(spec["id"])
+        self.rng = rng
+        self.cancels = False
+
+    def alive(self) -> list[str]:
+        """Controllers that can be asked."""
+        return [m for m in self.world.members if m in self.world.network.services]
+
+    async def _request(self, method: str, path: str, body: bytes, member: str) -> Reply | None:
+        asked = _now()
+        try:
+            caller = self.world.network.caller("user", member)
+            reply = await caller.request(method, path, body, PATIENCE)
+        except NoResponseError:
+            return None
+        self._check(reply, asked, member, submitted=path == "/submissions")
+        return reply
+
+    def _check(self, reply: Reply, asked: float, member: str, submitted: bool) -> None:
+        """Note an answer; the rules hear only of what is not overtaken by newer answers."""
+        rules = self.world.rules
+        level, state = UNKNOWN, None
+        if reply.status in (OK, CREATED):
+            state = json.loads(reply.body)["stance"]
+            level = FINAL if state in FINAL_STATES else ACCEPTED
+        elif reply.status not in (BAD_REQUEST, NOT_FOUND, UNPROCESSABLE):
+            return
+        newest = self.order.level(self.name)
+        self.order.note(self.name, Answer(asked, _now(), member, level, state))
+        if level < newest:
+            return  # overlaps with newer ones, or is in the order's list of broken rules
+        if submitted:
+            rules.submit_answer(_now(), self.name, reply.status, state)
+        else:
+            rules.poll_answer(_now(), self.name, reply.status, state)
+
+    async def poll(self, member: str) -> Reply | None:
+        """Ask one controller."""
+        return await self._request("GET", f"/submissions/{self.name}", b"", member)
+
+    async def submit(self, member: str) -> Reply | None:
+        """Send the job to one controller, for the first time or again."""
+        self.world.rules.submitted(self.spec, _now())
+        return await self._request("POST", "/submissions", sent_form(self.spec), member)
+
+    async def cancel(self, member: str) -> Reply | None:
+        """Cancel it at one controller."""
+        self.cancels = True
+        self.world.rules.cancel_asked(self.name)
+        return await self._request("POST", f"/submissions/{self.name}/cancel", b"", member)
+
+    async def until(self, ask: Callable[[str], Awaitable[Reply | None]], *good: int) -> str | None:
+        """Ask until a controller gives one of these answers; the state told."""
+        while True:
+            reply = await ask(self.rng.choice(self.alive() or list(self.world.members)))
+            if reply is not None and reply.status in good:
+                return str(json.loads(reply.body)["stance"])
+            await asyncio.sleep(self.rng.uniform(0.05, 1.0))
+
+    async def look(self, span: float) -> None:
+        """Ask all controllers every few milliseconds, and sometimes submit again."""
+        questions: list[asyncio.Future[Reply | None]] = []
+        end = _now() + span
+        while _now() < end:
+            for member in self.alive():
+                ask = self.submit if self.rng.random() < 0.15 else self.poll
+                questions.append(asyncio.ensure_future(ask(member)))
+            await asyncio.sleep(self.rng.uniform(0.001, 0.02))
+        await asyncio.gather(*questions)
+
+    async def until_tasks_end(self, share: float = 1.0, most: float = 90.0) -> None:
+        """Wait until so many of its tasks have completed, as only the world knows."""
+        end = _now() + most
+        facts = self.world.rules.jobs[self.name]
+        while len(facts.done) < share * self.spec["beats"] and _now() < end:
+            await asyncio.sleep(0.003)
+
+    async def run(self, cancels: float = 0.4, span: float = 0.12) -> str:
+        """Submit, look, wait for the end or cancel, look again; the final state."""
+        await asyncio.sleep(self.rng.uniform(0, 8))
+        await self.until(self.submit, OK, CREATED)
+        at_once = self.rng.random() < cancels / 2
+        asked = [asyncio.ensure_future(self.look(span))]
+        if at_once:
+            await asyncio.sleep(self.rng.uniform(0, span))
+            await self.until(self.cancel, OK)
+            asked.append(asyncio.ensure_future(self.look(span)))
+        else:
+            await self.until_tasks_end()
+            await asyncio.sleep(self.rng.uniform(0, 0.1))
+            if self.rng.random() < cancels:
+                asked.append(asyncio.ensure_future(self.until(self.cancel, OK)))
+            asked.append(asyncio.ensure_future(self.look(2 * span)))
+        await asyncio.gather(*asked)
+        while (state := await self.until(self.poll, OK)) not in FINAL_STATES:
+            await asyncio.sleep(self.rng.uniform(0.02, 0.5))
+        await self.look(span)
+        return str(state)
+
+
+async def wandering_latency(
+    world: World, rng: random.Random, hosts: Iterable[str], most: float
+) -> None:
+    """Let the way to the state service and back take longer or shorter from one request to the
+    next, so that a later one may overtake an earlier one; until cancelled."""
+    members = list(hosts)
+    slow = world.network.slow
+    try:
+        while True:
+            for member in members:
+                for pair in ((member, "state"), ("state", member)):
+                    slow[pair] = rng.uniform(0, most) if rng.random() < 0.5 else 0.0
+            await asyncio.sleep(rng.uniform(0.002, 0.02))
+    finally:
+        for member in members:
+            slow.pop((member, "state"), None)
+            slow.pop(("state", member), None)
