--- a/dappledrum/controller/node.py
+++ b/dappledrum/controller/node.py
@@ -449,7 +449,10 @@
         parts = request.path.partition("?")[0].split("/")
         if len(parts) == 2:
             return await self.intake.submit(request.body)
-        if not parts[2].startswith("j-") or not parts[2][2:].isdigit() or len(parts[2]) > 32:
+        number = parts[2].removeprefix("j-")
+        if not (
+            parts[2] != number and number.isascii() and number.isdigit() and len(number) <= 30
+        ):
             return refusal(HTTPStatus.NOT_FOUND, "no such job")
         if len(parts) == 3:
             return await self.intake.poll(parts[2])
--- a/dappledrum/jobs/intake.py
+++ b/dappledrum/jobs/intake.py
@@ -23,6 +23,7 @@
     EndedRecord,
     Form,
     JobRecord,
+    Named,
     Outcome,
     PageRecord,
     Spec,
@@ -126,7 +127,7 @@
         try:
             spec = msgspec.json.decode(body, type=Spec)
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-            return refusal(HTTPStatus.BAD_REQUEST, str(error))
+            return await self._malformed(body, refusal(HTTPStatus.BAD_REQUEST, str(error)))
         if spec.needs is not None:
             needs = list(dict.fromkeys(spec.needs)) or None
             spec = msgspec.structs.replace(spec, needs=needs)
@@ -141,19 +142,21 @@
     async def _submit(self, spec: Spec) -> Response:
         objection = await self._objection(spec)
         if objection is not None:
-            # Accepted once means accepted for ever, so look before refusing.
-            found = await self.find(spec.id, Rank.INTAKE)
-            return objection if found is None else self._present(spec.id, found, HTTPStatus.OK)
+            return await self._unless_accepted(spec.id, objection)
         if self.admission.full():
             return busy()
         puts = self._record(spec)
         if len(puts) > self.params.state.txn_ops:
-            return refusal(HTTPStatus.BAD_REQUEST, "waits for too many jobs")
+            objection = refusal(HTTPStatus.BAD_REQUEST, "waits for too many jobs")
+            return await self._unless_accepted(spec.id, objection)
+        # A repeated submission of another form joins the first one, whose form is stored.
+        first = spec.id not in self.admission.waiting
         try:
             version = await self.admission.admit(spec.id, puts)
             record = msgspec.json.decode(puts[0].value, type=JobRecord)
             self.polls.note(spec.id, seen(record), version)
-            self.lookup.note(spec.id, spec.form)
+            if first:
+                self.lookup.note(spec.id, spec.form)
         except TooLargeError as error:
             self.ceiling.refused(max(len(bytes(put.value)) for put in puts), str(error))
             return busy()
@@ -163,6 +166,23 @@
         log.info("accepted %s: %s", spec.id, described(spec.tasks, spec.job_class, spec.team))
         return answer(HTTPStatus.CREATED, Answer(spec.id, Outcome.QUEUED))
 
+    async def _malformed(self, body: bytes, objection: Response) -> Response:
+        """The answer to a submission that can't be read as a whole."""
+        try:
+            name = msgspec.json.decode(body, type=Named).id
+        except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
+            return objection
+        try:
+            return await self._unless_accepted(name, objection)
+        except StateError as error:
+            log.info("malformed submission %s not refused: %s", name, error)
+            return busy()
+
+    async def _unless_accepted(self, job: str, objection: Response) -> Response:
+        """Refuse a submission; accepted once means accepted for ever, so look before."""
+        found = self.ended.get(job) or await self.find(job, Rank.INTAKE)
+        return objection if found is None else self._present(job, found, HTTPStatus.OK)
+
     async def _objection(self, spec: Spec) -> Response | None:
         """The answer to a job that can't be taken, unless it was accepted before."""
         if self.types is None:
--- a/dappledrum/jobs/messages.py
+++ b/dappledrum/jobs/messages.py
@@ -11,7 +11,8 @@
 
 MAX_TASKS = 100_000
 
-JobId = Annotated[str, Meta(pattern=r"^j-[0-9]{1,30}$")]
+# `$` would let a line break follow, which no key of the state service may hold.
+JobId = Annotated[str, Meta(pattern=r"^j-[0-9]{1,30}\Z")]
 Label = Annotated[str, Meta(min_length=1, max_length=200)]
 Amount = Annotated[float, Meta(ge=0, le=1e9)]
 
@@ -105,6 +106,12 @@
         return seconds(self.save_s)
 
 
+class Named(msgspec.Struct):
+    """What has to be readable of a malformed submission to tell whether its job was accepted."""
+
+    id: JobId
+
+
 class Answer(msgspec.Struct, rename={"state": "stance"}, omit_defaults=True):
     """Answer to a user."""
 
--- a/dappledrum/jobs/test_intake.py
+++ b/dappledrum/jobs/test_intake.py
@@ -42,6 +42,9 @@
         (body(id="absent"), 400),
         (body(id="x-1"), 400),
         (body(id="j-1/2"), 400),
+        (body(id="j-000001\n"), 400),
+        (body(id="j-\u00b2"), 400),
+        (body(waitsOn=["j-000002\n"]), 400),
         (body(beats=0), 400),
         (body(beats=100_001), 400),
         (body(beats=1.5), 400),
@@ -74,6 +77,23 @@
     assert send(body(), body(), body(crew="nobody")) == [201, 200, 200]
 
 
+@pytest.mark.parametrize(
+    "changed",
+    [
+        {"vcpus": "absent"},
+        {"beats": 0},
+        {"form": "unknown"},
+        {"waitsOn": ["j-000009"]},
+        {"waitsOn": ["j-000001"]},
+        {"builds": ["x" * 190] * 60},
+    ],
+)
+def test_a_changed_submission_of_a_known_job_is_never_refused(changed):
+    """One that lacked a field was refused with 400 though its job had been accepted."""
+    statuses = send(body(id="j-000002", **changed), body(), body(**changed))
+    assert statuses[0] in (400, 422) and statuses[1:] == [201, 200]
+
+
 def test_paths_and_methods():
     async def main():
         world = World(seed=1)
@@ -82,6 +102,9 @@
             ("GET", "/submissions/j-000009", 404),
             ("GET", "/submissions/nonsense", 404),
             ("GET", "/submissions/j-1%2F..", 404),
+            ("GET", "/submissions/j-\u00b2", 404),
+            ("GET", "/submissions/j-", 404),
+            ("GET", "/submissions/j-" + "1" * 31, 404),
             ("POST", "/submissions/j-000009/cancel", 404),
             ("DELETE", "/submissions/j-000009", 405),
             ("GET", "/submissions", 405),
