--- a/dappledrum/standins/state_service.py
+++ b/dappledrum/standins/state_service.py
@@ -37,6 +37,7 @@
         self.spare_writes = 0.0
         self.spare_at = 0.0
         self.over_rate = 0
+        self.list_most = 1000  # keys in one answer of a list
 
     def end_outage(self) -> None:
         """Service again; every lease has its full time."""
@@ -94,7 +95,7 @@
         prefix, after, page = (
             options["prefix"],
             options.get("from", ""),
-            int(options.get("page", "1000")),
+            min(int(options.get("page", "1000")), self.list_most),
         )
         names = sorted(key for key in self.keys if key.startswith(prefix) and key > after)
         pairs = [
--- a/dappledrum/standins/users.py
+++ b/dappledrum/standins/users.py
@@ -149,12 +149,38 @@
         while len(facts.done) < share * self.spec["beats"] and _now() < end:
             await asyncio.sleep(0.003)
 
+    async def until_end_is_written(self, most: float = 90.0) -> None:
+        """Wait until the leader is about to write the job's end."""
+        end = _now() + most
+        while _now() < end:
+            leaders = [node.leader for node in self.world.nodes.values() if node.leader]
+            if any(job.id == self.name for leader in leaders for job in leader.recorder.ending):
+                return
+            await asyncio.sleep(0.001)
+
+    async def meet_end(self, written: bool, after: float) -> str:
+        """Submit; cancel, ask and submit again at once, so long after the last task has completed
+        or after the leader is about to write the end; the final state."""
+        await asyncio.sleep(self.rng.uniform(0, 8))
+        await self.until(self.submit, OK, CREATED)
+        await (self.until_end_is_written() if written else self.until_tasks_end())
+        await asyncio.sleep(after)
+        cancelling = asyncio.ensure_future(self.until(self.cancel, OK))
+        await self.look(0.05)
+        state = await cancelling
+        await self.look(0.02)
+        return str(state)
+
     async def run(self, cancels: float = 0.4, span: float = 0.12) -> str:
         """Submit, look, wait for the end or cancel, look again; the final state."""
         await asyncio.sleep(self.rng.uniform(0, 8))
+        asked = []
+        if self.rng.random() < 0.5:
+            asked.append(asyncio.ensure_future(self.look(span)))  # from before it is accepted
+            await asyncio.sleep(self.rng.uniform(0, span))
         await self.until(self.submit, OK, CREATED)
         at_once = self.rng.random() < cancels / 2
-        asked = [asyncio.ensure_future(self.look(span))]
+        asked.append(asyncio.ensure_future(self.look(span)))
         if at_once:
             await asyncio.sleep(self.rng.uniform(0, span))
             await self.until(self.cancel, OK)
