--- a/dappledrum/controller/test_user_meetings.py
+++ b/dappledrum/controller/test_user_meetings.py
@@ -3,19 +3,18 @@
 them."""
 
 import asyncio
-import json
 import random
 
 import pytest
 
-from dappledrum.http.server import Request
+from dappledrum.standins.odd_requests import QUESTIONS, OddRequests, changed
 from dappledrum.standins.pairs import FIVE
 from dappledrum.standins.scenario import now, play
-from dappledrum.standins.users import AnswerOrder, ImpatientUser, sent_form, wandering_latency
-from dappledrum.standins.world import job
+from dappledrum.standins.time import run
+from dappledrum.standins.users import AnswerOrder, ImpatientUser, one_task_user, wandering_latency
+from dappledrum.standins.world import World, job
 
 SEEDS = pytest.mark.parametrize("seed", range(3))
-ABSENT = object()  # a field that is left out
 
 
 def impatient(scenario, order, seed, count, tasks=(1, 2, 2, 3)):
@@ -91,75 +90,6 @@
     play(seed, act, users=2)
 
 
-#: Requests that nobody should send: method, path, changes of a submission (None: another body),
-#: and what is answered when the controller can decide.
-ODD = [
-    ("POST", "/submissions", {"vcpus": 400.0}, 422),
-    ("POST", "/submissions", {"crew": "nobody"}, 422),
-    ("POST", "/submissions", {"crew": "red", "vcpus": 4.0, "form": "service"}, 422),
-    ("POST", "/submissions", {"builds": ["large"], "hall": "b"}, 422),
-    ("POST", "/submissions", {"waitsOn": ["j-000950"]}, 422),
-    ("POST", "/submissions", {"vcpus": ABSENT}, 400),
-    ("POST", "/submissions", {"id": ABSENT}, 400),
-    ("POST", "/submissions", {"beats": 0}, 400),
-    ("POST", "/submissions", None, 400),
-    ("GET", "/submissions/j-000950", None, 404),
-    ("POST", "/submissions/j-000950/cancel", None, 404),
-]
-KNOWN_CHANGES = ({}, {"vcpus": ABSENT}, {"vcpus": 400.0}, {"waitsOn": ["j-000950"]})
-
-
-def submission(number, changes):
-    """A submission as it is sent, changed."""
-    spec = job(number, **changes)
-    return sent_form({key: value for key, value in spec.items() if value is not ABSENT})
-
-
-class OddRequests:
-    """Requests about a finished, a running and an unknown job, and jobs that can never run."""
-
-    def __init__(self, world):
-        self.world = world
-
-    async def prepare(self):
-        """One job is done, one runs for long."""
-        await self.world.submit(job(960, beats=1, runS=1.0, dueS=None))
-        await self.world.submit(job(961, beats=1, runS=300.0, expectedS=300.0, dueS=None))
-        await self.world.until(lambda: "ended/j-000960" in self.world.state.keys)
-
-    async def ask(self, member, method, path, body=b""):
-        """One request to one controller; the answer as it goes over the wire, and the state."""
-        node = self.world.nodes[member]
-        response = await node.serve(Request(method, path, body))
-        state = None
-        if response.status in (200, 201):
-            state = json.loads(response.body)["stance"]
-        return response, state
-
-    async def check(self, member, undecided=()):
-        """All of them; `undecided`: the statuses that may be answered instead, with a time to
-        come back."""
-        for method, path, changes, status in ODD:
-            body = b"{" if changes is None else submission(950, changes)
-            response, _ = await self.ask(member, method, path, body)
-            self.right(response, {status}, undecided, (member, path, changes))
-        for number, states in ((960, {"done"}), (961, {"pending", "running"})):
-            for changes in KNOWN_CHANGES:
-                body = submission(number, changes)
-                response, state = await self.ask(member, "POST", "/submissions", body)
-                self.right(response, {200}, undecided, (member, number, changes))
-                assert response.status == 503 or state in states
-        response, state = await self.ask(member, "POST", "/submissions/j-000960/cancel")
-        self.right(response, {200}, undecided, (member, "cancel of a finished job"))
-        assert response.status == 503 or state == "done"
-
-    @staticmethod
-    def right(response, statuses, undecided, what):
-        """The protocol's answer, or a time to come back."""
-        assert response.status in {*statuses, *undecided}, (response, what)
-        assert response.status != 503 or 1 <= response.retry_after <= 30, (response, what)
-
-
 @SEEDS
 def test_odd_requests_at_every_controller_and_in_the_first_second_of_a_process(seed):
     """A process that has not learned the machine types yet refuses nothing that it can't judge,
@@ -171,6 +101,12 @@
         await odd.prepare()
         for member in FIVE:
             await odd.check(member)
+        member = rng.choice(FIVE)
+        world.state.refused.add(member)
+        await odd.check(member, undecided=(503,))
+        await world.wait(2)
+        await odd.check(member)  # served through its peers
+        world.state.refused.clear()
         for member in rng.sample(FIVE, 3):
             await world.restart(member, rng.choice((0.1, 1.0)))
             for _ in range(8):
@@ -202,10 +138,10 @@
         for member in FIVE:
             assert world.nodes[member].intake.types is None
             await odd.check(member, undecided=(503,))
-            response, _ = await odd.ask(member, "POST", "/submissions", submission(952, {}))
+            response, _ = await odd.ask(member, "POST", "/submissions", changed(952, {}))
             assert response.status == 503
             response, state = await odd.ask(
-                member, "POST", "/submissions", submission(960, {"vcpus": 400.0})
+                member, "POST", "/submissions", changed(960, {"vcpus": 400.0})
             )
             assert (response.status, state) == (200, "done")
         world.cloud.out = False
@@ -231,9 +167,8 @@
             member = rng.choice(FIVE)
             asked = now()
             await odd.check(member, undecided=(503,))
-            questions = len(ODD) + 2 * len(KNOWN_CHANGES) + 1
-            assert now() - asked < questions * 0.6
-            response, _ = await odd.ask(member, "POST", "/submissions", submission(952, {}))
+            assert now() - asked < QUESTIONS * 0.6
+            response, _ = await odd.ask(member, "POST", "/submissions", changed(952, {}))
             assert response.status == 503
             await world.wait(rng.uniform(0, 1))
         world.state.end_outage()
@@ -279,3 +214,49 @@
         assert not order.broken, order.broken
 
     play(seed, act, users=2)
+
+
+ONE_TASK_JOBS = 480  # two minutes of them
+A_SECOND = 4.0
+
+
+@pytest.mark.parametrize(("seed", "rps", "write_rps"), [(0, 250.0, 35.0), (1, 200.0, 80.0)])
+def test_one_task_jobs_four_a_second_a_quarter_of_them_cancelled(seed, rps, write_rps):
+    """At the rates of requests and changes that large deployments have: users are answered, the
+    queue of changes does not grow, nothing is forgotten, and nothing is kept of ended jobs but
+    their ends."""
+
+    async def main():
+        world = World(seed, members=FIVE, rps=rps, write_rps=write_rps, limited=True)
+        world.cloud.most = 30
+        for _ in range(12):
+            world.cloud.add(("small", world.rng.choice(("a", "b")), True))
+        await world.until(lambda: world.leader() is not None)
+        leader = world.nodes[world.leader()].leader
+        accepted_after, users, queue = [], [], []
+        for number in range(ONE_TASK_JOBS):
+            one = random.Random(f"{seed} one task {number}")
+            user = one_task_user(world, number, one, accepted_after, 0.25)
+            users.append(asyncio.ensure_future(user))
+            await world.wait(one.expovariate(A_SECOND))
+            queue.append(len(leader.recorder.dirty) + len(leader.recorder.ending))
+        await world.until(lambda: all(user.done() for user in users))
+        states = [user.result() for user in users]
+        assert states.count("cancelled") > ONE_TASK_JOBS * 0.15
+        assert sorted(accepted_after)[int(ONE_TASK_JOBS * 0.95)] < 0.3
+        assert max(queue) < world.params.state.txn_ops
+        assert world.state.over_rate == 0
+        world.rules.quiet_at = now()
+        for number in range(0, ONE_TASK_JOBS, 7):
+            for member in FIVE:
+                assert await world.poll(f"j-{number:06d}", member) == states[number]
+        await world.wait(5)
+        assert world.nodes[world.leader()].leader is leader
+        assert not leader.jobs and not leader.graph.jobs and not leader.bookkeeper.jobs
+        assert not leader.recorder.dirty and not leader.recorder.garbage
+        assert {key.split("/")[0] for key in world.state.keys if "/j-" in key} == {"ended"}
+        for node in world.nodes.values():
+            assert not node.intake.polls.waiting and not node.intake.admission.waiting
+        assert not world.rules.broken, world.rules.broken
+
+    run(main())
--- a/dappledrum/standins/state_service.py
+++ b/dappledrum/standins/state_service.py
@@ -2,6 +2,7 @@
 
 import asyncio
 import json
+import math
 from typing import Any
 from urllib.parse import parse_qs
 
@@ -13,6 +14,25 @@
     return Reply(status, json.dumps(body if body is not None else {}).encode())
 
 
+class Allowance:
+    """What a rate allows at this moment; bursts of one second's worth."""
+
+    def __init__(self) -> None:
+        self.spare = math.inf  # the burst, from the first use on
+        self.at = 0.0
+
+    def take(self, amount: float, rate: float | None) -> bool:
+        """Take an amount, if the rate allows it; without a rate everything is allowed."""
+        if rate is None:
+            return True
+        now = asyncio.get_running_loop().time()
+        self.spare, self.at = min(self.spare + (now - self.at) * rate, rate), now
+        if amount > self.spare:
+            return False
+        self.spare -= amount
+        return True
+
+
 class StateService:
     """All in memory.
 
@@ -34,8 +54,9 @@
         self.value_bytes = 8192
         self.txn_ops = 24
         self.write_rps: float | None = None  # changes a second; bursts of one second's worth
-        self.spare_writes = 0.0
-        self.spare_at = 0.0
+        self.rps: float | None = None  # requests a second
+        self.spare_writes = Allowance()
+        self.spare_requests = Allowance()
         self.over_rate = 0
         self.list_most = 1000  # keys in one answer of a list
 
@@ -74,6 +95,9 @@
         options = {key: values[0] for key, values in parse_qs(query).items()}
         if self.out or source in self.refused:
             return reply(503, {"error": "trouble"})
+        if not self.spare_requests.take(1, self.rps):
+            self.over_rate += 1
+            return reply(429, {"error": "too many requests"})
         self._expire()
         if route == "/watch":
             return await self._watch(source, options)
@@ -125,7 +149,7 @@
         if len(changes) > self.txn_ops or len(body["guards"]) > self.txn_ops * 4:
             self.too_large.append("transaction")
             return reply(400, {"error": "too many changes in one transaction"})
-        if not self._affordable(len(changes)):
+        if not self.spare_writes.take(len(changes), self.write_rps):
             self.over_rate += 1
             return reply(429, {"error": "too many changes"})
         self.writes += len(changes)
@@ -156,17 +180,6 @@
             self._tell()
         return reply(200, {"tally": self.tally})
 
-    def _affordable(self, changes: int) -> bool:
-        if self.write_rps is None:
-            return True
-        now = asyncio.get_running_loop().time()
-        grown = self.spare_writes + (now - self.spare_at) * self.write_rps
-        self.spare_writes, self.spare_at = min(grown, self.write_rps), now
-        if changes > self.spare_writes:
-            return False
-        self.spare_writes -= changes
-        return True
-
     async def _watch(self, source: str, options: dict[str, str]) -> Reply:
         loop = asyncio.get_running_loop()
         since, end = int(options["from"]), loop.time() + int(options.get("waitMs", "0")) / 1000
--- a/dappledrum/standins/users.py
+++ b/dappledrum/standins/users.py
@@ -13,7 +13,7 @@
 from typing import Any, NamedTuple
 
 from dappledrum.http.client import NoResponseError, Reply
-from dappledrum.standins.world import World
+from dappledrum.standins.world import World, job
 
 PATIENCE = timedelta(seconds=2)
 UNKNOWN, ACCEPTED, FINAL = range(3)
@@ -198,6 +198,26 @@
         return str(state)
 
 
+async def one_task_user(
+    world: World, number: int, rng: random.Random, accepted_after: list[float], cancelled: float
+) -> str | None:
+    """Submits a job of one task; cancels that share of them within some seconds, and asks about
+    the others every few seconds; the final state."""
+    run_s = rng.uniform(2, 15)
+    spec = job(number, beats=1, vcpus=0.5, memGb=0.5, runS=run_s, expectedS=8.0, dueS=None)
+    began = _now()
+    if await world.submit(spec, 60) not in (OK, CREATED):
+        return None
+    accepted_after.append(_now() - began)
+    if rng.random() < cancelled:
+        await asyncio.sleep(rng.uniform(0, 12))
+        return await world.cancel(spec["id"], 60)
+    while True:
+        await asyncio.sleep(rng.uniform(4, 6))
+        if (state := await world.poll(spec["id"])) in FINAL_STATES:
+            return state
+
+
 async def wandering_latency(
     world: World, rng: random.Random, hosts: Iterable[str], most: float
 ) -> None:
--- a/dappledrum/standins/world.py
+++ b/dappledrum/standins/world.py
@@ -128,6 +128,8 @@
     members: tuple[str, ...] = ("drummer-0", "drummer-1", "drummer-2")
     lease_s: float = 9.0
     rps: float = 200.0
+    write_rps: float = 100.0
+    limited: bool = False  # the state service refuses what exceeds these rates
     next: NextLimits | None = None
     reach: bool = True
     old: set[str] = field(default_factory=set)  # controllers that run the version before chains
@@ -143,6 +145,8 @@
             30.0, {team.name: (team.cpus_max, team.gpus_max) for team in self.teams}
         )
         self.state = StateService()
+        if self.limited:
+            self.state.rps, self.state.write_rps = self.rps, self.write_rps
         timing = Timing(1.0, self.lease_s)
         self.timing = timing
         types = [dict(kind) for kind in TYPES]
@@ -154,7 +158,7 @@
         self.params = Params(
             teams=list(self.teams),
             workers=WorkerLimits(1.0, self.lease_s, 30.0),
-            state=StateLimits(self.rps, 100.0, 8.0, 24, self.next),
+            state=StateLimits(self.rps, self.write_rps, 8.0, 24, self.next),
             cloud=CloudLimits(4.0, 4.0),
             zones=["a", "b"],
         )
