--- a/dappledrum/standins/world.py
+++ b/dappledrum/standins/world.py
@@ -331,6 +331,13 @@
         self.network.blocked |= pairs
         return pairs
 
+    def mute(self, names: list[str]) -> set[tuple[str, str]]:
+        """These machines reach no controller, while direct commands reach them; returns what is
+        blocked for it."""
+        pairs = {(name, member) for name in names for member in self.members}
+        self.network.blocked |= pairs
+        return pairs
+
     # time
 
     async def wait(self, seconds: float) -> None:
