--- a/dappledrum/standins/scenario.py
+++ b/dappledrum/standins/scenario.py
@@ -91,11 +91,12 @@
     act: Callable[[Scenario], Awaitable[None]],
     machines: int = MACHINES,
     users: int = USERS,
+    **of_world: Any,  # noqa: ANN401 - any field of the world
 ) -> None:
     """Play one scenario to its end, at which all jobs are over and the same at each controller."""
 
     async def main() -> None:
-        world = World(seed=seed, members=FIVE, lease_s=LEASE_S)
+        world = World(seed=seed, members=FIVE, lease_s=LEASE_S, **of_world)
         world.cloud.most = machines + 4
         rng = random.Random(f"meeting {seed}")
         for _ in range(machines):
