--- a/dappledrum/jobs/recorder.py
+++ b/dappledrum/jobs/recorder.py
@@ -66,7 +66,10 @@
         job = page.job
         if job.over:
             return
-        if job.complete() or (job.cancelled and not job.on_machines()):
+        # All tasks may be done while an attempt still runs: its task was completed by an earlier
+        # attempt, whose report was held back. It counts for the team's limit, also for the next
+        # leader, so the job stays until the attempt is proven gone.
+        if (job.complete() or job.cancelled) and not job.on_machines():
             job.ended_at = job.ended_at or self.clock.today()
             self.ending[job] = None
         elif page.dirty:
