--- a/dappledrum/standins/network.py
+++ b/dappledrum/standins/network.py
@@ -37,11 +37,12 @@
 
 class LateWrites(NamedTuple):
     """A share of the transactions gets no answer, and is carried out so much later, after newer
-    ones of the same sender."""
+    ones of the same sender; or at once, so that only the answer is lost."""
 
     share: float
     least_s: float
     most_s: float
+    at_once: bool = False
 
 
 def host(name: str) -> str:
@@ -171,7 +172,7 @@
                 await asyncio.sleep(3600)
         late = network.late_writes
         if late is not None and path == "/multi" and network.rng.random() < late.share:
-            after = network.rng.uniform(late.least_s, late.most_s)
+            after = 0.0 if late.at_once else network.rng.uniform(late.least_s, late.most_s)
             asyncio.get_running_loop().create_task(
                 network._late(self.source, self.target, method, path, body, after),
                 context=contextvars.Context(),
