--- a/dappledrum/jobs/admission.py
+++ b/dappledrum/jobs/admission.py
@@ -1,16 +1,20 @@
 """Puts accepted jobs into the state service, those that come together in one transaction.
 
 Each job keeps its own guards. When one of them fails, only its job hears of it, and the others are
-written without it.
+written without it. While the answer of a transaction is late, its jobs are looked up: one that is
+stored is accepted, whichever transaction has stored it.
 """
 
 import asyncio
+from collections.abc import Awaitable, Callable
 from datetime import timedelta
 from typing import NamedTuple
 
+from dappledrum.jobs.polls import Found
 from dappledrum.jobs.record import ended_key, head_key
 from dappledrum.state.budget import Rank
 from dappledrum.state.client import TXN_BYTES, ConflictError, State, StateError
+from dappledrum.state.hedge import commit_or_find
 from dappledrum.state.messages import Guard, Put
 from dappledrum.timing.clock import ZERO
 
@@ -22,15 +26,23 @@
 class _Item(NamedTuple):
     job: str
     puts: list[Put]
-    answer: asyncio.Future[int]
+    answer: asyncio.Future[int | Found]
+
+    def fail(self, error: Exception) -> None:
+        """Tell whoever waits what became of the transaction, unless a read has told it already."""
+        if not self.answer.done():
+            self.answer.set_exception(error)
 
 
 class Admission:
     """Jobs on their way into the state service."""
 
-    def __init__(self, state: State, most_changes: int) -> None:
+    def __init__(
+        self, state: State, most_changes: int, find: Callable[[str, Rank], Awaitable[Found]]
+    ) -> None:
         self.state = state
         self.most_changes = most_changes
+        self.find = find
         self.waiting: dict[str, _Item] = {}
         self.writing: set[asyncio.Task[None]] = set()
         self.writer: asyncio.Task[None] | None = None
@@ -39,11 +51,12 @@
         """Whether the rate of changes leaves no room for one more job soon."""
         return self.state.busy_for(Rank.INTAKE, writes=len(self.waiting) + 1) > QUEUE
 
-    async def admit(self, job: str, puts: list[Put]) -> int:
-        """Store a new job; returns the version, or raises what became of its transaction."""
+    async def admit(self, job: str, puts: list[Put]) -> int | Found:
+        """Store a new job; returns the version, or what was read of the job while the answer was
+        late, or raises what became of its transaction."""
         item = self.waiting.get(job)
         if item is None:
-            future: asyncio.Future[int] = asyncio.get_running_loop().create_future()
+            future: asyncio.Future[int | Found] = asyncio.get_running_loop().create_future()
             item = self.waiting[job] = _Item(job, puts, future)
         if self.writer is None:
             self.writer = asyncio.get_running_loop().create_task(self._write())
@@ -80,25 +93,46 @@
             guards += [Guard(head_key(item.job), 0), Guard(ended_key(item.job), 0)]
         try:
             puts = [put for item in batch for put in item.puts]
-            version = await self.state.commit(guards, puts, Rank.INTAKE)
+            version = await commit_or_find(
+                self.state, guards, puts, Rank.INTAKE, lambda: self._find(batch)
+            )
         except ConflictError as error:
             failed = set(error.failed)
             refused = [i for i in batch if {head_key(i.job), ended_key(i.job)} & failed] or batch
             for item in refused:
-                item.answer.set_exception(ConflictError(error.failed))
-            others = [item for item in batch if item not in refused]
+                item.fail(ConflictError(error.failed))
+            others = [i for i in batch if i not in refused and not i.answer.done()]
             if others:
                 await self._commit(others)
         except StateError as error:
             for item in batch:
-                item.answer.set_exception(type(error)(str(error)))
+                item.fail(type(error)(str(error)))
         except Exception as error:
             for item in batch:
-                item.answer.set_exception(StateError(str(error)))
+                item.fail(StateError(str(error)))
             raise
         else:
             for item in batch:
-                item.answer.set_result(version)
+                if not item.answer.done():
+                    item.answer.set_result(version)
         for item in batch:
             if item.answer.done():
                 item.answer.exception()  # whoever asked may have gone
+
+    async def _find(self, batch: list[_Item]) -> bool | None:
+        """Answer for those of the batch that are stored; True once all of them are answered.
+
+        Each is read for itself: one that another controller has stored meanwhile says nothing of
+        the others, since the transaction then fails.
+        """
+        for item in batch:
+            if item.answer.done():
+                continue
+            if self.state.busy_for(Rank.INTAKE) > ZERO:
+                return None
+            found = await self.find(item.job, Rank.INTAKE)
+            if found is None:
+                return None
+            if not item.answer.done():
+                item.answer.set_result(found)
+        return True
--- a/dappledrum/jobs/intake.py
+++ b/dappledrum/jobs/intake.py
@@ -42,6 +42,7 @@
     TooLargeError,
     raw,
 )
+from dappledrum.state.hedge import commit_or_find
 from dappledrum.state.messages import Guard, Put
 from dappledrum.timing.clock import Clock
 
@@ -109,7 +110,7 @@
         self.gangs = False
         self.ended: OrderedDict[str, EndedRecord] = OrderedDict()
         self.told = Told(clock.now())
-        self.admission = Admission(state, params.state.txn_ops)
+        self.admission = Admission(state, params.state.txn_ops, self.find)
         self.polls = Polls(
             state, params.state.txn_ops * 4, self.find, self._find_many, self._find_ended
         )
@@ -150,10 +151,7 @@
         if len(puts) > self.params.state.txn_ops:
             return refusal(HTTPStatus.BAD_REQUEST, "waits for too many jobs")
         try:
-            version = await self.admission.admit(spec.id, puts)
-            record = msgspec.json.decode(puts[0].value, type=JobRecord)
-            self.polls.note(spec.id, seen(record), version)
-            self.lookup.note(spec.id, spec.form)
+            stored = await self.admission.admit(spec.id, puts)
         except TooLargeError as error:
             self.ceiling.refused(max(len(bytes(put.value)) for put in puts), str(error))
             return busy()
@@ -161,6 +159,11 @@
             found = await self.find(spec.id, Rank.INTAKE)
             return busy() if found is None else self._present(spec.id, found, HTTPStatus.OK)
         log.info("accepted %s: %s", spec.id, described(spec.tasks, spec.job_class, spec.team))
+        if not isinstance(stored, int):
+            return self._present(spec.id, stored, HTTPStatus.OK)
+        record = msgspec.json.decode(puts[0].value, type=JobRecord)
+        self.polls.note(spec.id, seen(record), stored)
+        self.lookup.note(spec.id, spec.form)
         return answer(HTTPStatus.CREATED, Answer(spec.id, Outcome.QUEUED))
 
     async def _objection(self, spec: Spec) -> Response | None:
@@ -230,16 +233,30 @@
                     return busy()
                 try:
                     guards = [Guard(head_key(job), version), Guard(ended_key(job), 0)]
-                    await self.state.commit(guards, [Put(head_key(job), raw(record))], Rank.INTAKE)
+                    stored = await commit_or_find(
+                        self.state,
+                        guards,
+                        [Put(head_key(job), raw(record))],
+                        Rank.INTAKE,
+                        lambda: self._cancelled(job),
+                    )
                 except ConflictError:
                     continue
                 log.info("cancelled %s", job)
-                return self._present(job, (record, version), HTTPStatus.OK, brief=True)
+                settled = (record, version) if isinstance(stored, int) else stored
+                return self._present(job, settled, HTTPStatus.OK, brief=True)
         except StateError as error:
             # Too large a head is written again by the leader, in parts.
             log.info("cancellation of %s not taken: %s", job, error)
         return busy()
 
+    async def _cancelled(self, job: str) -> Found:
+        """What is stored of a job that is cancelled or over, whoever has stored it; else None."""
+        found = await self.find(job, Rank.INTAKE)
+        if isinstance(found, tuple) and not found[0].cancelled:
+            return None
+        return found
+
     async def find(self, job: str, rank: Rank) -> Found:
         """Read a job.
 
--- /dev/null
+++ b/dappledrum/state/hedge.py
@@ -0,0 +1,119 @@
+"""Hedged reads for transactions whose answer is late.
+
+A transaction without an answer has an unknown outcome, and waiting for the time-out costs whoever
+asked more than a second. A read that shows what only the transaction, or one to the same effect,
+can have left settles it earlier. A read that does not show it proves nothing, since the
+transaction may still be carried out: then its answer is waited for as before.
+"""
+
+import asyncio
+import logging
+from collections.abc import Awaitable, Callable, Sequence
+from datetime import timedelta
+from typing import NamedTuple, TypeVar
+
+import msgspec
+
+from dappledrum.state.budget import Rank
+from dappledrum.state.client import PATIENCE, ConflictError, State, StateError
+from dappledrum.state.messages import Delete, Entry, Guard, Put
+from dappledrum.timing.clock import ZERO
+
+log = logging.getLogger(__name__)
+
+T = TypeVar("T")
+
+LEAST_DELAY = timedelta(milliseconds=50)
+DELAY_FACTOR = 4  # round trips after which an answer counts as late
+READS = 3  # for one transaction
+BACKOFF = 3  # each read waits so many times as long as the one before
+
+
+class Evidence(NamedTuple):
+    """A value that one transaction alone can have put in the place of an earlier version."""
+
+    key: str
+    replaced: int  # version of the key before; 0: absent
+    value: msgspec.Raw
+
+    def shown_by(self, entry: Entry | None) -> bool:
+        """Whether the key holds just this value, written after the version that it replaces."""
+        if entry is None or entry.version == self.replaced:
+            return False
+        stored, written = msgspec.json.decode(entry.value), msgspec.json.decode(self.value)
+        return bool(stored == written)
+
+
+async def commit_or_find(
+    state: State,
+    guards: Sequence[Guard],
+    changes: Sequence[Put | Delete],
+    rank: Rank,
+    find: Callable[[], Awaitable[T | None]],
+    timeout: timedelta = PATIENCE,
+) -> int | T:
+    """Run a transaction and return its revision, or what `find` has read of its outcome.
+
+    `find` returns None as long as nothing is proven. It is called only while the answer is late,
+    the state service serves this controller, and the budget allows a request at once.
+    """
+    queued = state.busy_for(rank, len(changes))
+    commit = asyncio.ensure_future(state.commit(guards, changes, rank, timeout))
+    reads = asyncio.ensure_future(_read(state, rank, find, queued, timeout))
+    try:
+        await asyncio.wait((commit, reads), return_when=asyncio.FIRST_COMPLETED)
+        if not commit.done() and (found := reads.result()) is not None:
+            log.debug("a read has told what became of a transaction whose answer is late")
+            return found
+        return await commit
+    finally:
+        commit.cancel()
+        reads.cancel()
+
+
+async def commit_idempotent(
+    state: State,
+    guards: Sequence[Guard],
+    changes: Sequence[Put | Delete],
+    rank: Rank,
+    timeout: timedelta = PATIENCE,
+) -> int:
+    """Run a transaction that may be carried out twice, and once more while its answer is late:
+    one that only compares, or only removes. Either answer will do."""
+
+    async def again() -> int | ConflictError:
+        try:
+            return await state.commit(guards, changes, rank, timeout)
+        except ConflictError as error:
+            return error
+
+    answer = await commit_or_find(state, guards, changes, rank, again, timeout)
+    if isinstance(answer, ConflictError):
+        raise answer
+    return answer
+
+
+async def _read(
+    state: State,
+    rank: Rank,
+    find: Callable[[], Awaitable[T | None]],
+    queued: timedelta,
+    timeout: timedelta,
+) -> T | None:
+    """Read until something is proven; None when it is not worth while any more."""
+    delay = max(LEAST_DELAY, state.link.usual * DELAY_FACTOR)
+    await asyncio.sleep(queued.total_seconds())
+    for _ in range(READS):
+        if delay > timeout / 2:
+            return None  # the answer would not be back sooner than that of the transaction
+        await asyncio.sleep(delay.total_seconds())
+        if not state.troubled() and state.busy_for(rank) == ZERO:
+            try:
+                found = await find()
+            except StateError as error:
+                log.debug("the outcome of a transaction could not be read: %s", error)
+            else:
+                if found is not None:
+                    return found
+        delay *= BACKOFF
+    return None
