--- a/dappledrum/jobs/record.py
+++ b/dappledrum/jobs/record.py
@@ -130,6 +130,7 @@
         self.version = 0  # of the stored key; 0: not stored
         self.parts = 0  # further values of the stored form
         self.uncertain = False  # the outcome of the last write is unknown: read before writing
+        self.twin_possible = False  # a write without an answer may yet be carried out
 
     @property
     def key(self) -> str:
--- a/dappledrum/jobs/recorder.py
+++ b/dappledrum/jobs/recorder.py
@@ -2,7 +2,9 @@
 
 Every transaction is guarded by the leader's key and by the version of each page. After a conflict
 or an unknown outcome the pages concerned are read again before they are written again; writing
-them moves their version on, so a delayed twin of the old transaction can't apply any more.
+them moves their version on, so a delayed twin of the old transaction can't apply any more. While
+an answer is late, one of the values is read that this transaction alone can have written: a
+transaction is carried out whole, so that value tells of all of them.
 """
 
 import asyncio
@@ -27,6 +29,7 @@
     TooLargeError,
     raw,
 )
+from dappledrum.state.hedge import Evidence, commit_idempotent, commit_or_find
 from dappledrum.state.messages import Delete, Guard, Put
 from dappledrum.timing.clock import Clock
 
@@ -182,10 +185,14 @@
         changes: list[Put | Delete] = []
         size = 0
         written: list[tuple[Page, int, int, int, bool]] = []
+        evidence: list[Evidence] = []
         for job in jobs:
             guards.append(Guard(head_key(job.id), job.page(0).version))
-            changes += [Delete(head_key(job.id)), Put(ended_key(job.id), raw(job.ended_record()))]
+            ended = Put(ended_key(job.id), raw(job.ended_record()))
+            changes += [Delete(head_key(job.id)), ended]
             size += 600
+            if not job.page(0).twin_possible:
+                evidence.append(Evidence(ended.key, 0, ended.value))
         for page in pages:
             own = page.to_values(self.ceiling.whole, self.ceiling.least)
             length = sum(len(bytes(c.value)) + 400 for c in own if isinstance(c, Put))
@@ -197,12 +204,14 @@
             size += length
             guards.append(Guard(page.key, page.version))
             changes += own
+            if self._unmistakable(page):
+                evidence.append(Evidence(page.key, page.version, main.value))
             parts = sum(c.key.startswith(ROWS) for c in own if isinstance(c, Put))
             written.append(
                 (page, page.revision, parts, len(bytes(main.value)), page.job.cancelled)
             )
         try:
-            revision = await self.state.commit(guards, changes, Rank.RECORD)
+            revision = await self._commit(guards, changes, evidence)
         except ConflictError as error:
             if LEADER in error.failed:
                 self._replaced()
@@ -217,9 +226,9 @@
         except StateError:
             for page, _, parts, _, _ in written:
                 page.parts = max(page.parts, parts)  # whatever may be there is removed later
-                page.uncertain = True
+                page.uncertain = page.twin_possible = True
             for job in jobs:
-                job.page(0).uncertain = True
+                job.page(0).uncertain = job.page(0).twin_possible = True
             raise
         for page, stored, parts, length, cancelled in written:
             page.parts, page.stored_bytes = parts, length
@@ -227,6 +236,7 @@
                 page.job.unsaved_parts = []
                 page.job.cancel_stored |= cancelled
             page.version = max(page.version, revision)
+            page.twin_possible = False  # it would meet another version
             page.saved = max(page.saved, stored)
             self.dirty.pop(page, None)
             if page.dirty:
@@ -235,6 +245,33 @@
             self._ended(job)
         await self._tell()
 
+    @staticmethod
+    def _unmistakable(page: Page) -> bool:
+        """Whether the page's next stored form can only come from the transaction that is about to
+        be sent: not from an earlier one without an answer, nor from a user's cancellation."""
+        return not page.twin_possible and not (page.index == 0 and page.job.cancelled)
+
+    async def _commit(
+        self, guards: list[Guard], changes: list[Put | Delete], evidence: list[Evidence]
+    ) -> int:
+        """Store the changes; returns the revision."""
+        if not evidence:
+            return await self.state.commit(guards, changes, Rank.RECORD)
+        return await commit_or_find(
+            self.state, guards, changes, Rank.RECORD, lambda: self._find(evidence[0])
+        )
+
+    async def _find(self, evidence: Evidence) -> int | None:
+        """The revision of the transaction that this is evidence of, if it was carried out.
+
+        Read while the lease certainly lasted, so no other leader can have written the value.
+        """
+        entry = await self.state.get(evidence.key, Rank.RECORD)
+        led = not self.term.over.is_set() and self.clock.now() < self.term.valid_until
+        if entry is None or not led or not evidence.shown_by(entry):
+            return None
+        return entry.version
+
     async def _tell(self) -> None:
         self.on_saved()
         async with self.saved:
@@ -291,7 +328,7 @@
         heads = {key: head_key(key.split("/")[1]) for key in keys}
         guards = [self.term.guard(), *(Guard(head, 0) for head in sorted(set(heads.values())))]
         try:
-            await self.state.commit(guards, [Delete(key) for key in keys], Rank.POLL)
+            await commit_idempotent(self.state, guards, [Delete(key) for key in keys], Rank.POLL)
         except ConflictError as error:
             if LEADER in error.failed:
                 self._replaced()
--- a/dappledrum/jobs/test_recorder.py
+++ b/dappledrum/jobs/test_recorder.py
@@ -1,6 +1,7 @@
 """What is written first when the rate does not allow for everything."""
 
 import asyncio
+import random
 from datetime import timedelta
 
 import msgspec
@@ -14,19 +15,20 @@
 from dappledrum.standins.world import job
 from dappledrum.state.budget import Budget
 from dappledrum.state.ceiling import Ceiling
+from dappledrum.state.client import State
 from dappledrum.timing.clock import Clock
 
 
-class Slow:
+class Slow(State):
     """A state service that takes every transaction, with a budget that is nearly used up."""
 
-    def __init__(self, clock):
+    def __init__(self, limits, clock):
+        super().__init__(None, limits, clock, random.Random(1))
         self.writes = Budget(20.0, clock.now())
         self.writes.take(14, clock.now())
-        self.clock = clock
         self.written = []
 
-    async def commit(self, guards, changes, rank):
+    async def commit(self, guards, changes, rank, timeout=None):
         self.writes.take(len(changes), self.clock.now())
         self.written.append((self.clock.now(), [change.key for change in changes]))
         return 100 + len(self.written)
@@ -43,8 +45,8 @@
 
     async def main():
         clock = Clock()
-        state = Slow(clock)
         limits = StateLimits(100, 20, 8, 24)
+        state = Slow(limits, clock)
         recorder = Recorder(state, Term(1, 1, 1), limits, Ceiling(limits), clock)
         jobs = [live(number) for number in range(12)]
         for one in jobs[:-1]:
