--- a/dappledrum/leadership/elector.py
+++ b/dappledrum/leadership/elector.py
@@ -39,6 +39,7 @@
     StateError,
     raw,
 )
+from dappledrum.state.hedge import commit_or_find
 from dappledrum.state.messages import Event, Guard, Put
 from dappledrum.timing.clock import ZERO, Clock, longer, shorter
 from dappledrum.timing.troubles import Trouble
@@ -404,7 +405,9 @@
             Put(EPOCH, raw(EpochRecord(epoch + 1))),
         ]
         try:
-            version = await self.state.commit(guards, changes, Rank.LEASE, timeout=self.life / 2)
+            version = await commit_or_find(
+                self.state, guards, changes, Rank.LEASE, lambda: self._won(lease), self.life / 2
+            )
         except (ConflictError, LeaseLostError):
             await self._drop(lease)
             return
@@ -453,6 +456,12 @@
             log.info("%s %s", term.successor, "leads" if leads else "does not lead, standing down")
         await self._drop(lease)
 
+    async def _won(self, lease: int) -> int | None:
+        """The version of the leader's key if it hangs on this lease, which only one transaction of
+        this process names; the key's content alone may be that of an earlier process."""
+        entry = await self.state.get(LEADER, Rank.LEASE)
+        return entry.version if entry is not None and entry.lease == lease else None
+
     async def _renew(self, term: Term) -> None:
         sent = self.clock.now()
         await self.state.renew_lease(term.lease, self.life / 3)
