--- a/dappledrum/chains/lookup.py
+++ b/dappledrum/chains/lookup.py
@@ -16,6 +16,7 @@
 from dappledrum.jobs.record import ended_key, head_key
 from dappledrum.state.budget import Rank
 from dappledrum.state.client import ConflictError, RefusedError, State, StateError
+from dappledrum.state.hedge import commit_idempotent
 from dappledrum.state.messages import Guard
 
 KEPT = 20_000
@@ -74,7 +75,7 @@
             raise RefusedError("over the share of requests")
         guards = [Guard(key(name), 0) for name in names for key in (head_key, ended_key)]
         try:
-            await self.state.commit(guards, [], Rank.INTAKE, PATIENCE)
+            await commit_idempotent(self.state, guards, [], Rank.INTAKE, PATIENCE)
         except ConflictError as error:
             return set(error.failed)
         return set()
--- a/dappledrum/jobs/polls.py
+++ b/dappledrum/jobs/polls.py
@@ -17,6 +17,7 @@
 from dappledrum.jobs.record import head_key
 from dappledrum.state.budget import Rank
 from dappledrum.state.client import ConflictError, RefusedError, State, StateError
+from dappledrum.state.hedge import commit_idempotent
 from dappledrum.state.messages import Guard
 
 log = logging.getLogger(__name__)
@@ -153,7 +154,7 @@
         claims = {job: self.known[job] for job in jobs}
         guards = [Guard(head_key(job), version) for job, (_, version) in claims.items()]
         try:
-            await self.state.commit(guards, [], Rank.POLL, PATIENCE)
+            await commit_idempotent(self.state, guards, [], Rank.POLL, PATIENCE)
             failed: set[str] = set()
         except ConflictError as error:
             failed = set(error.failed)
