--- /dev/null
+++ b/dappledrum/controller/test_lost_answers.py
@@ -0,0 +1,167 @@
+"""A transaction is carried out at once and only its answer is lost, while other nodes read what it
+wrote: acceptance, cancellation, progress of tasks, moves to the ended jobs, election, transfer."""
+
+import asyncio
+import json
+
+import pytest
+
+from dappledrum.standins.scenario import later, now, play
+from dappledrum.standins.world import job
+
+SPELL_S = 40.0
+SHARE = 0.6  # of the transactions of the kind
+
+
+def kind_of(transaction):
+    """What a transaction is for."""
+    guards = {guard["key"]: guard["stamp"] for guard in transaction["guards"]}
+    written = [change["write"] for change in transaction["then"] if "write" in change]
+    heads = [key for key in written if key.startswith("job/")]
+    if "leader" in written:
+        return "transfer" if guards["leader"] else "election"
+    if any(key.startswith("ended/") for key in written):
+        return "end"
+    if "leader" in guards:
+        return "progress" if heads else "other"
+    if heads:
+        return "cancellation" if guards[heads[0]] else "acceptance"
+    return "other"
+
+
+class LostAnswers:
+    """Loses answers of some kinds of transactions, and lets users look at what those wrote."""
+
+    def __init__(self, scenario, kinds):
+        self.world = scenario.world
+        self.rng = scenario.rng
+        self.kinds = kinds
+        self.lost = dict.fromkeys(kinds, 0)
+        self.waits = []  # of users, for answers to requests that are carried out
+        self.looks = []
+        self.ask = self.world._ask
+        self.world._ask = self.checked
+        self.world.network.watcher = self.watch
+
+    def watch(self, sent):
+        """Decides on each request as it arrives at the state service."""
+        if sent.path != "/multi":
+            return None
+        transaction = json.loads(sent.body)
+        kind = kind_of(transaction)
+        if kind not in self.kinds or self.rng.random() >= SHARE:
+            return None
+        self.lost[kind] += 1
+        for change in transaction["then"]:
+            place, _, name = (change.get("write") or "").partition("/")
+            if place in ("job", "ended"):
+                for member in self.rng.sample(self.world.members, 3):
+                    later(self.rng.uniform(0.0, 0.3), self.look, place, name, member)
+        return 0.0
+
+    def look(self, place, name, member):
+        """A user asks, and now and then repeats the submission."""
+        if member not in self.world.network.services:
+            return
+        self.looks.append(asyncio.ensure_future(self.world.poll(name, member)))
+        key = self.world.state.keys.get(f"job/{name}")
+        if place == "job" and key is not None and self.rng.random() < 0.3:
+            body = json.dumps(key[0]["spec"]).encode()
+            again = self.world._ask("POST", "/submissions", body, member)
+            self.looks.append(asyncio.ensure_future(again))
+
+    async def checked(self, method, path, body=None, member=None):
+        """Ask a controller; whatever it tells must be stored by then."""
+        began = now()
+        reply = await self.ask(method, path, body, member)
+        if reply is None or reply.status not in (200, 201):
+            return reply
+        said = json.loads(reply.body)
+        keys = self.world.state.keys
+        live, over = keys.get(f"job/{said['id']}"), keys.get(f"ended/{said['id']}")
+        assert live or over, f"{said['id']} told and not stored"
+        if said["stance"] == "cancelled":
+            assert over or live[0]["cancelled"], f"{said['id']} told cancelled"
+        assert said["stance"] != "done" or over, f"{said['id']} told done"
+        if method == "POST":
+            self.waits.append(now() - began)
+        return reply
+
+    async def stop(self):
+        """Every answer arrives from now on."""
+        self.world.network.watcher = None
+        await asyncio.gather(*self.looks)
+
+    def share_within(self, span):
+        """Share of the users' changes that were answered in time."""
+        return sum(wait <= span for wait in self.waits) / len(self.waits)
+
+
+@pytest.mark.parametrize("seed", range(2))
+@pytest.mark.parametrize("kind", ["acceptance", "cancellation", "progress", "end"])
+def test_answers_of_one_kind_are_lost(kind, seed):
+    async def act(scenario):
+        lost = LostAnswers(scenario, (kind,))
+        await scenario.submit_long(*range(4))
+        for number in range(4):
+            await scenario.world.wait(scenario.rng.uniform(1, 5))
+            if number % 2:
+                await scenario.cancel(number, scenario.rng.choice(scenario.others()))
+            await scenario.world.submit(job(950 + number, beats=1, runS=2.0, dueS=None), 60)
+            scenario.names.append(f"j-{950 + number:06d}")
+        await scenario.world.wait(SPELL_S - 20)
+        await lost.stop()
+        assert lost.lost[kind] >= 2
+        assert lost.share_within(0.3) > 0.95, sorted(lost.waits)[-5:]
+
+    play(seed, act)
+
+
+@pytest.mark.parametrize("seed", range(2))
+def test_answers_of_elections_and_transfers_are_lost(seed):
+    """The leader ends, resigns or hands over again and again; whoever has taken the key leads with
+    it, and does not give it back because it has not heard so."""
+
+    async def act(scenario):
+        world, rng = scenario.world, scenario.rng
+        lost = LostAnswers(scenario, ("election", "transfer"))
+        await scenario.submit_long(0, 1)
+        vacant = []
+        for way in ("end", "transfer", "resign", "end"):
+            await world.wait(rng.uniform(11, 14))  # a term may be handed over after 10 s
+            leader = world.leader()
+            began = now()
+            if way == "end":
+                world.kill(leader)
+                later(rng.uniform(0.1, 3), world.start, leader)
+            elif way == "transfer":
+                world.nodes[leader].elector.hand_over(rng.choice(scenario.others()), "test")
+            else:
+                world.nodes[leader].elector.resign("test", world.nodes[leader].elector.life * 2)
+            await scenario.until_led(leader)
+            vacant.append((way, round(now() - began, 2)))
+        await lost.stop()
+        assert sum(lost.lost.values()) >= 2, lost.lost
+        # Of an end the lease and a round of standing, else not even that.
+        assert all(span < (5.5 if way == "end" else 1.5) for way, span in vacant), vacant
+
+    play(seed, act)
+
+
+@pytest.mark.parametrize("seed", range(3))
+def test_answers_of_any_kind_are_lost_while_leaders_end(seed):
+    async def act(scenario):
+        world, rng = scenario.world, scenario.rng
+        kinds = ("acceptance", "cancellation", "progress", "end", "election", "transfer")
+        lost = LostAnswers(scenario, kinds)
+        await scenario.submit_long(*range(5))
+        for number in range(3):
+            await world.wait(rng.uniform(2, 8))
+            leader = world.leader()
+            if leader is not None:
+                await world.restart(leader, rng.uniform(0, 2))
+            later(rng.uniform(0, 1), asyncio.ensure_future, world.cancel(f"j-{900 + number:06d}"))
+        await world.wait(10)
+        await lost.stop()
+
+    play(seed, act)
