--- a/dappledrum/jobs/intake.py
+++ b/dappledrum/jobs/intake.py
@@ -242,9 +242,11 @@
                     )
                 except ConflictError:
                     continue
+                if not isinstance(stored, int):
+                    log.info("%s is cancelled or over, by a read", job)
+                    return self._present(job, stored, HTTPStatus.OK, brief=True)
                 log.info("cancelled %s", job)
-                settled = (record, version) if isinstance(stored, int) else stored
-                return self._present(job, settled, HTTPStatus.OK, brief=True)
+                return self._present(job, (record, version), HTTPStatus.OK, brief=True)
         except StateError as error:
             # Too large a head is written again by the leader, in parts.
             log.info("cancellation of %s not taken: %s", job, error)
