--- a/dappledrum/controller/test_lost_answers.py
+++ b/dappledrum/controller/test_lost_answers.py
@@ -11,10 +11,13 @@
 
 SPELL_S = 40.0
 SHARE = 0.6  # of the transactions of the kind
+COMPARED = 0.3  # of those that only compare; each repetition may be lost as well
 
 
 def kind_of(transaction):
     """What a transaction is for."""
+    if not transaction["then"]:
+        return "comparison"
     guards = {guard["key"]: guard["stamp"] for guard in transaction["guards"]}
     written = [change["write"] for change in transaction["then"] if "write" in change]
     heads = [key for key in written if key.startswith("job/")]
@@ -49,7 +52,8 @@
             return None
         transaction = json.loads(sent.body)
         kind = kind_of(transaction)
-        if kind not in self.kinds or self.rng.random() >= SHARE:
+        share = COMPARED if kind == "comparison" else SHARE
+        if kind not in self.kinds or self.rng.random() >= share:
             return None
         self.lost[kind] += 1
         for change in transaction["then"]:
@@ -98,7 +102,7 @@
 
 
 @pytest.mark.parametrize("seed", range(2))
-@pytest.mark.parametrize("kind", ["acceptance", "cancellation", "progress", "end"])
+@pytest.mark.parametrize("kind", ["acceptance", "cancellation", "comparison", "progress", "end"])
 def test_answers_of_one_kind_are_lost(kind, seed):
     async def act(scenario):
         lost = LostAnswers(scenario, (kind,))
@@ -107,8 +111,12 @@
             await scenario.world.wait(scenario.rng.uniform(1, 5))
             if number % 2:
                 await scenario.cancel(number, scenario.rng.choice(scenario.others()))
-            await scenario.world.submit(job(950 + number, beats=1, runS=2.0, dueS=None), 60)
-            scenario.names.append(f"j-{950 + number:06d}")
+            needs = scenario.names[:1] if kind == "comparison" else None
+            for after in range(2):
+                follower = 950 + number * 2 + after
+                one = job(follower, beats=1, runS=2.0, dueS=None, waitsOn=needs)
+                await scenario.world.submit(one, 60)
+                scenario.names.append(one["id"])
         await scenario.world.wait(SPELL_S - 20)
         await lost.stop()
         assert lost.lost[kind] >= 2
--- a/dappledrum/state/test_hedge.py
+++ b/dappledrum/state/test_hedge.py
@@ -57,6 +57,11 @@
             left.pop(0) if left and sent.path == "/multi" and b'"write"' in sent.body else None
         )
 
+    def lose_first(self, seconds):
+        """Answers of transactions are lost for so long."""
+        self.network.late_writes = LOST
+        asyncio.get_running_loop().call_later(seconds, setattr, self.network, "late_writes", None)
+
     async def put(self, value="mine"):
         """Write a key with a hedge; what came of it."""
 
@@ -140,8 +145,7 @@
 
     async def main():
         store = Store()
-        store.network.late_writes = LOST
-        asyncio.get_running_loop().call_later(0.02, setattr, store.network, "late_writes", None)
+        store.lose_first(0.02)
         guards = [Guard("key", version)]
         if version:
             with pytest.raises(ConflictError) as error:
@@ -364,6 +368,42 @@
     run(main())
 
 
+@pytest.mark.parametrize("who", ["polls", "lookup"])
+def test_users_do_not_wait_for_comparisons_whose_answer_is_lost(who):
+    async def main():
+        controller = Controller()
+        names = ["j-000001", "j-000002"]
+        for number, name in enumerate(names):
+            controller.write(head_key(name), msgspec.to_builtins(stored_job(number + 1)))
+        polls, lookup = controller.intake.polls, controller.intake.lookup
+        for name in names:
+            await polls.ask(name)
+        await asyncio.sleep(1)
+        controller.lose_first(0.03)
+        began = now()
+        if who == "polls":
+            await asyncio.gather(*(polls.ask(name) for name in names))
+        else:
+            assert await lookup.fault(names, "j-000009") is None
+        assert now() - began < 0.2
+
+    run(main())
+
+
+def test_removals_whose_answer_is_lost_are_repeated():
+    async def main():
+        leader = Leader()
+        leader.lose_first(0.04)
+        leader.write("page/j-000009/1", {})
+        leader.recorder.garbage["page/j-000009/1"] = None
+        leader.recorder.wake.set()
+        await leader.write_for(0.2)
+        assert not leader.recorder.garbage
+        assert "page/j-000009/1" not in leader.service.keys
+
+    run(main())
+
+
 @pytest.mark.parametrize("own", [True, False])
 def test_only_the_own_lease_proves_an_election(own):
     """A transaction of an earlier process of the same member puts the same key there."""
