--- a/dappledrum/jobs/test_intake.py
+++ b/dappledrum/jobs/test_intake.py
@@ -256,3 +256,37 @@
         assert f"job/{bad}" in world.state.keys
 
     run(main())
+
+
+def test_the_form_that_is_remembered_is_the_one_that_was_stored():
+    """A repeated submission of another form joined the first one, and its form was remembered: a
+    job that waits for the service would have been accepted, and never have begun."""
+
+    async def main():
+        world = World(seed=10)
+        await world.until(lambda: world.leader() is not None)
+        await world.wait(1)
+        intake = world.nodes["drummer-1"].intake
+        replies = await asyncio.gather(
+            intake.submit(body(form="service")), intake.submit(body(form="batch"))
+        )
+        assert [reply.status for reply in replies] == [201, 201]
+        reply = await intake.submit(body(id="j-000002", waitsOn=["j-000001"]))
+        assert reply.status == 422
+
+    run(main())
+
+
+def test_a_known_job_that_names_too_many_others_is_not_refused():
+    async def main():
+        world = World(seed=11)
+        await world.until(lambda: world.leader() is not None)
+        await world.wait(1)
+        intake = world.nodes["drummer-1"].intake
+        assert (await intake.submit(body())).status == 201
+        state = msgspec.structs.replace(intake.params.state, txn_ops=0)
+        intake.params = msgspec.structs.replace(intake.params, state=state)
+        assert (await intake.submit(body())).status == 200
+        assert (await intake.submit(body(id="j-000002"))).status == 400
+
+    run(main())
