--- a/dappledrum/controller/test_limit_meetings.py
+++ b/dappledrum/controller/test_limit_meetings.py
@@ -2,11 +2,13 @@
 (docs/design.md, "Meetings"), over five whole controllers. Seeds are fixed, the moments drawn from
 them, and the rules checked at each step."""
 
+import asyncio
+
 import pytest
 
 from dappledrum.settings import Team
 from dappledrum.standins.pairs import FIVE
-from dappledrum.standins.scenario import LEASE_S, later, now, play
+from dappledrum.standins.scenario import LEASE_S, check_waiting, later, now, play
 
 SEEDS = pytest.mark.parametrize("seed", range(3))
 LIMITED = (Team("blue", cpus_max=8.0), Team("red", cpus_max=8.0))
@@ -83,10 +85,14 @@
     async def act(scenario):
         world, rng = scenario.world, scenario.rng
         for number, team in enumerate(("blue", "red")):
-            await scenario.submit_long(number, crew=team, beats=4, vcpus=2.0, runS=300.0, dueS=60.0)
+            await scenario.submit_long(
+                number, crew=team, beats=4, vcpus=2.0, runS=300.0, dueS=60.0
+            )
         await world.until(lambda: running(scenario, 0) + running(scenario, 1) == 8)
         for number, team in enumerate(("blue", "red")):
-            await scenario.submit_long(number + 2, crew=team, beats=4, vcpus=2.0, runS=5.0, dueS=60.0)
+            await scenario.submit_long(
+                number + 2, crew=team, beats=4, vcpus=2.0, runS=5.0, dueS=60.0
+            )
         on = sorted(scenario.machines_of(0) | scenario.machines_of(1))
         send_away(scenario, how, rng.sample(on, max(2, len(on) - 1)))
         await world.wait(rng.uniform(0, 4))
@@ -134,3 +140,156 @@
         await world.wait(LEASE_S * 2)
 
     play(seed, act, users=0)
+
+
+def slow_links(scenario):
+    """Everything takes longer on its way, some of it much longer."""
+    world, rng = scenario.world, scenario.rng
+    workers = [worker.name for worker in world.cloud.workers()]
+    for member in FIVE:
+        for other in ("user", "state", "cloud", *workers):
+            span = rng.choice((0.1, 0.4, 1.5)) if other != "state" else rng.choice((0.05, 0.3))
+            world.network.slow[(member, other)] = span * rng.random()
+            world.network.slow[(other, member)] = span * rng.random()
+
+
+@SEEDS
+def test_more_work_than_room_over_slow_links(seed):
+    """Urgent and not, small and large, some bound to a zone: nothing is forgotten, nothing is left
+    waiting once the links are quick again, and the largest begin in time, too."""
+
+    async def act(scenario):
+        world, rng = scenario.world, scenario.rng
+        world.cloud.most = len(world.cloud.machines)
+        slow_links(scenario)
+        for number in range(24):
+            small = {"beats": rng.choice((1, 3, 12)), "vcpus": rng.choice((0.5, 1.0, 4.0))}
+            await scenario.submit_long(
+                number,
+                **(small if number % 6 else {"beats": rng.choice((40, 80)), "vcpus": 2.0}),
+                crew=rng.choice(("blue", "red")) if number % 6 else "blue",
+                urgency=rng.choice(("prod", "high", "standard", "best_effort")),
+                hall=rng.choice((None, None, "a", "b")),
+                dueS=rng.choice((None, 60.0, 300.0)),
+                loaners=rng.random() < 0.8,
+                runS=rng.choice((2.0, 6.0, 12.0)),
+                expectedS=rng.choice((3.0, 10.0, 40.0)),
+            )
+            await world.wait(rng.uniform(0, 1.5))
+            if number == 12:
+                await change_leader(scenario)
+        await world.wait(rng.uniform(20, 40))
+        world.network.slow.clear()
+        waiting = asyncio.ensure_future(check_waiting(world))
+        await world.until(lambda: all(begun(scenario, number) for number in range(24)), 240)
+        world.rules.check_largest(now())
+        waiting.cancel()
+
+    play(seed, act, users=6)
+
+
+async def cut_zone_off(scenario, zone, member):
+    """The workers of a zone and one controller reach only each other, for longer than a lease."""
+    world, rng = scenario.world, scenario.rng
+    inside = [w.name for w in world.cloud.workers() if w.kind[1] == zone]
+    outside = [w.name for w in world.cloud.workers() if w.kind[1] != zone]
+    others = [other for other in FIVE if other != member]
+    world.isolate(member)
+    world.cut_off(member, "cloud", "user", *outside)
+    for other in others:
+        world.cut_off(other, *inside)
+    await world.wait(rng.uniform(LEASE_S + 1, 3 * LEASE_S))
+
+
+@SEEDS
+@pytest.mark.parametrize("leads", [True, False])
+def test_jobs_bound_to_one_zone_while_a_zone_is_cut_off_and_machines_are_lost(seed, leads):
+    """With the leader or another controller inside; arrays with `oneZone` or a `hall`, and some
+    that spread, lose machines on both sides, and the leader changes before and after."""
+
+    async def act(scenario):
+        world, rng = scenario.world, scenario.rng
+        bound = [{"oneZone": True}, {"hall": "a"}, {"hall": "b"}, {"spread": True}]
+        for number in range(8):
+            changes = bound[number % 4]
+            await scenario.submit_long(
+                number, beats=6, runS=[4.0, 8.0, 15.0, 25.0, 40.0, 60.0], dueS=100.0, **changes
+            )
+        await world.wait(rng.uniform(4, 10))
+        zone = rng.choice(("a", "b"))
+        inside = world.leader() if leads else rng.choice(scenario.others())
+        workers = world.cloud.workers()
+        for worker in rng.sample(workers, 2):
+            later(rng.uniform(0, LEASE_S), world.cloud.take, worker.name)
+        for worker in rng.sample(workers, 2):
+            later(rng.uniform(0, LEASE_S), setattr, worker, "hung", True)
+        await cut_zone_off(scenario, zone, inside)
+        await scenario.until_led()
+        if world.leader() != inside:
+            await change_leader(scenario)
+        await world.wait(rng.uniform(0, LEASE_S))
+
+    play(seed, act)
+
+
+def at_work_since(scenario, before):
+    """Machines on which tasks run, and that were not there before."""
+    return {name for on in scenario.world.rules.running.values() for name in on} - before
+
+
+@SEEDS
+def test_quick_machines_at_work_that_no_list_shows_while_writes_lag_and_the_leader_ends(seed):
+    """Boots of a second, a list that lags by 15 s, and a record of what boots that comes late or
+    never: what runs on machines that the next leader can't know of is begun nowhere else, and
+    counts."""
+    met = []
+
+    async def act(scenario):
+        world, rng = scenario.world, scenario.rng
+        world.cloud.slow = 0.1
+        world.cloud.lag_s = 15.0
+        world.cloud.most = 30
+
+        def lag(sent):
+            if sent.path != "/multi":
+                return None
+            if b'"fleet"' in sent.body:
+                return rng.uniform(5, 20)
+            return rng.uniform(0.5, 6) if rng.random() < 0.2 else None
+
+        world.network.watcher = lag
+        for turn in range(4):
+            await scenario.until_led()
+            before = set(world.cloud.machines)
+            await scenario.submit_long(2 * turn, beats=6, vcpus=4.0, dueS=20.0, runS=12.0)
+            await scenario.submit_long(2 * turn + 1, beats=2, vcpus=4.0, dueS=20.0, crew="red")
+            began = now()
+            while not at_work_since(scenario, before) and now() < began + 20:
+                await world.wait(0.25)
+            met.append(len(at_work_since(scenario, before)))
+            if world.leader() is not None:
+                await world.restart(world.leader(), rng.choice((0.1, 4.0)))
+
+    play(seed, act, machines=2, users=4)
+    assert sum(met) > 0
+
+
+@SEEDS
+def test_no_job_waits_behind_others_while_there_is_room_and_boots_are_slow(seed):
+    """Slow boots make long billed intervals, and to stay within those that are paid for a task was
+    planned behind others, on a fleet of idle machines."""
+
+    async def act(scenario):
+        world, rng = scenario.world, scenario.rng
+        world.cloud.most = len(world.cloud.machines)
+        for model in world.cloud.types:
+            model["readyS"] = 100.0
+        await world.wait(35)  # the catalog is read every 30 s
+        waiting = asyncio.ensure_future(check_waiting(world))
+        for number in range(12):
+            estimate = rng.choice((150.0, 250.0))
+            await scenario.submit_long(number, beats=1, runS=150.0, expectedS=estimate)
+        await world.wait(130)
+        waiting.cancel()
+
+    play(seed, act, users=0)
--- a/dappledrum/dispatch/work.py
+++ b/dappledrum/dispatch/work.py
@@ -30,6 +30,9 @@
 #: A job of which nothing has begun for so long gets its first task before all others. Users count
 #: on the start of every job within four minutes, and this leaves as much again for room to come.
 BEGIN_BY = timedelta(seconds=120)
+#: A job of which nothing has begun for so long uses room that is there, though that costs another
+#: billed interval: operators count on no job being left waiting for 90 s while there is room.
+ROOM_BY = timedelta(seconds=60)
 OPTIMISM = 0.8  # a deadline is given up only when even tasks shorter than estimated would miss it
 
 
@@ -177,6 +180,7 @@
             first.due = min(first.due, bag.due)
             first.rank = min(first.rank, bag.rank)
             first.waited = max(first.waited, bag.waited)
+            first.room_now |= bag.room_now
         return result
 
     def _bag(self, job: Job, now: timedelta) -> Bag | None:
@@ -221,9 +225,8 @@
         due = now + (limits[-1] if limit is None else limit)
         # In order of deadlines what is late already waits for all that can still be in time, and
         # in a flood it waited for ever.
-        overdue = (
-            waited > BEGIN_BY and not (idle or held) and job.done == 0 and not job.on_machines()
-        )
+        unbegun = not held and job.done == 0 and not job.on_machines()
+        overdue = waited > BEGIN_BY and unbegun and not idle
         if overdue:
             missed, due = False, now + run
             ready = ready if gang else 1
@@ -253,6 +256,7 @@
             thrifty=missed,
             idle=idle,
             gang=gang,
+            room_now=waited > ROOM_BY and unbegun,
         )
 
     def _rank(self, job: Job, missed: int, latest_start: timedelta) -> tuple[float, ...]:
--- a/dappledrum/scheduling/plan.py
+++ b/dappledrum/scheduling/plan.py
@@ -58,6 +58,9 @@
     thrifty: bool = False  # too late anyway: only the cheaper kind of machine is rented for it
     idle: bool = False  # nobody expects it by any time, so it is never late
     gang: bool = False  # its tasks run together or not at all
+    #: It has waited for so long that room which is there now is used, whatever the machine's
+    #: billed interval: queued behind other work it may wait for an interval's length.
+    room_now: bool = False
 
 
 @dataclass
@@ -324,7 +327,7 @@
                 finish = start + run + fetching
             else:
                 finish = run + (start if there <= start else there)
-            if finish > lanes.billed_until():
+            if finish > lanes.billed_until() and not (bag.room_now and start <= now):
                 continue
             if cheap:
                 if finish > due:
@@ -347,6 +350,8 @@
         """
         if cheap and (start > self.now or finish > bag.due):
             return False
+        if bag.room_now and start <= self.now:
+            return True
         in_time = start <= self.now or self._likely(bag, lanes, start, finish) <= bag.due
         return in_time and finish <= lanes.billed_until()
 
--- a/dappledrum/standins/scenario.py
+++ b/dappledrum/standins/scenario.py
@@ -13,6 +13,7 @@
 
 from dappledrum.standins.pairs import FIVE, submission, user
 from dappledrum.standins.time import run
+from dappledrum.standins.waiting import WaitingChecker
 from dappledrum.standins.world import World, job
 
 LEASE_S = 9.0
@@ -86,6 +87,14 @@
     world.rules.quiet_at = now()
 
 
+async def check_waiting(world: World) -> None:
+    """From now on no job may be left waiting though there is room for it."""
+    checker = WaitingChecker(world)
+    while True:
+        checker.tick(now())
+        await asyncio.sleep(0.5)
+
+
 def play(
     seed: int,
     act: Callable[[Scenario], Awaitable[None]],
@@ -110,6 +119,7 @@
         await world.wait(10)
         await act(scenario)
         end_troubles(world)
+        waiting = asyncio.ensure_future(check_waiting(world))
         while not all(one.done() for one in asking):
             await world.wait(1)
         accepted = [name for one in asking if (name := one.result()) is not None]
@@ -118,6 +128,7 @@
         for name in names:
             for member in FIVE:
                 await world.poll(name, member)
+        waiting.cancel()
         assert not world.rules.broken, world.rules.broken
 
     run(main())
