--- a/dappledrum/controller/test_leadership_meetings.py
+++ b/dappledrum/controller/test_leadership_meetings.py
@@ -268,9 +268,10 @@
     return found
 
 
-def offered(leader):
-    """Whether a start is on its way to a machine."""
-    placements = [p for machine in leader.roster for p in machine.placements.values()]
+def offered(leader, machines):
+    """Whether a start is on its way to one of these machines."""
+    known = [machine for name in machines if (machine := leader.roster.get(name)) is not None]
+    placements = [placement for machine in known for placement in machine.placements.values()]
     return any(p.offered_tick >= 0 and not p.seen for p in placements)
 
 
@@ -286,12 +287,15 @@
         for turn in range(6):
             await scenario.until_led()
             former = world.leader()
-            for worker in world.cloud.workers()[turn % 2 :: 2]:
-                world.network.slow[(former, worker.name)] = held
+            slow = [worker.name for worker in world.cloud.workers()[turn % 2 :: 2]]
+            world.network.slow.update({(former, name): held for name in slow})
             numbers = [10 * turn + number for number in range(4)]
             await scenario.submit_long(*numbers[:2], crew="red")
             await scenario.submit_long(*numbers[2:], vcpus=0.5)
-            while world.leader() == former and not offered(world.nodes[former].leader):
+            asked = now()
+            while world.leader() == former and now() < asked + 3:
+                if offered(world.nodes[former].leader, slow):
+                    break
                 await world.wait(0.05)
             if turn % 3 == 2:
                 world.isolate(former)
