--- a/dappledrum/model/rules.py
+++ b/dappledrum/model/rules.py
@@ -1,9 +1,23 @@
 """The rules of the protocol as a checker that is told everything that happens, step by step."""
 
-from collections.abc import Iterator
+import math
+from collections.abc import Callable, Iterable, Iterator
 from dataclasses import dataclass, field
 from typing import Any
 
+from dappledrum.model.history import (
+    ACCEPTED,
+    CANCELLED,
+    FINAL,
+    Answer,
+    Clause,
+    Event,
+    History,
+    Question,
+    UserRequest,
+)
+from dappledrum.model.waiting import Amount, Room, Waiting, WaitingJob
+
 
 @dataclass
 class JobFacts:
@@ -13,11 +27,9 @@
     accepted: bool = False
     accepted_at: float | None = None
     told: str | None = None  # final state that a user has been told
-    cancel_asked: bool = False
     cancelled_at: float | None = None
     submitted_at: float | None = None
     begun_at: float | None = None  # its first task has started
-    unanswered_since: float | None = None  # no question about it was answered since
     done: set[int] = field(default_factory=set)
 
 
@@ -32,66 +44,115 @@
     broken: list[str] = field(default_factory=list)
     starts: int = 0
     in_part: dict[str, float] = field(default_factory=dict)  # gangs in part on machines, since
-    quiet_at: float | None = None  # all troubles are over since then; None: they are not
-    known_s: float = 75.0  # how long after that no question about a job may be answered
-    longest_s: float = 0.0  # that happened
     part_s: float = 60.0  # how long one may be: a gang's wait, and a lease until a loss is proven
+    cancelled_starts: int = 0  # tasks that started after their job's cancellation was confirmed
+    waiting: Waiting = field(default_factory=Waiting)
+    history: History = field(init=False)
+
+    def __post_init__(self) -> None:
+        self.history = History(self, self._answer_broken)
 
     def _break(self, rule: str, at: float, what: str) -> None:
         self.broken.append(f"{rule} at {at:.2f}: {what}")
 
+    def _answer_broken(self, clause: Clause, at: float, what: str) -> None:
+        self._break(clause, at, what)
+
+    # what the history asks
+
+    def tasks(self, job: str) -> int:
+        """How many tasks a job has; nothing runs of one that was not announced."""
+        return self.jobs[job].spec["beats"] if job in self.jobs else 1
+
+    def tasks_ended(self, job: str) -> int:
+        """How many tasks of a job have completed."""
+        return len(self.jobs[job].done) if job in self.jobs else 0
+
+    def needs(self, job: str) -> Iterable[str]:
+        """The jobs for which a job waits."""
+        return (self.jobs[job].spec.get("waitsOn") or ()) if job in self.jobs else ()
+
+    # what users ask and are told
+
+    @property
+    def quiet_at(self) -> float | None:
+        """All troubles are over since then; None: they are not."""
+        return self.history.quiet_at
+
+    @quiet_at.setter
+    def quiet_at(self, at: float | None) -> None:
+        self.history.quiet_at = at
+
+    @property
+    def longest_s(self) -> float:
+        """How long no question about some job was answered, once all troubles were over."""
+        return self.history.longest_s
+
+    def record(self, event: Event) -> None:
+        """A question begins, or an answer ends."""
+        if isinstance(event, Question):
+            self.history.record(event)
+            return
+        question = self.history.question(event.question)
+        self.history.record(event)
+        if event.status in ACCEPTED and question.job in self.jobs:
+            self._take(question, event)
+
     def submitted(self, spec: dict[str, Any], at: float = 0.0) -> None:
         """A user begins to submit a job."""
         facts = self.jobs.setdefault(spec["id"], JobFacts(spec))
         facts.submitted_at = at if facts.submitted_at is None else facts.submitted_at
         if not facts.accepted:
             facts.spec = spec  # what was refused before counts for nothing
+        self.history.submitted(spec["id"])
 
     def submit_answer(self, at: float, job: str, status: int, state: str | None) -> None:
-        """A user was answered."""
-        facts = self.jobs[job]
-        if status in (200, 201):
-            facts.accepted = True
-            facts.accepted_at = at if facts.accepted_at is None else facts.accepted_at
-            self._state(at, job, str(state))
-        elif status in (400, 422) and facts.accepted:
-            self._break("forgotten", at, f"{job} refused with {status} after it was accepted")
+        """A user was answered at once."""
+        self._at_once(UserRequest.SUBMISSION, at, job, status, state)
 
     def poll_answer(self, at: float, job: str, status: int, state: str | None) -> None:
-        """A user was told a state, or that there is no such job."""
-        facts = self.jobs.get(job)
-        if facts is not None:
-            facts.unanswered_since = None
-        if status == 404 and facts is not None and facts.accepted:
-            self._break("forgotten", at, f"{job} unknown")
-        if status == 200:
-            if facts is None:
-                self._break("invented", at, job)
-            else:
-                self._state(at, job, str(state))
+        """A user was told at once a state, or that there is no such job."""
+        self._at_once(UserRequest.QUESTION, at, job, status, state)
 
     def not_answered(self, at: float, job: str) -> None:
-        """A user has asked, and was told nothing.
+        """A user has asked, and was told nothing."""
+        self._at_once(UserRequest.QUESTION, at, job, None, None)
 
-        Once all troubles are over, an accepted job about which no question is answered for some
-        time counts as forgotten, however others fare.
-        """
-        facts = self.jobs.get(job)
-        if facts is None or not facts.accepted:
+    def _at_once(
+        self, request: UserRequest, at: float, job: str, status: int | None, state: str | None
+    ) -> None:
+        number = self.history.next_number()
+        self.record(Question(number, at, request, job))
+        self.record(Answer(number, at, status, state))
+
+    def cancel_asked(self, job: str) -> None:
+        """A user asks to cancel."""
+        self.history.cancel_asked(job)
+
+    def _take(self, question: Question, answer: Answer) -> None:
+        """What an answer tells of a job counts from its arrival."""
+        facts, at = self.jobs[question.job], answer.at
+        if question.request is UserRequest.SUBMISSION:
+            facts.accepted = True
+            facts.accepted_at = at if facts.accepted_at is None else facts.accepted_at
+        if answer.state in FINAL:
+            facts.told = answer.state
+            if answer.state == CANCELLED and facts.cancelled_at is None:
+                facts.cancelled_at = at
             return
-        if facts.unanswered_since is None:
-            facts.unanswered_since = at
-        if self.quiet_at is not None:
-            span = at - max(facts.unanswered_since, self.quiet_at)
-            self.longest_s = max(self.longest_s, span)
-            if span > self.known_s:
-                self._break("forgotten", at, f"{job}: no question was answered for {span:.0f} s")
+        since = self._cancelled_since(question.job)
+        if since is not None:
+            # Whoever names a cancelled job is accepted all the same, as pending.
+            since = max(since, facts.accepted_at or 0.0)
+        if since is not None and at > since + self.cancel_s:
+            what = f"{question.job} called {answer.state}, a job before it is cancelled"
+            self._break("orphaned", at, what)
 
     def largest(self) -> dict[str, list[JobFacts]]:
         """Of each class, the largest tenth by tasks and by CPUs of a task, at least one each."""
         classes: dict[str, list[JobFacts]] = {}
         for facts in self.jobs.values():
-            if facts.accepted and facts.told != "cancelled" and not facts.cancel_asked:
+            if facts.accepted and facts.told != CANCELLED and not self._called_off(facts):
                 classes.setdefault(facts.spec["pattern"], []).append(facts)
         result = {}
         for name, of in classes.items():
@@ -112,36 +173,8 @@
                     what = f"{facts.spec['id']} of {name} began after {began - came:.0f} s"
                     self._break("starved", at, what)
 
-    def cancel_asked(self, job: str) -> None:
-        """A user asks to cancel."""
-        self.jobs[job].cancel_asked = True
-
-    def _state(self, at: float, job: str, state: str) -> None:
-        facts = self.jobs[job]
-        if facts.told is not None and state != facts.told:
-            self._break("went_back", at, f"{job} was {facts.told}, now {state}")
-        if state == "done":
-            if len(facts.done) < facts.spec["beats"]:
-                self._break(
-                    "not_done", at, f"{job} with {len(facts.done)} of {facts.spec['beats']}"
-                )
-            facts.told = state
-        if state == "cancelled":
-            asked = facts.cancel_asked or any(
-                need.cancel_asked and need.told != "done" for need in self._before(job)
-            )
-            if not asked:
-                self._break("went_back", at, f"{job} cancelled, its user did not ask")
-            facts.told = state
-            if facts.cancelled_at is None:
-                facts.cancelled_at = at
-        elif state != "done":
-            since = self._cancelled_since(job)
-            if since is not None:
-                # Whoever names a cancelled job is accepted all the same, as pending.
-                since = max(since, facts.accepted_at or 0.0)
-            if since is not None and at > since + self.cancel_s:
-                self._break("orphaned", at, f"{job} called {state}, a job before it is cancelled")
+    def _called_off(self, facts: JobFacts) -> bool:
+        return self.history.jobs[facts.spec["id"]].cancel_asked
 
     def _before(self, job: str) -> Iterator[JobFacts]:
         """All jobs that a job needs, directly or not."""
@@ -178,12 +211,14 @@
         places[machine] = kind
         self._place(at, facts.spec, kind, others)
         self._quota(at, facts.spec["crew"])
+        self.waiting.started(job)
+        self.cancelled_starts += facts.cancelled_at is not None
         since = self._cancelled_since(job)
         if since is not None and at > since + self.cancel_s:
             self._break("ran_cancelled", at, f"{job}/{task} started")
         for need in facts.spec.get("waitsOn") or ():
             before = self.jobs[need]
-            if len(before.done) < before.spec["beats"] or before.told == "cancelled":
+            if len(before.done) < before.spec["beats"] or before.told == CANCELLED:
                 self._break("too_early", at, f"{job}/{task} before {need} is done")
 
     def ended(self, machine: str, job: str, task: int, completed: bool) -> None:
@@ -241,6 +276,45 @@
         for job in [job for job in self.in_part if job not in on]:
             del self.in_part[job]
 
+    def _waiting_jobs(self) -> Iterator[WaitingJob]:
+        """Accepted jobs that can have more tasks on machines now, but for the room."""
+        placed: dict[str, list[tuple[int, str]]] = {}
+        used: dict[str, Amount] = {}
+        for (job, task), where in self.running.items():
+            spec = self.jobs[job].spec
+            placed.setdefault(job, []).extend((task, kind[1]) for kind in where.values())
+            left = used.get(spec["crew"], Amount(0.0, 0.0, 0.0))
+            for _ in where:
+                left = left.less(Amount(spec["vcpus"], spec["accelerators"], 0.0))
+            used[spec["crew"]] = left
+        for job, facts in self.jobs.items():
+            over = facts.told is not None or self._called_off(facts)
+            if not facts.accepted or over or not all(map(self._is_done, self.needs(job))):
+                continue
+            here = placed.get(job, [])
+            missing = facts.spec["beats"] - len(facts.done | {task for task, _ in here})
+            if missing > 0:
+                team = facts.spec["crew"]
+                left = self._team_left(team, used.get(team, Amount(0.0, 0.0, 0.0)))
+                zones = tuple(zone for _, zone in here)
+                yield WaitingJob(facts.spec, missing, zones, left)
+
+    def _is_done(self, job: str) -> bool:
+        return job in self.jobs and self.tasks_ended(job) >= self.tasks(job)
+
+    def _team_left(self, team: str, less_used: Amount) -> Amount:
+        most_cpus, most_gpus = self.limits.get(team, (0.0, 0.0))
+        most = Amount(most_cpus or math.inf, most_gpus or math.inf, math.inf)
+        return Amount(most.cpus + less_used.cpus, most.gpus + less_used.gpus, most.memory_gb)
+
+    def check_waiting(self, at: float, rooms: Callable[[], list[Room]]) -> None:
+        """Once the troubles are over, nobody waits for long beside a machine that has room."""
+        if self.quiet_at is None:
+            self.waiting.since.clear()
+        elif self.waiting.due(at):
+            for what in self.waiting.look(at, self._waiting_jobs(), rooms()):
+                self._break("left_waiting", at, what)
+
     def tick(self, at: float) -> None:
         """Time has passed."""
         self._gangs(at)
--- a/dappledrum/model/test_rules.py
+++ b/dappledrum/model/test_rules.py
@@ -159,6 +159,16 @@
     assert checker.broken and all(text.startswith(rule) for text in checker.broken)
 
 
+def test_starts_after_a_confirmed_cancellation_are_counted():
+    checker = rules(*SPECS)
+    checker.started(1, "m1", HERE, "j-000006", 0)
+    checker.cancel_asked("j-000006")
+    assert checker.cancelled_starts == 0
+    checker.poll_answer(2, "j-000006", 200, "cancelled")
+    checker.started(3, "m1", HERE, "j-000006", 1)
+    assert checker.cancelled_starts == 1 and not checker.broken, "its command was on its way"
+
+
 def test_a_good_history_passes():
     checker = rules(*SPECS)
     good(checker)
--- a/dappledrum/standins/fleet.py
+++ b/dappledrum/standins/fleet.py
@@ -9,6 +9,7 @@
 
 from dappledrum.http.client import NoResponseError, Reply
 from dappledrum.model.rules import Rules
+from dappledrum.model.waiting import Amount, Room
 from dappledrum.standins.network import Network
 from dappledrum.standins.state_service import reply
 
@@ -227,6 +228,15 @@
             del self.attempts[key]
             self.changed.set()
 
+    def free(self) -> Amount:
+        """What no task takes of the machine, fetching ones included."""
+        left = Amount(self.size["vcpus"], self.size["accelerators"], self.size["memGb"])
+        for attempt in self.attempts.values():
+            if attempt.state != "ended":
+                spec = self.rules.jobs[attempt.job].spec
+                left = left.less(Amount(spec["vcpus"], spec["accelerators"], spec["memGb"]))
+        return left
+
     def _stop(self, attempt: Attempt, fade_s: float) -> None:
         spec = self.rules.jobs[attempt.job].spec
         saves = spec["markEveryS"] > 0 and fade_s >= spec["markTakeS"]
@@ -440,6 +450,16 @@
         """Workers that are up."""
         return [m.worker for m in self.machines.values() if m.worker is not None]
 
+    def rooms(self) -> list[Room]:
+        """Machines that are up and well, with what is free on them."""
+        return [
+            Room(worker.name, worker.kind, worker.free())
+            for worker in self.workers()
+            if not worker.hung
+            and worker.recall_at is None
+            and worker.name not in self.timing.faulty
+        ]
+
     def _snapshot(self) -> None:
         rows = [
             {
--- /dev/null
+++ b/dappledrum/standins/recording.py
@@ -0,0 +1,45 @@
+"""Requests and answers on the wire as events of the history."""
+
+import json
+
+from dappledrum.http.client import Reply
+from dappledrum.model.admissible import fault
+from dappledrum.model.history import ACCEPTED, Answer, Question, UserRequest
+from dappledrum.standins.fleet import CloudService
+
+
+def question(
+    number: int, at: float, path: str, body: bytes | None, node: str | None, cloud: CloudService
+) -> Question | None:
+    """A user's request, or None if it is not about a job."""
+    match path.removeprefix("/").split("/"):
+        case ["submissions"] if body:
+            return _submission(number, at, body, node, cloud)
+        case ["submissions", job]:
+            return Question(number, at, UserRequest.QUESTION, job, node)
+        case ["submissions", job, "cancel"]:
+            return Question(number, at, UserRequest.CANCELLATION, job, node)
+    return None
+
+
+def _submission(
+    number: int, at: float, body: bytes, node: str | None, cloud: CloudService
+) -> Question:
+    try:
+        spec = json.loads(body)
+    except (ValueError, RecursionError):
+        spec = None
+    name = spec.get("id") if isinstance(spec, dict) else None
+    wrong = fault(spec, cloud.types, cloud.rules.limits)
+    return Question(number, at, UserRequest.SUBMISSION, str(name), node, wrong)
+
+
+def answer(number: int, at: float, reply: Reply | None) -> Answer:
+    """What a user was told, if anything."""
+    if reply is None:
+        return Answer(number, at, None)
+    if reply.status not in ACCEPTED:
+        return Answer(number, at, reply.status)
+    body = json.loads(reply.body)
+    done, running = body.get("done"), body.get("running")
+    return Answer(number, at, reply.status, body.get("stance"), done, running)
--- a/dappledrum/standins/world.py
+++ b/dappledrum/standins/world.py
@@ -15,6 +15,7 @@
 from dappledrum.controller.node import Node
 from dappledrum.http.client import Caller, NoResponseError, Reply
 from dappledrum.http.server import Handler, Request, Response
+from dappledrum.model.history import ACCEPTED, REFUSED
 from dappledrum.model.rules import Rules
 from dappledrum.settings import (
     CloudLimits,
@@ -28,6 +29,7 @@
     Tuning,
     WorkerLimits,
 )
+from dappledrum.standins import recording
 from dappledrum.standins.fleet import CloudService, Timing
 from dappledrum.standins.network import Link, Network, Service
 from dappledrum.standins.state_service import StateService
@@ -338,7 +340,8 @@
         end = asyncio.get_running_loop().time() + seconds
         while (now := asyncio.get_running_loop().time()) < end:
             await asyncio.sleep(min(0.25, end - now))
-            self.rules.tick(asyncio.get_running_loop().time())
+            self.rules.tick(self._now())
+            self.rules.check_waiting(self._now(), self.cloud.rooms)
             self.leader()
             assert not self.rules.broken, self.rules.broken
 
@@ -352,19 +355,37 @@
             await self.wait(0.25)
         return asyncio.get_running_loop().time() - began
 
+    @staticmethod
+    def _now() -> float:
+        return asyncio.get_running_loop().time()
+
     # users
 
     async def _ask(
         self, method: str, path: str, body: bytes | None = None, member: str | None = None
     ) -> Reply | None:
+        """Send one request as a user, and record what it is answered."""
         alive = [m for m in self.members if m in self.network.services]
-        if not alive:
+        if member is None and alive:
+            member = self.rng.choice(alive)
+        number = self.rules.history.next_number()
+        asked = recording.question(number, self._now(), path, body, member, self.cloud)
+        if asked is not None:
+            self.rules.record(asked)
+        reply = await self._request(method, path, body, member)
+        if asked is not None:
+            self.rules.record(recording.answer(number, self._now(), reply))
+        return reply
+
+    async def _request(
+        self, method: str, path: str, body: bytes | None, member: str | None
+    ) -> Reply | None:
+        if not any(other in self.network.services for other in self.members):
             return None
-        target = member if member is not None else self.rng.choice(alive)
+        assert member is not None
+        link = self.network.caller("user", member)
         try:
-            return await self.network.caller("user", target).request(
-                method, path, body, timedelta(seconds=5)
-            )
+            return await link.request(method, path, body, timedelta(seconds=5))
         except NoResponseError:
             return None
 
@@ -378,37 +399,24 @@
         ).encode()
         for _ in range(tries):
             reply = await self._ask("POST", "/submissions", body, member)
-            now = asyncio.get_running_loop().time()
-            if reply is not None:
-                state = (
-                    json.loads(reply.body).get("stance") if reply.status in (200, 201) else None
-                )
-                self.rules.submit_answer(now, spec["id"], reply.status, state)
-                if reply.status in (200, 201, 400, 422):
-                    return reply.status
+            if reply is not None and reply.status in (*ACCEPTED, *REFUSED):
+                return reply.status
             await asyncio.sleep(1)
         return None
 
     async def poll(self, name: str, member: str | None = None) -> str | None:
         """Ask for a job's state once."""
-        asked = asyncio.get_running_loop().time()
         reply = await self._ask("GET", f"/submissions/{name}", None, member)
-        if reply is None or reply.status not in (200, 404):
-            self.rules.not_answered(asked, name)
+        if reply is None or reply.status != 200:
             return None
-        state = json.loads(reply.body).get("stance") if reply.status == 200 else None
-        self.rules.poll_answer(asyncio.get_running_loop().time(), name, reply.status, state)
-        return state
+        return str(json.loads(reply.body)["stance"])
 
     async def cancel(self, name: str, tries: int = 40) -> str | None:
         """Cancel a job, and again until there is an answer."""
-        self.rules.cancel_asked(name)
         for _ in range(tries):
             reply = await self._ask("POST", f"/submissions/{name}/cancel", b"")
             if reply is not None and reply.status == 200:
-                state = json.loads(reply.body)["stance"]
-                self.rules.poll_answer(asyncio.get_running_loop().time(), name, 200, state)
-                return str(state)
+                return str(json.loads(reply.body)["stance"])
             await asyncio.sleep(1)
         return None
 
