--- a/dappledrum/model/rules.py
+++ b/dappledrum/model/rules.py
@@ -309,7 +309,7 @@
 
     def check_waiting(self, at: float, rooms: Callable[[], list[Room]]) -> None:
         """Once the troubles are over, nobody waits for long beside a machine that has room."""
-        if self.quiet_at is None:
+        if self.quiet_at is None or at < self.quiet_at:
             self.waiting.since.clear()
         elif self.waiting.due(at):
             for what in self.waiting.look(at, self._waiting_jobs(), rooms()):
