--- a/dappledrum/controller/test_copies.py
+++ b/dappledrum/controller/test_copies.py
@@ -2,133 +2,80 @@
 with their workers."""
 
 import asyncio
-import random
-from datetime import timedelta
 
 import pytest
 
-from dappledrum.standins.fleet import Worker
-from dappledrum.standins.network import Copies
+from dappledrum.standins.busy import FIVE, GhostWorld, begin_short_work
+from dappledrum.standins.scenario import LEASE_S, now
 from dappledrum.standins.time import run
-from dappledrum.standins.world import World, job
-
-FIVE = tuple(f"drummer-{index}" for index in range(5))
-LEASE = 9.0
-OFF = timedelta(seconds=0.5)  # of clocks, and of the steps in which the worlds are looked at
-
-
-def now():
-    return asyncio.get_running_loop().time()
-
-
-class Watched(World):
-    """Looks at what the leader makes of machines that are gone."""
-
-    def __post_init__(self):
-        super().__post_init__()
-        self.gone_at = {}
-        self.ghosts = []
-        take = self.cloud.take
-
-        def taken(name):
-            self.gone_at.setdefault(name, now())
-            take(name)
-
-        self.cloud.take = taken
-
-    async def wait(self, seconds):
-        end = now() + seconds
-        while now() < end:
-            await super().wait(min(0.25, end - now()))
-            member = self.leader()
-            leader = self.nodes[member].leader if member is not None else None
-            if leader is None:
-                continue
-            began = now() - (leader.clock.now() - leader.began).total_seconds()
-            planned = {
-                view.machine for view in leader.dispatcher.machines.lanes(leader.clock.now())
-            }
-            for machine in leader.roster:
-                gone = self.gone_at.get(machine.name)
-                if gone is None or gone > began - OFF.total_seconds():
-                    continue
-                # The cloud's list may show it for a while, and a record say that it boots.
-                told = machine.listed_at is not None or machine.rented_at != machine.seen_at
-                counted = machine.name in planned and not told
-                if machine.up or counted and not machine.placements:
-                    self.ghosts.append(machine.name)
-
+from dappledrum.standins.world import job
 
 #: Requests of all kinds: of users, workers and controllers, to the state service and the cloud.
 ALL = ("/hello", "/submissions", "/multi", "/holds", "/rentals", "/peer")
+REPORTS = ALL[:1]
+TROUBLES = ("end", "die", "hang", "taken", "all", "die", "end", "outage")
+
+
+async def trouble(work, what):
+    """One of the troubles above."""
+    world, rng = work.world, work.rng
+    workers = [worker for worker in world.cloud.workers() if not worker.hung]
+    if what == "end" and world.leader() is not None:
+        await world.restart(world.leader(), rng.choice((0.0, 0.3)))
+    elif what == "all":
+        await world.restart_all(rng.uniform(0, 1))
+    elif what in ("die", "taken"):
+        for worker in rng.sample(workers, min(2, len(workers))):
+            world.cloud.take(worker.name)
+        if world.leader() is not None:
+            await world.restart(world.leader(), 0.1)
+    elif what == "hang" and workers:
+        work.hang(rng.choice(workers), rng.uniform(2, 1.5 * LEASE_S))
+    else:
+        world.state.out = True
+        await world.wait(rng.uniform(1, 5))
+        world.state.end_outage()
 
 
-async def busy(seed, copies=("/hello",), machines=8, jobs=5):
-    world = Watched(seed=seed, members=FIVE, lease_s=LEASE)
-    for _ in range(machines):
-        world.cloud.add(("small", "a", True))
-    world.cloud.most = machines + 4
-    await world.until(lambda: world.leader() is not None)
-    if copies:
-        world.network.copies = Copies(0.6, 1.0, 3 * LEASE, world.members, copies)
-    names = []
-    for number in range(jobs):
-        spec = job(number, beats=6, dueS=None, crew="red" if number == 4 else "blue")
-        names.append(spec["id"])
-        assert await world.submit(spec) in (200, 201)
-    await world.until(lambda: world.rules.starts >= 6)
-    return world, names
-
-
-@pytest.mark.parametrize(("seed", "paths"), [(0, ALL[:1]), (1, ALL[:1]), (2, ALL), (3, ALL)])
+@pytest.mark.parametrize(("seed", "paths"), [(0, REPORTS), (1, REPORTS), (2, ALL), (3, ALL)])
 def test_late_copies_amid_ends_and_losses(seed, paths):
     """Copies from 1 s to three leases late, at any controller, leaders and machines that end and
     machines that hang: no rule is broken, and nothing that has gone looks alive."""
 
     async def main():
-        world, names = await busy(seed, paths)
-        rng = random.Random(seed)
-        for turn in range(8):
-            what = ("end", "die", "hang", "taken", "all", "die", "end", "outage")[turn]
-            workers = [w for w in world.cloud.workers() if not w.hung]
-            if what == "end" and world.leader() is not None:
-                await world.restart(world.leader(), rng.choice((0.0, 0.3)))
-            elif what == "all":
-                await world.restart_all(rng.uniform(0, 1))
-            elif what in ("die", "taken"):
-                for worker in rng.sample(workers, min(2, len(workers))):
-                    world.cloud.take(worker.name)
-                if world.leader() is not None:
-                    await world.restart(world.leader(), 0.1)
-            elif what == "hang" and workers:
-                worker = rng.choice(workers)
-                worker.hung = True
-                asyncio.get_running_loop().call_later(
-                    rng.uniform(2, 1.5 * LEASE), setattr, worker, "hung", False
-                )
-            else:
-                world.state.out = True
-                await world.wait(rng.uniform(1, 5))
-                world.state.end_outage()
-            spec = job(100 + turn, beats=3, dueS=None)
-            names.append(spec["id"])
-            assert await world.submit(spec) in (200, 201)
-            await world.wait(rng.uniform(1, 6))
-        world.rules.quiet_at = now()
-        await world.finish(names, most=400)
-        assert world.network.copied > 150
-        assert not world.ghosts, f"{len(world.ghosts)} times, as {world.ghosts[0]}"
+        work = await begin_short_work(seed, paths)
+        for turn, what in enumerate(TROUBLES):
+            await trouble(work, what)
+            await work.submit(100 + turn, beats=3)
+            await work.world.wait(work.rng.uniform(1, 6))
+        await work.finish(most=400)
+        assert work.world.network.copied > 150
+        ghosts = work.world.ghosts
+        assert not ghosts, f"{len(ghosts)} times, as {ghosts[0]}"
 
     run(main())
 
 
+def reports_of(world, name):
+    """The list of all that this worker reports from now on."""
+    seen, copy = [], world.network._copy
+
+    def keep(source, target, method, path, body):
+        if path == "/hello" and source == name:
+            seen.append(body)
+        copy(source, target, method, path, body)
+
+    world.network._copy = keep
+    return seen
+
+
 @pytest.mark.parametrize("takeover", [False, True])
 def test_copies_of_a_dead_machine_do_not_keep_it_alive(takeover):
     """Its tasks are given up a lease after its last answer, two at the most after a takeover that
     knew nothing of the order of its reports."""
 
     async def main():
-        world = Watched(seed=2, members=FIVE, lease_s=LEASE)
+        world = GhostWorld(seed=2, members=FIVE, lease_s=LEASE_S)
         world.cloud.most = 3
         for _ in range(2):
             world.cloud.add(("small", "a", True))
@@ -137,16 +84,8 @@
         assert await world.submit(long) == 201
         await world.until(lambda: world.rules.starts >= 2)
         await world.wait(3)
-        dead = next(w for w in world.cloud.workers() if w.attempts)
-        seen = []
-        watch = world.network._copy
-
-        def keep(source, target, method, path, body):
-            if path == "/hello" and source == dead.name:
-                seen.append(body)
-            watch(source, target, method, path, body)
-
-        world.network._copy = keep
+        dead = next(worker for worker in world.cloud.workers() if worker.attempts)
+        seen = reports_of(world, dead.name)
         await world.wait(4)
         dead.vanish()
         died = now()
@@ -162,22 +101,20 @@
                 await world.network._late(dead.name, world.leader(), "POST", "/hello", body)
                 await asyncio.sleep(1)
 
+        def given_up():
+            machine = leader.roster.get(dead.name)
+            return machine is None or not machine.placements
+
         copying = asyncio.ensure_future(again())
-        most = (2 if takeover else 1) * LEASE + 4
-        await world.until(
-            lambda: (
-                leader.roster.get(dead.name) is None
-                or not (leader.roster.get(dead.name).placements)
-            ),
-            most=most,
-        )
-        assert now() - died > LEASE - 5, "not before it was proven"
+        await world.until(given_up, most=(2 if takeover else 1) * LEASE_S + 4)
+        assert now() - died > LEASE_S - 5, "not before it was proven"
         copying.cancel()
 
     run(main())
 
 
 def deaf(world):
+    """Machines that the leader believes to hear nothing."""
     member = world.leader()
     leader = world.nodes[member].leader if member is not None else None
     return {m.name for m in leader.roster if m.hearing.deaf} if leader is not None else set()
@@ -190,53 +127,53 @@
     they serve again once they hear."""
 
     async def main():
-        world, names = await busy(seed, copies=(), machines=9)
+        work = await begin_short_work(seed, machines=9)
+        world = work.world
         chosen = sorted(worker.name for worker in world.cloud.workers())[:3]
         world.deafen(chosen)
-        assert await world.cancel(names.pop(0)) in ("cancelled", "done")
+        assert await world.cancel(work.names.pop(0)) in ("cancelled", "done")
         if takeover:
             await world.restart(world.leader(), 0.3)
         for number in range(10, 16):
             form = "ensemble" if number % 3 == 0 else "batch"
-            spec = job(number, beats=8, dueS=None, form=form, vcpus=1.0)
-            names.append(spec["id"])
-            assert await world.submit(spec) in (200, 201)
-        replicas = job(20, form="service", beats=2, vcpus=1.0, expectedS=0.0, dueS=None)
-        assert await world.submit(replicas) in (200, 201)
-        await world.wait(2.5 * LEASE)
-        leader = world.nodes[world.leader()].leader
+            await work.submit(number, beats=8, form=form, vcpus=1.0)
+        service = await work.submit(20, form="service", beats=2, vcpus=1.0, expectedS=0.0)
+        work.names.remove(service)  # it has no end
+        await world.wait(2.5 * LEASE_S)
+        leader = work.leader()
         still = {n for n in chosen if n in world.cloud.machines and leader.roster.get(n)}
         lanes = leader.dispatcher.machines.lanes(leader.clock.now())
         # One that has shown nothing in this term is awaited like any that has not come yet.
         assert not still & {view.machine for view in lanes if not view.booting}
         assert takeover or deaf(world) & still
-        await world.finish(names, most=300)
+        await world.finish(work.names, most=300)
         assert not set(chosen) & {m.name for m in leader.roster if m.placements}
-        assert await world.poll(replicas["id"]) == "running"
-        assert len([job for job, _ in world.rules.running if job == replicas["id"]]) == 2
+        assert await world.poll(service) == "running"
+        assert len(work.running(20)) == 2
         world.network.heal()
         world.rules.quiet_at = now()
-        await world.wait(2 * LEASE)
+        await world.wait(2 * LEASE_S)
         assert not deaf(world)
         last = job(99, beats=20, dueS=None)
         assert await world.submit(last) == 201
-        assert await world.cancel(replicas["id"]) == "cancelled"
-        await world.finish([last["id"], replicas["id"]], most=100)
+        assert await world.cancel(service) == "cancelled"
+        await world.finish([last["id"], service], most=100)
 
     run(main())
 
 
 def test_a_controller_that_nobody_hears_blames_no_machine():
     async def main():
-        world, names = await busy(3, copies=(), machines=6)
+        work = await begin_short_work(3, machines=6)
+        world = work.world
         world.deafen([worker.name for worker in world.cloud.workers()])
-        await world.wait(3 * LEASE)
-        leader = world.nodes[world.leader()].leader
+        await world.wait(3 * LEASE_S)
+        leader = work.leader()
         leader.dispatcher.machines.refresh()
-        up = [m for m in leader.roster if m.up]
+        up = [machine for machine in leader.roster if machine.up]
         assert len(deaf(world)) * 2 <= len(up) or leader.dispatcher.machines.one_sided
         world.network.heal()
-        await world.finish(names, most=200)
+        await work.finish(most=200)
 
     run(main())
 
@@ -247,30 +184,33 @@
     the leader before their lease ends."""
 
     async def main():
-        world, names = await busy(4, copies=())
-        leader = world.leader()
-        member = leader if leads else next(m for m in FIVE if m != leader)
-        sessions = {w.name: w.session for w in world.cloud.workers()}
+        work = await begin_short_work(4)
+        world = work.world
+        member = world.leader() if leads else work.others()[0]
+        sessions = work.sessions()
+
+        async def status(path):
+            return (await world._ask("GET", path, None, member)).status
+
         for worker in world.cloud.workers()[::2]:
             worker.node = member
         world.isolate(member)
         await world.until(lambda: world.leader() not in (None, member), most=8)
         await world.wait(5)
         began = now()
-        assert (await world._ask("GET", "/ready", None, member)).status == 503
-        assert (await world._ask("GET", f"/submissions/{names[0]}", None, member)).status == 503
+        assert await status("/ready") == 503
+        assert await status(f"/submissions/{work.names[0]}") == 503
         assert now() - began < 0.5
         node = world.nodes[member]
         assert node.elector.holding() is None and node._conductor() is None
         await world.wait(20)
-        for worker in world.cloud.workers():
-            if worker.name in sessions:
-                assert worker.session == sessions[worker.name]
+        kept = sessions.keys() & work.sessions().keys()
+        assert {name: work.sessions()[name] for name in kept} == {n: sessions[n] for n in kept}
         world.network.heal()
         world.rules.quiet_at = now()
         await world.wait(2)
-        assert (await world._ask("GET", "/ready", None, member)).status == 200
-        await world.finish(names, most=200)
+        assert await status("/ready") == 200
+        await world.finish(work.names, most=200)
 
     run(main())
 
@@ -282,13 +222,14 @@
     controller comes to lead, and copies of the former one's reports go on coming."""
 
     async def main():
-        world, names = await busy(7, machines=4, jobs=2)
+        work = await begin_short_work(7, REPORTS, machines=4, jobs=2)
+        world = work.world
         await world.wait(0 if young else 15)
         long = job(50, beats=4, vcpus=4.0, runS=25.0, expectedS=25.0, dueS=40.0)
-        names.append(long["id"])
+        work.names.append(long["id"])
         assert await world.submit(long) == 201
         await world.wait(4)
-        old = [w for w in world.cloud.workers() if w.attempts][:2]
+        old = [worker for worker in world.cloud.workers() if worker.attempts][:2]
         assert old
         if election:
             world.kill(world.leader())
@@ -296,24 +237,12 @@
         for worker in old:
             worker.vanish()
             await world.wait(0.2)
-            rented = world.cloud.machines[worker.name]
-            rented.worker = Worker(
-                worker.name,
-                worker.kind,
-                worker.size,
-                world.network,
-                world.rules,
-                world.timing,
-                list(world.members),
-                world.rng,
-            )
+            world.cloud.machines[worker.name].worker = worker.begin_anew()
         await world.wait(2)
         for member in FIVE:
             if not world.alive(member):
                 world.start(member)
-        world.rules.quiet_at = now()
-        took = await world.finish(names, most=200)
-        assert took < 2 * LEASE + 90
+        assert await work.finish(most=200) < 2 * LEASE_S + 90
 
     run(main())
 
@@ -323,27 +252,24 @@
     in the end, and known all along."""
 
     async def main():
-        world, names = await busy(5)
-        rng = random.Random(5)
+        work = await begin_short_work(5, REPORTS)
+        world, rng = work.world, work.rng
         for turn in range(6):
             up = world.cloud.workers()
-            world.deafen([w.name for w in rng.sample(up, len(up) // 4)])
+            world.deafen([worker.name for worker in rng.sample(up, len(up) // 4)])
             world.isolate(rng.choice(FIVE))
             if world.leader() is not None and turn % 2:
                 await world.restart(world.leader(), rng.uniform(0, 0.5))
             world.state.out = turn == 3
-            spec = job(200 + turn, beats=4, dueS=None)
-            names.append(spec["id"])
-            asked = asyncio.ensure_future(world.submit(spec, 60))
+            asked = asyncio.ensure_future(work.submit(200 + turn, beats=4, tries=60))
             await world.wait(rng.uniform(2, 12))
             if world.state.out:
                 world.state.end_outage()
             world.network.heal()
             await world.wait(rng.uniform(0, 4))
-            assert await asked in (200, 201)
+            await asked
         world.network.copies = None
-        world.rules.quiet_at = now()
-        await world.finish(names, most=400)
+        await work.finish(most=400)
         world.rules.check_largest(now(), 240.0)
         assert not world.rules.broken and world.rules.longest_s < 10
 
--- a/dappledrum/standins/fleet.py
+++ b/dappledrum/standins/fleet.py
@@ -112,6 +112,19 @@
         self.sequence += 1
         return reply(200, {"drum": self.name, "set": self.session, "tick": self.sequence})
 
+    def begin_anew(self) -> "Worker":
+        """The worker's process has ended, with all its tasks; the next one of the machine."""
+        return Worker(
+            self.name,
+            self.kind,
+            self.size,
+            self.network,
+            self.rules,
+            self.timing,
+            self.nodes,
+            self.rng,
+        )
+
     def vanish(self) -> None:
         """The machine is gone."""
         self.network.services.pop(self.name, None)
--- a/dappledrum/standins/scenario.py
+++ b/dappledrum/standins/scenario.py
@@ -52,11 +52,9 @@
 
     async def cancel(self, number: int, member: str) -> None:
         """Cancel one of these jobs at a controller that must answer at once."""
-        name = f"j-{900 + number:06d}"
-        self.world.rules.cancel_asked(name)
-        reply = await self.world._ask("POST", f"/submissions/{name}/cancel", b"", member)
-        assert reply is not None and reply.status == 200
-        self.world.rules.poll_answer(now(), name, 200, "cancelled")
+        path = f"/submissions/j-{900 + number:06d}/cancel"
+        reply = await self.world._ask("POST", path, b"", member)
+        assert reply is not None and reply.status == 200 and b'"cancelled"' in reply.body
 
     def machines_of(self, number: int) -> set[str]:
         """Machines on which tasks of one of these jobs run."""
