--- a/dappledrum/model/rules.py
+++ b/dappledrum/model/rules.py
@@ -1,10 +1,20 @@
 """The rules of the protocol as a checker that is told everything that happens, step by step."""
 
-from collections.abc import Iterator
+from collections.abc import Callable, Iterator
 from dataclasses import dataclass, field
+from enum import Enum, auto
 from typing import Any
 
 
+class JobEvent(Enum):
+    """What listeners are told of a job, once each."""
+
+    ACCEPTED = auto()  # its user was told so
+    COMPLETED = auto()  # its last task has ended
+    DONE = auto()  # a user was told so
+    CANCELLED = auto()  # a user was told so
+
+
 @dataclass
 class JobFacts:
     """What the world knows of a job."""
@@ -35,11 +45,17 @@
     quiet_at: float | None = None  # all troubles are over since then; None: they are not
     known_s: float = 75.0  # how long after that no question about a job may be answered
     longest_s: float = 0.0  # that happened
+    #: Called with the job and what has become of it.
+    listeners: list[Callable[[str, JobEvent], None]] = field(default_factory=list)
     part_s: float = 60.0  # how long one may be: a gang's wait, and a lease until a loss is proven
 
     def _break(self, rule: str, at: float, what: str) -> None:
         self.broken.append(f"{rule} at {at:.2f}: {what}")
 
+    def _tell(self, job: str, event: JobEvent) -> None:
+        for listener in list(self.listeners):
+            listener(job, event)
+
     def submitted(self, spec: dict[str, Any], at: float = 0.0) -> None:
         """A user begins to submit a job."""
         facts = self.jobs.setdefault(spec["id"], JobFacts(spec))
@@ -52,11 +68,19 @@
         facts = self.jobs[job]
         if status in (200, 201):
             facts.accepted = True
+            first = facts.accepted_at is None
             facts.accepted_at = at if facts.accepted_at is None else facts.accepted_at
             self._state(at, job, str(state))
+            if first:
+                self._tell(job, JobEvent.ACCEPTED)
         elif status in (400, 422) and facts.accepted:
             self._break("forgotten", at, f"{job} refused with {status} after it was accepted")
 
+    def invalid_answered(self, at: float, job: str, status: int | None, expected: int) -> None:
+        """A submission that must be refused was answered; None: not yet."""
+        if status not in (None, expected):
+            self._break("invalid", at, f"{job} answered with {status} instead of {expected}")
+
     def poll_answer(self, at: float, job: str, status: int, state: str | None) -> None:
         """A user was told a state, or that there is no such job."""
         facts = self.jobs.get(job)
@@ -118,6 +142,7 @@
 
     def _state(self, at: float, job: str, state: str) -> None:
         facts = self.jobs[job]
+        first = facts.told is None
         if facts.told is not None and state != facts.told:
             self._break("went_back", at, f"{job} was {facts.told}, now {state}")
         if state == "done":
@@ -142,6 +167,8 @@
                 since = max(since, facts.accepted_at or 0.0)
             if since is not None and at > since + self.cancel_s:
                 self._break("orphaned", at, f"{job} called {state}, a job before it is cancelled")
+        if first and facts.told is not None:
+            self._tell(job, JobEvent.DONE if state == "done" else JobEvent.CANCELLED)
 
     def _before(self, job: str) -> Iterator[JobFacts]:
         """All jobs that a job needs, directly or not."""
@@ -192,8 +219,11 @@
         places.pop(machine, None)
         if not places:
             self.running.pop((job, task), None)
-        if completed:
-            self.jobs[job].done.add(task)
+        facts = self.jobs[job]
+        if completed and task not in facts.done:
+            facts.done.add(task)
+            if len(facts.done) == facts.spec["beats"]:
+                self._tell(job, JobEvent.COMPLETED)
 
     def _place(
         self,
--- a/dappledrum/standins/fleet.py
+++ b/dappledrum/standins/fleet.py
@@ -74,7 +74,7 @@
         self.name, self.kind, self.size = name, kind, size
         number = int(name.rpartition("-")[2])
         self.address = f"10.1.{number // 250}.{number % 250}:9000"
-        network.services[name] = self._inspect
+        network.services[name] = self._serve
         network.addresses[self.address] = name
         self.network, self.rules, self.timing, self.nodes, self.rng = (
             network,
@@ -104,12 +104,23 @@
         """Virtual time."""
         return asyncio.get_running_loop().time()
 
-    async def _inspect(self, source: str, method: str, path: str, body: bytes) -> Reply:
-        """What answers at its address; only probes are known here."""
+    async def _serve(self, source: str, method: str, path: str, body: bytes) -> Reply:
+        """Direct commands and questions, which renew no lease."""
         while self.hung:
             await asyncio.sleep(0.1)
-        self.sequence += 1
-        return reply(200, {"drum": self.name, "set": self.session, "tick": self.sequence})
+        if path == "/inspect":
+            return reply(200, self._next_report())
+        if path != "/do":
+            return reply(404)
+        command = json.loads(body)
+        if "baton" not in command or "set" not in command:
+            return reply(400)
+        if command["baton"] < self.token or command["set"] != self.session:
+            return reply(409, self._next_report())
+        self._see_token(command["baton"])
+        for call in command["calls"]:
+            self._execute(call)
+        return reply(200, self._next_report())
 
     def vanish(self) -> None:
         """The machine is gone."""
@@ -155,13 +166,11 @@
             except TimeoutError:
                 pass
 
-    async def _report(self) -> None:
-        while self.hung:
-            await asyncio.sleep(0.1)
+    def _next_report(self) -> dict[str, Any]:
+        """The machine as it is now, under a number of its own."""
         self.sequence += 1
-        sent, session = self.now(), self.session
-        recall = None if self.recall_at is None else max(0.0, self.recall_at - sent)
-        body = {
+        recall = None if self.recall_at is None else max(0.0, self.recall_at - self.now())
+        return {
             "drum": self.name,
             "endpoint": self.address,
             "build": self.kind[0],
@@ -173,6 +182,12 @@
             "recallS": recall,
             "beats": [attempt.report() for attempt in self.attempts.values()],
         }
+
+    async def _report(self) -> None:
+        while self.hung:
+            await asyncio.sleep(0.1)
+        sent, session = self.now(), self.session
+        body = self._next_report()
         link = self.network.caller(self.name, self.node)
         try:
             answer = await link.request(
@@ -199,16 +214,19 @@
     def _accept(self, answer: dict[str, Any], sent: float, session: int) -> None:
         if session != self.session or answer["baton"] < self.token:
             return
-        if answer["baton"] > self.token:
-            self.token = answer["baton"]
-            if self.now() - self.last_token_change > self.timing.lease_s / 2:
-                self.last_token_change = self.now()
-                self.changed.set()
+        self._see_token(answer["baton"])
         self.renewed = max(self.renewed, sent)
         self.answered = self.now()
         for call in answer["calls"]:
             self._execute(call)
 
+    def _see_token(self, token: int) -> None:
+        if token > self.token:
+            self.token = token
+            if self.now() - self.last_token_change > self.timing.lease_s / 2:
+                self.last_token_change = self.now()
+                self.changed.set()
+
     def _execute(self, call: dict[str, Any]) -> None:
         key = (call["beat"], call["take"])
         attempt = self.attempts.get(key)
--- a/dappledrum/standins/network.py
+++ b/dappledrum/standins/network.py
@@ -15,6 +15,10 @@
 ]  # source, method, path, body
 
 
+KEPT_STEP_S = 0.1
+KEPT_MOST_S = 2.0  # after the next leader began
+
+
 class Sent(NamedTuple):
     """A request on its way."""
 
@@ -33,6 +37,8 @@
     most_s: float
     targets: tuple[str, ...]  # of reports; anything else comes again where it came before
     paths: tuple[str, ...] = ("/hello",)
+    #: Reports are kept instead, until another leader is there, and arrive at it alone.
+    for_next: bool = False
 
 
 class LateWrites(NamedTuple):
@@ -42,6 +48,26 @@
     share: float
     least_s: float
     most_s: float
+    at_once: bool = False  # carried out when it arrives; only the answer is lost
+
+
+class LateCommands(NamedTuple):
+    """A share of the direct commands to workers gets no answer, and is carried out so much
+    later."""
+
+    share: float
+    least_s: float
+    most_s: float
+
+
+class Kept(NamedTuple):
+    """A copy of a report that waits for the next leader."""
+
+    leader: str | None  # at the time of the report
+    source: str
+    method: str
+    path: str
+    body: bytes
 
 
 def host(name: str) -> str:
@@ -61,6 +87,8 @@
         self.deaf: set[frozenset[str]] = set()  # requests arrive, answers are lost
         self.refusing: set[frozenset[str]] = set()  # connections are refused or reset
         self.blocked: set[tuple[str, str]] = set()  # one way: from one host to another
+        #: From a host that can't open connections to the other; the other may open them to it.
+        self.muted: set[tuple[str, str]] = set()
         self.slow: dict[tuple[str, str], float] = {}  # seconds more, one way
         #: Told of each request as it arrives; seconds until it is executed, after its sender has
         #: given up on it, or None: as ever.
@@ -68,6 +96,10 @@
         self.copies: Copies | None = None
         self.copied = 0
         self.late_writes: LateWrites | None = None
+        self.late_commands: LateCommands | None = None
+        self.leader: Callable[[], str | None] = lambda: None  # set by whoever knows
+        self.kept: list[Kept] = []
+        self._keeper: asyncio.Task[None] | None = None
         self.held: list[tuple[str, str, str, str, bytes]] = []
         self.late = 0
 
@@ -81,6 +113,7 @@
         self.deaf.clear()
         self.refusing.clear()
         self.blocked.clear()
+        self.muted.clear()
         self.slow.clear()
         self._deliver()
 
@@ -117,14 +150,37 @@
             return
         if self.rng.random() >= copies.share:
             return
+        self.copied += 1
+        if copies.for_next:
+            self._keep(Kept(self.leader(), source, method, path, body))
+            return
         if path == "/hello":
             target = self.rng.choice(copies.targets)
-        self.copied += 1
         after = self.rng.uniform(copies.least_s, copies.most_s)
         asyncio.get_running_loop().create_task(
             self._late(source, target, method, path, body, after), context=contextvars.Context()
         )
 
+    def _keep(self, copy: Kept) -> None:
+        self.kept.append(copy)
+        if self._keeper is None:
+            loop = asyncio.get_running_loop()
+            self._keeper = loop.create_task(self._release(), context=contextvars.Context())
+
+    async def _release(self) -> None:
+        """Deliver what is kept as soon as there is another leader, or while it begins."""
+        while True:
+            await asyncio.sleep(KEPT_STEP_S)
+            leader = self.leader()
+            if leader is None:
+                continue
+            due = [copy for copy in self.kept if copy.leader != leader]
+            self.kept = [copy for copy in self.kept if copy.leader == leader]
+            for copy in due:
+                after = self.rng.uniform(0, KEPT_MOST_S)
+                late = self._late(copy.source, leader, copy.method, copy.path, copy.body, after)
+                asyncio.get_running_loop().create_task(late)
+
     def caller(self, source: str, target: str) -> "Link":
         """A client at one host for a service at another."""
         return Link(self, source, target)
@@ -171,14 +227,22 @@
                 await asyncio.sleep(3600)
         late = network.late_writes
         if late is not None and path == "/multi" and network.rng.random() < late.share:
-            after = network.rng.uniform(late.least_s, late.most_s)
+            after = 0.0 if late.at_once else network.rng.uniform(late.least_s, late.most_s)
+            asyncio.get_running_loop().create_task(
+                network._late(self.source, self.target, method, path, body, after),
+                context=contextvars.Context(),
+            )
+            await asyncio.sleep(3600)
+        commands = network.late_commands
+        if commands is not None and path == "/do" and network.rng.random() < commands.share:
+            after = network.rng.uniform(commands.least_s, commands.most_s)
             asyncio.get_running_loop().create_task(
                 network._late(self.source, self.target, method, path, body, after),
                 context=contextvars.Context(),
             )
             await asyncio.sleep(3600)
         service = network.services.get(self.target)
-        if service is None or pair in network.refusing:
+        if service is None or pair in network.refusing or there in network.muted:
             raise NotSentError("connection refused")
         # In a context of its own: what a service does is no part of the process that asked, and
         # goes on when that stands still or gives up.
--- a/dappledrum/standins/world.py
+++ b/dappledrum/standins/world.py
@@ -4,7 +4,7 @@
 import contextvars
 import json
 import random
-from collections.abc import Callable
+from collections.abc import Callable, Coroutine
 from dataclasses import dataclass, field
 from datetime import timedelta
 from functools import partial
@@ -135,6 +135,8 @@
     nodes: dict[str, Node] = field(default_factory=dict)
     processes: dict[str, asyncio.Task[None]] = field(default_factory=dict)
     links: dict[str, list[Link]] = field(default_factory=dict)  # of each controller's process
+    acting: set[asyncio.Task[None]] = field(default_factory=set)  # users that troubles have added
+    odd_users: set[asyncio.Task[None]] = field(default_factory=set)  # that go on until cancelled
 
     def __post_init__(self) -> None:
         self.rng = random.Random(self.seed)
@@ -151,6 +153,7 @@
         )
         self.network.services["state"] = self.state
         self.network.services["cloud"] = self.cloud
+        self.network.leader = self.leader
         self.params = Params(
             teams=list(self.teams),
             workers=WorkerLimits(1.0, self.lease_s, 30.0),
@@ -331,8 +334,20 @@
         self.network.blocked |= pairs
         return pairs
 
+    def mute(self, names: list[str]) -> set[tuple[str, str]]:
+        """These machines open no connection to any controller, while controllers reach them;
+        returns what is in `network.muted` for it."""
+        pairs = {(name, member) for name in names for member in self.members}
+        self.network.muted |= pairs
+        return pairs
+
     # time
 
+    @staticmethod
+    def now() -> float:
+        """Virtual time."""
+        return asyncio.get_running_loop().time()
+
     async def wait(self, seconds: float) -> None:
         """Let time pass, and check the rules on the way."""
         end = asyncio.get_running_loop().time() + seconds
@@ -354,6 +369,19 @@
 
     # users
 
+    def act(self, user: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
+        """Let a further user act beside the others; what goes wrong there breaks the rules."""
+        loop = asyncio.get_running_loop()
+        task = loop.create_task(user, context=contextvars.Context())
+        self.acting.add(task)
+        task.add_done_callback(self._acted)
+        return task
+
+    def _acted(self, task: asyncio.Task[None]) -> None:
+        self.acting.discard(task)
+        if not task.cancelled() and (error := task.exception()) is not None:
+            self.rules.broken.append(f"a user failed: {error!r}")
+
     async def _ask(
         self, method: str, path: str, body: bytes | None = None, member: str | None = None
     ) -> Reply | None:
@@ -400,11 +428,11 @@
         self.rules.poll_answer(asyncio.get_running_loop().time(), name, reply.status, state)
         return state
 
-    async def cancel(self, name: str, tries: int = 40) -> str | None:
+    async def cancel(self, name: str, tries: int = 40, member: str | None = None) -> str | None:
         """Cancel a job, and again until there is an answer."""
         self.rules.cancel_asked(name)
         for _ in range(tries):
-            reply = await self._ask("POST", f"/submissions/{name}/cancel", b"")
+            reply = await self._ask("POST", f"/submissions/{name}/cancel", b"", member)
             if reply is not None and reply.status == 200:
                 state = json.loads(reply.body)["stance"]
                 self.rules.poll_answer(asyncio.get_running_loop().time(), name, 200, state)
