--- a/dappledrum/standins/costs.py
+++ b/dappledrum/standins/costs.py
@@ -18,9 +18,10 @@
 from pathlib import Path
 from typing import Any
 
-from dappledrum.standins.days import Day, Fault
+from dappledrum.standins.days import Day
 from dappledrum.standins.experiment import play
 from dappledrum.standins.time import run
+from dappledrum.standins.troubles.controllers import NodeCrash
 
 ROOT = Path(__file__).parents[1]
 
@@ -75,7 +76,7 @@
     if not 1 <= options.machines <= 5_000 or not 1 <= options.until <= 86_400:
         parser.error("--machines must be 1 to 5000, --until 1 to 86400")
     logging.disable(logging.CRITICAL)
-    faults = [] if options.end is None else [Fault(options.end, "node_crash", busiest=True)]
+    faults = [] if options.end is None else [NodeCrash(at_s=options.end, busiest=True)]
     profile = cProfile.Profile()
     day = Day("costs", faults)
     profile.enable()
--- a/dappledrum/standins/experiment.py
+++ b/dappledrum/standins/experiment.py
@@ -19,8 +19,9 @@
 
 import msgspec
 
-from dappledrum.standins.days import Day, DayError, Fault, begin, load
+from dappledrum.standins.days import Day, DayError, load
 from dappledrum.standins.time import run
+from dappledrum.standins.troubles.base import Trouble
 from dappledrum.standins.world import World, job
 
 FIVE = tuple(f"drummer-{index}" for index in range(5))
@@ -73,7 +74,7 @@
     def __init__(self, world: World, day: Day, back: float) -> None:
         self.world = world
         self.back = back
-        self.left: list[Fault] = sorted(day.faults, key=lambda fault: fault.at_s)
+        self.left: list[Trouble] = sorted(day.faults, key=lambda fault: fault.at_s)
         self.after: list[tuple[After, float, int]] = []
         self.no_leader = 0.0
         self.gaps: dict[str, float] = {}
@@ -87,7 +88,7 @@
             fault = self.left.pop(0)
             one = After(fault.at_s, fault.kind, running)
             self.after.append((one, now, world.cloud.next))
-            begin(world, fault, self.back)
+            fault.begin(world, self.back)
         self.no_leader += STEP * (world.leader() is None)
         for worker in world.cloud.workers():
             gap = now - worker.answered
@@ -188,7 +189,7 @@
         day = load(options.day)
     except DayError as error:
         parser.error(str(error))
-    last = max((fault.at_s + fault.for_s for fault in day.faults), default=120.0)
+    last = max((fault.at_s + fault.lasts_s for fault in day.faults), default=120.0)
     until = options.until if options.until is not None else last + 60.0
     logging.disable(logging.CRITICAL)
     lines = []
--- a/dappledrum/standins/pairs.py
+++ b/dappledrum/standins/pairs.py
@@ -1,11 +1,13 @@
-"""Two troubles of all kinds that overlap, drawn from a seed, while users submit, ask and cancel.
+"""Two or three troubles of all kinds that overlap, drawn from a seed, while users submit, ask and
+cancel.
 
-    python3 -m dappledrum.standins.pairs [--from 0] [--count 100] [--kinds KIND,KIND]
+    python3 -m dappledrum.standins.pairs [--from 0] [--count 100] [--kinds KIND,KIND] [--triples]
 
 Five whole controllers in virtual time, rules checked after each step, also that every accepted job
 is known once all is over. The seed of each failure is printed; the same seed plays the same again
 (with PYTHONHASHSEED=0). Jobs have one to three tasks whose ends lie far apart, some save, some are
-services or gangs, some wait for others.
+services or gangs, some wait for others. One of the three troubles of a triple is always a change
+of leader.
 """
 
 import argparse
@@ -13,9 +15,11 @@
 import logging
 import random
 import sys
+from typing import Any
 
-from dappledrum.standins.days import KINDS, Fault, begin
 from dappledrum.standins.time import run
+from dappledrum.standins.troubles import KINDS, convert, end_all
+from dappledrum.standins.troubles.base import Trouble
 from dappledrum.standins.world import World, job
 
 FIVE = tuple(f"drummer-{index}" for index in range(5))
@@ -24,26 +28,70 @@
 TROUBLED = (15.0, 50.0)  # the first trouble begins, the second at the latest
 SPANS = (0.3, 2.0, 5.0, 12.0, 25.0, 45.0)  # the last one is longer than `cancel_s`
 BACK = (0.0, 0.1, 0.3, 1.0, 5.0)
+#: What is drawn of unless kinds are named.
+DRAWN = (*KINDS, "late_writes:at_once", "late_reports:for_next")
+CHANGES_OF_LEADER = ("node_crash", "leader_transfer", "node_freeze", "node_cut")
+PROGRESS = 50  # draws between two lines
+CHANGE_SPANS = (5.0, 12.0)  # longer than a leader's lease
+
+
+def draw(name: str, at: float, rng: random.Random) -> Trouble:
+    """One trouble of a kind, or of one with an option that is always set ("KIND:OPTION")."""
+    kind, _, variant = name.partition(":")
+    drawn: dict[str, Any] = {"for_s": rng.choice(SPANS)}
+    drawn["count"] = rng.choice((1, 1, 2, 5))
+    drawn["busiest"] = rng.random() < 0.7
+    share = rng.choice((0.2, 0.5)) if "late" in kind else rng.choice((0.0, 0.4))
+    drawn["every_s"] = rng.choice((0.5, 4.0))
+    if kind.startswith("late") or share > 0:
+        drawn["share"] = share
+    if kind == "node_freeze":
+        drawn["for_s"] = min(drawn["for_s"], 12.0)
+    if kind == "node_cut":
+        drawn |= _draw_cut(rng)
+    if kind in ("machine_deaf", "machine_mute"):
+        drawn = _draw_machines(drawn, rng)
+    if kind == "cancel_now":
+        drawn["hang_s"] = rng.choice((0.0, *SPANS))
+    if kind == "cancel_at_end":
+        drawn["share"] = rng.choice((0.5, 1.0))
+    taken = KINDS[kind].__struct_fields__
+    options = {name: value for name, value in drawn.items() if name in taken}
+    if variant:
+        options[variant] = True
+    return convert(options | {"kind": kind, "at_s": at})
+
+
+def _draw_cut(rng: random.Random) -> dict[str, Any]:
+    """What a controller loses, and how."""
+    form = rng.choice(("state", "refused", "alone", "workers", "everything"))
+    return {
+        "from_state": form in ("state", "refused", "alone"),
+        "from_peers": form == "alone",
+        "from_workers": form == "workers",
+        "mode": "refuse" if form == "refused" or rng.random() < 0.3 else "hold",
+    }
 
 
-def draw(kind: str, at: float, rng: random.Random) -> Fault:
-    """One trouble of a kind."""
-    fault = Fault(at, kind, for_s=rng.choice(SPANS))
-    fault.count = rng.choice((1, 1, 2, 5))
-    fault.busiest = rng.random() < 0.7
-    fault.share = rng.choice((0.2, 0.5)) if kind.startswith("late") else rng.choice((0.0, 0.4))
-    fault.every_s = rng.choice((0.5, 4.0))
-    if kind == "node_freeze":
-        fault.for_s = min(fault.for_s, 12.0)
+def _draw_machines(drawn: dict[str, Any], rng: random.Random) -> dict[str, Any]:
+    """Machines by zone, share or number; one of these."""
+    zone = rng.choice(("a", "b")) if rng.random() < 0.3 else None
+    by = "zone" if zone is not None else "share" if "share" in drawn else "count"
+    left = {name: value for name, value in drawn.items() if name not in ("count", "share")}
+    return left | {by: zone if zone is not None else drawn[by]}
+
+
+def draw_change_of_leader(kind: str, at: float, rng: random.Random) -> Trouble:
+    """One trouble after which, most likely, another controller leads."""
+    options: dict[str, Any] = {"kind": kind, "at_s": at}
+    if kind != "leader_transfer":
+        options["busiest"] = True
+    if kind in ("node_freeze", "node_cut"):
+        options["for_s"] = rng.choice(CHANGE_SPANS)
     if kind == "node_cut":
-        form = rng.choice(("state", "refused", "alone", "workers", "everything"))
-        fault.from_state = form in ("state", "refused", "alone")
-        fault.from_peers = form == "alone"
-        fault.from_workers = form == "workers"
-        fault.mode = "refuse" if form == "refused" or rng.random() < 0.3 else "hold"
-    if kind == "machine_deaf" and rng.random() < 0.3:
-        fault.zone = rng.choice(("a", "b"))
-    return fault
+        options |= {"from_state": True, "from_peers": rng.random() < 0.7}
+        options["mode"] = rng.choice(("hold", "refuse"))
+    return convert(options)
 
 
 def submission(number: int, rng: random.Random) -> dict[str, object]:
@@ -90,38 +138,41 @@
     return name
 
 
-async def play(seed: int, kinds: tuple[str, ...] = (), exactly: bool = False) -> str:
+def draw_troubles(kinds: tuple[str, ...], triple: bool, rng: random.Random) -> list[Trouble]:
+    """Two troubles of these kinds that overlap or follow each other closely, and for a triple a
+    change of leader beside them; in the order of their beginnings."""
+    first = draw(kinds[0], rng.uniform(*TROUBLED) - 5, rng)
+    near = (first.at_s, first.at_s + first.lasts_s + 2)
+    troubles = [first, draw(kinds[1], rng.uniform(*near), rng)]
+    if triple:
+        kind = rng.choice(CHANGES_OF_LEADER)
+        troubles.append(draw_change_of_leader(kind, rng.uniform(*near), rng))
+    return sorted(troubles, key=lambda trouble: trouble.at_s)
+
+
+async def play(
+    seed: int, kinds: tuple[str, ...] = (), exactly: bool = False, triple: bool = False
+) -> str:
     """One draw, of these kinds or of exactly these two; ends with an assertion when a rule is
     broken. Says what was drawn."""
     rng = random.Random(seed)
-    chosen = list(kinds) if exactly else [rng.choice(kinds or tuple(KINDS)) for _ in range(2)]
+    chosen = kinds if exactly else tuple(rng.choice(kinds or DRAWN) for _ in range(2))
     world = World(seed=seed, members=FIVE)
     world.cloud.most = MACHINES + 4
     for _ in range(MACHINES):
         world.cloud.add(("small", rng.choice(("a", "b")), rng.random() < 0.8))
-    first = rng.uniform(*TROUBLED) - 5
-    faults = [draw(chosen[0], first, rng)]
-    faults.append(draw(chosen[1], first + rng.uniform(0, faults[0].for_s + 2), rng))
-    said = "; ".join(str(fault) for fault in faults)
+    troubles = draw_troubles(chosen, triple, rng)
+    said = "; ".join(str(trouble) for trouble in troubles)
     back = rng.choice(BACK)
     await world.until(lambda: world.leader() is not None)
     users = []
     for number in range(USERS):
         one = random.Random(f"{seed} {number}")
         users.append(asyncio.ensure_future(user(world, submission(number, one), one)))
-    left = list(faults)
-    end = max(fault.at_s + fault.for_s for fault in faults) + back + 8
-    while (now := asyncio.get_running_loop().time()) < end:
-        while left and left[0].at_s <= now:
-            begin(world, left.pop(0), back)
-        await world.wait(0.25)
-    for member in FIVE:
-        if not world.alive(member):
-            world.start(member)
+    await _bring_about(world, troubles, back)
     assert not (world.state.out or world.state.refused or world.network.late_writes), said
-    world.network.copies = None
-    world.rules.quiet_at = asyncio.get_running_loop().time()
-    while not all(one.done() for one in users):
+    end_all(world)
+    while world.acting or not all(one.done() for one in users):
         await world.wait(1)
     names = [name for one in users if (name := one.result()) is not None]
     await world.finish(names, most=600)
@@ -132,22 +183,36 @@
     return said
 
 
+async def _bring_about(world: World, troubles: list[Trouble], back: float) -> None:
+    """Let troubles begin at their times, and wait until they are over."""
+    left = list(troubles)
+    end = max(trouble.at_s + trouble.lasts_s for trouble in troubles) + back + 8
+    while world.now() < end:
+        while left and left[0].at_s <= world.now():
+            left.pop(0).begin(world, back)
+        await world.wait(0.25)
+
+
 def main(argv: list[str] | None = None) -> int:
     """Play draws, and print the seed of each failure."""
     parser = argparse.ArgumentParser(prog="python3 -m dappledrum.standins.pairs")
     parser.add_argument("--from", dest="first", type=int, default=0, metavar="SEED")
     parser.add_argument("--count", type=int, default=100, metavar="N")
     parser.add_argument("--kinds", default="", metavar="KIND,KIND", help="drawn of these only")
+    parser.add_argument("--triples", action="store_true", help="with a change of leader besides")
     options = parser.parse_args(argv)
     kinds = tuple(kind for kind in options.kinds.split(",") if kind)
-    unknown = sorted(set(kinds) - KINDS.keys())
+    unknown = sorted(set(kinds) - set(DRAWN))
     if unknown:
-        parser.error(f"unknown kinds: {', '.join(unknown)}; known: {', '.join(KINDS)}")
+        parser.error(f"unknown kinds: {', '.join(unknown)}; known: {', '.join(DRAWN)}")
     logging.disable(logging.CRITICAL)
     failed = []
-    for seed in range(options.first, options.first + options.count):
+    for number in range(options.count):
+        seed = options.first + number
+        if number and number % PROGRESS == 0:
+            print(f"{number} draws, {len(failed)} failed", flush=True)
         try:
-            run(play(seed, kinds))
+            run(play(seed, kinds, triple=options.triples))
         except AssertionError as error:
             failed.append(seed)
             print(f"seed {seed}: {error}", flush=True)
--- a/dappledrum/standins/scenario.py
+++ b/dappledrum/standins/scenario.py
@@ -13,6 +13,7 @@
 
 from dappledrum.standins.pairs import FIVE, submission, user
 from dappledrum.standins.time import run
+from dappledrum.standins.troubles import end_all
 from dappledrum.standins.world import World, job
 
 LEASE_S = 9.0
@@ -71,19 +72,7 @@
 
 def end_troubles(world: World) -> None:
     """End everything that a test may have left broken; the rules' quiet time begins."""
-    network = world.network
-    network.heal()
-    network.copies = network.late_writes = network.watcher = None
-    world.state.refused.clear()
-    if world.state.out:
-        world.state.end_outage()
-    for worker in world.cloud.workers():
-        worker.hung = False
-    for member in FIVE:
-        world.thaw(member)
-        if not world.alive(member):
-            world.start(member)
-    world.rules.quiet_at = now()
+    end_all(world)
 
 
 def play(
@@ -109,7 +98,7 @@
         await world.wait(10)
         await act(scenario)
         end_troubles(world)
-        while not all(one.done() for one in asking):
+        while world.acting or not all(one.done() for one in asking):
             await world.wait(1)
         accepted = [name for one in asking if (name := one.result()) is not None]
         names = accepted + scenario.names
--- a/dappledrum/standins/test_experiment.py
+++ b/dappledrum/standins/test_experiment.py
@@ -3,8 +3,8 @@
 import msgspec
 import pytest
 
-from dappledrum.standins.days import KINDS
 from dappledrum.standins.experiment import Report, main
+from dappledrum.standins.troubles import KINDS
 
 DAY = """
 name = "all kinds"
@@ -22,6 +22,13 @@
   { at_s = 114.0, kind = "machine_deaf", share = 0.3, for_s = 25.0 },
   { at_s = 124.0, kind = "node_cut", from_state = true, from_peers = true, for_s = 10.0 },
   { at_s = 140.0, kind = "late_writes", share = 0.2, for_s = 20.0 },
+  { at_s = 142.0, kind = "late_commands", share = 0.2, for_s = 20.0 },
+  { at_s = 150.0, kind = "machine_mute", count = 2, for_s = 6.0 },
+  { at_s = 152.0, kind = "close_looks", for_s = 20.0 },
+  { at_s = 154.0, kind = "odd_requests", for_s = 20.0 },
+  { at_s = 156.0, kind = "cancel_at_end", share = 0.2, for_s = 15.0 },
+  { at_s = 160.0, kind = "cancel_now", count = 1, hang_s = 3.0 },
+  { at_s = 166.0, kind = "leader_transfer" },
 ]
 """
 
--- a/dappledrum/standins/test_pairs.py
+++ b/dappledrum/standins/test_pairs.py
@@ -1,13 +1,14 @@
-"""Two troubles that meet, of all kinds; a fixed dozen here, as many as time allows by
-`python3 -m dappledrum.standins.pairs`."""
+"""Two or three troubles that meet, of all kinds; a fixed dozen and a half here, as many as time
+allows by `python3 -m dappledrum.standins.pairs`."""
+
+import random
 
 import pytest
 
-from dappledrum.standins.days import KINDS
-from dappledrum.standins.pairs import main, play
+from dappledrum.standins.pairs import CHANGES_OF_LEADER, DRAWN, draw_troubles, main, play
 from dappledrum.standins.time import run
 
-#: With each the kinds that meet; between them they name all.
+#: With each the kinds that meet; between them and the triples they name all.
 DOZEN = (
     ("node_cut", "state_outage"),
     ("late_writes", "node_crash"),
@@ -23,9 +24,31 @@
     ("node_cut", "late_writes"),
 )
 
+#: Seeds, and the kinds that meet a change of leader.
+TRIPLES = (
+    (107, ("cancel_now", "machine_hang")),
+    (200, ("cancel_at_end", "late_writes:at_once")),
+    (303, ("machine_mute", "late_commands")),
+    (403, ("odd_requests", "state_outage")),
+    (504, ("close_looks", "late_writes:at_once")),
+    (608, ("late_reports:for_next", "leader_transfer")),
+)
+
+
+def test_pairs_and_triples_name_all_kinds():
+    triples = [kinds for _, kinds in TRIPLES]
+    assert {kind for kinds in (*DOZEN, *triples) for kind in kinds} == set(DRAWN)
 
-def test_the_dozen_names_all_kinds():
-    assert {kind for pair in DOZEN for kind in pair} == KINDS.keys()
+
+def test_triples_have_all_changes_of_leader():
+    changes = set()
+    for seed, kinds in TRIPLES:
+        drawn = [trouble.kind for trouble in draw_troubles(kinds, True, random.Random(seed))]
+        for kind in kinds:
+            drawn.remove(kind.partition(":")[0])
+        changes.update(drawn)
+        assert len(drawn) == 1
+    assert changes == set(CHANGES_OF_LEADER)
 
 
 @pytest.mark.parametrize(("seed", "kinds"), list(enumerate(DOZEN)))
@@ -34,6 +57,11 @@
     run(play(seed, kinds, exactly=True))
 
 
+@pytest.mark.parametrize(("seed", "kinds"), TRIPLES)
+def test_a_change_of_leader_meets_two_troubles(seed, kinds):
+    run(play(seed, kinds, exactly=True, triple=True))
+
+
 def test_a_kind_that_is_not_known_is_named(capsys):
     with pytest.raises(SystemExit):
         main(["--kinds", "node_cut,flood"])
--- /dev/null
+++ b/dappledrum/standins/troubles/machines.py
@@ -0,0 +1,117 @@
+"""Troubles of machines and of the cloud: they fail, hang, hear or reach nobody, and what they send
+or are sent arrives late."""
+
+from dappledrum.standins.fleet import Worker
+from dappledrum.standins.network import Copies, LateCommands
+from dappledrum.standins.troubles.base import Count, LastingTrouble, Share, Trouble, later
+from dappledrum.standins.world import World
+
+LISTED_S = 30.0  # for how long the cloud lists a machine that has failed
+LATE_REPORTS = (2.0, 3.0)  # from seconds to leases
+LATE_COMMANDS = (2.0, 16.0)  # seconds, as the bench has it
+
+
+class MachineDie(Trouble, tag="machine_die"):
+    """Machines fail, and the cloud goes on listing them for a while."""
+
+    count: Count = 1
+
+    @property
+    def lasts_s(self) -> float:
+        return LISTED_S
+
+    def begin(self, world: World, back: float) -> None:
+        workers = world.cloud.workers()
+        for worker in world.rng.sample(workers, min(self.count, len(workers))):
+            worker.vanish()
+            later(LISTED_S, world.cloud.take, worker.name)
+
+
+class MachineHang(LastingTrouble, tag="machine_hang"):
+    """Machines stand still, and go on."""
+
+    count: Count = 1
+
+    def begin(self, world: World, back: float) -> None:
+        workers = world.cloud.workers()
+        hang(world.rng.sample(workers, min(self.count, len(workers))), self.for_s)
+
+
+def hang(workers: list[Worker], for_s: float) -> None:
+    """Let machines stand still for some time."""
+    for worker in workers:
+        worker.hung = True
+        later(for_s, setattr, worker, "hung", False)
+
+
+class _ChosenMachines(LastingTrouble):
+    """A trouble of a number, of a share or of a zone of the machines; of one if none is given."""
+
+    count: Count | None = None
+    share: Share | None = None
+    zone: str | None = None
+
+    def __post_init__(self) -> None:
+        options = {"count": self.count, "share": self.share, "zone": self.zone}
+        given = [f"`{name}`" for name, value in options.items() if value is not None]
+        if len(given) > 1:
+            raise ValueError(f"{' and '.join(given)} exclude each other")
+
+    def chosen(self, world: World) -> list[str]:
+        """Names of machines that are up."""
+        workers = world.cloud.workers()
+        if self.zone is not None:
+            return [worker.name for worker in workers if worker.kind[1] == self.zone]
+        count = self.count or 1
+        if self.share is not None:
+            count = round(self.share * len(workers))
+        return [worker.name for worker in world.rng.sample(workers, min(count, len(workers)))]
+
+
+class MachineDeaf(_ChosenMachines, tag="machine_deaf"):
+    """Their reports arrive; answers and direct commands to them are lost."""
+
+    def begin(self, world: World, back: float) -> None:
+        pairs = world.deafen(self.chosen(world))
+        later(self.for_s, world.network.blocked.difference_update, pairs)
+
+
+class MachineMute(_ChosenMachines, tag="machine_mute"):
+    """They reach no controller, while direct commands reach them."""
+
+    def begin(self, world: World, back: float) -> None:
+        pairs = world.mute(self.chosen(world))
+        later(self.for_s, world.network.muted.difference_update, pairs)
+
+
+class CloudOutage(LastingTrouble, tag="cloud_outage"):
+    """The cloud answers everybody with 503."""
+
+    def begin(self, world: World, back: float) -> None:
+        world.cloud.out = True
+        later(self.for_s, setattr, world.cloud, "out", False)
+
+
+class LateReports(LastingTrouble, tag="late_reports"):
+    """Copies of reports arrive again at any controller, up to leases later, or `for_next` at the
+    next leader."""
+
+    share: Share
+    for_next: bool = False
+
+    def begin(self, world: World, back: float) -> None:
+        least_s, leases = LATE_REPORTS
+        world.network.copies = Copies(
+            self.share, least_s, leases * world.lease_s, world.members, for_next=self.for_next
+        )
+        later(self.for_s, setattr, world.network, "copies", None)
+
+
+class LateCommandsTrouble(LastingTrouble, tag="late_commands"):
+    """Direct commands are held up on their way, unanswered, and carried out once, later."""
+
+    share: Share
+
+    def begin(self, world: World, back: float) -> None:
+        world.network.late_commands = LateCommands(self.share, *LATE_COMMANDS)
+        later(self.for_s, setattr, world.network, "late_commands", None)
