--- a/dappledrum/model/test_rules.py
+++ b/dappledrum/model/test_rules.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from dappledrum.model.rules import Rules
+from dappledrum.model.rules import JobEvent, Rules
 from dappledrum.standins.world import job
 
 HERE, THERE, ORDINARY = ("small", "a", True), ("small", "b", True), ("small", "a", False)
@@ -202,3 +202,33 @@
     rules.broken.clear()
     rules.check_largest(260.0)
     assert not rules.broken
+
+
+@pytest.mark.parametrize(("status", "broken"), [(422, 0), (None, 0), (400, 1), (200, 1), (201, 1)])
+def test_what_can_never_run_is_refused_with_its_status(status, broken):
+    rules = Rules(30.0, {})
+    rules.submitted(job(1))
+    rules.invalid_answered(1.0, "j-000001", status, 422)
+    assert len(rules.broken) == broken
+
+
+def test_listeners_are_told_each_event_once():
+    rules = Rules(30.0, {})
+    told = []
+    rules.listeners.append(lambda *event: told.append(event))
+    for number in (1, 2):
+        name = f"j-{number:06d}"
+        rules.submitted(job(number, beats=2))
+        for _ in range(2):
+            rules.submit_answer(0.0, name, 201, "pending")
+        for task in (0, 1, 1):
+            rules.started(1.0, "m", HERE, name, task)
+            rules.ended("m", name, task, True)
+        rules.cancel_asked(name)
+        for _ in range(2):
+            rules.poll_answer(2.0, name, 200, "done" if number == 1 else "cancelled")
+    assert not rules.broken
+    seen = {name: [event for job_id, event in told if job_id == name] for name, _ in told}
+    begun = [JobEvent.ACCEPTED, JobEvent.COMPLETED]
+    assert seen["j-000001"] == [*begun, JobEvent.DONE]
+    assert seen["j-000002"] == [*begun, JobEvent.CANCELLED]
--- a/dappledrum/standins/test_days.py
+++ b/dappledrum/standins/test_days.py
@@ -285,8 +285,9 @@
         await world.wait(16)
         assert attempt.cause == "stopped"
         assert await answered(world, *sent, b'{"calls": []}') == 400
-        wrong = json.dumps({"baton": worker.token, "set": worker.session + 1, "calls": []})
-        assert await answered(world, *sent, wrong.encode()) == 409
+        for baton, session, status in ((0, 0, 200), (0, 1, 409), (-1, 0, 409), (1, 0, 200)):
+            body = {"baton": worker.token + baton, "set": worker.session + session, "calls": []}
+            assert await answered(world, *sent, json.dumps(body).encode()) == status
 
     play(check)
 
@@ -373,6 +374,18 @@
     play(check)
 
 
+def test_a_user_that_fails_breaks_the_rules():
+    async def check(world):
+        async def fail():
+            raise ValueError("of a user")
+
+        world.act(fail())
+        await asyncio.sleep(0.01)
+        assert len(world.rules.broken) == 1 and "of a user" in world.rules.broken.pop()
+
+    play(check)
+
+
 @pytest.mark.parametrize("kind", sorted(KINDS))
 def test_every_trouble_ends_when_all_are_ended(kind):
     options = {"for_s": 500.0, "share": 0.5, "count": 1, "every_s": 1.0, "hang_s": 500.0}
