--- a/dappledrum/controller/test_limit_meetings.py
+++ b/dappledrum/controller/test_limit_meetings.py
@@ -2,13 +2,11 @@
 (docs/design.md, "Meetings"), over five whole controllers. Seeds are fixed, the moments drawn from
 them, and the rules checked at each step."""
 
-import asyncio
-
 import pytest
 
 from dappledrum.settings import Team
 from dappledrum.standins.pairs import FIVE
-from dappledrum.standins.scenario import LEASE_S, check_waiting, later, now, play
+from dappledrum.standins.scenario import LEASE_S, later, now, play
 
 SEEDS = pytest.mark.parametrize("seed", range(3))
 LIMITED = (Team("blue", cpus_max=8.0), Team("red", cpus_max=8.0))
@@ -180,10 +178,9 @@
                 await change_leader(scenario)
         await world.wait(rng.uniform(20, 40))
         world.network.slow.clear()
-        waiting = asyncio.ensure_future(check_waiting(world))
+        world.rules.quiet_at = now()  # from here on no job may be left waiting beside room
         await world.until(lambda: all(begun(scenario, number) for number in range(24)), 240)
         world.rules.check_largest(now())
-        waiting.cancel()
 
     play(seed, act, users=6)
 
@@ -285,11 +282,10 @@
         for model in world.cloud.types:
             model["readyS"] = 100.0
         await world.wait(35)  # the catalog is read every 30 s
-        waiting = asyncio.ensure_future(check_waiting(world))
+        world.rules.quiet_at = now()  # from here on no job may be left waiting beside room
         for number in range(12):
             estimate = rng.choice((150.0, 250.0))
             await scenario.submit_long(number, beats=1, runS=150.0, expectedS=estimate)
         await world.wait(130)
-        waiting.cancel()
 
     play(seed, act, users=0)
--- a/dappledrum/model/rules.py
+++ b/dappledrum/model/rules.py
@@ -3,6 +3,7 @@
 import math
 from collections.abc import Callable, Iterable, Iterator
 from dataclasses import dataclass, field
+from enum import Enum, auto
 from typing import Any
 
 from dappledrum.model.history import (
@@ -19,6 +20,15 @@
 from dappledrum.model.waiting import Amount, Room, Waiting, WaitingJob
 
 
+class JobEvent(Enum):
+    """What listeners are told of a job, once each."""
+
+    ACCEPTED = auto()  # its user was told so
+    COMPLETED = auto()  # its last task has ended
+    DONE = auto()  # a user was told so
+    CANCELLED = auto()  # a user was told so
+
+
 @dataclass
 class JobFacts:
     """What the world knows of a job."""
@@ -44,6 +54,8 @@
     broken: list[str] = field(default_factory=list)
     starts: int = 0
     in_part: dict[str, float] = field(default_factory=dict)  # gangs in part on machines, since
+    #: Called with the job and what has become of it.
+    listeners: list[Callable[[str, JobEvent], None]] = field(default_factory=list)
     part_s: float = 60.0  # how long one may be: a gang's wait, and a lease until a loss is proven
     cancelled_starts: int = 0  # tasks that started after their job's cancellation was confirmed
     waiting: Waiting = field(default_factory=Waiting)
@@ -98,6 +110,10 @@
         if event.status in ACCEPTED and question.job in self.jobs:
             self._take(question, event)
 
+    def _tell(self, job: str, event: JobEvent) -> None:
+        for listener in list(self.listeners):
+            listener(job, event)
+
     def submitted(self, spec: dict[str, Any], at: float = 0.0) -> None:
         """A user begins to submit a job."""
         facts = self.jobs.setdefault(spec["id"], JobFacts(spec))
@@ -110,6 +126,11 @@
         """A user was answered at once."""
         self._at_once(UserRequest.SUBMISSION, at, job, status, state)
 
+    def invalid_answered(self, at: float, job: str, status: int | None, expected: int) -> None:
+        """A submission that must be refused was answered; None: not yet."""
+        if status not in (None, expected):
+            self._break("invalid", at, f"{job} answered with {status} instead of {expected}")
+
     def poll_answer(self, at: float, job: str, status: int, state: str | None) -> None:
         """A user was told at once a state, or that there is no such job."""
         self._at_once(UserRequest.QUESTION, at, job, status, state)
@@ -134,11 +155,17 @@
         facts, at = self.jobs[question.job], answer.at
         if question.request is UserRequest.SUBMISSION:
             facts.accepted = True
-            facts.accepted_at = at if facts.accepted_at is None else facts.accepted_at
+            if facts.accepted_at is None:
+                facts.accepted_at = at
+                self._tell(question.job, JobEvent.ACCEPTED)
         if answer.state in FINAL:
+            first = facts.told is None
             facts.told = answer.state
             if answer.state == CANCELLED and facts.cancelled_at is None:
                 facts.cancelled_at = at
+            if first:
+                cancelled = answer.state == CANCELLED
+                self._tell(question.job, JobEvent.CANCELLED if cancelled else JobEvent.DONE)
             return
         since = self._cancelled_since(question.job)
         if since is not None:
@@ -152,7 +179,7 @@
         """Of each class, the largest tenth by tasks and by CPUs of a task, at least one each."""
         classes: dict[str, list[JobFacts]] = {}
         for facts in self.jobs.values():
-            if facts.accepted and facts.told != CANCELLED and not self._called_off(facts):
+            if facts.accepted and facts.told != CANCELLED and not self.called_off(facts):
                 classes.setdefault(facts.spec["pattern"], []).append(facts)
         result = {}
         for name, of in classes.items():
@@ -173,7 +200,8 @@
                     what = f"{facts.spec['id']} of {name} began after {began - came:.0f} s"
                     self._break("starved", at, what)
 
-    def _called_off(self, facts: JobFacts) -> bool:
+    def called_off(self, facts: JobFacts) -> bool:
+        """Whether its user has asked to cancel a job."""
         return self.history.jobs[facts.spec["id"]].cancel_asked
 
     def _before(self, job: str) -> Iterator[JobFacts]:
@@ -227,8 +255,11 @@
         places.pop(machine, None)
         if not places:
             self.running.pop((job, task), None)
-        if completed:
-            self.jobs[job].done.add(task)
+        facts = self.jobs[job]
+        if completed and task not in facts.done:
+            facts.done.add(task)
+            if len(facts.done) == facts.spec["beats"]:
+                self._tell(job, JobEvent.COMPLETED)
 
     def _place(
         self,
@@ -288,7 +319,7 @@
                 left = left.less(Amount(spec["vcpus"], spec["accelerators"], 0.0))
             used[spec["crew"]] = left
         for job, facts in self.jobs.items():
-            over = facts.told is not None or self._called_off(facts)
+            over = facts.told is not None or self.called_off(facts)
             if not facts.accepted or over or not all(map(self._is_done, self.needs(job))):
                 continue
             here = placed.get(job, [])
--- a/dappledrum/standins/network.py
+++ b/dappledrum/standins/network.py
@@ -46,7 +46,16 @@
     share: float
     least_s: float
     most_s: float
-    at_once: bool = False
+    at_once: bool = False  # carried out when it arrives; only the answer is lost
+
+
+class LateCommands(NamedTuple):
+    """A share of the direct commands to workers gets no answer, and is carried out so much
+    later."""
+
+    share: float
+    least_s: float
+    most_s: float
 
 
 def host(name: str) -> str:
@@ -66,6 +75,8 @@
         self.deaf: set[frozenset[str]] = set()  # requests arrive, answers are lost
         self.refusing: set[frozenset[str]] = set()  # connections are refused or reset
         self.blocked: set[tuple[str, str]] = set()  # one way: from one host to another
+        #: From a host that can't open connections to the other; the other may open them to it.
+        self.muted: set[tuple[str, str]] = set()
         self.slow: dict[tuple[str, str], float] = {}  # seconds more, one way
         #: Told of each request as it arrives; seconds until it is executed, after its sender has
         #: given up on it, or None: as ever.
@@ -75,6 +86,7 @@
         self.kept: list[tuple[str, bytes]] = []  # copies for the next leader: source and report
         self.token = 0  # the highest that a worker was answered with
         self.late_writes: LateWrites | None = None
+        self.late_commands: LateCommands | None = None
         self.held: list[tuple[str, str, str, str, bytes]] = []
         self.late = 0
 
@@ -88,6 +100,7 @@
         self.deaf.clear()
         self.refusing.clear()
         self.blocked.clear()
+        self.muted.clear()
         self.slow.clear()
         self._deliver()
 
@@ -200,8 +213,16 @@
                 context=contextvars.Context(),
             )
             await asyncio.sleep(3600)
+        commands = network.late_commands
+        if commands is not None and path == "/do" and network.rng.random() < commands.share:
+            after = network.rng.uniform(commands.least_s, commands.most_s)
+            asyncio.get_running_loop().create_task(
+                network._late(self.source, self.target, method, path, body, after),
+                context=contextvars.Context(),
+            )
+            await asyncio.sleep(3600)
         service = network.services.get(self.target)
-        if service is None or pair in network.refusing:
+        if service is None or pair in network.refusing or there in network.muted:
             raise NotSentError("connection refused")
         # In a context of its own: what a service does is no part of the process that asked, and
         # goes on when that stands still or gives up.
