--- a/dappledrum/state/hedge.py
+++ b/dappledrum/state/hedge.py
@@ -58,17 +58,26 @@
     the state service serves this controller, and the budget allows a request at once.
     """
     queued = state.busy_for(rank, len(changes))
-    commit = asyncio.ensure_future(state.commit(guards, changes, rank, timeout))
-    reads = asyncio.ensure_future(_read(state, rank, find, queued, timeout))
+    found: list[T] = []
+
+    async def read() -> None:
+        result = await _read(state, rank, find, queued, timeout)
+        if result is not None:
+            found.append(result)
+            waiting.reschedule(asyncio.get_running_loop().time())
+
     try:
-        await asyncio.wait((commit, reads), return_when=asyncio.FIRST_COMPLETED)
-        if not commit.done() and (found := reads.result()) is not None:
-            log.debug("a read has told what became of a transaction whose answer is late")
-            return found
-        return await commit
-    finally:
-        commit.cancel()
-        reads.cancel()
+        async with asyncio.timeout(None) as waiting:
+            reads = asyncio.ensure_future(read())
+            try:
+                return await state.commit(guards, changes, rank, timeout)
+            finally:
+                reads.cancel()
+    except TimeoutError:
+        if not found:
+            raise
+        log.debug("a read has told what became of a transaction whose answer is late")
+        return found[0]
 
 
 async def commit_idempotent(
