--- a/dappledrum/jobs/test_intake.py
+++ b/dappledrum/jobs/test_intake.py
@@ -7,6 +7,7 @@
 import msgspec
 import pytest
 
+from dappledrum.http.server import Request
 from dappledrum.jobs.messages import JobRecord, PageRecord, Spec
 from dappledrum.jobs.record import Job, Page
 from dappledrum.standins.time import run
@@ -119,6 +120,20 @@
     run(main())
 
 
+@pytest.mark.parametrize("name", ["j-\u00b2", "j-", "j-" + "1" * 31, "j-1\n"])
+def test_a_name_that_no_job_can_have_is_not_looked_up(name):
+    """Not every digit is an ASCII one: such a name went to the state service as part of a path."""
+
+    async def main():
+        world = World(seed=1)
+        await world.until(lambda: world.leader() is not None)
+        began = asyncio.get_running_loop().time()
+        reply = await world.nodes["drummer-1"].serve(Request("GET", f"/submissions/{name}", b""))
+        assert reply.status == 404 and asyncio.get_running_loop().time() == began
+
+    run(main())
+
+
 def test_a_very_large_job_keeps_within_the_store():
     """The stand-in checks sizes of values and transactions; most tasks of the job are already
     done."""
