--- a/dappledrum/controller/test_limit_meetings.py
+++ b/dappledrum/controller/test_limit_meetings.py
@@ -8,7 +8,7 @@
 
 from dappledrum.settings import Team
 from dappledrum.standins.pairs import FIVE
-from dappledrum.standins.scenario import LEASE_S, check_waiting, later, now, play
+from dappledrum.standins.scenario import CANCEL_S, LEASE_S, check_waiting, later, now, play
 
 SEEDS = pytest.mark.parametrize("seed", range(3))
 LIMITED = (Team("blue", cpus_max=8.0), Team("red", cpus_max=8.0))
@@ -293,3 +293,50 @@
         waiting.cancel()
 
     play(seed, act, users=0)
+
+
+@SEEDS
+def test_machines_that_reach_no_controller_while_direct_commands_reach_them(seed):
+    """For less than a lease and for longer, while jobs are cancelled and the leader ends: what
+    runs there counts until its lease is over, and is begun elsewhere only then."""
+
+    async def act(scenario):
+        world, rng = scenario.world, scenario.rng
+        await scenario.submit_long(0, 1, crew="red", vcpus=1.0)
+        await scenario.submit_long(2, 3)
+        await world.wait(8)
+        for number in range(3):
+            on = sorted(scenario.machines_of(number))
+            silent = world.mute(rng.sample(on, max(1, len(on) - 1)) if on else [])
+            span = rng.choice((3.0, LEASE_S - 2, LEASE_S + 3, 3 * LEASE_S))
+            later(span, world.network.blocked.difference_update, silent)
+            later(span, world.network.mend, set())  # what was held back arrives now
+            await world.wait(rng.uniform(0, LEASE_S))
+            await scenario.cancel(number, rng.choice(FIVE))
+            await change_leader(scenario)
+            await world.wait(rng.uniform(0, LEASE_S))
+        await world.wait(CANCEL_S)
+        assert not any(running(scenario, number) for number in range(3))
+
+    play(seed, act)
+
+
+@SEEDS
+def test_tasks_go_on_where_reports_are_missing_for_less_than_a_lease(seed):
+    """Nothing is stopped there, nor begun elsewhere, as long as the machine may come back."""
+
+    async def act(scenario):
+        world, rng = scenario.world, scenario.rng
+        await scenario.submit_long(0, 1, beats=2, vcpus=4.0, runS=40.0, dueS=50.0)
+        await world.until(lambda: running(scenario, 0) + running(scenario, 1) == 4)
+        starts = world.rules.starts
+        for _ in range(2):
+            silent = world.mute(sorted(scenario.machines_of(0) | scenario.machines_of(1)))
+            await world.wait(rng.uniform(1, 2.5))  # and 6 s until a worker has found its way
+            world.network.blocked -= silent
+            world.network.mend(set())
+            await world.wait(5)
+        assert running(scenario, 0) + running(scenario, 1) == 4
+        assert world.rules.starts == starts
+
+    play(seed, act, users=0)
