--- a/dappledrum/model/history.py
+++ b/dappledrum/model/history.py
@@ -110,7 +110,8 @@
     """What is to be remembered of a job."""
 
     known: _Known = field(default_factory=_Known)
-    submitted: bool = False
+    announced: bool = False
+    submitted: bool = False  # without a fault, whatever became of it
     cancel_asked: bool = False
     unanswered_since: float | None = None
 
@@ -139,9 +140,9 @@
         else:
             self._end(event)
 
-    def submitted(self, job: str) -> None:
-        """A user is about to submit this job."""
-        self._job(job).submitted = True
+    def announced(self, job: str) -> None:
+        """A user is about to submit this job, with a fault or without."""
+        self._job(job).announced = True
 
     def cancel_asked(self, job: str) -> None:
         """A user is about to cancel this job."""
@@ -157,7 +158,7 @@
     def _begin(self, question: Question) -> None:
         job = self._job(question.job)
         if question.request is UserRequest.SUBMISSION and question.fault is None:
-            job.submitted = True
+            job.announced = job.submitted = True
         if question.request is UserRequest.CANCELLATION:
             job.cancel_asked = True
         self._open[question.number] = (question, job.known)
@@ -219,7 +220,7 @@
         if state not in STATES:
             self._broken(Clause.NO_STATE, question, answer)
             return
-        if not job.submitted:
+        if not job.announced:
             self._broken(Clause.NOT_SUBMITTED, question, answer)
         # Two final states contradict each other, even if their questions overlap.
         final = before.final or (job.known.final if state in FINAL else None)
--- a/dappledrum/model/rules.py
+++ b/dappledrum/model/rules.py
@@ -104,7 +104,7 @@
         facts.submitted_at = at if facts.submitted_at is None else facts.submitted_at
         if not facts.accepted:
             facts.spec = spec  # what was refused before counts for nothing
-        self.history.submitted(spec["id"])
+        self.history.announced(spec["id"])
 
     def submit_answer(self, at: float, job: str, status: int, state: str | None) -> None:
         """A user was answered at once."""
@@ -174,7 +174,8 @@
                     self._break("starved", at, what)
 
     def _called_off(self, facts: JobFacts) -> bool:
-        return self.history.jobs[facts.spec["id"]].cancel_asked
+        job = self.history.jobs.get(facts.spec["id"])
+        return job is not None and job.cancel_asked
 
     def _before(self, job: str) -> Iterator[JobFacts]:
         """All jobs that a job needs, directly or not."""
--- a/dappledrum/standins/test_recording.py
+++ b/dappledrum/standins/test_recording.py
@@ -63,6 +63,7 @@
     (by_hand, 200, {"stance": "running"}, "went_back"),
     (submit_what_lacks_a_field, 201, {"stance": "pending"}, "accepted_incomplete"),
     (submit_what_fits_nowhere, 201, {"stance": "pending"}, "accepted_unfit"),
+    (submit_what_fits_nowhere, 200, {"stance": "pending"}, "accepted_unfit"),
 ]
 
 
