--- a/dappledrum/model/rules.py
+++ b/dappledrum/model/rules.py
@@ -23,6 +23,7 @@
     accepted: bool = False
     accepted_at: float | None = None
     told: str | None = None  # final state that a user has been told
+    told_at: float | None = None
     cancel_asked: bool = False
     cancelled_at: float | None = None
     submitted_at: float | None = None
@@ -63,14 +64,17 @@
         if not facts.accepted:
             facts.spec = spec  # what was refused before counts for nothing
 
-    def submit_answer(self, at: float, job: str, status: int, state: str | None) -> None:
-        """A user was answered."""
+    def submit_answer(
+        self, at: float, job: str, status: int, state: str | None, asked: float | None = None
+    ) -> None:
+        """A user was answered; `asked` as for polls."""
         facts = self.jobs[job]
         if status in (200, 201):
             facts.accepted = True
             first = facts.accepted_at is None
+            asked = at if asked is None else asked
             facts.accepted_at = at if facts.accepted_at is None else facts.accepted_at
-            self._state(at, job, str(state))
+            self._state(at, job, str(state), asked)
             if first:
                 self._tell(job, JobEvent.ACCEPTED)
         elif status in (400, 422) and facts.accepted:
@@ -81,18 +85,27 @@
         if status not in (None, expected):
             self._break("invalid", at, f"{job} answered with {status} instead of {expected}")
 
-    def poll_answer(self, at: float, job: str, status: int, state: str | None) -> None:
-        """A user was told a state, or that there is no such job."""
+    def poll_answer(
+        self, at: float, job: str, status: int, state: str | None, asked: float | None = None
+    ) -> None:
+        """A user was told a state, or that there is no such job.
+
+        `asked` is when the question began, by default just now. No answer to a question that
+        began once a state was told may be older than that state. Answers to questions on their way
+        at the same time may arrive in any order, and the older one last.
+        """
         facts = self.jobs.get(job)
         if facts is not None:
             facts.unanswered_since = None
-        if status == 404 and facts is not None and facts.accepted:
+        asked = at if asked is None else asked
+        accepted_at = None if facts is None else facts.accepted_at
+        if status == 404 and accepted_at is not None and asked >= accepted_at:
             self._break("forgotten", at, f"{job} unknown")
         if status == 200:
             if facts is None:
                 self._break("invented", at, job)
             else:
-                self._state(at, job, str(state))
+                self._state(at, job, str(state), asked)
 
     def not_answered(self, at: float, job: str) -> None:
         """A user has asked, and was told nothing.
@@ -140,11 +153,13 @@
         """A user asks to cancel."""
         self.jobs[job].cancel_asked = True
 
-    def _state(self, at: float, job: str, state: str) -> None:
+    def _state(self, at: float, job: str, state: str, asked: float) -> None:
         facts = self.jobs[job]
         first = facts.told is None
         if facts.told is not None and state != facts.told:
-            self._break("went_back", at, f"{job} was {facts.told}, now {state}")
+            final = state in ("done", "cancelled")
+            if final or asked >= (facts.told_at or 0.0):
+                self._break("went_back", at, f"{job} was {facts.told}, now {state}")
         if state == "done":
             if len(facts.done) < facts.spec["beats"]:
                 self._break(
@@ -168,6 +183,7 @@
             if since is not None and at > since + self.cancel_s:
                 self._break("orphaned", at, f"{job} called {state}, a job before it is cancelled")
         if first and facts.told is not None:
+            facts.told_at = at
             self._tell(job, JobEvent.DONE if state == "done" else JobEvent.CANCELLED)
 
     def _before(self, job: str) -> Iterator[JobFacts]:
--- a/dappledrum/model/test_rules.py
+++ b/dappledrum/model/test_rules.py
@@ -212,6 +212,52 @@
     assert len(rules.broken) == broken
 
 
+def told(state, *answers):
+    """Rules of a job that runs to its end in 1 s and is cancelled, too; of which a user was told
+    this state at 2 s, and then these answers."""
+    rules = Rules(30.0, {})
+    rules.submitted(job(1, beats=1))
+    rules.submit_answer(0.0, "j-000001", 201, "pending")
+    rules.started(0.5, "m", HERE, "j-000001", 0)
+    rules.ended("m", "j-000001", 0, True)
+    rules.cancel_asked("j-000001")
+    rules.poll_answer(2.0, "j-000001", 200, state, 1.9)
+    for at, status, now, asked in answers:
+        rules.poll_answer(at, "j-000001", status, now, asked)
+    return rules.broken
+
+
+@pytest.mark.parametrize("state", ["done", "cancelled"])
+def test_answers_to_questions_on_their_way_at_the_same_time_arrive_in_any_order(state):
+    assert not told(state, (2.1, 200, "running", 1.99), (2.2, 200, state, 2.1))
+    for asked in (2.0, 2.01, None):  # from the moment on at which the user was told
+        assert "went_back" in told(state, (2.1, 200, "running", asked))[0]
+    other = "cancelled" if state == "done" else "done"
+    assert "went_back" in told(state, (2.1, 200, other, 1.5))[0], "both can't be true"
+
+
+def test_a_job_is_unknown_only_to_questions_from_before_its_acceptance():
+    rules = Rules(30.0, {})
+    rules.submitted(job(1))
+    rules.submit_answer(5.0, "j-000001", 201, "pending", 4.9)
+    rules.poll_answer(5.1, "j-000001", 404, None, 4.99)
+    assert not rules.broken
+    rules.poll_answer(5.1, "j-000001", 404, None, 5.0)
+    assert "forgotten" in rules.broken[0]
+
+
+def test_repeated_submissions_are_compared_by_when_they_were_sent():
+    rules = Rules(30.0, {})
+    rules.submitted(job(1))
+    rules.cancel_asked("j-000001")
+    rules.submit_answer(1.0, "j-000001", 201, "pending", 0.9)
+    rules.poll_answer(2.0, "j-000001", 200, "cancelled", 1.9)
+    rules.submit_answer(2.1, "j-000001", 200, "pending", 1.95)
+    assert not rules.broken
+    rules.submit_answer(2.1, "j-000001", 200, "pending", 2.0)
+    assert "went_back" in rules.broken[0]
+
+
 def test_listeners_are_told_each_event_once():
     rules = Rules(30.0, {})
     told = []
--- a/dappledrum/standins/world.py
+++ b/dappledrum/standins/world.py
@@ -413,13 +413,14 @@
             {key: value for key, value in spec.items() if key not in ("runS", "broken")}
         ).encode()
         for _ in range(tries):
+            asked = self.now()
             reply = await self._ask("POST", "/submissions", body, member)
             now = asyncio.get_running_loop().time()
             if reply is not None:
                 state = (
                     json.loads(reply.body).get("stance") if reply.status in (200, 201) else None
                 )
-                self.rules.submit_answer(now, spec["id"], reply.status, state)
+                self.rules.submit_answer(now, spec["id"], reply.status, state, asked)
                 if reply.status in (200, 201, 400, 422):
                     return reply.status
             await asyncio.sleep(1)
@@ -433,7 +434,7 @@
             self.rules.not_answered(asked, name)
             return None
         state = json.loads(reply.body).get("stance") if reply.status == 200 else None
-        self.rules.poll_answer(asyncio.get_running_loop().time(), name, reply.status, state)
+        self.rules.poll_answer(self.now(), name, reply.status, state, asked)
         return state
 
     async def cancel(self, name: str, tries: int = 40, member: str | None = None) -> str | None:
