--- a/dappledrum/model/test_rules.py
+++ b/dappledrum/model/test_rules.py
@@ -2,6 +2,7 @@
 
 import pytest
 
+from dappledrum.model.history import Answer, Question, UserRequest
 from dappledrum.model.rules import JobEvent, Rules
 from dappledrum.standins.world import job
 
@@ -222,6 +223,64 @@
     assert len(rules.broken) == broken
 
 
+def play_answers(rules, *answers):
+    """Tell the rules, in the order of time, of questions about a job and their answers: when a
+    question begins, when its answer ends, the kind, the status and the state."""
+    events = []
+    for number, (asked, at, kind, status, state) in enumerate(answers):
+        events.append((asked, 1, Question(number, asked, kind, "j-000001")))
+        events.append((at, 0, Answer(number, at, status, state)))
+    for _, _, event in sorted(events, key=lambda event: event[:2]):
+        rules.record(event)
+
+
+SUBMISSION, QUESTION = UserRequest.SUBMISSION, UserRequest.QUESTION
+
+
+def told(state, *answers):
+    """Rules of a job that runs to its end in 1 s and is cancelled, too; of which a user was told
+    this state at 2 s, and then these answers."""
+    rules = Rules(30.0, {})
+    rules.submitted(job(1, beats=1))
+    rules.submit_answer(0.0, "j-000001", 201, "pending")
+    rules.started(0.5, "m", HERE, "j-000001", 0)
+    rules.ended("m", "j-000001", 0, True)
+    rules.cancel_asked("j-000001")
+    later = [(asked, at, QUESTION, status, now) for at, status, now, asked in answers]
+    play_answers(rules, (1.4, 2.0, QUESTION, 200, state), *later)
+    return rules.broken
+
+
+@pytest.mark.parametrize("state", ["done", "cancelled"])
+def test_answers_to_questions_on_their_way_at_the_same_time_arrive_in_any_order(state):
+    assert not told(state, (2.1, 200, "running", 1.99), (2.2, 200, state, 2.1))
+    for asked in (2.0, 2.01):  # from the moment on at which the user was told
+        assert "went_back" in told(state, (2.1, 200, "running", asked))[0]
+    other = "cancelled" if state == "done" else "done"
+    assert "went_back" in told(state, (2.1, 200, other, 1.5))[0], "both can't be true"
+
+
+def test_a_job_is_unknown_only_to_questions_from_before_its_acceptance():
+    accepted = (4.9, 5.0, SUBMISSION, 201, "pending")
+    for asked, broken in ((4.99, False), (5.0, True)):
+        rules = Rules(30.0, {})
+        rules.submitted(job(1))
+        play_answers(rules, accepted, (asked, 5.1, QUESTION, 404, None))
+        assert bool(rules.broken) is broken
+        assert not broken or "forgotten" in rules.broken[0]
+
+
+def test_repeated_submissions_are_compared_by_when_they_were_sent():
+    before = (0.9, 1.0, SUBMISSION, 201, "pending"), (1.9, 2.0, QUESTION, 200, "cancelled")
+    for asked, broken in ((1.95, False), (2.0, True)):
+        rules = Rules(30.0, {})
+        rules.submitted(job(1))
+        rules.cancel_asked("j-000001")
+        play_answers(rules, *before, (asked, 2.1, SUBMISSION, 200, "pending"))
+        assert bool(rules.broken) is broken
+        assert not broken or "went_back" in rules.broken[0]
+
+
 def test_listeners_are_told_each_event_once():
     rules = Rules(30.0, {})
     told = []
