--- /dev/null
+++ b/checks/hash_seed.py
@@ -0,0 +1,31 @@
+"""Runs every test with the same hash seed, so that sets are iterated in the same order.
+
+The seed is fixed when a Python process starts. Worker processes of pytest-xdist inherit it from
+the environment; a run without workers (`-n 0`, `--pdb`) must be started with it.
+"""
+
+import os
+import sys
+
+import pytest
+
+VARIABLE = "PYTHONHASHSEED"
+SEED = "0"
+
+
+def pytest_configure(config: pytest.Config) -> None:
+    """Set the seed before any worker process starts."""
+    os.environ[VARIABLE] = SEED
+
+
+@pytest.hookimpl(tryfirst=True)
+def pytest_runtestloop(session: pytest.Session) -> None:
+    """Refuse to run tests in a process that started with another seed."""
+    config = session.config
+    only_distributes = config.getoption("dist", "no") != "no" and not hasattr(
+        config, "workerinput"
+    )
+    if config.option.collectonly or only_distributes:
+        return
+    if sys.flags.hash_randomization:
+        raise pytest.UsageError(f"without worker processes, start pytest with {VARIABLE}={SEED}")
--- /dev/null
+++ b/conftest.py
@@ -0,0 +1,8 @@
+"""Loads the plugins in `checks` for every test run of this repository."""
+
+pytest_plugins = [
+    "pytester",
+    "checks.hash_seed",
+    "checks.isolation",
+    "checks.order",
+]
--- a/dappledrum/controller/test_ends.py
+++ b/dappledrum/controller/test_ends.py
@@ -52,6 +52,7 @@
     world.state.refused.clear()
 
 
+@pytest.mark.long
 @pytest.mark.parametrize("step", STEPS)
 def test_ends_at_each_step(step):
     """Rules are checked after each step, and every job is done in the end."""
--- a/dappledrum/controller/test_large.py
+++ b/dappledrum/controller/test_large.py
@@ -21,6 +21,7 @@
     await leader_killed(world)
 
 
+@pytest.mark.long
 @pytest.mark.parametrize(
     "trouble",
     [leader_killed, rolled, short_outage, wave_and_leader_killed],
--- a/dappledrum/controller/test_upgrade.py
+++ b/dappledrum/controller/test_upgrade.py
@@ -96,6 +96,7 @@
     await one_by_one(world)
 
 
+@pytest.mark.long
 @pytest.mark.parametrize(
     "upgrade",
     [
--- a/dappledrum/model/test_promises.py
+++ b/dappledrum/model/test_promises.py
@@ -24,6 +24,7 @@
     assert search(members, 3000, 15) is None
 
 
+@pytest.mark.long
 @pytest.mark.parametrize("guard", [guard for guard in GUARDS if guard not in RARE])
 def test_each_condition_is_needed(guard):
     assert search(3, 4000, 15, guard) or search(5, 4000, 15, guard)
--- a/dappledrum/reach/test_links.py
+++ b/dappledrum/reach/test_links.py
@@ -3,6 +3,7 @@
 import asyncio
 from dataclasses import dataclass
 
+import pytest
 from hypothesis import HealthCheck, given, settings
 from hypothesis import Phase as Stage
 from hypothesis import strategies as st
@@ -137,6 +138,7 @@
     assert not world.rules.broken
 
 
+@pytest.mark.long
 @settings(
     max_examples=20,
     derandomize=True,
--- a/dappledrum/recovery/test_back.py
+++ b/dappledrum/recovery/test_back.py
@@ -19,6 +19,7 @@
     assert missing == sorted(missing) and missing[0] < 2 and missing[-1] > 60
 
 
+@pytest.mark.long
 @pytest.mark.parametrize("comes", [True, False])
 def test_nothing_is_rented_for_what_is_about_to_come_back(comes):
     """Idle machines that the list shows were taken for boots of minutes, and others were rented in
@@ -67,6 +68,7 @@
     run(main())
 
 
+@pytest.mark.long
 @pytest.mark.parametrize("seed", range(1, 5))
 def test_a_fleet_that_comes_back_is_not_rented_again(seed):
     """All controllers end in the midst of much work, and come back before the workers' leases
