--- /dev/null
+++ b/checks/known_red.py
@@ -0,0 +1,106 @@
+"""Tolerates the failures that are listed in KNOWN-RED.txt, and nothing else.
+
+Each line of that file reads `test id | cause | issue`. A listed test has to fail: the run fails if
+it passes, if it is not collected, if a line is malformed, or if there are more than three lines.
+"""
+
+from collections.abc import Iterable
+from dataclasses import dataclass
+from pathlib import Path
+
+import pytest
+from xdist.workermanage import WorkerController
+
+FILE_NAME = "KNOWN-RED.txt"
+SEPARATOR = " | "
+MOST = 3
+
+
+@dataclass(frozen=True)
+class KnownFailure:
+    """A test that fails for a real fault which is not mended yet."""
+
+    test_id: str
+    cause: str
+    issue: str
+
+    def __str__(self) -> str:
+        return SEPARATOR.join((self.test_id, self.cause, self.issue))
+
+
+def parse(text: str) -> list[KnownFailure]:
+    """The failures that a file lists; raises `pytest.UsageError` if it breaks a rule."""
+    lines = text.splitlines()
+    if len(lines) > MOST:
+        raise pytest.UsageError(f"{FILE_NAME}: {len(lines)} lines, at most {MOST} are allowed")
+    failures = [_parse_line(number, line) for number, line in enumerate(lines, start=1)]
+    if len({failure.test_id for failure in failures}) < len(failures):
+        raise pytest.UsageError(f"{FILE_NAME}: a test is listed twice")
+    return failures
+
+
+def _parse_line(number: int, line: str) -> KnownFailure:
+    fields = [part.strip() for part in line.split(SEPARATOR)]
+    if len(fields) != 3 or not all(fields):
+        expected = SEPARATOR.join(("test id", "cause", "issue"))
+        raise pytest.UsageError(f"{FILE_NAME}: line {number} is not `{expected}`: {line!r}")
+    return KnownFailure(*fields)
+
+
+def read(root: Path) -> list[KnownFailure]:
+    """The failures that are listed at the root of a repository; none if there is no file."""
+    path = root / FILE_NAME
+    return parse(path.read_text(encoding="utf-8")) if path.exists() else []
+
+
+class KnownRed:
+    """Hooks that expect the listed tests to fail."""
+
+    def __init__(self, failures: list[KnownFailure]) -> None:
+        self.failures = failures
+
+    def pytest_collection_modifyitems(self, items: list[pytest.Item]) -> None:
+        """Expect each listed test to fail, and fail it if it passes."""
+        listed = {failure.test_id: failure for failure in self.failures}
+        for item in items:
+            failure = listed.get(item.nodeid)
+            if failure is not None:
+                reason = f"{FILE_NAME}: {failure.cause} ({failure.issue})"
+                item.add_marker(pytest.mark.xfail(reason=reason, strict=True), append=False)
+
+    def pytest_collection_finish(self, session: pytest.Session) -> None:
+        """Check the list in a run without workers; with workers, their controller does."""
+        distributes = session.config.getoption("dist", "no") != "no"
+        if not distributes and not hasattr(session.config, "workerinput"):
+            self._check_collected(session.config, [item.nodeid for item in session.items])
+
+    @pytest.hookimpl(optionalhook=True)
+    def pytest_xdist_node_collection_finished(
+        self, node: WorkerController, ids: list[str]
+    ) -> None:
+        """Check the list against what a worker of pytest-xdist has collected."""
+        self._check_collected(node.config, ids)
+
+    def pytest_terminal_summary(self, terminalreporter: pytest.TerminalReporter) -> None:
+        """Print the list."""
+        if self.failures:
+            terminalreporter.section(f"known failures ({FILE_NAME})")
+            for failure in self.failures:
+                terminalreporter.line(str(failure))
+
+    def _check_collected(self, config: pytest.Config, collected: Iterable[str]) -> None:
+        if not _collects_everything(config):
+            return
+        missing = {failure.test_id for failure in self.failures} - set(collected)
+        if missing:
+            raise pytest.UsageError(f"{FILE_NAME}: not collected: {', '.join(sorted(missing))}")
+
+
+def _collects_everything(config: pytest.Config) -> bool:
+    selects = config.option.keyword or config.option.markexpr or config.option.deselect
+    return config.args_source is pytest.Config.ArgsSource.TESTPATHS and not selects
+
+
+def pytest_configure(config: pytest.Config) -> None:
+    """Read the list before anything runs."""
+    config.pluginmanager.register(KnownRed(read(config.rootpath)), "known-red")
--- a/conftest.py
+++ b/conftest.py
@@ -5,4 +5,5 @@
     "checks.hash_seed",
     "checks.isolation",
     "checks.order",
+    "checks.known_red",
 ]
