--- /dev/null
+++ b/checks/virtual_time.py
@@ -0,0 +1,17 @@
+"""Runs tests that are coroutines in virtual time (dappledrum/standins/time.py)."""
+
+import inspect
+
+import pytest
+
+from dappledrum.standins.time import run
+
+
+@pytest.hookimpl(tryfirst=True)
+def pytest_pyfunc_call(pyfuncitem: pytest.Function) -> bool | None:
+    """Run the test if it is a coroutine; pytest calls all others."""
+    if not inspect.iscoroutinefunction(pyfuncitem.obj):
+        return None
+    names = pyfuncitem._fixtureinfo.argnames
+    run(pyfuncitem.obj(**{name: pyfuncitem.funcargs[name] for name in names}))
+    return True
--- a/conftest.py
+++ b/conftest.py
@@ -6,4 +6,5 @@
     "checks.isolation",
     "checks.order",
     "checks.known_red",
+    "checks.virtual_time",
 ]
--- a/dappledrum/controller/test_boots.py
+++ b/dappledrum/controller/test_boots.py
@@ -2,10 +2,11 @@
 
 import pytest
 
-from dappledrum.controller.test_world import day, leader_killed, machines_taken
 from dappledrum.fleet.cloud import Cloud, CloudError
 from dappledrum.fleet.messages import RentalRequest
+from dappledrum.standins.scenario import day
 from dappledrum.standins.time import run
+from dappledrum.standins.troubles import leader_killed, machines_taken
 from dappledrum.standins.world import World, job
 
 
--- a/dappledrum/controller/test_freeze.py
+++ b/dappledrum/controller/test_freeze.py
@@ -5,156 +5,112 @@
 
 import pytest
 
-from dappledrum.controller.test_world import day, machines_taken, rolled, short_outage
+from dappledrum.standins.scenario import day
 from dappledrum.standins.time import PROCESS, VirtualLoop, run
-from dappledrum.standins.world import World, job
+from dappledrum.standins.troubles import machines_taken, pausing, rolled, short_outage
+from dappledrum.standins.world import World, led_world
 from dappledrum.timing.clock import Clock
 from dappledrum.timing.patience import Patience, Pulse
 
-
-def pausing(which, seconds):
-    """A trouble in which some controllers stand still."""
-
-    async def trouble(world):
-        leader = world.leader()
-        struck = {
-            "leader": [leader],
-            "follower": [m for m in world.members if m != leader][:1],
-            "all": list(world.members),
-        }[which]
-        for member in struck:
-            world.freeze(member)
-        await world.wait(seconds)
-        for member in struck:
-            world.thaw(member)
-        await world.wait(3)
-
-    trouble.__name__ = f"{which}_for_{seconds}_s"
-    return trouble
-
-
 PAUSES = [pausing(w, s) for w in ("leader", "follower", "all") for s in (2, 7, 30)]
 
 
 @pytest.mark.parametrize("trouble", PAUSES, ids=lambda t: t.__name__)
-def test_a_pause_keeps_the_rules(trouble):
-    async def main():
-        await day(World(seed=31), trouble, runS=15.0)
-
-    run(main())
+async def test_a_pause_keeps_the_rules(trouble):
+    await day(World(seed=31), trouble, runS=15.0)
 
 
 @pytest.mark.parametrize("other", [short_outage, machines_taken, rolled], ids=lambda t: t.__name__)
-def test_a_pause_of_the_leader_meets_another_trouble(other):
-    async def main():
-        world = World(seed=32)
-
-        async def both(world):
-            await pausing("leader", 5)(world)
-            pause = asyncio.get_running_loop().create_task(pausing("leader", 7)(world))
-            await other(world)
-            await pause
+async def test_a_pause_of_the_leader_meets_another_trouble(other):
+    world = World(seed=32)
 
-        await day(world, both, runS=15.0)
+    async def both(world):
+        await pausing("leader", 5)(world)
+        pause = asyncio.get_running_loop().create_task(pausing("leader", 7)(world))
+        await other(world)
+        await pause
 
-    run(main())
+    await day(world, both, runS=15.0)
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_pauses_at_any_moment(seed):
+async def test_pauses_at_any_moment(seed):
     """Short ones and ones longer than the leader's lease, at moments that fall into renewals,
     transactions, plans and held answers; each controller in turn."""
+    world = World(seed=40 + seed)
+
+    async def often(world):
+        for number in range(12):
+            await world.wait(world.rng.uniform(0.1, 2.5))
+            member = world.leader() if number % 3 else world.rng.choice(world.members)
+            if member is None:
+                continue
+            world.freeze(member)
+            await world.wait(world.rng.choice([0.3, 1.0, 2.0, 2.8, 3.3, 5.0, 10.0]))
+            world.thaw(member)
 
-    async def main():
-        world = World(seed=40 + seed)
-
-        async def often(world):
-            for number in range(12):
-                await world.wait(world.rng.uniform(0.1, 2.5))
-                member = world.leader() if number % 3 else world.rng.choice(world.members)
-                if member is None:
-                    continue
-                world.freeze(member)
-                await world.wait(world.rng.choice([0.3, 1.0, 2.0, 2.8, 3.3, 5.0, 10.0]))
-                world.thaw(member)
-
-        await day(world, often, jobs=8, runS=12.0)
-
-    run(main())
+    await day(world, often, jobs=8, runS=12.0)
 
 
-def test_a_pause_returns_and_rents_nothing():
+async def test_a_pause_returns_and_rents_nothing():
     """Shorter than the leader's lease: leadership, machines and tasks stay as they are."""
-
-    async def main():
-        world = World(seed=37)
-        await world.until(lambda: world.leader() is not None)
-        for number in range(3):
-            await world.submit(job(number, runS=30.0, expectedS=30.0, dueS=55.0))
-        await world.until(lambda: len(world.rules.running) == 12)
-        machines, rented = set(world.cloud.machines), world.cloud.next
-        for _ in range(3):
-            leader = world.leader()
-            world.freeze(leader)
-            await world.wait(2.2)
-            world.thaw(leader)
-            await world.wait(1.5)
-            assert world.leader() == leader
-        assert set(world.cloud.machines) == machines and world.cloud.next == rented
-        await world.finish([f"j-{n:06d}" for n in range(3)])
-        assert world.rules.starts == 12
-
-    run(main())
-
-
-def test_an_answer_that_came_during_a_pause_is_read_before_it_is_called_missing():
-    async def main():
-        loop = asyncio.get_running_loop()
-        assert isinstance(loop, VirtualLoop)
-
-        async def ask():
-            PROCESS.set("a")
-            answer = loop.create_future()
-            loop.call_later(3.0, answer.set_result, "here")  # in the middle of the pause
-            async with Patience(timedelta(seconds=1.5)):
-                return await answer
-
-        asked = loop.create_task(ask())
-        await asyncio.sleep(1)
-        loop.freeze("a")
-        await asyncio.sleep(5)
-        loop.thaw("a")
-        assert await asked == "here"
-
-        async def ask_in_vain():
-            PROCESS.set("b")
-            async with Patience(timedelta(seconds=1.5)):
-                await loop.create_future()
-
-        with pytest.raises(TimeoutError):
-            await loop.create_task(ask_in_vain())
-
-    run(main())
-
-
-def test_a_pause_is_noticed():
-    async def main():
-        pulse = Pulse(Clock())
-        began = pulse.awake_since()
-        await asyncio.sleep(1)
-        assert pulse.awake_since() == began
-        await asyncio.sleep(8)
-        assert pulse.awake_since() == pulse.clock.now() > began
-
-    run(main())
+    world = await led_world(37)
+    names = await world.accept_jobs(3, runS=30.0, expectedS=30.0, dueS=55.0)
+    await world.until(lambda: len(world.rules.running) == 12)
+    machines, rented = set(world.cloud.machines), world.cloud.next
+    for _ in range(3):
+        leader = world.leader()
+        world.freeze(leader)
+        await world.wait(2.2)
+        world.thaw(leader)
+        await world.wait(1.5)
+        assert world.leader() == leader
+    assert set(world.cloud.machines) == machines and world.cloud.next == rented
+    await world.finish(names)
+    assert world.rules.starts == 12
+
+
+async def test_an_answer_that_came_during_a_pause_is_read_before_it_is_called_missing():
+    loop = asyncio.get_running_loop()
+    assert isinstance(loop, VirtualLoop)
+
+    async def ask():
+        PROCESS.set("a")
+        answer = loop.create_future()
+        loop.call_later(3.0, answer.set_result, "here")  # in the middle of the pause
+        async with Patience(timedelta(seconds=1.5)):
+            return await answer
+
+    asked = loop.create_task(ask())
+    await asyncio.sleep(1)
+    loop.freeze("a")
+    await asyncio.sleep(5)
+    loop.thaw("a")
+    assert await asked == "here"
+
+    async def ask_in_vain():
+        PROCESS.set("b")
+        async with Patience(timedelta(seconds=1.5)):
+            await loop.create_future()
+
+    with pytest.raises(TimeoutError):
+        await loop.create_task(ask_in_vain())
+
+
+async def test_a_pause_is_noticed():
+    pulse = Pulse(Clock())
+    began = pulse.awake_since()
+    await asyncio.sleep(1)
+    assert pulse.awake_since() == began
+    await asyncio.sleep(8)
+    assert pulse.awake_since() == pulse.clock.now() > began
 
 
 def test_a_failure_while_a_process_stands_still_ends_the_test():
     """It once never ended, and nobody saw what had failed."""
 
     async def main():
-        world = World(seed=39)
-        await world.until(lambda: world.leader() is not None)
+        world = await led_world(39)
         world.freeze(world.leader())
         raise ValueError("as a failed check")
 
--- a/dappledrum/standins/ends.py
+++ b/dappledrum/standins/ends.py
@@ -14,7 +14,8 @@
 from typing import NamedTuple
 
 from dappledrum.standins.network import Sent, host
-from dappledrum.standins.world import World
+from dappledrum.standins.pairs import FIVE
+from dappledrum.standins.world import World, job, led_world
 
 BACK = (0.0, 0.01, 0.1, 0.3, 1.0)
 LATE_MOST = 5.0
@@ -104,3 +105,50 @@
         if self.world.alive(member):
             self.world.kill(member)
             asyncio.get_running_loop().call_later(self.rng.choice(BACK), self.world.start, member)
+
+
+async def play_ends(step: str, seed: int) -> int:
+    """Play five controllers at work that end at one step, now and then, until every job is over;
+    how often one did."""
+    rng = random.Random(f"{step} {seed}")
+    world = await led_world(seed, members=FIVE)
+    ends = Ends(world, STEPS[step], rng, most=10)
+    names = []
+    for number in range(6):
+        spec = job(number, beats=6, dueS=None, crew="red" if number == 5 else "blue")
+        names.append(spec["id"])
+        assert await world.submit(spec) in (200, 201)
+    await world.until(lambda: world.rules.starts >= 4)
+    names.append(await _make_each_step_come_by(world, rng))
+    world.network.watcher = None
+    await world.wait(2)
+    await world.finish(names, most=400)
+    return ends.fates.total()
+
+
+async def _make_each_step_come_by(world: World, rng: random.Random) -> str:
+    """An outage, leaders that end or must hand over, machines taken; the name of a job that was
+    submitted meanwhile."""
+    for _ in range(2):
+        await world.wait(rng.uniform(1, 3))
+        if world.leader() is not None:
+            await world.restart(world.leader(), rng.uniform(0, 4))
+    world.state.out = True
+    await world.wait(rng.uniform(2, 4))
+    world.state.end_outage()
+    await world.wait(rng.uniform(14, 16))  # a term that is long enough to be handed over
+    leader = world.leader()
+    if leader is not None:
+        world.state.refused.add(leader)
+    for name in list(world.cloud.machines)[::3]:
+        world.cloud.take(name)
+    await world.wait(rng.uniform(5, 8))
+    world.state.refused.clear()
+    late = job(900, dueS=None)
+    assert await world.submit(late) in (200, 201)
+    await world.wait(60)  # and idle machines for long enough to be returned
+    if world.leader() is not None:
+        world.state.refused.add(world.leader())
+    await world.wait(6)
+    world.state.refused.clear()
+    return str(late["id"])
--- a/dappledrum/standins/scenario.py
+++ b/dappledrum/standins/scenario.py
@@ -2,7 +2,8 @@
 at which every accepted job must be known and over.
 
 A test calls `play` with a seed and a coroutine that makes the trouble; users, moments and machines
-are drawn from the seed, and the rules are checked at each step.
+are drawn from the seed, and the rules are checked at each step. `day` is smaller: any world, and a
+few jobs before and after one trouble.
 """
 
 import asyncio
@@ -120,3 +121,23 @@
         assert not world.rules.broken, world.rules.broken
 
     run(main())
+
+
+async def day(
+    world: World,
+    trouble: Callable[[World], Awaitable[None]],
+    jobs: int = 6,
+    **changes: Any,  # noqa: ANN401 - any field of the jobs
+) -> None:
+    """Submit jobs, let something go wrong while they run, submit more, and see them all end."""
+    await world.until_led()
+    names = await world.accept_jobs(jobs, **changes)
+    await world.until(lambda: world.rules.starts >= 4)
+    await trouble(world)
+    world.network.heal()
+    late = job(900)
+    assert await world.submit(late) in (200, 201)
+    await world.finish([*names, late["id"]])
+    for name in names:
+        for member in world.members:
+            assert await world.poll(name, member) in ("done", None)
--- a/dappledrum/standins/world.py
+++ b/dappledrum/standins/world.py
@@ -312,6 +312,10 @@
         """Whether a controller's process runs."""
         return not self.processes[member].done() and member in self.network.services
 
+    def others(self, member: str | None) -> list[str]:
+        """All controllers but this one."""
+        return [other for other in self.members if other != member]
+
     def cut_off(self, member: str, *targets: str) -> None:
         """Cut a controller off from some hosts, on its public and its private address."""
         for target in targets:
@@ -321,8 +325,13 @@
     def isolate(self, member: str) -> None:
         """Cut a controller off from the state service and the other controllers, not from its
         workers."""
-        others = [other for other in self.members if other != member]
-        self.cut_off(member, "state", *others, *("back-" + other for other in others))
+        self.cut_off(member, "state")
+        self.cut_from_peers(member)
+
+    def cut_from_peers(self, member: str) -> None:
+        """Cut a controller off from the other controllers."""
+        others = self.others(member)
+        self.cut_off(member, *others, *("back-" + other for other in others))
 
     def deafen(self, names: list[str]) -> set[tuple[str, str]]:
         """Reports of these machines arrive, answers and commands don't reach them; returns what is
@@ -352,6 +361,19 @@
             await self.wait(0.25)
         return asyncio.get_running_loop().time() - began
 
+    async def until_led(self, most: float = 120.0) -> float:
+        """Let time pass until some controller leads; how long it took."""
+        return await self.until(lambda: self.leader() is not None, most)
+
+    def running(self, name: str) -> int:
+        """How many tasks of a job run."""
+        return sum(job_id == name for job_id, _ in self.rules.running)
+
+    async def readiness(self, member: str) -> int | None:
+        """The status of a controller's readiness check, if it answers."""
+        reply = await self._ask("GET", "/ready", None, member)
+        return None if reply is None else reply.status
+
     # users
 
     async def _ask(
@@ -389,6 +411,17 @@
             await asyncio.sleep(1)
         return None
 
+    async def accept(self, *specs: dict[str, Any]) -> list[str]:
+        """Submit new jobs, each of which must be accepted; their names."""
+        for spec in specs:
+            status = await self.submit(spec)
+            assert status == 201, f"{spec['id']} was answered with {status}"
+        return [spec["id"] for spec in specs]
+
+    async def accept_jobs(self, count: int, **changes: Any) -> list[str]:  # noqa: ANN401 - any field
+        """Submit so many new jobs that are alike, each of which must be accepted; their names."""
+        return await self.accept(*(job(number, **changes) for number in range(count)))
+
     async def poll(self, name: str, member: str | None = None) -> str | None:
         """Ask for a job's state once."""
         asked = asyncio.get_running_loop().time()
@@ -422,3 +455,10 @@
             left = [name for name in left if await self.poll(name) not in ("done", "cancelled")]
         assert not self.rules.broken, self.rules.broken
         return asyncio.get_running_loop().time() - began
+
+
+async def led_world(seed: int = 1, **settings: Any) -> World:  # noqa: ANN401 - any field of a world
+    """A world in which some controller leads already."""
+    world = World(seed=seed, **settings)
+    await world.until_led()
+    return world
