--- a/dappledrum/jobs/test_intake.py
+++ b/dappledrum/jobs/test_intake.py
@@ -10,15 +10,14 @@
 from dappledrum.jobs.messages import JobRecord, PageRecord, Spec
 from dappledrum.jobs.record import Job, Page
 from dappledrum.standins.time import run
-from dappledrum.standins.world import World, job
+from dappledrum.standins.world import job, led_world
 
 
 def send(*bodies):
     """Statuses of submissions, sent to one controller of a quiet world."""
 
     async def main():
-        world = World(seed=1)
-        await world.until(lambda: world.leader() is not None)
+        world = await led_world(1)
         replies = [await world._ask("POST", "/submissions", body) for body in bodies]
         return [reply.status for reply in replies if reply is not None]
 
@@ -74,61 +73,53 @@
     assert send(body(), body(), body(crew="nobody")) == [201, 200, 200]
 
 
-def test_paths_and_methods():
-    async def main():
-        world = World(seed=1)
-        await world.until(lambda: world.leader() is not None)
-        for method, path, status in (
-            ("GET", "/submissions/j-000009", 404),
-            ("GET", "/submissions/nonsense", 404),
-            ("GET", "/submissions/j-1%2F..", 404),
-            ("POST", "/submissions/j-000009/cancel", 404),
-            ("DELETE", "/submissions/j-000009", 405),
-            ("GET", "/submissions", 405),
-            ("POST", "/ready", 405),
-            ("GET", "/ready", 200),
-            ("GET", "/", 404),
-            ("POST", "/hello", 400),
-        ):
-            reply = await world._ask(method, path, b"")
-            assert reply is not None and reply.status == status, path
-
-    run(main())
-
-
-def test_a_very_large_job_keeps_within_the_store():
+async def test_paths_and_methods():
+    world = await led_world(1)
+    for method, path, status in (
+        ("GET", "/submissions/j-000009", 404),
+        ("GET", "/submissions/nonsense", 404),
+        ("GET", "/submissions/j-1%2F..", 404),
+        ("POST", "/submissions/j-000009/cancel", 404),
+        ("DELETE", "/submissions/j-000009", 405),
+        ("GET", "/submissions", 405),
+        ("POST", "/ready", 405),
+        ("GET", "/ready", 200),
+        ("GET", "/", 404),
+        ("POST", "/hello", 400),
+    ):
+        reply = await world._ask(method, path, b"")
+        assert reply is not None and reply.status == status, path
+
+
+async def test_a_very_large_job_keeps_within_the_store():
     """The stand-in checks sizes of values and transactions; most tasks of the job are already
     done."""
-
-    async def main():
-        world = World(seed=8)
-        await world.until(lambda: world.leader() is not None)
-        await world.submit(job(1, beats=100_000, vcpus=0.25, memGb=0.1, runS=2.0, dueS=None))
-        await world.submit(job(2))
-        await world.until(lambda: world.rules.starts > 300)
-        leader = world.nodes[world.leader()]
-        live = leader.leader.jobs["j-000001"]
-        facts = world.rules.jobs["j-000001"]
-        for index in range(live.page_count - 1):
-            page = live.page(index)
-            if not page.places and page.done == 0:
-                page.done = (1 << page.count) - 1
-                live.done += page.count
-                page.touch()
-                leader.leader.recorder.mark(page)
-                facts.done.update(range(page.first, page.first + page.count))
-        await world.until(lambda: len(leader.leader.recorder.dirty) < 8)
-        for _ in range(10):  # the totals in the head follow the pages
-            reply = await world._ask("GET", "/submissions/j-000001")
-            if reply is not None and json.loads(reply.body)["done"] > 90_000:
-                break
-            await world.wait(1)
-        else:
-            raise AssertionError("the totals are not in the head")
-        await world.restart(world.leader())
-        await world.finish(["j-000001", "j-000002"], most=600)
-
-    run(main())
+    world = await led_world(8)
+    names = await world.accept(
+        job(1, beats=100_000, vcpus=0.25, memGb=0.1, runS=2.0, dueS=None), job(2)
+    )
+    await world.until(lambda: world.rules.starts > 300)
+    leader = world.nodes[world.leader()]
+    live = leader.leader.jobs["j-000001"]
+    facts = world.rules.jobs["j-000001"]
+    for index in range(live.page_count - 1):
+        page = live.page(index)
+        if not page.places and page.done == 0:
+            page.done = (1 << page.count) - 1
+            live.done += page.count
+            page.touch()
+            leader.leader.recorder.mark(page)
+            facts.done.update(range(page.first, page.first + page.count))
+    await world.until(lambda: len(leader.leader.recorder.dirty) < 8)
+    for _ in range(10):  # the totals in the head follow the pages
+        reply = await world._ask("GET", "/submissions/j-000001")
+        if reply is not None and json.loads(reply.body)["done"] > 90_000:
+            break
+        await world.wait(1)
+    else:
+        raise AssertionError("the totals are not in the head")
+    await world.restart(world.leader())
+    await world.finish(names, most=600)
 
 
 def test_stored_pages_come_back_the_same():
@@ -194,42 +185,30 @@
     assert (live.done, live.page(0).attempt) == (1, 9)
 
 
-def test_types_learned_while_a_submission_waits_do_not_turn_it_into_a_refusal():
+async def test_types_learned_while_a_submission_waits_do_not_turn_it_into_a_refusal():
     """The catalog came in between the verdict and the answer, and a good job got 422 for ever."""
+    world = await led_world(1)
+    intake = world.nodes["drummer-0"].intake
+    types, intake.types = intake.types, None
+    asyncio.get_running_loop().call_later(0.002, setattr, intake, "types", types)
+    reply = await intake.submit(body())
+    assert intake.types is types and reply.status == 503
 
-    async def main():
-        world = World(seed=1)
-        await world.until(lambda: world.leader() is not None)
-        intake = world.nodes["drummer-0"].intake
-        types, intake.types = intake.types, None
-        asyncio.get_running_loop().call_later(0.002, setattr, intake, "types", types)
-        reply = await intake.submit(body())
-        assert intake.types is types and reply.status == 503
 
-    run(main())
-
-
-def test_a_record_that_cannot_be_read_is_the_trouble_of_its_own_job():
+async def test_a_record_that_cannot_be_read_is_the_trouble_of_its_own_job():
     """It made a batch of polls fail, and kept a leader from reading the others."""
-
-    async def main():
-        world = World(seed=9)
-        await world.until(lambda: world.leader() is not None)
-        names = [f"j-{number:06d}" for number in range(6)]
-        for number in range(6):
-            assert await world.submit(job(number, runS=20.0)) == 201
-        await world.until(lambda: world.rules.starts >= 4)
-        bad = names[2]
-        world.state.tally += 1
-        world.state.keys[f"job/{bad}"] = ({"spec": 7}, world.state.tally, None)
-        await world.restart_all(0.2)
-        await world.until(lambda: world.leader() is not None)
-        asked = [asyncio.ensure_future(world.poll(name, world.members[0])) for name in names]
-        states = dict(zip(names, await asyncio.gather(*asked), strict=True))
-        assert states.pop(bad) is None, "neither told anything nor forgotten"
-        assert None not in states.values()
-        await world.submit(job(7))
-        await world.finish([*states, "j-000007"], most=200)
-        assert f"job/{bad}" in world.state.keys
-
-    run(main())
+    world = await led_world(9)
+    names = await world.accept_jobs(6, runS=20.0)
+    await world.until(lambda: world.rules.starts >= 4)
+    bad = names[2]
+    world.state.tally += 1
+    world.state.keys[f"job/{bad}"] = ({"spec": 7}, world.state.tally, None)
+    await world.restart_all(0.2)
+    await world.until_led()
+    asked = [asyncio.ensure_future(world.poll(name, world.members[0])) for name in names]
+    states = dict(zip(names, await asyncio.gather(*asked), strict=True))
+    assert states.pop(bad) is None, "neither told anything nor forgotten"
+    assert None not in states.values()
+    await world.submit(job(7))
+    await world.finish([*states, "j-000007"], most=200)
+    assert f"job/{bad}" in world.state.keys
--- a/dappledrum/reach/test_links.py
+++ b/dappledrum/reach/test_links.py
@@ -8,7 +8,8 @@
 from hypothesis import Phase as Stage
 from hypothesis import strategies as st
 
-from dappledrum.reach.test_cuts import FIVE, busy_world
+from dappledrum.standins.pairs import FIVE
+from dappledrum.standins.scenario import busy_world
 from dappledrum.standins.time import run
 
 GROUPS = 3
--- a/dappledrum/reach/test_outages.py
+++ b/dappledrum/reach/test_outages.py
@@ -5,7 +5,8 @@
 
 import pytest
 
-from dappledrum.reach.test_cuts import FIVE, busy_world, nothing_lost
+from dappledrum.standins.pairs import FIVE
+from dappledrum.standins.scenario import busy_world, nothing_lost
 from dappledrum.standins.time import run
 from dappledrum.standins.world import World
 
--- a/dappledrum/standins/scenario.py
+++ b/dappledrum/standins/scenario.py
@@ -14,7 +14,7 @@
 
 from dappledrum.standins.pairs import FIVE, submission, user
 from dappledrum.standins.time import run
-from dappledrum.standins.world import World, job
+from dappledrum.standins.world import World, job, led_world
 
 LEASE_S = 9.0
 CANCEL_S = 30.0
@@ -141,3 +141,25 @@
     for name in names:
         for member in world.members:
             assert await world.poll(name, member) in ("done", None)
+
+
+async def busy_world(**settings: Any) -> World:  # noqa: ANN401 - any field of a world
+    """Five controllers, and machines with work that lasts longer than any trouble."""
+    world = await led_world(members=FIVE, **settings)
+    await world.accept_jobs(3, beats=6, runS=200.0, expectedS=200.0, dueS=400.0)
+    await world.until(lambda: len(world.rules.running) == 18)
+    await world.wait(3)
+    return world
+
+
+def sessions(world: World) -> dict[str, int]:
+    """The sessions of all workers: one that has lost its lease is in a later one."""
+    return {worker.name: worker.session for worker in world.cloud.workers()}
+
+
+async def nothing_lost(world: World, seconds: float) -> None:
+    """Let time pass, in which no worker may lose its lease."""
+    before = sessions(world)
+    await world.wait(seconds)
+    lost = [name for name, session in sessions(world).items() if session > before.get(name, 1)]
+    assert lost == []
--- a/dappledrum/workers/test_bookkeeping.py
+++ b/dappledrum/workers/test_bookkeeping.py
@@ -10,7 +10,6 @@
 from dappledrum.jobs.record import Job
 from dappledrum.scheduling.estimates import Estimates
 from dappledrum.settings import WorkerLimits
-from dappledrum.standins.time import run
 from dappledrum.standins.world import job
 from dappledrum.timing.clock import Clock
 from dappledrum.workers.bookkeeping import Bookkeeper
@@ -68,249 +67,191 @@
         return 0 not in self.page.places
 
 
-RUNNING, DONE, STOPPED = (1, "running", None), (1, "ended", "done"), (1, "ended", "stopped")
-
-
-def case(check):
-    async def main():
-        check(Desk())
-
-    run(main())
-
-
-def test_no_start_before_its_record_is_stored():
-    def check(desk):
-        assert desk.report(2) == []
-        desk.save()
-        assert desk.report(3) == [("start", 1)]
-        assert desk.report(4) == [
-            ("start", 1)
-        ]  # the answer may have been lost; the same attempt can be repeated
-        assert desk.report(5, RUNNING) == []
-
-    case(check)
-
-
-def test_absent_from_a_report_that_proves_something():
-    def check(desk):
-        desk.save()
-        desk.report(2)
-        desk.report(3, RUNNING)
-        desk.report(4)
-        assert desk.gone
-
-    case(check)
-
-
-def test_absent_from_a_report_held_back_under_a_predecessor():
-    def check(desk):
-        desk.save()
-        desk.placement.seen = True
-        desk.report(2, token=TOKEN - 1)
-        assert not desk.gone
-        desk.report(3)
-        assert desk.gone
+def stored_desk():
+    """The same, with the placement in the job's record."""
+    desk = Desk()
+    desk.save()
+    return desk
 
-    case(check)
 
+RUNNING, DONE, STOPPED = (1, "running", None), (1, "ended", "done"), (1, "ended", "stopped")
 
-def test_an_old_report_changes_nothing():
-    def check(desk):
-        desk.save()
-        desk.report(5)
-        desk.report(7, RUNNING)
-        assert desk.report(6) is None
-        assert not desk.gone
 
-    case(check)
+async def test_no_start_before_its_record_is_stored():
+    desk = Desk()
+    assert desk.report(2) == []
+    desk.save()
+    assert desk.report(3) == [("start", 1)]
+    # The answer may have been lost; the same attempt can be repeated.
+    assert desk.report(4) == [("start", 1)]
+    assert desk.report(5, RUNNING) == []
 
 
-def test_a_newer_session_and_an_older_one():
-    def check(desk):
-        desk.save()
-        desk.report(3, RUNNING)
-        assert desk.report(9, session=0) is None
-        assert not desk.gone
-        desk.report(1, session=2)
-        assert desk.gone
+async def test_absent_from_a_report_that_proves_something():
+    desk = stored_desk()
+    desk.report(2)
+    desk.report(3, RUNNING)
+    desk.report(4)
+    assert desk.gone
 
-    case(check)
 
+async def test_absent_from_a_report_held_back_under_a_predecessor():
+    desk = stored_desk()
+    desk.placement.seen = True
+    desk.report(2, token=TOKEN - 1)
+    assert not desk.gone
+    desk.report(3)
+    assert desk.gone
 
-def test_a_placement_in_a_session_that_is_over_is_never_started():
-    def check(desk):
-        desk.save()
-        assert desk.report(1, session=2) == []
-        assert desk.gone
 
-    case(check)
+async def test_an_old_report_changes_nothing():
+    desk = stored_desk()
+    desk.report(5)
+    desk.report(7, RUNNING)
+    assert desk.report(6) is None
+    assert not desk.gone
 
 
-def test_an_end_is_forgotten_only_when_it_is_stored():
-    def check(desk):
-        desk.save()
-        desk.report(2)
-        assert desk.report(3, DONE) == []
-        assert desk.page.is_done(0) and desk.gone
-        desk.save()
-        assert desk.report(4, DONE) == [("forget", 1)]
+async def test_a_newer_session_and_an_older_one():
+    desk = stored_desk()
+    desk.report(3, RUNNING)
+    assert desk.report(9, session=0) is None
+    assert not desk.gone
+    desk.report(1, session=2)
+    assert desk.gone
 
-    case(check)
 
+async def test_a_placement_in_a_session_that_is_over_is_never_started():
+    desk = stored_desk()
+    assert desk.report(1, session=2) == []
+    assert desk.gone
 
-def test_cancelled_tasks_are_stopped_until_they_are_gone():
-    def check(desk):
-        desk.save()
-        desk.report(2)
-        desk.report(3, RUNNING)
-        desk.job.cancelled = True
-        assert desk.report(4, RUNNING) == [("stop", 1)]
-        assert not desk.gone
-        desk.report(5, STOPPED)
-        assert desk.gone
 
-    case(check)
+async def test_an_end_is_forgotten_only_when_it_is_stored():
+    desk = stored_desk()
+    desk.report(2)
+    assert desk.report(3, DONE) == []
+    assert desk.page.is_done(0) and desk.gone
+    desk.save()
+    assert desk.report(4, DONE) == [("forget", 1)]
 
 
-def test_a_cancelled_start_that_was_never_sent_or_is_proven_lost():
-    def check(desk):
-        desk.save()
-        assert desk.report(2) == [("start", 1)]
-        desk.job.cancelled = True
-        assert desk.report(3) == []
-        assert desk.gone
+async def test_cancelled_tasks_are_stopped_until_they_are_gone():
+    desk = stored_desk()
+    desk.report(2)
+    desk.report(3, RUNNING)
+    desk.job.cancelled = True
+    assert desk.report(4, RUNNING) == [("stop", 1)]
+    assert not desk.gone
+    desk.report(5, STOPPED)
+    assert desk.gone
 
-    case(check)
 
+async def test_a_cancelled_start_that_was_never_sent_or_is_proven_lost():
+    desk = stored_desk()
+    assert desk.report(2) == [("start", 1)]
+    desk.job.cancelled = True
+    assert desk.report(3) == []
+    assert desk.gone
 
-def test_an_unknown_attempt_is_stopped():
-    def check(desk):
-        desk.save()
-        desk.report(2)
-        assert desk.report(3, RUNNING, (77, "running", None)) == [("stop", 77)]
-        assert not desk.gone
 
-    case(check)
+async def test_an_unknown_attempt_is_stopped():
+    desk = stored_desk()
+    desk.report(2)
+    assert desk.report(3, RUNNING, (77, "running", None)) == [("stop", 77)]
+    assert not desk.gone
 
 
 @pytest.mark.parametrize(("silence", "gone"), [(8.9, False), (9.05, False), (9.6, True)])
-def test_silence_counts_from_the_last_possible_answer(silence, gone):
-    async def main():
-        desk = Desk()
-        desk.save()
-        desk.report(2, RUNNING)
-        await asyncio.sleep(silence)
-        desk.books.sweep()
-        assert desk.gone is gone
-
-    run(main())
-
-
-def test_a_predecessor_may_have_answered_until_now():
-    async def main():
-        desk = Desk()
-        desk.save()
-        await asyncio.sleep(100)
-        desk.roster.machines.clear()
-        desk.books.restore(desk.job)
-        await asyncio.sleep(8.9)
-        desk.books.sweep()
-        assert not desk.gone
-        await asyncio.sleep(0.7)
-        desk.books.sweep()
-        assert desk.gone
-
-    run(main())
-
-
-def test_returned_machines_stay_gone():
-    def check(desk):
-        desk.books.returned(desk.roster.get("m"))
-        assert desk.gone
-        assert desk.report(9, RUNNING) is None
-        assert desk.roster.get("m") is None
-
-    case(check)
-
-
-def test_faults_are_laid_on_the_machine_or_on_the_job():
-    def check(desk):
-        desk.save()
-        for attempt in range(1, 4):
-            desk.report(attempt * 2, (attempt, "ended", "error"))
-            desk.placement = desk.page.place(0, "m", 1, "a", datetime.now(UTC))
-            desk.roster.get("m").placements[(desk.job.id, 0)] = desk.placement
-        machine = desk.roster.get("m")
-        assert not machine.draining and machine.blocked_until > desk.books.clock.now()
-        assert desk.job.retry_at == timedelta(0)
-        done = [TaskReport("j-000001/1", 9, "ended", "done")]
-        desk.books.take(Report("n", "10.1.0.2:1", "small", "a", True, 1, 1, TOKEN, None, done))
-        assert machine.draining
-
-    case(check)
-
-
-def test_who_should_have_been_heard_of():
+async def test_silence_counts_from_the_last_possible_answer(silence, gone):
+    desk = stored_desk()
+    desk.report(2, RUNNING)
+    await asyncio.sleep(silence)
+    desk.books.sweep()
+    assert desk.gone is gone
+
+
+async def test_a_predecessor_may_have_answered_until_now():
+    desk = stored_desk()
+    await asyncio.sleep(100)
+    desk.roster.machines.clear()
+    desk.books.restore(desk.job)
+    await asyncio.sleep(8.9)
+    desk.books.sweep()
+    assert not desk.gone
+    await asyncio.sleep(0.7)
+    desk.books.sweep()
+    assert desk.gone
+
+
+async def test_returned_machines_stay_gone():
+    desk = Desk()
+    desk.books.returned(desk.roster.get("m"))
+    assert desk.gone
+    assert desk.report(9, RUNNING) is None
+    assert desk.roster.get("m") is None
+
+
+async def test_faults_are_laid_on_the_machine_or_on_the_job():
+    desk = stored_desk()
+    for attempt in range(1, 4):
+        desk.report(attempt * 2, (attempt, "ended", "error"))
+        desk.placement = desk.page.place(0, "m", 1, "a", datetime.now(UTC))
+        desk.roster.get("m").placements[(desk.job.id, 0)] = desk.placement
+    machine = desk.roster.get("m")
+    assert not machine.draining and machine.blocked_until > desk.books.clock.now()
+    assert desk.job.retry_at == timedelta(0)
+    done = [TaskReport("j-000001/1", 9, "ended", "done")]
+    desk.books.take(Report("n", "10.1.0.2:1", "small", "a", True, 1, 1, TOKEN, None, done))
+    assert machine.draining
+
+
+async def test_who_should_have_been_heard_of():
     """A first knock elsewhere of a machine that has just come up made leaders resign for
     nothing."""
-
-    def check(desk):
-        assert shunned({"new": 1}, desk.roster) == []
-        assert shunned({"new": 2}, desk.roster) == ["new"]
-        assert shunned({"m": 1}, desk.roster) == ["m"]
-
-    case(check)
+    desk = Desk()
+    assert shunned({"new": 1}, desk.roster) == []
+    assert shunned({"new": 2}, desk.roster) == ["new"]
+    assert shunned({"m": 1}, desk.roster) == ["m"]
 
 
-def test_a_machine_that_boots_for_longer_than_a_lease_is_not_silent():
+async def test_a_machine_that_boots_for_longer_than_a_lease_is_not_silent():
     """Its first tasks were given up, or the machine was returned, in the moment between its report
     and the answer."""
-
-    async def main():
-        desk = Desk()
-        machine = desk.roster.ensure("slow", None, desk.books.clock.now())
-        await asyncio.sleep(60)
-        report = Report("slow", "10.1.0.1:1", "small", "a", True, 1, 1, 0)
-        assert desk.books.take(report) is machine
-        placement = desk.page.place(1, "slow", 1, "a", datetime.now(UTC))
-        machine.placements[(desk.job.id, 1)] = placement
-        desk.books.sweep()
-        assert 1 in desk.page.places and not machine.expired(
-            desk.books.clock.now(), desk.books.limits.lease
-        )
-
-    run(main())
-
-
-def test_an_answer_stays_short():
-    def check(desk):
-        machine = desk.roster.get("m")
-        big = Job(JobRecord(desk.job.spec, 0, 5000, PageRecord()), 1)
-        page = big.page(0)
-        page.count = 5000
-        for task in range(1000):
-            placement = page.place(task, "m", 1, "a", datetime.now(UTC))
-            machine.placements[(big.id, task)] = placement
-        page.saved = page.revision
-        report = Report("m", "10.1.0.1:1", "small", "a", True, 1, 2, TOKEN)
-        desk.books.take(report)
-        first = desk.books.commands(machine, report)
-        assert len(first) == 400 and len(msgspec.json.encode(first)) < 64 * 1024
-
-    case(check)
-
-
-def test_what_a_deaf_machine_never_began_is_proven_gone_by_its_next_report():
+    desk = Desk()
+    machine = desk.roster.ensure("slow", None, desk.books.clock.now())
+    await asyncio.sleep(60)
+    report = Report("slow", "10.1.0.1:1", "small", "a", True, 1, 1, 0)
+    assert desk.books.take(report) is machine
+    placement = desk.page.place(1, "slow", 1, "a", datetime.now(UTC))
+    machine.placements[(desk.job.id, 1)] = placement
+    desk.books.sweep()
+    assert 1 in desk.page.places
+    assert not machine.expired(desk.books.clock.now(), desk.books.limits.lease)
+
+
+async def test_an_answer_stays_short():
+    desk = Desk()
+    machine = desk.roster.get("m")
+    big = Job(JobRecord(desk.job.spec, 0, 5000, PageRecord()), 1)
+    page = big.page(0)
+    page.count = 5000
+    for task in range(1000):
+        placement = page.place(task, "m", 1, "a", datetime.now(UTC))
+        machine.placements[(big.id, task)] = placement
+    page.saved = page.revision
+    report = Report("m", "10.1.0.1:1", "small", "a", True, 1, 2, TOKEN)
+    desk.books.take(report)
+    first = desk.books.commands(machine, report)
+    assert len(first) == 400 and len(msgspec.json.encode(first)) < 64 * 1024
+
+
+async def test_what_a_deaf_machine_never_began_is_proven_gone_by_its_next_report():
     """It was offered again with each report, and lost with the session, a lease later."""
-
-    async def main():
-        desk = Desk()
-        desk.save()
-        for tick in (2, 3):
-            assert desk.report(tick) == [("start", 1)]
-        assert desk.report(4) == [] and desk.roster.get("m").hearing.deaf
-        assert not desk.gone, "the answer to report 3 may have been heard"
-        desk.report(5)
-        assert desk.gone
-
-    run(main())
+    desk = stored_desk()
+    for tick in (2, 3):
+        assert desk.report(tick) == [("start", 1)]
+    assert desk.report(4) == [] and desk.roster.get("m").hearing.deaf
+    assert not desk.gone, "the answer to report 3 may have been heard"
+    desk.report(5)
+    assert desk.gone
