--- a/dappledrum/controller/test_boots.py
+++ b/dappledrum/controller/test_boots.py
@@ -4,9 +4,9 @@
 
 from dappledrum.fleet.cloud import Cloud, CloudError
 from dappledrum.fleet.messages import RentalRequest
+from dappledrum.standins.failures import leader_killed, machines_taken
 from dappledrum.standins.scenario import day
 from dappledrum.standins.time import run
-from dappledrum.standins.troubles import leader_killed, machines_taken
 from dappledrum.standins.world import World, job
 
 
--- a/dappledrum/controller/test_freeze.py
+++ b/dappledrum/controller/test_freeze.py
@@ -5,9 +5,9 @@
 
 import pytest
 
+from dappledrum.standins.failures import machines_taken, pausing, rolled, short_outage
 from dappledrum.standins.scenario import day
 from dappledrum.standins.time import PROCESS, VirtualLoop, run
-from dappledrum.standins.troubles import machines_taken, pausing, rolled, short_outage
 from dappledrum.standins.world import World, led_world
 from dappledrum.timing.clock import Clock
 from dappledrum.timing.patience import Patience, Pulse
--- a/dappledrum/controller/test_large.py
+++ b/dappledrum/controller/test_large.py
@@ -2,8 +2,8 @@
 
 import pytest
 
+from dappledrum.standins.failures import leader_killed, rolled, short_outage
 from dappledrum.standins.time import run
-from dappledrum.standins.troubles import leader_killed, rolled, short_outage
 from dappledrum.standins.world import World, job
 
 FIVE = tuple(f"drummer-{index}" for index in range(5))
