--- a/dappledrum/controller/test_large.py
+++ b/dappledrum/controller/test_large.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from dappledrum.controller.test_world import leader_killed, rolled, short_outage
+from dappledrum.standins.failures import leader_killed, rolled, short_outage
 from dappledrum.standins.time import run
 from dappledrum.standins.world import World, job
 
--- a/dappledrum/standins/scenario.py
+++ b/dappledrum/standins/scenario.py
@@ -2,7 +2,8 @@
 at which every accepted job must be known and over.
 
 A test calls `play` with a seed and a coroutine that makes the trouble; users, moments and machines
-are drawn from the seed, and the rules are checked at each step.
+are drawn from the seed, and the rules are checked at each step. `day` is smaller: any world, and a
+few jobs before and after one trouble.
 """
 
 import asyncio
@@ -14,7 +15,7 @@
 from dappledrum.standins.pairs import FIVE, submission, user
 from dappledrum.standins.time import run
 from dappledrum.standins.troubles import end_all
-from dappledrum.standins.world import World, job
+from dappledrum.standins.world import World, job, led_world
 
 LEASE_S = 9.0
 CANCEL_S = 30.0
@@ -108,3 +109,45 @@
         assert not world.rules.broken, world.rules.broken
 
     run(main())
+
+
+async def day(
+    world: World,
+    trouble: Callable[[World], Awaitable[None]],
+    jobs: int = 6,
+    **changes: Any,  # noqa: ANN401 - any field of the jobs
+) -> None:
+    """Submit jobs, let something go wrong while they run, submit more, and see them all end."""
+    await world.until_led()
+    names = await world.accept_jobs(jobs, **changes)
+    await world.until(lambda: world.rules.starts >= 4)
+    await trouble(world)
+    world.network.heal()
+    late = job(900)
+    assert await world.submit(late) in (200, 201)
+    await world.finish([*names, late["id"]])
+    for name in names:
+        for member in world.members:
+            assert await world.poll(name, member) in ("done", None)
+
+
+async def busy_world(**settings: Any) -> World:  # noqa: ANN401 - any field of a world
+    """Five controllers, and machines with work that lasts longer than any trouble."""
+    world = await led_world(members=FIVE, **settings)
+    await world.accept_jobs(3, beats=6, runS=200.0, expectedS=200.0, dueS=400.0)
+    await world.until(lambda: len(world.rules.running) == 18)
+    await world.wait(3)
+    return world
+
+
+def sessions(world: World) -> dict[str, int]:
+    """The sessions of all workers: one that has lost its lease is in a later one."""
+    return {worker.name: worker.session for worker in world.cloud.workers()}
+
+
+async def nothing_lost(world: World, seconds: float) -> None:
+    """Let time pass, in which no worker may lose its lease."""
+    before = sessions(world)
+    await world.wait(seconds)
+    lost = [name for name, session in sessions(world).items() if session > before.get(name, 1)]
+    assert lost == []
