--- a/dappledrum/standins/world.py
+++ b/dappledrum/standins/world.py
@@ -367,8 +367,8 @@
         end = asyncio.get_running_loop().time() + seconds
         while (now := asyncio.get_running_loop().time()) < end:
             await asyncio.sleep(min(0.25, end - now))
-            self.rules.tick(self._now())
-            self.rules.check_waiting(self._now(), self.cloud.rooms)
+            self.rules.tick(self.now())
+            self.rules.check_waiting(self.now(), self.cloud.rooms)
             self.leader()
             assert not self.rules.broken, self.rules.broken
 
@@ -382,10 +382,6 @@
             await self.wait(0.25)
         return asyncio.get_running_loop().time() - began
 
-    @staticmethod
-    def _now() -> float:
-        return asyncio.get_running_loop().time()
-
     async def until_led(self, most: float = 120.0) -> float:
         """Let time pass until some controller leads; how long it took."""
         return await self.until(lambda: self.leader() is not None, most)
@@ -422,12 +418,12 @@
         if member is None and alive:
             member = self.rng.choice(alive)
         number = self.rules.history.next_number()
-        asked = recording.question(number, self._now(), path, body, member, self.cloud)
+        asked = recording.question(number, self.now(), path, body, member, self.cloud)
         if asked is not None:
             self.rules.record(asked)
         reply = await self._request(method, path, body, member)
         if asked is not None:
-            self.rules.record(recording.answer(number, self._now(), reply))
+            self.rules.record(recording.answer(number, self.now(), reply))
         return reply
 
     async def _request(
