--- a/dappledrum/dispatch/preemption.py
+++ b/dappledrum/dispatch/preemption.py
@@ -7,8 +7,8 @@
 from dappledrum.gangs.whole import give_up, is_gang
 from dappledrum.jobs.messages import RANKS, Priority
 from dappledrum.jobs.record import Job, Placement
+from dappledrum.scheduling.bags import Bag
 from dappledrum.scheduling.lanes import Size
-from dappledrum.scheduling.plan import Bag
 from dappledrum.scheduling.preempt import Host, Victim, choose
 from dappledrum.settings import Params
 from dappledrum.timing.clock import ZERO
--- a/dappledrum/dispatch/savings.py
+++ b/dappledrum/dispatch/savings.py
@@ -9,8 +9,8 @@
 from dappledrum.fleet.messages import MachineType
 from dappledrum.jobs.messages import Form
 from dappledrum.jobs.record import Job
+from dappledrum.scheduling.draft import Plan
 from dappledrum.scheduling.lanes import Kind, Lanes, Size
-from dappledrum.scheduling.plan import Plan
 from dappledrum.settings import Params
 from dappledrum.workers.roster import Machine, Roster
 
--- a/dappledrum/dispatch/test_dispatcher.py
+++ b/dappledrum/dispatch/test_dispatcher.py
@@ -3,7 +3,7 @@
 from datetime import timedelta
 
 from dappledrum.dispatch.dispatcher import PLAN_MOST
-from dappledrum.scheduling.plan import Planner
+from dappledrum.scheduling.renting import Renting
 from dappledrum.standins.time import run
 from dappledrum.standins.world import World, job
 
@@ -35,13 +35,13 @@
         await world.wait(2)
         dispatcher = world.nodes[world.leader()].leader.dispatcher
         came = []
-        rent = Planner._rent
+        rent = Renting.rent
 
-        def note(planner, bag, count):
+        def note(renting, bag, count):
             came.append(bag.id)
-            rent(planner, bag, count)
+            rent(renting, bag, count)
 
-        monkeypatch.setattr(Planner, "_rent", note)
+        monkeypatch.setattr(Renting, "rent", note)
         dispatcher.keeper.needed = {"counted on before"}
         whole = dispatcher.clock
         dispatcher.clock = SlowClock(whole, PLAN_MOST / 12)
--- a/dappledrum/dispatch/work.py
+++ b/dappledrum/dispatch/work.py
@@ -12,11 +12,11 @@
 from dappledrum.jobs.intake import allowed
 from dappledrum.jobs.messages import RANKS, Form, Priority
 from dappledrum.jobs.record import Job
+from dappledrum.scheduling.bags import Bag
 from dappledrum.scheduling.chains import Link, Stage, stages
 from dappledrum.scheduling.deadlines import closing_deadlines, next_deadline, stage_deadlines
 from dappledrum.scheduling.estimates import Estimates
 from dappledrum.scheduling.lanes import Kind, Size, fetch_time
-from dappledrum.scheduling.plan import Bag
 from dappledrum.settings import Params, Tuning
 from dappledrum.timing.clock import ZERO, Clock
 from dappledrum.workers.failures import suspected
--- /dev/null
+++ b/dappledrum/scheduling/bags.py
@@ -0,0 +1,58 @@
+"""What the planner is given: bags of ready tasks, and how much each team may still use."""
+
+from collections.abc import Callable
+from dataclasses import dataclass
+from datetime import timedelta
+
+from dappledrum.scheduling.lanes import Kind, Size
+from dappledrum.timing.clock import ZERO
+
+
+@dataclass
+class Bag:
+    """The ready tasks of one stage of a pipeline: identical, and independent of each other."""
+
+    id: str
+    size: Size
+    ready: int
+    unready: int
+    total: int
+    run: timedelta
+    due: timedelta
+    image: str
+    image_gb: float
+    allowed: Callable[[Kind], bool]
+    rank: tuple[
+        float, ...
+    ] = ()  # exceptions that come before the paper's order; smaller goes first
+    one_zone: bool = False
+    zone_room: dict[str, int] | None = None  # spread: how many more tasks each zone may take
+    team: str = ""
+    held: bool = False  # placed only, nothing is rented for it
+    waited: timedelta = ZERO  # since its tasks could start
+    beside: int = 0  # ready tasks of the other jobs of its stage
+    thrifty: bool = False  # too late anyway: only the cheaper kind of machine is rented for it
+    idle: bool = False  # nobody expects it by any time, so it is never late
+    gang: bool = False  # its tasks run together or not at all
+
+
+class TeamRoom:
+    """How much more each team may use at this moment; None: no limit."""
+
+    def __init__(self, room: dict[str, Size | None]) -> None:
+        self.room = room
+
+    def count(self, bag: Bag) -> int:
+        """Tasks of the bag that may still start."""
+        left = self.room.get(bag.team)
+        return (
+            bag.ready
+            if left is None
+            else min(bag.ready, left.times(Size(bag.size.cpus, bag.size.gpus, 0.0)))
+        )
+
+    def take(self, bag: Bag, count: int) -> None:
+        """Some tasks of the bag will start."""
+        left = self.room.get(bag.team)
+        if left is not None:
+            self.room[bag.team] = left.minus(Size(bag.size.cpus, bag.size.gpus, 0.0), count)
--- /dev/null
+++ b/dappledrum/scheduling/draft.py
@@ -0,0 +1,100 @@
+"""A plan while it is being made: the machines with what was planned on them so far."""
+
+from collections.abc import Iterable, Sequence
+from dataclasses import dataclass, field
+from datetime import timedelta
+
+from dappledrum.scheduling.bags import Bag
+from dappledrum.scheduling.lanes import Gap, Kind, Lanes, Offer
+from dappledrum.scheduling.rooms import Rooms
+
+
+@dataclass
+class Plan:
+    """What follows from a round of planning."""
+
+    starts: list[tuple[str, str, int]] = field(
+        default_factory=list
+    )  # bag, machine, number of tasks
+    rentals: dict[Kind, int] = field(default_factory=dict)
+    needed: set[str] = field(default_factory=set)  # machines with work to come
+    late: dict[str, int] = field(
+        default_factory=dict
+    )  # tasks of each bag that are planned too late, or not at all
+
+
+class Draft:
+    """The plan so far, and the machines and offers that are left for the rest of it."""
+
+    def __init__(self, now: timedelta, lanes: Iterable[Lanes], offers: Sequence[Offer]) -> None:
+        self.now = now
+        self.rooms = Rooms(lanes)
+        self.lanes = self.rooms.lanes
+        self.offers = list(offers)
+        self.plan = Plan()
+        self.examined = 0  # machines looked at closely: what a plan costs
+        self._rented = 0
+
+    def offer_of(self, kind: Kind) -> Offer | None:
+        """The offer of a kind of machine, if it can be rented."""
+        return next((offer for offer in self.offers if offer.kind == kind), None)
+
+    def zone_limit(self, bag: Bag, zone: str, count: int) -> int:
+        """How many of so many tasks of a bag may go into a zone."""
+        return count if bag.zone_room is None else min(count, bag.zone_room.get(zone, 0))
+
+    def take_zone_room(self, bag: Bag, zone: str, count: int) -> None:
+        """Some tasks of a bag go into a zone."""
+        if bag.zone_room is not None:
+            bag.zone_room[zone] = bag.zone_room.get(zone, 0) - count
+
+    def reserve(self, bag: Bag, lanes: Lanes, gap: Gap, count: int) -> None:
+        """Give a gap to some tasks of a bag."""
+        self.rooms.reserve(lanes, gap, bag.size, count)
+        lanes.expect(bag.image, bag.image_gb, gap.start)
+        lanes.planned += count
+        self.take_zone_room(bag, lanes.kind.zone, count)
+
+    def commit(self, bag: Bag, lanes: Lanes, gap: Gap, count: int) -> None:
+        """Give a gap on a machine at hand to some tasks, which start if it begins now."""
+        self.reserve(bag, lanes, gap, count)
+        if not bag.idle:
+            self.plan.needed.add(lanes.machine)
+        if gap.start <= self.now and not lanes.booting:
+            self.plan.starts.append((bag.id, lanes.machine, count))
+
+    def likely_finish(self, bag: Bag, lanes: Lanes, gap: Gap) -> timedelta:
+        """When a task will probably finish that is planned in a gap of a machine.
+
+        In the paper a task keeps its place in a machine's queue. Here whatever comes later and is
+        more urgent takes the room that becomes free, so a task that was put off again and again
+        always saw room in a moment, and nothing was rented for it. What has waited for some time
+        is expected to wait for that time again, unless the room is there now, or is on a machine
+        that boots.
+        """
+        if gap.start <= self.now or lanes.booting:
+            return gap.finish
+        return gap.finish + bag.waited
+
+    def blank(self, offer: Offer) -> Lanes:
+        """A machine that would be rented now.
+
+        Its boot is paid for, so its intervals count from now.
+        """
+        return Lanes(
+            "",
+            offer.kind,
+            offer.capacity,
+            self.now + offer.boot,
+            self.now,
+            offer.hourly,
+            offer.fetch_gb_per_s,
+            offer.interval,
+            booting=True,
+        )
+
+    def add_rented(self, lanes: Lanes) -> None:
+        """Take in a machine that is to be rented, under a name of its own in this plan."""
+        lanes.machine = f"+{self._rented}"
+        self._rented += 1
+        self.rooms.add(lanes)
--- /dev/null
+++ b/dappledrum/scheduling/gang_placement.py
@@ -0,0 +1,56 @@
+"""Places gangs in a plan: whole now, whole at one later moment, or not at all."""
+
+from dappledrum.gangs.together import Gang, Room, Search
+from dappledrum.scheduling.bags import Bag
+from dappledrum.scheduling.draft import Draft
+from dappledrum.scheduling.lanes import Gap, Kind
+
+GANGS_SOUGHT = 4  # gangs for which one plan looks beyond the room of the moment
+
+
+class GangPlacement:
+    """Finds room for the gangs of a draft."""
+
+    def __init__(self, draft: Draft) -> None:
+        self.draft = draft
+        self._sought = 0  # gangs looked at closely
+
+    def place(self, bag: Bag, count: int) -> None:
+        """Place a gang whole, or keep room for all of it at one later moment, or nothing."""
+        if count < bag.ready:
+            return  # the team's room grows until it suffices, as it counts as taken
+        room = self._search(bag, count)
+        if room is None or room.finish > bag.due:
+            self.draft.plan.late[bag.id] = count
+        if room is None:
+            return
+        for index, number in room.shares:
+            gap = Gap(room.start, number, room.finish)
+            self.draft.commit(bag, self.draft.lanes[index], gap, number)
+        for kind, (machines, tasks) in room.rented.items():
+            self._rent(bag, room, kind, machines, tasks)
+
+    def _search(self, bag: Bag, count: int) -> Room | None:
+        gang = Gang(
+            *(bag.size, count, bag.run, bag.due, bag.image, bag.image_gb, bag.allowed),
+            bag.zone_room,
+        )
+        search = Search(gang, self.draft.lanes, self.draft.offers, self.draft.now)
+        self._sought += 1
+        closely = self._sought <= GANGS_SOUGHT
+        return search.best(rent=not bag.held) if closely else search.at_once()
+
+    def _rent(self, bag: Bag, room: Room, kind: Kind, machines: int, tasks: int) -> None:
+        """Rent machines of one kind, and reserve room on them for some tasks of the gang."""
+        offer = self.draft.offer_of(kind)
+        assert offer is not None
+        offer.most -= machines
+        rentals = self.draft.plan.rentals
+        rentals[kind] = rentals.get(kind, 0) + machines
+        each = offer.capacity.times(bag.size)
+        for _ in range(machines):
+            lanes = self.draft.blank(offer)
+            self.draft.add_rented(lanes)
+            part = min(each, tasks)
+            tasks -= part
+            self.draft.reserve(bag, lanes, Gap(room.start, part, room.finish), part)
--- a/dappledrum/scheduling/lanes.py
+++ b/dappledrum/scheduling/lanes.py
@@ -89,6 +89,21 @@
     return timedelta(seconds=image_gb / max(gb_per_s, 1e-3))
 
 
+class FetchTimes:
+    """How long machines take to fetch one image, by their rate."""
+
+    def __init__(self, image_gb: float) -> None:
+        self.image_gb = image_gb
+        self._times: dict[float, timedelta] = {}
+
+    def time(self, gb_per_s: float) -> timedelta:
+        """The fetch at one rate."""
+        found = self._times.get(gb_per_s)
+        if found is None:
+            found = self._times[gb_per_s] = fetch_time(self.image_gb, gb_per_s)
+        return found
+
+
 class Lanes:
     """One machine's free resources over time."""
 
--- /dev/null
+++ b/dappledrum/scheduling/paid_time.py
@@ -0,0 +1,139 @@
+"""Algorithm 1 (BDS): puts tasks into time of machines that is paid for anyway."""
+
+from collections.abc import Sequence
+from datetime import timedelta
+from heapq import heapify, heappop, heappush, heapreplace
+
+from dappledrum.scheduling.bags import Bag
+from dappledrum.scheduling.draft import Draft
+from dappledrum.scheduling.lanes import FetchTimes, Gap, Lanes
+from dappledrum.scheduling.rooms import Row
+from dappledrum.timing.clock import ZERO
+
+#: Order of the candidates: finish, price, committed time (negated), index, gap. Without a gap it
+#: is a bound: of one machine, or (index below 0) of all the rest of its kind.
+_Candidate = tuple[timedelta, float, timedelta, int, Gap | None]
+
+
+class PaidTime:
+    """Places tasks on the machines of a draft without adding to their billed intervals."""
+
+    def __init__(self, draft: Draft) -> None:
+        self.draft = draft
+
+    def fill(self, bag: Bag, count: int, zones: set[str] | None, cheap: bool = False) -> int:
+        """The earliest finish among lanes whose billed intervals stay the same; returns how many
+        tasks were placed.
+
+        Machines are taken up in the order in which they have room, and looked at closely only
+        when no other can be better: a plan for hundreds of machines would otherwise compare each
+        of them for each placement. `cheap`: on spot machines only, and only what is in time there.
+        """
+        fetch = FetchTimes(bag.image_gb)
+        rest = self._rows(bag, zones, cheap)
+        heap: list[_Candidate] = [(ZERO, -1.0, ZERO, -1 - at, None) for at in range(len(rest))]
+        heapify(heap)
+        placed = 0
+        while placed < count and heap:
+            # Equal finishes are common, as free lanes start at once: take the cheaper machine,
+            # then the one that is committed for longest, so that the others fall idle and can be
+            # returned.
+            _, _, _, index, gap = heap[0]
+            if index < 0:
+                heappop(heap)
+                rows, at = rest[-1 - index]
+                at = self._take_up(bag, rows, at, cheap, heap, fetch)
+                if at < len(rows):
+                    rest[-1 - index] = (rows, at)
+                    heappush(heap, (rows[at][0] + bag.run, -1.0, ZERO, index, None))
+                continue
+            lanes = self.draft.lanes[index]
+            if gap is not None:
+                most = min(gap.count, count - placed)
+                take = self.draft.zone_limit(bag, lanes.kind.zone, most)
+                if take <= 0:
+                    heappop(heap)
+                    continue
+                self.draft.commit(bag, lanes, gap, take)
+                placed += take
+            gap = lanes.earliest(bag.size, bag.run, bag.image, bag.image_gb)
+            self.draft.examined += 1
+            if gap is not None and self._fits(bag, lanes, gap, cheap):
+                heapreplace(heap, (gap.finish, lanes.hourly_cpu, -lanes.committed, index, gap))
+            else:
+                heappop(heap)
+        return placed
+
+    def _rows(
+        self, bag: Bag, zones: set[str] | None, cheap: bool
+    ) -> list[tuple[Sequence[Row], int]]:
+        """The machines of each kind that the bag may use, and the first of them to look at."""
+        rooms = self.draft.rooms
+        return [
+            (tuple(rooms.order(kind, bag.size)), 0)
+            for kind in rooms.by_kind
+            if (kind.spot or not cheap)
+            and bag.allowed(kind)
+            and (zones is None or kind.zone in zones)
+        ]
+
+    def _take_up(
+        self,
+        bag: Bag,
+        rows: Sequence[Row],
+        at: int,
+        cheap: bool,
+        heap: list[_Candidate],
+        fetch: FetchTimes,
+    ) -> int:
+        """Take up machines of one kind from row `at` on, until another candidate in the heap may
+        be the better one; returns the next row, or the number of rows when no other can do.
+
+        Written out like `KindTrial._bounds`: most machines that it meets can't do.
+        """
+        now, run, due, image = self.draft.now, bag.run, bag.due, bag.image
+        waited = ZERO if cheap else bag.waited
+        lanes_of = self.draft.lanes
+        last = now if cheap else max(now, due - run)  # what starts later is late
+        first = heap[0][0] if heap else None
+        rate, fetching = -1.0, ZERO
+        for index in range(at, len(rows)):
+            start, number = rows[index]
+            if start > last:
+                return len(rows)
+            if first is not None and first < start + run:
+                return index
+            lanes = lanes_of[number]
+            there = lanes.images.get(image)
+            if there is None:
+                if lanes.fetch_gb_per_s != rate:
+                    rate = lanes.fetch_gb_per_s
+                    fetching = fetch.time(rate)
+                finish = start + run + fetching
+            else:
+                finish = run + (start if there <= start else there)
+            if finish > lanes.billed_until():
+                continue
+            if cheap:
+                if finish > due:
+                    continue
+            elif start > now and (finish if lanes.booting else finish + waited) > due:
+                continue
+            heappush(heap, (finish, lanes.hourly_cpu, -lanes.committed, number, None))
+            if first is None or finish < first:
+                first = finish
+        return len(rows)
+
+    def _fits(self, bag: Bag, lanes: Lanes, gap: Gap, cheap: bool) -> bool:
+        """Whether Algorithm 1 may use this room.
+
+        The paper's rule has no eye on deadlines, and would queue a task on a paid lane until long
+        after its own: a task that would both wait and be late is left to Algorithm 2, which can
+        rent.
+        """
+        now = self.draft.now
+        if cheap and (gap.start > now or gap.finish > bag.due):
+            return False
+        likely = self.draft.likely_finish(bag, lanes, gap)
+        in_time = gap.start <= now or likely <= bag.due
+        return in_time and gap.finish <= lanes.billed_until()
--- /dev/null
+++ b/dappledrum/scheduling/renting.py
@@ -0,0 +1,305 @@
+"""Algorithm 2 (SIR): spreads what is left of a bag over machines of a single kind, some of them
+rented anew."""
+
+from bisect import bisect_right
+from collections.abc import Sequence
+from datetime import timedelta
+from heapq import heapify, heappop, heappush, heapreplace
+from typing import NamedTuple
+
+from dappledrum.scheduling.bags import Bag
+from dappledrum.scheduling.draft import Draft
+from dappledrum.scheduling.lanes import SLACK, FetchTimes, Gap, Kind, Lanes, Offer
+from dappledrum.scheduling.rooms import Row
+from dappledrum.timing.clock import ZERO
+
+# tasks of one bag that one plan spreads over rented machines; the others wait for the next wake
+TRIED = 160
+AHEAD = 16  # machines looked at together: more than needed, but none is taken up before its turn
+
+#: Order of the machines; the last item is unique, so nothing behind it is compared.
+_Score = tuple[int, float, float, bool, int]
+_Candidate = tuple[_Score, Lanes, Gap | None]  # without a gap the score is a bound
+#: What kinds are compared by: tasks left over, worst overrun, added cost, order of kinds.
+_Outcome = tuple[int, timedelta, float, int]
+
+
+class Renting:
+    """Decides for which machines a draft's tasks wait, and which are rented."""
+
+    def __init__(self, draft: Draft) -> None:
+        self.draft = draft
+
+    def rent(self, bag: Bag, count: int) -> None:
+        """The single kind with the least worst overrun, then the least added cost."""
+        tried = min(count, TRIED)
+        trial = self._best_trial(bag, tried)
+        if trial is None:
+            if not bag.idle:
+                self.draft.plan.late[bag.id] = count
+            return
+        late = trial.late() + tried - trial.placed
+        if late and not bag.idle:
+            self.draft.plan.late[bag.id] = late
+        self._order(trial.rented)
+        self._place(bag, trial)
+
+    def _best_trial(self, bag: Bag, tried: int) -> "KindTrial | None":
+        offers = self.draft.offers
+        kinds = sorted(
+            {kind for kind in self.draft.rooms.by_kind if bag.allowed(kind)}
+            | {offer.kind for offer in offers if bag.allowed(offer.kind)}
+        )
+        rates = {offer.kind: offer.hourly / max(offer.capacity.cpus, 1e-3) for offer in offers}
+        best: _Outcome | None = None
+        result: KindTrial | None = None
+        # The cheap ones first, as their outcome is the bound at which the others are given up.
+        for kind in sorted(kinds, key=lambda kind: rates.get(kind, 0.0)):
+            trial = KindTrial(self.draft, bag, kind, kinds.index(kind), best)
+            if not trial.run(tried) or trial.placed == 0:
+                continue
+            outcome = trial.outcome(tried - trial.placed)
+            if best is None or outcome < best:
+                best, result = outcome, trial
+        return result
+
+    def _order(self, rented: Sequence[Lanes]) -> None:
+        """Add machines that a trial has rented to the plan."""
+        rentals = self.draft.plan.rentals
+        for lanes in rented:
+            self.draft.add_rented(lanes)
+            rentals[lanes.kind] = rentals.get(lanes.kind, 0) + 1
+        if rented:
+            offer = self.draft.offer_of(rented[0].kind)
+            assert offer is not None
+            offer.most -= len(rented)
+
+    def _place(self, bag: Bag, trial: "KindTrial") -> None:
+        """Take the steps of a trial; on a machine it has rented its tasks are reserved already."""
+        for step in trial.steps:
+            if step.rented:
+                self.draft.take_zone_room(bag, step.lanes.kind.zone, step.count)
+            else:
+                self.draft.commit(bag, step.lanes, step.gap, step.count)
+
+
+class Step(NamedTuple):
+    """Some tasks of a bag in one gap of a machine."""
+
+    lanes: Lanes
+    gap: Gap
+    count: int
+    rented: bool  # the machine is rented in the same trial
+
+
+class _Choice(NamedTuple):
+    """The machine that a trial uses next."""
+
+    lanes: Lanes  # the trial's own copy
+    target: Lanes  # the machine of the draft; the same for one rented in the trial
+    gap: Gap
+    index: int
+    rented: bool
+
+
+class KindTrial:
+    """The tasks of one bag spread over machines of one kind, without changing the draft."""
+
+    def __init__(
+        self, draft: Draft, bag: Bag, kind: Kind, order: int, best: _Outcome | None
+    ) -> None:
+        self.draft = draft
+        self.bag = bag
+        self.kind = kind
+        self.order = order
+        self.best = best  # outcome of the best kind so far
+        self.steps: list[Step] = []
+        self.rented: list[Lanes] = []
+        self.placed = 0
+        self._cost = 0.0
+        self._overrun = timedelta(days=-10_000)
+        self._heap: list[_Candidate] = []
+        self._copies: dict[int, Lanes] = {}
+        self._rows: Sequence[Row] = ()
+        self._next_row = 0
+        self._fetch = FetchTimes(bag.image_gb)
+        self._following = len(draft.lanes)  # machines rented in this trial come after all others
+        self._offer: Offer | None = None
+        self._rentable = 0
+        self._blank_gap: Gap | None = None  # room on a machine rented now
+        self._blank_score: _Score | None = None
+
+    def run(self, count: int) -> bool:
+        """Take the cheapest lane in time, else the earliest finish, until all tasks are placed.
+
+        False: it can't become better than the best so far, as overrun and cost only grow.
+        """
+        if self.best is not None and self.outcome(0) > self.best:
+            return False
+        self._list_machines()
+        self._look_at_offer()
+        room = self.draft.zone_limit(self.bag, self.kind.zone, count)
+        while self.placed < room:
+            self._take_up_machines()
+            if self._renting_is_best():
+                choice = self._rent_one()
+            elif self._heap:
+                first = self._first_choice()
+                if first is None:
+                    continue  # its bound is replaced by its room
+                choice = first
+            else:
+                break
+            self._place(choice, min(choice.gap.count, room - self.placed))
+            if self.best is not None and self.outcome(0) > self.best:
+                return False
+            self._replace_first(choice.lanes, choice.target, choice.index)
+        return True
+
+    def outcome(self, left_over: int) -> _Outcome:
+        """Tasks left over, worst overrun in steps of what counts as a difference, added cost, and
+        the kind's place."""
+        overrun = SLACK * round(max(self._overrun, ZERO) / SLACK)
+        return left_over, overrun, self._cost, self.order
+
+    def late(self) -> int:
+        """How many of the placed tasks will probably finish after their deadline."""
+        return sum(
+            step.count
+            for step in self.steps
+            if self.draft.likely_finish(self.bag, step.lanes, step.gap) > self.bag.due
+        )
+
+    def _list_machines(self) -> None:
+        """In time, any machine may be the cheapest; too late, the first with room comes first."""
+        self._rows = self.draft.rooms.order(self.kind, self.bag.size)
+        self._next_row = bisect_right(self._rows, self.bag.due - self.bag.run, key=_moment)
+        self._heap = self._bounds(self._rows[: self._next_row])
+        heapify(self._heap)
+
+    def _look_at_offer(self) -> None:
+        """What a machine rented now would be worth."""
+        bag, kind = self.bag, self.kind
+        if bag.thrifty and not kind.spot and bag.allowed(kind._replace(spot=True)):
+            return
+        self._offer = self.draft.offer_of(kind)
+        if self._offer is None:
+            return
+        self._rentable = self._offer.most
+        blank = self.draft.blank(self._offer)
+        self._blank_gap = blank.earliest(bag.size, bag.run, bag.image, bag.image_gb)
+        if self._blank_gap is not None:
+            self._blank_score = self._score(blank, self._blank_gap, self._following, unrented=True)
+
+    def _take_up_machines(self) -> None:
+        """Take up the machines that may be better than the best candidate."""
+        heap, rows = self._heap, self._rows
+        while self._next_row < len(rows):
+            finish = rows[self._next_row][0] + self.bag.run
+            if heap and heap[0][0] < (1, finish.total_seconds(), 0.0, False, -1):
+                break
+            for candidate in self._bounds(rows[self._next_row : self._next_row + AHEAD]):
+                heappush(heap, candidate)
+            self._next_row += AHEAD
+
+    def _renting_is_best(self) -> bool:
+        if self._rentable <= 0 or self._blank_score is None:
+            return False
+        return not self._heap or self._blank_score < self._heap[0][0]
+
+    def _rent_one(self) -> _Choice:
+        """One more machine of the offer, now the best candidate."""
+        assert self._offer is not None
+        assert self._blank_gap is not None
+        assert self._blank_score is not None
+        lanes, gap = self.draft.blank(self._offer), self._blank_gap
+        index = self._following + len(self.rented)
+        self.rented.append(lanes)
+        self._copies[index] = lanes
+        self._rentable -= 1
+        self._cost += lanes.added_cost(gap.finish, fresh=True)
+        heappush(self._heap, (self._blank_score, lanes, gap))
+        return _Choice(lanes, lanes, gap, index, True)
+
+    def _first_choice(self) -> _Choice | None:
+        """The best candidate; None if only a bound of it was known, which its room replaces."""
+        score, target, gap = self._heap[0]
+        index = score[-1]
+        rented = index >= self._following
+        lanes = self._copies.get(index, target)
+        if gap is None:
+            self._replace_first(lanes, target, index)
+            return None
+        if not rented and index not in self._copies:
+            lanes = self._copies[index] = target.copy()
+        self._cost += lanes.added_cost(gap.finish, fresh=False)
+        return _Choice(lanes, target, gap, index, rented)
+
+    def _place(self, choice: _Choice, number: int) -> None:
+        """Reserve the room for some tasks, and take it into the outcome."""
+        lanes, gap, bag = choice.lanes, choice.gap, self.bag
+        overrun = self.draft.likely_finish(bag, lanes, gap) - bag.due
+        self._overrun = max(self._overrun, overrun)
+        self.steps.append(Step(choice.target, gap, number, choice.rented))
+        self.placed += number
+        lanes.reserve(gap.start, gap.finish, bag.size, number)
+        lanes.expect(bag.image, bag.image_gb, gap.start)
+        lanes.planned += number
+
+    def _bounds(self, rows: Sequence[Row]) -> list[_Candidate]:
+        """Machines with what they could be worth at best: a bound, from a start and a finish that
+        no task of this size can beat there.
+
+        Written out, since a plan does this for every machine of a kind and every bag that is left
+        over: nine tenths of what a leader of hundreds of machines works at.
+        """
+        bag, now, fetch = self.bag, self.draft.now, self._fetch
+        run, due, image, waited = bag.run, bag.due, bag.image, bag.waited
+        lanes_of = self.draft.lanes
+        rate, fetching = -1.0, ZERO
+        result: list[_Candidate] = []
+        for start, index in rows:
+            lanes = lanes_of[index]
+            there = lanes.images.get(image)
+            if there is None:
+                if lanes.fetch_gb_per_s != rate:
+                    rate = lanes.fetch_gb_per_s
+                    fetching = fetch.time(rate)
+                finish = start + run + fetching
+            else:
+                finish = run + (start if there <= start else there)
+            cost = lanes.added_cost(finish, fresh=False) if finish > lanes.billed_until() else 0.0
+            likely = finish if start <= now or lanes.booting else finish + waited
+            score: _Score
+            if likely <= due:
+                score = (0, cost, lanes.rented_s, False, index)
+            else:
+                score = (1, likely.total_seconds(), cost, False, index)
+            result.append((score, lanes, None))
+        return result
+
+    def _replace_first(self, lanes: Lanes, target: Lanes, index: int) -> None:
+        """Replace the machine on top of the heap by its next room."""
+        bag = self.bag
+        gap = lanes.earliest(bag.size, bag.run, bag.image, bag.image_gb)
+        self.draft.examined += 1
+        if gap is None:
+            heappop(self._heap)
+        else:
+            heapreplace(self._heap, (self._score(lanes, gap, index), target, gap))
+
+    def _score(self, lanes: Lanes, gap: Gap, index: int, unrented: bool = False) -> _Score:
+        """In time: by cost, then age of the rental.
+
+        Too late: by finish, then cost. Never better for a later finish, so a bound on the finish
+        gives a bound on the score.
+        """
+        cost = lanes.added_cost(gap.finish, fresh=unrented)
+        likely = self.draft.likely_finish(self.bag, lanes, gap)
+        if likely <= self.bag.due:
+            return 0, cost, lanes.rented_s, unrented, index
+        return 1, likely.total_seconds(), cost, unrented, index
+
+
+def _moment(row: Row) -> timedelta:
+    return row[0]
