--- a/dappledrum/scheduling/__init__.py
+++ b/dappledrum/scheduling/__init__.py
@@ -1,4 +1,5 @@
-"""Delay-based dynamic scheduling: what starts where, and what is rented.
+"""Delay-based dynamic scheduling (DDS): which tasks start on which machine, and which machines are
+rented.
 
-Pure functions of what they are given.
+The modules do no I/O and read no clock; they compute a plan from what they are given.
 """
--- a/dappledrum/scheduling/bags.py
+++ b/dappledrum/scheduling/bags.py
@@ -22,22 +22,20 @@
     image: str
     image_gb: float
     allowed: Callable[[Kind], bool]
-    rank: tuple[
-        float, ...
-    ] = ()  # exceptions that come before the paper's order; smaller goes first
+    rank: tuple[float, ...] = ()  # smaller goes first; decides before the order of the paper
     one_zone: bool = False
     zone_room: dict[str, int] | None = None  # spread: how many more tasks each zone may take
     team: str = ""
-    held: bool = False  # placed only, nothing is rented for it
+    held: bool = False  # uses free capacity only, nothing is rented for it
     waited: timedelta = ZERO  # since its tasks could start
     beside: int = 0  # ready tasks of the other jobs of its stage
-    thrifty: bool = False  # too late anyway: only the cheaper kind of machine is rented for it
-    idle: bool = False  # nobody expects it by any time, so it is never late
-    gang: bool = False  # its tasks run together or not at all
+    thrifty: bool = False  # late in any case: only the cheaper kind of machine is rented
+    idle: bool = False  # without any deadline, so it is never late
+    gang: bool = False  # its tasks run all at once or not at all
 
 
 class TeamRoom:
-    """How much more each team may use at this moment; None: no limit."""
+    """How many more resources each team may use at this moment; None: no limit."""
 
     def __init__(self, room: dict[str, Size | None]) -> None:
         self.room = room
@@ -52,7 +50,7 @@
         )
 
     def take(self, bag: Bag, count: int) -> None:
-        """Some tasks of the bag will start."""
+        """Count `count` tasks of the bag as started."""
         left = self.room.get(bag.team)
         if left is not None:
             self.room[bag.team] = left.minus(Size(bag.size.cpus, bag.size.gpus, 0.0), count)
--- a/dappledrum/scheduling/chains.py
+++ b/dappledrum/scheduling/chains.py
@@ -1,9 +1,11 @@
-"""Divides a workflow's deadline among its stages (paper, section 4.1; DESIGN: by estimated work).
-
-The last job's remaining time is divided along the longest way to it, each stage, the jobs at one
-depth that the same job needs, with a share by its longest task. A job that several last jobs need
-takes the earliest of what follows from them, and the urgency of the most urgent. One pass over
-the jobs and what they need, in order of depth: nothing recursive, as chains may be long.
+"""Divides the deadline of a workflow among its stages (paper, section 4.1; DESIGN: by estimated
+work).
+
+A stage is the set of jobs of one depth that the same later job waits for. The remaining time until
+the deadline of the last job is divided along the longest path to it; each stage gets a share in
+proportion to its longest task. A job that several last jobs wait for takes the earliest resulting
+deadline and the highest resulting urgency. The jobs are visited once in each direction, in order
+of depth and without recursion, since chains may be long.
 """
 
 from collections.abc import Collection, Mapping, Sequence
@@ -14,11 +16,11 @@
 
 
 class Link(NamedTuple):
-    """A live job that waits for others, or that others wait for."""
+    """A live job that waits for other jobs, or that other jobs wait for."""
 
     needs: Collection[str]  # not done yet, and live
-    depth: int  # longest way back, over what is done, too
-    run: timedelta  # what its stage takes when its tasks run side by side
+    depth: int  # length of the longest chain before it, completed jobs included
+    run: timedelta  # time of its longest task: all tasks of a stage run in parallel
     dues: Sequence[timedelta]  # its own deadlines from now on, the earliest first
     rank: int
     tasks: int  # not done
@@ -26,12 +28,12 @@
 
 
 class Stage(NamedTuple):
-    """What a job takes from its stage, and from those that need it."""
+    """What follows for one job from its stage and from the jobs that wait for it."""
 
-    due: timedelta | None  # from now; None: nobody's deadline can be kept by it
+    due: timedelta | None  # from now; None: no deadline can be met any more
     rank: int
     ready: int  # tasks of all jobs of the stage that could start
-    tasks: int  # and those not done, ready or not
+    tasks: int  # tasks of all jobs of the stage that are not done, ready or not
 
 
 class _Group(NamedTuple):
@@ -44,15 +46,17 @@
 
 
 def stages(links: Mapping[str, Link], optimism: float) -> tuple[dict[str, Stage], set[str]]:
-    """Stage of each job, and those that wait in a ring, which never begin."""
+    """The stage of each job, and the jobs that can never start because they wait for each other in
+    a cycle."""
     order, ring = _in_order(links)
     groups = _groups(links, order)
-    # Forward: the longest way from now to each job's end.
+    # Forward: the longest path from now to the end of each job.
     way: dict[str, timedelta] = {}
     for name in order:
         before = max((way[need] for need in links[name].needs if need in way), default=ZERO)
         way[name] = before + groups[name].run
-    # Backward: the part of its way that each second of the scarcest deadline allows.
+    # Backward: for each job the smallest ratio of available to needed time over all jobs that
+    # wait for it.
     stretch: dict[str, float] = {}
     rank: dict[str, int] = {}
     for name in reversed(order):
@@ -74,7 +78,7 @@
 
 
 def _in_order(links: Mapping[str, Link]) -> tuple[list[str], set[str]]:
-    """Jobs after all that they need."""
+    """Topological order of the jobs, and the jobs that are part of a cycle or wait for one."""
     left = {name: sum(need in links for need in link.needs) for name, link in links.items()}
     followers: dict[str, list[str]] = {}
     for name, link in links.items():
@@ -90,8 +94,9 @@
 
 
 def _groups(links: Mapping[str, Link], order: Sequence[str]) -> dict[str, _Group]:
-    """The stage of each job: those at its depth that one job needs together with it; a job in
-    several takes the largest. Each stage is summed up once, as jobs may need thousands."""
+    """The stage of each job: all jobs of its depth that the same job waits for. A job that belongs
+    to several stages takes the largest. Each stage is summed up once, since a job may wait for
+    thousands."""
     result = {
         name: _Group(1, links[name].run, links[name].ready, links[name].tasks) for name in order
     }
--- a/dappledrum/scheduling/deadlines.py
+++ b/dappledrum/scheduling/deadlines.py
@@ -1,7 +1,8 @@
-"""When a stage should be complete.
+"""Deadlines of the stages of a workflow.
 
-A job alone is a pipeline of one stage, which gets the whole deadline; how that of a longer one is
-divided is in `chains.py`. A job without a deadline takes one from the objectives of its class.
+A single job is a workflow of one stage, which gets the whole deadline; `chains.py` divides the
+deadline of longer ones. A job without a deadline of its own takes one from the objectives of its
+class.
 """
 
 from collections.abc import Sequence
@@ -14,7 +15,7 @@
 def stage_deadlines(
     objectives: Sequence[Objective], job_class: str, task_time: timedelta
 ) -> list[timedelta]:
-    """Times by which somebody expects the stage to be complete, counted from the moment when its
+    """The deadlines that the objectives set for a stage, counted from the moment at which its
     tasks may start, the earliest first."""
     limits: set[timedelta] = set()
     for objective in objectives:
@@ -30,8 +31,8 @@
 def closing_deadlines(
     objectives: Sequence[Objective], job_class: str, due: timedelta | None
 ) -> list[timedelta]:
-    """The owner's deadline, counted from the submission, and what is still worth keeping when it
-    is missed."""
+    """The owner's deadline, counted from the submission, and the later deadlines that the
+    objectives still reward."""
     if due is None:
         return []
     limits = {due}
@@ -42,5 +43,5 @@
 
 
 def next_deadline(limits: Sequence[timedelta], least: timedelta) -> timedelta | None:
-    """The first deadline that can still be kept by work that takes at least so long from now."""
+    """The first deadline that work can still meet which takes at least `least` from now."""
     return next((limit for limit in limits if limit >= least), None)
--- a/dappledrum/scheduling/draft.py
+++ b/dappledrum/scheduling/draft.py
@@ -11,7 +11,7 @@
 
 @dataclass
 class Plan:
-    """What follows from a round of planning."""
+    """The result of one round of planning."""
 
     starts: list[tuple[str, str, int]] = field(
         default_factory=list
@@ -64,23 +64,20 @@
             self.plan.starts.append((bag.id, lanes.machine, count))
 
     def likely_finish(self, bag: Bag, lanes: Lanes, gap: Gap) -> timedelta:
-        """When a task will probably finish that is planned in a gap of a machine.
+        """When a task that is planned in a gap will probably finish.
 
-        In the paper a task keeps its place in a machine's queue. Here whatever comes later and is
-        more urgent takes the room that becomes free, so a task that was put off again and again
-        always saw room in a moment, and nothing was rented for it. What has waited for some time
-        is expected to wait for that time again, unless the room is there now, or is on a machine
-        that boots.
+        In the paper a task keeps its place in the queue of a machine. Here more urgent tasks that
+        come later take capacity that becomes free. A task that was postponed again and again
+        therefore always saw capacity that seemed to be free soon, and nothing was rented for it.
+        So a task that has waited for some time is expected to wait for the same time again, unless
+        the gap begins now or the machine is still booting.
         """
         if gap.start <= self.now or lanes.booting:
             return gap.finish
         return gap.finish + bag.waited
 
     def blank(self, offer: Offer) -> Lanes:
-        """A machine that would be rented now.
-
-        Its boot is paid for, so its intervals count from now.
-        """
+        """A machine that would be rented now; its billed intervals include the boot."""
         return Lanes(
             "",
             offer.kind,
--- a/dappledrum/scheduling/estimates.py
+++ b/dappledrum/scheduling/estimates.py
@@ -1,17 +1,19 @@
-"""How long tasks take: mean plus one deviation (paper, section 4.2, equation 11).
+"""Estimates how long tasks take: mean plus one standard deviation (paper, section 4.2, equation
+11).
 
-Before any task of a job has completed, the owner's estimate stands for the mean and a quarter of
-it for the deviation (DESIGN). Owners are often wrong, and mostly in the same way for a class on a
-day, so the classes' ratio of actual to expected time is learned and blended in.
+Until a task of a job has completed, the owner's estimate is the mean and a quarter of it the
+deviation (DESIGN). Owners' estimates are often wrong, and on one day mostly by the same factor for
+all jobs of a class. So the ratio of actual to estimated time is learned for each class and blended
+in.
 """
 
 import math
 from datetime import timedelta
 
-PRIOR_WEIGHT = 3.0  # completed tasks that weigh as much as the estimate from which a job starts
+PRIOR_WEIGHT = 3.0  # completed tasks that weigh as much as the first estimate
 PRIOR_DEVIATION = 0.25
 RATIO_BOUNDS = (0.2, 5.0)
-MEMORY = 40.0  # completed tasks that a class's ratio looks back on
+MEMORY = 40.0  # completed tasks whose ratio still counts for a class
 
 
 class Sample:
@@ -32,7 +34,7 @@
         self.square += step * (value - self.mean)
 
     def fade(self, most: float) -> None:
-        """Forget the oldest, roughly."""
+        """Limit the weight of past values, so that old ones fade out."""
         if self.count > most:
             self.square *= most / self.count
             self.count = most
@@ -58,7 +60,7 @@
         self.jobs.pop(job, None)
 
     def ratio(self, job_class: str) -> float:
-        """Actual time over expected time for the class, drawn to 1 while little is known."""
+        """Actual over estimated time for the class; close to 1 while few tasks have completed."""
         seen = self.classes.get(job_class)
         if seen is None:
             return 1.0
--- a/dappledrum/scheduling/gang_placement.py
+++ b/dappledrum/scheduling/gang_placement.py
@@ -1,11 +1,11 @@
-"""Places gangs in a plan: whole now, whole at one later moment, or not at all."""
+"""Places gangs in a plan: all tasks now, all tasks at one later moment, or none."""
 
 from dappledrum.gangs.together import Gang, Room, Search
 from dappledrum.scheduling.bags import Bag
 from dappledrum.scheduling.draft import Draft
 from dappledrum.scheduling.lanes import Gap, Kind
 
-GANGS_SOUGHT = 4  # gangs for which one plan looks beyond the room of the moment
+GANGS_SOUGHT = 4  # gangs for which one plan searches more than the free capacity of now
 
 
 class GangPlacement:
@@ -16,9 +16,10 @@
         self._sought = 0  # gangs looked at closely
 
     def place(self, bag: Bag, count: int) -> None:
-        """Place a gang whole, or keep room for all of it at one later moment, or nothing."""
+        """Place all tasks of a gang at one moment, or reserve capacity for all of them at a later
+        one, or do nothing."""
         if count < bag.ready:
-            return  # the team's room grows until it suffices, as it counts as taken
+            return  # the team's limit does not allow all of it yet; what it allows is kept free
         room = self._search(bag, count)
         if room is None or room.finish > bag.due:
             self.draft.plan.late[bag.id] = count
--- a/dappledrum/scheduling/lanes.py
+++ b/dappledrum/scheduling/lanes.py
@@ -1,8 +1,8 @@
-"""Machines as the planner sees them: a profile of free resources over time.
+"""Machines as the planner sees them: free resources as a step function of time.
 
-The paper's machine runs one task at a time. Ours runs as many as fit, so a machine counts as lanes
-of the task's size, and what the paper calls the total execution time of assigned tasks is the time
-until which the machine is committed.
+The machine of the paper runs one task at a time. Here as many tasks run at once as fit, so a
+machine stands for as many of the paper's lanes as tasks of one size fit on it. The paper's total
+execution time of the assigned tasks corresponds to the time until which the machine is committed.
 """
 
 import math
@@ -12,19 +12,20 @@
 from typing import NamedTuple
 
 EPSILON = 1e-6
-SLACK = timedelta(milliseconds=500)  # overruns that differ by less are taken for equal
-MOST_FIT = 1_000  # of tasks that take nothing
+SLACK = timedelta(milliseconds=500)  # overruns that differ by less count as equal
+MOST_FIT = 1_000  # limit for tasks that need no resources
 
 
 class Size(NamedTuple):
-    """What a task takes of a machine, or what a machine has."""
+    """The resources that a task needs, or that a machine has."""
 
     cpus: float
     gpus: float
     memory_gb: float
 
     def times(self, other: "Size") -> int:
-        """How many of the other fit in here; written out, since a plan asks thousands of times."""
+        """How many tasks of the other size fit in here. Inlined by hand, since a plan calls it
+        thousands of times."""
         have_cpus, have_gpus, have_gb = self
         cpus, gpus, gb = other
         result = MOST_FIT
@@ -43,7 +44,7 @@
         return result
 
     def minus(self, other: "Size", count: int = 1) -> "Size":
-        """What is left."""
+        """What is left after taking away `count` times the other size."""
         return Size(
             self.cpus - other.cpus * count,
             self.gpus - other.gpus * count,
@@ -51,12 +52,12 @@
         )
 
     def plus(self, other: "Size") -> "Size":
-        """Both together."""
+        """The sum of both sizes."""
         return self.minus(other, -1)
 
 
 class Kind(NamedTuple):
-    """A candidate to rent: machine type, zone, and spot or ordinary."""
+    """What can be rented: a machine type in a zone, as a spot or an ordinary machine."""
 
     type: str
     zone: str
@@ -77,7 +78,7 @@
 
 
 class Gap(NamedTuple):
-    """Room on a machine: from when, for how many tasks, and until when they would run."""
+    """Free capacity on a machine: its start, how many tasks fit, and when they would finish."""
 
     start: timedelta
     count: int
@@ -90,14 +91,14 @@
 
 
 class FetchTimes:
-    """How long machines take to fetch one image, by their rate."""
+    """How long machines take to fetch one image, cached by their transfer rate."""
 
     def __init__(self, image_gb: float) -> None:
         self.image_gb = image_gb
         self._times: dict[float, timedelta] = {}
 
     def time(self, gb_per_s: float) -> timedelta:
-        """The fetch at one rate."""
+        """The fetch time at one transfer rate."""
         found = self._times.get(gb_per_s)
         if found is None:
             found = self._times[gb_per_s] = fetch_time(self.image_gb, gb_per_s)
@@ -105,7 +106,7 @@
 
 
 class Lanes:
-    """One machine's free resources over time."""
+    """The free resources of one machine over time."""
 
     def __init__(
         self,
@@ -135,13 +136,13 @@
         self.until = until
         self.booting = booting
         self.committed = ready_at
-        self.images: dict[str, timedelta] = {}  # when each image is there
+        self.images: dict[str, timedelta] = {}  # when each image will be on the machine
         self.planned = 0
         self.index = 0  # among the machines of a plan
         self.interval_s = interval.total_seconds()
-        self._first: dict[Size, int] = {}  # index of the first step with room, for each size asked
+        self._first: dict[Size, int] = {}  # index of the first step in which a size fits
         self._billed: timedelta | None = None
-        self._paid = 0  # intervals until then
+        self._paid = 0  # number of billed intervals until `_billed`
 
     def copy(self) -> "Lanes":
         """An independent copy to try things on."""
@@ -154,7 +155,7 @@
         return other
 
     def first(self, size: Size) -> timedelta:
-        """The first moment with room for a task of this size, however short that room lasts."""
+        """The first moment at which a task of this size fits, for however short a time."""
         return self.times[self._first_step(size)]
 
     def _first_step(self, size: Size) -> int:
@@ -170,15 +171,15 @@
         return index
 
     def duration(self, run: timedelta, image: str, image_gb: float, start: timedelta) -> timedelta:
-        """The estimate Q of a task that starts here then: its run time, and what is left of the
-        image's fetch."""
+        """The estimate Q of a task that starts at this moment: its run time and what is left of
+        the fetch of its image."""
         at = self.images.get(image)
         if at is None:
             return run + fetch_time(image_gb, self.fetch_gb_per_s)
         return run + max(at - start, timedelta(0))
 
     def earliest(self, size: Size, run: timedelta, image: str, image_gb: float) -> Gap | None:
-        """The earliest room for a task."""
+        """The earliest gap in which a task can run to its end; None if there is none."""
         times, free = self.times, self.free
         last = len(times) - 1
         cpus, gpus, gb = size.cpus - EPSILON, size.gpus - EPSILON, size.memory_gb - EPSILON
@@ -201,7 +202,7 @@
         return None
 
     def _cut(self, at: timedelta) -> int:
-        """Index of the step that begins at this time, made if need be."""
+        """Index of the step that begins at this time; the step is created if necessary."""
         index = bisect_left(self.times, at)
         if index == len(self.times) or self.times[index] != at:
             self.times.insert(index, at)
@@ -209,7 +210,7 @@
         return index
 
     def reserve(self, start: timedelta, finish: timedelta, size: Size, count: int = 1) -> None:
-        """Take room for some tasks of the same size."""
+        """Reserve resources for some tasks of the same size."""
         first = self._cut(start)
         last = self._cut(finish)
         for index in range(first, last):
@@ -220,24 +221,24 @@
             self._billed = None
 
     def expect(self, image: str, image_gb: float, start: timedelta) -> None:
-        """An image will be fetched for a task that starts then."""
+        """Note that an image will be fetched for a task that starts at this moment."""
         if image not in self.images:
             self.images[image] = start + fetch_time(image_gb, self.fetch_gb_per_s)
 
     def intervals(self, until: timedelta) -> int:
-        """Billed intervals from the rental until then."""
+        """Number of billed intervals from the rental until this moment."""
         return max(1, math.ceil((until - self.rented_at) / self.interval - 1e-9))
 
     def billed_until(self) -> timedelta:
-        """End of the last interval that the machine is committed to."""
+        """End of the last billed interval that the committed work needs."""
         if self._billed is None:
             self._paid = self.intervals(self.committed)
             self._billed = self.rented_at + self._paid * self.interval
         return self._billed
 
     def added_cost(self, finish: timedelta, fresh: bool) -> float:
-        """Price of the intervals that a task until then would add; a machine not rented yet adds
-        all of its own."""
+        """Price of the billed intervals that a task which ends at `finish` would add; for a
+        machine that is not rented yet (`fresh`), of all its intervals."""
         if finish <= self.billed_until():
             more = self._paid if fresh else 0
         else:
--- a/dappledrum/scheduling/paid_time.py
+++ b/dappledrum/scheduling/paid_time.py
@@ -1,4 +1,4 @@
-"""Algorithm 1 (BDS): puts tasks into time of machines that is paid for anyway."""
+"""Algorithm 1 (BDS): places tasks in machine time that is paid for anyway."""
 
 from collections.abc import Sequence
 from datetime import timedelta
@@ -16,18 +16,19 @@
 
 
 class PaidTime:
-    """Places tasks on the machines of a draft without adding to their billed intervals."""
+    """Places tasks on the machines of a draft without adding billed intervals."""
 
     def __init__(self, draft: Draft) -> None:
         self.draft = draft
 
     def fill(self, bag: Bag, count: int, zones: set[str] | None, cheap: bool = False) -> int:
-        """The earliest finish among lanes whose billed intervals stay the same; returns how many
-        tasks were placed.
+        """Place up to `count` tasks, each where it finishes earliest without adding a billed
+        interval; returns how many were placed.
 
-        Machines are taken up in the order in which they have room, and looked at closely only
-        when no other can be better: a plan for hundreds of machines would otherwise compare each
-        of them for each placement. `cheap`: on spot machines only, and only what is in time there.
+        A plan for hundreds of machines can't compare all of them for each placement. Machines are
+        added to the heap in the order in which they have free capacity, with a bound on the
+        finish, and examined closely only when no other can be better. With `cheap`, only spot
+        machines are used, and only if the task starts now and meets its deadline.
         """
         fetch = FetchTimes(bag.image_gb)
         rest = self._rows(bag, zones, cheap)
@@ -67,7 +68,8 @@
     def _rows(
         self, bag: Bag, zones: set[str] | None, cheap: bool
     ) -> list[tuple[Sequence[Row], int]]:
-        """The machines of each kind that the bag may use, and the first of them to look at."""
+        """The machines of each kind that the bag may use, and the index of the first one to look
+        at."""
         rooms = self.draft.rooms
         return [
             (tuple(rooms.order(kind, bag.size)), 0)
@@ -86,10 +88,11 @@
         heap: list[_Candidate],
         fetch: FetchTimes,
     ) -> int:
-        """Take up machines of one kind from row `at` on, until another candidate in the heap may
-        be the better one; returns the next row, or the number of rows when no other can do.
+        """Add machines of one kind to the heap, from row `at` on, until another candidate may be
+        better. Returns the next row, or the number of rows when no other machine of the kind is
+        usable.
 
-        Written out like `KindTrial._bounds`: most machines that it meets can't do.
+        Inlined by hand like `KindTrial._bounds`: most machines that it looks at are not usable.
         """
         now, run, due, image = self.draft.now, bag.run, bag.due, bag.image
         waited = ZERO if cheap else bag.waited
@@ -125,11 +128,11 @@
         return len(rows)
 
     def _fits(self, bag: Bag, lanes: Lanes, gap: Gap, cheap: bool) -> bool:
-        """Whether Algorithm 1 may use this room.
+        """Whether Algorithm 1 may use this gap.
 
-        The paper's rule has no eye on deadlines, and would queue a task on a paid lane until long
-        after its own: a task that would both wait and be late is left to Algorithm 2, which can
-        rent.
+        The rule of the paper ignores deadlines and would queue a task on a paid machine until long
+        after its own deadline. A task that would both wait and be late is left to Algorithm 2,
+        which can rent a machine.
         """
         now = self.draft.now
         if cheap and (gap.start > now or gap.finish > bag.due):
--- a/dappledrum/scheduling/plan.py
+++ b/dappledrum/scheduling/plan.py
@@ -1,9 +1,9 @@
-"""The paper's DDS (Algorithm 3) on the machines at hand and those that could be rented.
+"""DDS (paper, Algorithm 3) over the rented machines and those that could be rented.
 
-A plan is made afresh at each wake from what is known then: Algorithm 1 (BDS) puts tasks into room
-that is paid for anyway, Algorithm 2 (SIR) spreads the rest over machines of a single type, rented
-anew where that is cheapest in time. What starts now is started; the rest only shows which machines
-are needed.
+Each planning round makes a new plan from the present state. Algorithm 1 (BDS) places tasks in time
+that is paid for anyway; Algorithm 2 (SIR) distributes the rest over machines of a single kind,
+rented anew where that is best. Tasks that the plan starts now are started; later starts only show
+which machines are needed.
 """
 
 from collections.abc import Collection, Iterator, Sequence
@@ -43,31 +43,32 @@
         return self.draft.examined
 
     def run(self, bags: Sequence[Bag]) -> Plan:
-        """Algorithm 3, at one go."""
+        """Run Algorithm 3 to its end."""
         for _ in self.steps(bags):
             pass
         return self.plan
 
     def steps(self, bags: Sequence[Bag]) -> Iterator[None]:
-        """Algorithm 3, bag by bag, so that whoever runs it can see to other things in between."""
+        """Run Algorithm 3 one bag at a time, so that the caller can do other work in between."""
         yield from self.fill(bags)
         yield from self.rent()
 
     def fill(self, bags: Sequence[Bag]) -> Iterator[None]:
-        """The first half: room that is paid for anyway; what finds none stays in `left`."""
+        """First half: place tasks in time that is paid for anyway; bags with tasks that remain go
+        to `left`."""
         for bag in sorted(bags, key=lambda b: (b.rank, -b.run, b.id)):
             count = self.team_room.count(bag)
             if count <= 0:
                 continue
-            # also for what only waits: nobody else may count on it
+            # Tasks that only wait are counted, too, so that no other bag uses their share.
             self.team_room.take(bag, count)
             zones = self._zones(bag, count)
             if bag.gang:
                 self._gangs.place(bag, count)
                 yield
                 continue
-            # Room that is paid for costs nothing more on paper; by the second, what an ordinary
-            # machine does not do lets it go back. So spot room goes first while it is in time.
+            # Spot machines first, as long as they meet the deadline: work that an ordinary machine
+            # does not get lets it go idle, so that it can be returned.
             placed = self._paid_time.fill(bag, count, zones, cheap=True)
             if placed < count:
                 placed += self._paid_time.fill(bag, count - placed, zones)
@@ -76,8 +77,8 @@
             yield
 
     def rent(self, first: Collection[str] = ()) -> Iterator[None]:
-        """The second half: machines that could be rented for what is left; `first`: bags that
-        come before all others. It may be given up after any step."""
+        """Second half: rent machines for the bags in `left`, those in `first` before all others.
+        The caller may stop after any step."""
         self.left.sort(
             key=lambda item: (item[0].id not in first, item[0].rank, -(item[0].run * item[1]))
         )
@@ -86,7 +87,7 @@
             yield
 
     def _passes(self, bag: Bag) -> bool:
-        """The delay rule: rent once enough of the stage is ready, or all that is left of it."""
+        """The delay rule: rent once enough of the stage is ready, or all that remains of it."""
         ready = bag.ready + bag.beside
         return bag.unready == 0 or ready / max(1, bag.total) > self.ready_share
 
--- a/dappledrum/scheduling/preempt.py
+++ b/dappledrum/scheduling/preempt.py
@@ -1,8 +1,7 @@
-"""Which running tasks have to go so that others, which the protocol lets go before them, can start
-in time.
+"""Chooses running tasks to stop so that more urgent tasks can start in time.
 
-The paper never preempts (3.3, assumption 3); the protocol's guarantees and priorities make it
-necessary.
+The paper never preempts (3.3, assumption 3); the guarantees and priorities of the protocol require
+it.
 """
 
 from collections.abc import Hashable, Sequence
@@ -17,11 +16,11 @@
 
     key: Hashable
     size: Size
-    lost: timedelta  # work that stopping it would waste
+    lost: timedelta  # work that is lost if it is stopped
 
 
 class Host(NamedTuple):
-    """A machine with its free room and what may be stopped there."""
+    """A machine with its free resources and the tasks that may be stopped there."""
 
     name: str
     free: Size
@@ -29,11 +28,11 @@
 
 
 def choose(need: Size, count: int, hosts: Sequence[Host], whole: bool = False) -> list[Hashable]:
-    """Victims that make room for so many tasks, each time on the machine where least work is
-    wasted.
+    """Victims to stop so that `count` tasks of size `need` fit, each time on the machine where the
+    least work is lost.
 
-    What is stopped for one task and leaves more room than needed serves the next ones, too.
-    `whole`: for all of them, or nothing is stopped.
+    Resources that a stopped task frees beyond what one task needs are used for the next ones. With
+    `whole`, room is made for all `count` tasks or nothing is stopped.
     """
     result: list[Hashable] = []
     state = {host.name: (host.free, sorted(host.victims, key=lambda v: v.lost)) for host in hosts}
--- a/dappledrum/scheduling/renting.py
+++ b/dappledrum/scheduling/renting.py
@@ -1,5 +1,5 @@
-"""Algorithm 2 (SIR): spreads what is left of a bag over machines of a single kind, some of them
-rented anew."""
+"""Algorithm 2 (SIR): distributes the remaining tasks of a bag over machines of a single kind, some
+of them newly rented."""
 
 from bisect import bisect_right
 from collections.abc import Sequence
@@ -13,9 +13,9 @@
 from dappledrum.scheduling.rooms import Row
 from dappledrum.timing.clock import ZERO
 
-# tasks of one bag that one plan spreads over rented machines; the others wait for the next wake
+# tasks of one bag that one plan distributes; the others wait for the next plan
 TRIED = 160
-AHEAD = 16  # machines looked at together: more than needed, but none is taken up before its turn
+AHEAD = 16  # machines whose bounds are computed together
 
 #: Order of the machines; the last item is unique, so nothing behind it is compared.
 _Score = tuple[int, float, float, bool, int]
@@ -25,13 +25,13 @@
 
 
 class Renting:
-    """Decides for which machines a draft's tasks wait, and which are rented."""
+    """Decides which machines the remaining tasks of a draft wait for, and which are rented."""
 
     def __init__(self, draft: Draft) -> None:
         self.draft = draft
 
     def rent(self, bag: Bag, count: int) -> None:
-        """The single kind with the least worst overrun, then the least added cost."""
+        """Choose the kind of machine with the least worst overrun, then the least added cost."""
         tried = min(count, TRIED)
         trial = self._best_trial(bag, tried)
         if trial is None:
@@ -75,7 +75,7 @@
             offer.most -= len(rented)
 
     def _place(self, bag: Bag, trial: "KindTrial") -> None:
-        """Take the steps of a trial; on a machine it has rented its tasks are reserved already."""
+        """Apply the steps of a trial; tasks on machines that it rents are reserved already."""
         for step in trial.steps:
             if step.rented:
                 self.draft.take_zone_room(bag, step.lanes.kind.zone, step.count)
@@ -103,7 +103,7 @@
 
 
 class KindTrial:
-    """The tasks of one bag spread over machines of one kind, without changing the draft."""
+    """The tasks of one bag distributed over machines of one kind, without changing the draft."""
 
     def __init__(
         self, draft: Draft, bag: Bag, kind: Kind, order: int, best: _Outcome | None
@@ -130,9 +130,11 @@
         self._blank_score: _Score | None = None
 
     def run(self, count: int) -> bool:
-        """Take the cheapest lane in time, else the earliest finish, until all tasks are placed.
+        """Place tasks one gap at a time: on the cheapest machine that meets the deadline, else
+        where they finish earliest.
 
-        False: it can't become better than the best so far, as overrun and cost only grow.
+        Returns False as soon as the trial can't beat the best kind so far; overrun and cost only
+        grow.
         """
         if self.best is not None and self.outcome(0) > self.best:
             return False
@@ -157,8 +159,8 @@
         return True
 
     def outcome(self, left_over: int) -> _Outcome:
-        """Tasks left over, worst overrun in steps of what counts as a difference, added cost, and
-        the kind's place."""
+        """Tasks left over, worst overrun (rounded to differences that matter), added cost, and the
+        position of the kind."""
         overrun = SLACK * round(max(self._overrun, ZERO) / SLACK)
         return left_over, overrun, self._cost, self.order
 
@@ -171,14 +173,15 @@
         )
 
     def _list_machines(self) -> None:
-        """In time, any machine may be the cheapest; too late, the first with room comes first."""
+        """Among machines that meet the deadline any may be the cheapest; of the others the first
+        with free capacity comes first."""
         self._rows = self.draft.rooms.order(self.kind, self.bag.size)
         self._next_row = bisect_right(self._rows, self.bag.due - self.bag.run, key=_moment)
         self._heap = self._bounds(self._rows[: self._next_row])
         heapify(self._heap)
 
     def _look_at_offer(self) -> None:
-        """What a machine rented now would be worth."""
+        """Work out the score of a machine that is rented now."""
         bag, kind = self.bag, self.kind
         if bag.thrifty and not kind.spot and bag.allowed(kind._replace(spot=True)):
             return
@@ -192,7 +195,7 @@
             self._blank_score = self._score(blank, self._blank_gap, self._following, unrented=True)
 
     def _take_up_machines(self) -> None:
-        """Take up the machines that may be better than the best candidate."""
+        """Add the machines to the heap that may be better than the best candidate."""
         heap, rows = self._heap, self._rows
         while self._next_row < len(rows):
             finish = rows[self._next_row][0] + self.bag.run
@@ -208,7 +211,7 @@
         return not self._heap or self._blank_score < self._heap[0][0]
 
     def _rent_one(self) -> _Choice:
-        """One more machine of the offer, now the best candidate."""
+        """Rent one more machine of the offer, which is the best candidate."""
         assert self._offer is not None
         assert self._blank_gap is not None
         assert self._blank_score is not None
@@ -222,7 +225,8 @@
         return _Choice(lanes, lanes, gap, index, True)
 
     def _first_choice(self) -> _Choice | None:
-        """The best candidate; None if only a bound of it was known, which its room replaces."""
+        """The best candidate. None if only its bound was known; its real gap then replaces the
+        bound."""
         score, target, gap = self._heap[0]
         index = score[-1]
         rented = index >= self._following
@@ -236,7 +240,7 @@
         return _Choice(lanes, target, gap, index, rented)
 
     def _place(self, choice: _Choice, number: int) -> None:
-        """Reserve the room for some tasks, and take it into the outcome."""
+        """Reserve a gap for some tasks, and add them to the outcome."""
         lanes, gap, bag = choice.lanes, choice.gap, self.bag
         overrun = self.draft.likely_finish(bag, lanes, gap) - bag.due
         self._overrun = max(self._overrun, overrun)
@@ -247,11 +251,11 @@
         lanes.planned += number
 
     def _bounds(self, rows: Sequence[Row]) -> list[_Candidate]:
-        """Machines with what they could be worth at best: a bound, from a start and a finish that
-        no task of this size can beat there.
+        """Machines with a bound on their score, computed from a start and a finish that no task of
+        this size can beat there.
 
-        Written out, since a plan does this for every machine of a kind and every bag that is left
-        over: nine tenths of what a leader of hundreds of machines works at.
+        Inlined by hand: a plan does this for every machine of a kind and every remaining bag, and
+        a leader of hundreds of machines spent nine tenths of its time here.
         """
         bag, now, fetch = self.bag, self.draft.now, self._fetch
         run, due, image, waited = bag.run, bag.due, bag.image, bag.waited
@@ -279,7 +283,7 @@
         return result
 
     def _replace_first(self, lanes: Lanes, target: Lanes, index: int) -> None:
-        """Replace the machine on top of the heap by its next room."""
+        """Replace the machine on top of the heap by its next gap."""
         bag = self.bag
         gap = lanes.earliest(bag.size, bag.run, bag.image, bag.image_gb)
         self.draft.examined += 1
@@ -289,10 +293,11 @@
             heapreplace(self._heap, (self._score(lanes, gap, index), target, gap))
 
     def _score(self, lanes: Lanes, gap: Gap, index: int, unrented: bool = False) -> _Score:
-        """In time: by cost, then age of the rental.
+        """Order of a gap among the candidates: if the deadline is met, by cost, then age of the
+        rental; if not, by finish, then cost.
 
-        Too late: by finish, then cost. Never better for a later finish, so a bound on the finish
-        gives a bound on the score.
+        A later finish never gives a better score, so a bound on the finish gives a bound on the
+        score.
         """
         cost = lanes.added_cost(gap.finish, fresh=unrented)
         likely = self.draft.likely_finish(self.bag, lanes, gap)
--- a/dappledrum/scheduling/rooms.py
+++ b/dappledrum/scheduling/rooms.py
@@ -1,8 +1,8 @@
-"""All machines of a plan, by kind and in the order in which they have room.
+"""Index of the machines of a plan, by kind and by the first moment with free capacity.
 
-A plan for hundreds of busy machines and dozens of bags can't afford to look at each machine for
-each bag. What a bag wants is nearly always among the machines that have room first, so those are
-kept in order, for each size of task that is asked for.
+A plan covers hundreds of busy machines and dozens of bags, so it can't look at each machine for
+each bag. A bag nearly always uses the machines whose capacity is free first; the index keeps them
+in that order for each task size that was asked for.
 """
 
 from bisect import bisect_left, insort
@@ -11,11 +11,11 @@
 
 from dappledrum.scheduling.lanes import Gap, Kind, Lanes, Size
 
-Row = tuple[timedelta, int]  # first moment with room, and which machine
+Row = tuple[timedelta, int]  # first moment with free capacity, index of the machine
 
 
 class Rooms:
-    """The machines that a plan has, those included that it rents."""
+    """The machines of a plan, including those that the plan rents."""
 
     def __init__(self, lanes: Iterable[Lanes]) -> None:
         self.lanes: list[Lanes] = []
@@ -25,7 +25,7 @@
             self.add(one)
 
     def add(self, lanes: Lanes) -> None:
-        """One more machine."""
+        """Add a machine."""
         lanes.index = len(self.lanes)
         self.lanes.append(lanes)
         self.by_kind.setdefault(lanes.kind, []).append(lanes.index)
@@ -33,7 +33,8 @@
             insort(rows, (lanes.first(size), lanes.index))
 
     def order(self, kind: Kind, size: Size) -> Sequence[Row]:
-        """Machines of a kind by their first room for a task of this size; changed by `reserve`."""
+        """Machines of a kind, ordered by the first moment at which a task of this size fits;
+        `reserve` keeps the returned list up to date."""
         orders = self._orders.setdefault(kind, {})
         rows = orders.get(size)
         if rows is None:
@@ -43,7 +44,7 @@
         return rows
 
     def reserve(self, lanes: Lanes, gap: Gap, size: Size, count: int) -> None:
-        """Take room on a machine, and keep the order."""
+        """Reserve a gap of a machine for some tasks, and keep the order up to date."""
         orders = self._orders.get(lanes.kind, {})
         before = [lanes.first(asked) for asked in orders]
         lanes.reserve(gap.start, gap.finish, size, count)
