--- a/dappledrum/dispatch/__init__.py
+++ b/dappledrum/dispatch/__init__.py
@@ -1,1 +1,1 @@
-"""From records to the planner, and from its plan to placements, rentals and returns."""
+"""Turns stored jobs into input of the planner, and plans into placements, rentals and returns."""
--- a/dappledrum/dispatch/dispatcher.py
+++ b/dappledrum/dispatch/dispatcher.py
@@ -1,4 +1,4 @@
-"""One wake of the rule: what is there is planned, and what the plan says is done."""
+"""One planning round: makes a plan from the present state and carries it out."""
 
 import asyncio
 from collections.abc import Callable, Iterator
@@ -17,14 +17,14 @@
 from dappledrum.timing.clock import Clock
 from dappledrum.workers.roster import Roster
 
-TURN = timedelta(milliseconds=15)  # of planning, before others get theirs
+TURN = timedelta(milliseconds=15)  # planning time before the event loop runs other tasks
 IDLE_EVERY = timedelta(seconds=3)
-#: One plan takes no longer; what it has not come to by then comes first in the next one.
+#: Time limit of one plan; bags it has not reached by then come first in the next one.
 PLAN_MOST = timedelta(milliseconds=700)
 
 
 class Dispatcher:
-    """Plans, and does what the plan says."""
+    """Makes plans and carries them out."""
 
     def __init__(
         self,
@@ -49,23 +49,22 @@
         self.preemption = Preemption(roster, keeper, params)
         self.savings = Savings(jobs, roster, self.machines, keeper, params)
         self.idle_at = -IDLE_EVERY
-        self.put_off: set[str] = set()  # bags that the newest plan did not come to
+        self.put_off: set[str] = set()  # bags that the newest plan did not reach
         self.calm = False  # the newest plan had nothing late and rented nothing
 
     async def run(self) -> Plan:
-        """One wake of the rule.
+        """Make one plan and carry it out.
 
-        A plan for hundreds of machines takes a good part of a second, so the event loop gets its
-        turn in between, and what starts is placed as soon as it is decided. Most of that time goes
-        into what could be rented for the rest (Algorithm 2), which is bounded: a plan that goes on
-        for long holds up starts that only the next one sees.
+        A plan for hundreds of machines takes a good part of a second, so the event loop runs other
+        tasks in between, and each start is placed as soon as it is decided. Most of the time is
+        spent on renting (Algorithm 2). That part is bounded, because a long plan delays the starts
+        that only the next plan can see.
         """
         now = self.clock.now()
         self.machines.refresh()
         self.work.refresh()
         lanes = self.machines.lanes(now)
-        # Not with every plan: looking for room for thousands of idle tasks costs as much as all
-        # others together.
+        # Not with every plan: thousands of idle tasks cost as much as all others together.
         due = now - self.idle_at >= IDLE_EVERY
         self.idle_at = now if due else self.idle_at
         bags = self.work.bags(now, self.machines.idle_room(lanes, self.calm) if due else 0.0)
@@ -88,21 +87,21 @@
         self.calm = not plan.late and not plan.rentals and not self.put_off
         needed = plan.needed
         if self.put_off:
-            # Nobody has asked yet what these need: what they were counted on stays.
+            # What the postponed bags need is not known yet, so no needed machine is dropped.
             needed = needed | self.keeper.needed
         else:
             self.savings.release_from_idle(plan, now, yielding)
             if self.keeper.listed:
                 self.savings.cheapen(plan, lanes)
-        # Before the first list nobody knows what a predecessor has rented.
+        # Before the first list it is not known what the predecessor has rented.
         self.keeper.order(plan.rentals if self.keeper.listed else {}, needed, now)
         return plan
 
     async def _step(
         self, steps: Iterator[None], plan: Plan, until: timedelta | None = None
     ) -> None:
-        """Take the steps of a plan, by turns with everything else, until that moment at the
-        latest; place what they start."""
+        """Take the steps of a plan and place what they start. Yields to the event loop now and
+        then; stops at `until`."""
         turn = self.clock.now()
         placed = len(plan.starts)
         for _ in steps:
--- a/dappledrum/dispatch/machines.py
+++ b/dappledrum/dispatch/machines.py
@@ -1,4 +1,4 @@
-"""Machines as the planner sees them: lanes of those that are there or come, and kinds to rent."""
+"""Machines as input of the planner: those that are rented, and the kinds that can be rented."""
 
 from datetime import timedelta
 
@@ -12,12 +12,12 @@
 from dappledrum.workers.roster import Machine, Roster
 
 LONG = timedelta(days=1)  # services run until they are cancelled
-IDLE_SPARED = 0.25  # share of the spot machines that idle work leaves free
-IDLE_RENTED = 0.05  # share of the fleet that may be rented for it by one plan in calm times
+IDLE_SPARED = 0.25  # share of the spot machines that idle jobs leave free
+IDLE_RENTED = 0.05  # share of the fleet that one plan may rent for them while nothing is late
 
 
 class Machines:
-    """The fleet's room, now and later."""
+    """The capacity of the fleet, now and later."""
 
     def __init__(
         self,
@@ -36,11 +36,11 @@
         self.clock = clock
         self.sizes: set[Size] = set()  # of the tasks of live jobs
         self.awake_since = ZERO
-        self.one_sided = False  # this controller is not heard, so no machine is deaf
+        self.one_sided = False  # most machines get no answers: the fault is on this side
         self._moments: dict[str, tuple[timedelta, timedelta]] = {}  # for one plan
 
     def refresh(self) -> None:
-        """Work out anew what the lanes of a plan rest on."""
+        """Compute what all machines of one plan have in common."""
         self.awake_since = self.keeper.awake_since()
         self.one_sided = self.roster.one_sided()
         self.sizes = {
@@ -49,12 +49,13 @@
         self._moments = {}
 
     def lanes(self, now: timedelta) -> list[Lanes]:
-        """One for each machine that new work may use, now or later."""
+        """One entry for each machine that new work may use, now or later."""
         return [view for machine in self.roster if (view := self._lanes(machine, now)) is not None]
 
     def may_wait(self, machine: Machine, span: timedelta) -> bool:
-        """Whether a busy machine has room for more, and none of its tasks is expected to end in
-        this time: the report of an end would wait for the answer to the report before."""
+        """Whether the answer to a busy machine may be held back for this time. It has free
+        capacity, and none of its tasks is expected to end meanwhile: the report of that end would
+        have to wait for the answer to this report."""
         model = self.keeper.types.get(machine.kind.type) if machine.kind is not None else None
         if model is None or not machine.usable or machine.recall_at is not None:
             return False
@@ -73,12 +74,12 @@
         return any(free.times(size) for size in self.sizes)
 
     def available(self) -> list[str]:
-        """Machines that new work may use at this moment, for the account."""
+        """Machines that new work may use at this moment, for the accounts."""
         now = self.clock.now()
         return [m.name for m in self.roster if m.up and self._takes_work(m, now)]
 
     def _takes_work(self, machine: Machine, now: timedelta) -> bool:
-        """Whether something new may be put on a machine, now or when it is up."""
+        """Whether new work may be placed on a machine, now or once it is up."""
         if not machine.usable:
             return False
         if machine.rumour or (machine.hearing.deaf and not self.one_sided):
@@ -125,7 +126,7 @@
         return lanes
 
     def _finish(self, placement: Placement, lanes: Lanes, now: timedelta) -> timedelta:
-        """When a task that is on a machine is expected to be off it."""
+        """When a task that is placed on a machine is expected to end there."""
         job = placement.page.job
         if placement.lost or job.cancelled:
             return now + self.params.workers.report * 2
@@ -143,10 +144,10 @@
         return now + max(left, deviation / 2, timedelta(seconds=1))
 
     def idle_room(self, lanes: list[Lanes], calm: bool) -> float:
-        """CPUs that work may take in this plan which nobody expects by any time: what is free on
-        machines that are paid for anyway, less some for what comes unexpected; and in calm times a
-        few machines more. It runs for minutes, so it would fit into no billed interval, and
-        planned afresh with a far deadline it would be put off for ever."""
+        """CPUs that jobs without any deadline may take in this plan: what is free on machines that
+        are paid for anyway, less a reserve for work that may come; and a few machines more while
+        nothing is late. Such jobs run for minutes, so they would fit into no billed interval, and
+        with a distant deadline they would be postponed for ever."""
         up = [view for view in lanes if not view.booting]
         total = free = 0.0
         for view in up:
@@ -159,7 +160,7 @@
         return max(0.0, free - IDLE_SPARED * total) + more
 
     def offers(self) -> list[Offer]:
-        """Kinds that may be asked for now."""
+        """The kinds of machines that can be rented now."""
         result = []
         for model in self.keeper.types.values():
             for zone in model.zones:
--- a/dappledrum/dispatch/placing.py
+++ b/dappledrum/dispatch/placing.py
@@ -1,4 +1,4 @@
-"""What a plan starts, counted as on its machine before anybody is told."""
+"""Places the tasks that a plan starts; a placement counts before its worker is told."""
 
 import logging
 from collections.abc import Callable
@@ -13,11 +13,11 @@
 
 log = logging.getLogger(__name__)
 
-RECORDS_AHEAD = 1.0  # seconds' worth of changes that starts of low urgency may queue up
+RECORDS_AHEAD = 1.0  # seconds of writing that starts of low urgency may queue up
 
 
 class Placing:
-    """Places tasks; their records are written next."""
+    """Places tasks; their records are written afterwards, and only then workers are told."""
 
     def __init__(
         self,
@@ -51,8 +51,8 @@
             self._place_whole(self.jobs[bag], shares)
 
     def _place_whole(self, job: Job, shares: list[tuple[str, int]]) -> None:
-        """Place all tasks of a gang, or none: nothing of it is written before this is over, as
-        nobody else gets a turn meanwhile."""
+        """Place all tasks of a gang, or none. Nothing of it is written in between, because the
+        event loop runs nothing else meanwhile."""
         if job.on_machines() or sum(count for _, count in shares) < job.waiting():
             return
         # Workers run a gang once all of one attempt are there, so its members share the number.
@@ -68,7 +68,7 @@
             placement.page.remove(placement.task)
 
     def _place_some(self, bag: str, name: str, count: int) -> None:
-        """Place tasks of a bag, which may be those of several jobs."""
+        """Place tasks of a bag, which may belong to several jobs."""
         members = self.work.members.get(bag)
         if members is None:
             self._place(bag, name, count)
@@ -79,8 +79,8 @@
                 members.pop(0)
 
     def _place(self, job_id: str, name: str, count: int, attempt: int | None = None) -> int:
-        """Count tasks as on a machine, if both are still as they were when the plan began;
-        returns how many."""
+        """Place tasks of a job on a machine, if both are still as they were when the plan began;
+        returns how many were placed."""
         job = self.jobs.get(job_id)
         machine = self.roster.get(name)
         if machine is None or machine.kind is None or not machine.usable:
@@ -88,7 +88,7 @@
         if job is None or job.cancelled or job.over or job.unmet:
             return 0
         if job.rank >= RANKS[Priority.LOW] and self._records_late():
-            return 0  # room held for a start that can't be recorded yet is room lost
+            return 0  # capacity held for a start that can't be recorded yet is wasted
         asked = count
         today = self.clock.today()
         limit = self.page_bytes
@@ -110,5 +110,5 @@
         return asked - count
 
     def _records_late(self) -> bool:
-        """More starts wait for their records than the rate of changes takes in a moment."""
+        """Whether more starts wait to be recorded than can be written in a short time."""
         return self.backlog() > max(8.0, self.params.state.write_rps * RECORDS_AHEAD)
--- a/dappledrum/dispatch/preemption.py
+++ b/dappledrum/dispatch/preemption.py
@@ -1,4 +1,4 @@
-"""Work that is stopped for more urgent work, as far as the protocol allows."""
+"""Stops running tasks for more urgent ones, as far as the protocol allows."""
 
 import logging
 from datetime import timedelta
@@ -16,11 +16,11 @@
 
 log = logging.getLogger(__name__)
 
-MOST_STOPPED = 16  # tasks of one job that one plan makes room for
+MOST_STOPPED = 16  # tasks of one job for which one plan stops others
 
 
 class Preemption:
-    """Makes room for what would be late."""
+    """Frees capacity for tasks that would be late."""
 
     def __init__(self, roster: Roster, keeper: Keeper, params: Params) -> None:
         self.roster = roster
@@ -36,14 +36,15 @@
         guaranteed: set[str],
         yielding: set[str],
     ) -> None:
-        """Make room for what would be late: a team's guarantee against borrowers, `prod`
-        against lower urgency; `yielding` jobs lose nothing by it."""
+        """Stop tasks so that late ones can start: for jobs within their team's guarantee those
+        beyond theirs, for `prod` jobs those of lower urgency. `yielding` jobs may always be
+        stopped, as they lose no work."""
         # High urgency may stop lower work, too, but what it gained the stopped work lost twice;
         # unless the work keeps its progress, and nobody waits for it.
         gentle = job.id not in guaranteed and job.rank != RANKS[Priority.PRODUCTION]
         if gentle and not yielding:
             return
-        # Stopping takes a report to be told, and one to be seen.
+        # A stop takes one report to be sent, and one more to be confirmed.
         if now + self.params.workers.report * 2 + bag.run > bag.due and job.id not in guaranteed:
             return
         hosts = []
@@ -84,7 +85,7 @@
 
     @staticmethod
     def _yields(other: Job, job: Job, guaranteed: set[str]) -> bool:
-        """Whether the protocol lets a task of the one job be stopped for the other."""
+        """Whether the protocol allows a task of the one job to be stopped for the other."""
         if other.id in guaranteed and job.id not in guaranteed:
             return False
         if other.rank > job.rank:
--- a/dappledrum/dispatch/savings.py
+++ b/dappledrum/dispatch/savings.py
@@ -1,4 +1,4 @@
-"""Cheaper machines for what runs, and dear ones that only idle work holds."""
+"""Replaces ordinary machines by spot machines, and returns those that only idle jobs use."""
 
 import logging
 import math
@@ -16,12 +16,12 @@
 
 log = logging.getLogger(__name__)
 
-HEADROOM = 0.1  # share of the spot machines that stays free when ordinary ones are let go
+HEADROOM = 0.1  # share of the spot machines that stays free when ordinary ones are retired
 SWAPPED = 0.1  # share of the fleet for which cheaper machines are rented at a time
 
 
 class Savings:
-    """Lets ordinary machines go."""
+    """Decides which ordinary machines are no longer needed."""
 
     def __init__(
         self,
@@ -38,15 +38,15 @@
         self.params = params
 
     def cheapen(self, plan: Plan, lanes: list[Lanes]) -> None:
-        """Let spot machines carry what ordinary ones do, as far as they have room to spare.
+        """Retire ordinary machines whose work fits on spot machines.
 
-        A large machine is never idle at the end of an interval while small tasks come and go, and
-        what has an image finishes first there, so the ordinary machines of one bad moment stayed
-        for the day while spot machines beside them fell idle and went back. So an ordinary machine
-        gets no new work once spot machines have as much room free, after all that the plan counts
-        on, and some to spare; whether something is late does not matter then, as it could start in
-        that room. In calm times spot machines are rented beside them, too. Without spare room,
-        and with anything late, all machines are used.
+        While small tasks come and go, a large machine is never idle at the end of its interval,
+        and tasks whose image it holds finish first there. So ordinary machines that were rented in
+        one bad moment stayed for the day, while spot machines fell idle and were returned. An
+        ordinary machine therefore gets no new work once the spot machines have as much free
+        capacity, beyond what the plan uses and a reserve; late work does not matter then, since it
+        could start in that capacity. While nothing is late, spot machines are also rented as
+        replacements. Without spare capacity, or with late work, all machines are used.
         """
         retiring = [machine for machine in self.roster if machine.retiring]
         spare = self._spare(lanes) - sum(self._used(machine) for machine in retiring)
@@ -80,8 +80,8 @@
             plan.rentals.update(self._swap(left - spare, lanes))
 
     def _swap(self, cpus: float, lanes: list[Lanes]) -> dict[Kind, int]:
-        """Spot machines to rent for work that now runs on ordinary ones: the cheapest on which all
-        that is live fits, a tenth of the fleet at a time."""
+        """Spot machines to rent for work that now runs on ordinary ones: the cheapest type on
+        which all live tasks fit, a tenth of the fleet at a time."""
         coming = sum(view.capacity for view in lanes if view.booting and view.kind.spot)
         cpus = min(cpus, SWAPPED * sum(view.capacity for view in lanes)) - coming
         result: dict[Kind, int] = {}
@@ -100,19 +100,19 @@
 
     @staticmethod
     def _used(machine: Machine) -> float:
-        """CPUs that tasks hold on a machine."""
+        """CPUs used by tasks on a machine."""
         return sum(p.page.job.spec.cpus for p in machine.placements.values())
 
     @staticmethod
     def _has_spot(model: MachineType | None) -> bool:
-        """Whether a machine of the type would cost less as a spot machine."""
+        """Whether a spot machine of this type costs less than an ordinary one."""
         return (
             model is not None and model.spot_price is not None and model.spot_price < model.price
         )
 
     def _spare(self, lanes: list[Lanes]) -> float:
-        """CPUs on spot machines that are up and that the plan has no use for, in room for the
-        largest tasks, less a share that stays free."""
+        """CPUs on running spot machines that the plan does not use, counted in units of the
+        largest tasks, less the reserve."""
         spot = [view for view in lanes if view.kind.spot and not view.booting]
         free = 0.0
         for view in spot:
@@ -124,9 +124,10 @@
         return free - HEADROOM * sum(view.capacity for view in spot)
 
     def release_from_idle(self, plan: Plan, now: timedelta, yielding: set[str]) -> None:
-        """An ordinary machine on which only idle work is left goes back like an idle one.
+        """Return an ordinary machine that only idle jobs use, as if it were idle.
 
-        Only work that keeps its progress is placed there, and it is stopped in time to save.
+        Only jobs that save their progress are placed there, and they are stopped early enough to
+        save.
         """
         report = self.params.workers.report
         for machine in self.roster:
--- a/dappledrum/dispatch/work.py
+++ b/dappledrum/dispatch/work.py
@@ -1,4 +1,4 @@
-"""Ready work as the planner sees it: bags with their deadlines, order and limits."""
+"""Ready tasks as input of the planner: bags with their deadlines, order and limits."""
 
 import logging
 import math
@@ -30,11 +30,11 @@
 #: A job of which nothing has begun for so long gets its first task before all others. Users count
 #: on the start of every job within four minutes, and this leaves as much again for room to come.
 BEGIN_BY = timedelta(seconds=120)
-OPTIMISM = 0.8  # a deadline is given up only when even tasks shorter than estimated would miss it
+OPTIMISM = 0.8  # a deadline counts as missed only if tasks of 0.8 times the estimate miss it
 
 
 class Work:
-    """What waits for room, and in which order."""
+    """The tasks that wait to be placed, and their order."""
 
     def __init__(
         self,
@@ -51,19 +51,19 @@
         self.params = params
         self.clock = clock
         self.tuning = tuning
-        self.stages: dict[str, Stage] = {}  # of jobs that wait for others or are waited for
-        self.ring: set[str] = set()  # jobs that wait for each other, for ever
-        self.members: dict[str, list[Job]] = {}  # jobs of a bag that stands for several
+        self.stages: dict[str, Stage] = {}  # of jobs in chains
+        self.ring: set[str] = set()  # jobs that wait for each other in a cycle
+        self.members: dict[str, list[Job]] = {}  # jobs of bags that combine several
         self.guaranteed: set[str] = set()  # jobs within their teams' guarantees
-        self._idle_cpus = 0.0  # that work which nobody expects may take in one plan
+        self._idle_cpus = 0.0  # that idle jobs may take in one plan
 
     def refresh(self) -> None:
-        """Work out anew what the bags of a plan rest on."""
+        """Compute what all bags of one plan have in common."""
         self._chain()
         self.guaranteed = self._guaranteed()
 
     def yielding(self) -> set[str]:
-        """Jobs that lose nothing when they are stopped."""
+        """Jobs that lose no work when they are stopped."""
         return {
             job.id
             for job in self.jobs.values()
@@ -71,7 +71,7 @@
         }
 
     def task_time(self, job: Job) -> timedelta:
-        """The estimate Q without the image."""
+        """The estimate Q of a task without the fetch of its image."""
         if job.spec.form is Form.SERVICE:
             return self.tuning.interval * 10
         return self.estimates.task_time(job.id, job.spec.job_class, job.spec.estimate)
@@ -80,7 +80,7 @@
         return sorted(self.jobs.values(), key=lambda job: (job.accepted_at, job.id))
 
     def _chain(self) -> None:
-        """What follows for each job from those that need it, directly or not."""
+        """What follows for each job from the jobs that wait for it, directly or indirectly."""
         waiting = [job for job in self.jobs.values() if job.unmet]
         links = {}
         for name in dict.fromkeys(name for job in waiting for name in (job.id, *job.unmet)):
@@ -105,12 +105,12 @@
             job.rank = RANKS[job.spec.priority] if stage is None else stage.rank
 
     def _fetch(self, job: Job) -> timedelta:
-        """What an image that is missing adds, on the machines that fetch it fastest."""
+        """How long the fetch of a missing image takes on the machines with the highest rate."""
         rates = [m.fetch_gb_per_s for m in self.keeper.types.values() if allowed(job.spec, m)]
         return fetch_time(job.spec.image_gb, max(rates, default=1.0))
 
     def wants(self) -> list[Want]:
-        """What waits for room, for the account; alike jobs once."""
+        """What waits for capacity, for the accounts; similar jobs are listed once."""
         room = self.team_room()
         now = self.clock.now()
         result: dict[Hashable, Want] = {}
@@ -128,18 +128,18 @@
         return list(result.values())
 
     def _closing(self, job: Job) -> list[timedelta]:
-        """The owner's deadlines, from now on; of a chain's last job also the later ones that the
-        objectives name. Jobs alone did no better with those (docs/limits.md)."""
+        """The owner's deadlines, from now on. For the last job of a chain also the later ones that
+        the objectives name; single jobs did no better with those (docs/limits.md)."""
         own = None if job.spec.deadline_s is None else timedelta(seconds=job.spec.deadline_s)
         objectives = self.params.objectives if job.spec.needs else ()
         age = max(self.clock.today() - job.accepted_at, ZERO) + self.params.workers.report
         return [limit - age for limit in closing_deadlines(objectives, job.spec.job_class, own)]
 
     def bags(self, now: timedelta, idle_cpus: float) -> list[Bag]:
-        """Ready work; very small jobs that are alike make one bag.
+        """The ready tasks; very small jobs that are similar are combined in one bag.
 
         A plan looks at all machines for each bag, so hundreds of jobs of one task each took
-        seconds, though to the paper they are one bag of tasks.
+        seconds, though in the terms of the paper they are one bag of tasks.
         """
         self.members = {}
         self._idle_cpus = idle_cpus
@@ -184,7 +184,7 @@
         gang = is_gang(job)
         ready = job.waiting() if gang else min(job.waiting(), MOST_READY)
         if gang and job.on_machines():
-            return None  # whole on machines, or what is left of it is on its way off
+            return None  # complete on machines, or being stopped
         if ready <= 0 or job.cancelled or job.over or now < job.retry_at or job.unmet:
             return None
         held = suspected(job)
@@ -256,8 +256,9 @@
         )
 
     def _rank(self, job: Job, missed: int, latest_start: timedelta) -> tuple[float, ...]:
-        """What comes before the paper's order: guarantees, then what can still be in time, then
-        high urgency, which could preempt the rest anyway, then the least slack."""
+        """What decides before the order of the paper: guarantees, then jobs that can still meet
+        their deadline, then high urgency (which could preempt the rest anyway), then the least
+        slack."""
         urgency = job.rank
         guaranteed = job.id in self.guaranteed
         return (
@@ -269,7 +270,7 @@
         )
 
     def _is_idle(self, job: Job) -> bool:
-        """Nobody expects the job by any time: low urgency, no deadline, no objective."""
+        """Whether a job has no deadline of any sort: low urgency, no deadline, no objective."""
         spec = job.spec
         return (
             job.rank == RANKS[Priority.LOW]
@@ -303,7 +304,7 @@
         return room
 
     def team_room(self) -> dict[str, Size | None]:
-        """What each team's limit leaves; None: it has none."""
+        """What the limit of each team leaves; None: it has no limit."""
         used: dict[str, list[float]] = {}
         for job in self.jobs.values():
             count = job.on_machines()
@@ -324,8 +325,8 @@
         return room
 
     def _guaranteed(self) -> set[str]:
-        """Jobs that, with the earlier unfinished jobs of their team, fit into the team's
-        guarantee."""
+        """Jobs that fit into the guarantee of their team together with its earlier unfinished
+        jobs."""
         result: set[str] = set()
         for team in self.params.teams:
             if team.cpus <= 0 and team.gpus <= 0:
--- a/dappledrum/gangs/together.py
+++ b/dappledrum/gangs/together.py
@@ -1,11 +1,11 @@
-"""When and where all tasks of a gang can run at the same time.
-
-The paper's bags have independent tasks, so Algorithms 1 and 2 place one task after the other, each
-as early or as cheaply as it can be had alone. A gang needs all its room at one moment. The
-smallest exception: the earliest moment at which the machines at hand have room for all of it; or,
-as in Algorithm 2, the kind of machine that, rented beside them, gives the least overrun and then
-the least added cost. Room found for a later moment is reserved in the plan, so that what comes
-after it in the order can use it only until then, and two gangs never wait for each other's halves.
+"""Searches for the moment and the machines at which all tasks of a gang can run together.
+
+The bags of the paper consist of independent tasks, so Algorithms 1 and 2 place one task after the
+other, each as early or as cheaply as possible by itself. A gang needs capacity for all its tasks
+at one moment. The search takes the earliest moment at which the rented machines have it; or, as in
+Algorithm 2, rents machines of one kind beside them, with the least overrun and then the least
+added cost. Capacity found at a later moment is reserved in the plan: bags that come later in the
+order can use it only until then, and two gangs never each hold half of what the other needs.
 """
 
 from collections.abc import Callable, Sequence
@@ -15,7 +15,7 @@
 from dappledrum.scheduling.lanes import SLACK, Kind, Lanes, Offer, Size, fetch_time
 from dappledrum.timing.clock import ZERO
 
-PROBED = 24  # moments tried at first; a fleet has thousands at which something ends
+PROBED = 24  # moments tried at first; in a fleet there are thousands
 REFINED = 5
 
 
@@ -33,7 +33,7 @@
 
 
 class Room(NamedTuple):
-    """A moment, the tasks on each machine at hand, and the machines to rent."""
+    """A moment, the tasks on each rented machine, and the machines to rent."""
 
     start: timedelta
     finish: timedelta
@@ -59,7 +59,7 @@
 
 
 class Search:
-    """One gang on the machines of one plan."""
+    """Search for one gang on the machines of one plan."""
 
     def __init__(
         self, gang: Gang, lanes: Sequence[Lanes], offers: Sequence[Offer], now: timedelta
@@ -77,7 +77,7 @@
         self.span = gang.run + fetch
 
     def shares(self, start: timedelta) -> tuple[list[tuple[int, int]], dict[str, int] | None, int]:
-        """Tasks on the machines at hand at one moment, what zones may still take, and how many
+        """Tasks on the rented machines at one moment, what each zone may still take, and how many
         tasks are left over."""
         left = self.gang.count
         zones = None if self.gang.zone_room is None else dict(self.gang.zone_room)
@@ -95,12 +95,13 @@
         return result, zones, left
 
     def at_once(self) -> Room | None:
-        """Room for all of it now, on the machines at hand."""
+        """Capacity for all tasks now, on the rented machines."""
         shares, _, left = self.shares(self.now)
         return self._room(self.now, shares) if left <= 0 else None
 
     def without_renting(self) -> Room | None:
-        """The earliest moment that is found on the machines at hand."""
+        """The earliest moment found with capacity on the rented machines. At first only some of
+        the moments are probed; the one found is then refined."""
         if (room := self.at_once()) is not None:
             return room
         moments = sorted({t for one in self.lanes for t in one.times if t > self.now})
@@ -130,8 +131,8 @@
         return self._room(moments[at], shares)
 
     def with_renting(self, offers: Sequence[Offer]) -> Room | None:
-        """All room at the moment when the slowest of some kinds is up, these rented as far as they
-        are needed, the first ones first."""
+        """Capacity for all tasks once the slowest of some kinds of machines has booted. Machines
+        are rented as far as needed, of the first kinds first."""
         start = self.now + max(one.boot for one in offers)
         shares, zones, left = self.shares(start)
         rented: dict[Kind, tuple[int, int]] = {}
@@ -152,7 +153,7 @@
         return self._room(start, shares, rented, cost) if left <= 0 else None
 
     def best(self, rent: bool) -> Room | None:
-        """The room of least overrun, then of least added cost, then the earliest."""
+        """The option with the least overrun, then the least added cost, then the earliest."""
         options = [self.without_renting()]
         if rent and (options[0] is None or options[0].start > self.now):
             by_price = sorted(self.offers, key=lambda one: one.hourly / max(one.capacity.cpus, 1))
--- a/dappledrum/gangs/whole.py
+++ b/dappledrum/gangs/whole.py
@@ -1,11 +1,10 @@
-"""A gang is on machines whole, or on its way off them whole.
-
-Invariant of the planner: tasks of a gang are placed in one step, all that are not done, and only
-when none of them counts as on a machine. What breaks a gang afterwards (a machine that is taken, a
-worker that is silent, a refused start, a predecessor that ended between two of its records) takes
-one member; the others then wait for it on their machines and do nothing. So whoever finds a gang
-in part gives up the rest of it, and it is placed again when all of it is proven gone. What a
-member has completed stays completed.
+"""Keeps gangs complete: the tasks of a gang are all placed, or the rest of them is stopped.
+
+The planner places all unfinished tasks of a gang in one step, and only when none of them counts as
+placed. Later a gang can lose a member: its machine is taken or silent, a start is refused, or a
+leader ended between two of its records. The other members then wait on their machines without
+working. So a gang that is found incomplete is given up, and placed again once all of it is proven
+gone. Tasks that have completed stay completed.
 """
 
 import logging
@@ -23,13 +22,13 @@
 
 
 def give_up(job: Job) -> None:
-    """Have every task of a job stopped; each counts on its machine until proven gone."""
+    """Stop every task of a job; each counts as placed until it is proven gone."""
     for placement in job.placements():
         placement.lost = True
 
 
 def split(job: Job) -> bool:
-    """Part of the gang counts as on machines, and part of it neither does nor is done, or has to
+    """Whether some tasks of a gang count as placed while others neither do nor are done, or must
     go."""
     on = job.on_machines()
     if on == 0:
@@ -38,7 +37,7 @@
 
 
 def keep_whole(jobs: Iterable[Job]) -> None:
-    """Give up what is left of gangs that have lost a member."""
+    """Give up the remaining tasks of gangs that have lost a member."""
     for job in jobs:
         if is_gang(job) and not job.cancelled and not job.over and split(job):
             left = [p for p in job.placements() if not p.lost]
