--- a/dappledrum/accounts/__init__.py
+++ b/dappledrum/accounts/__init__.py
@@ -1,1 +1,1 @@
-"""Where the money goes: each paid second of each machine, booked under what it was spent on."""
+"""Accounts: assigns each paid second of each machine to what it was spent on."""
--- a/dappledrum/accounts/entries.py
+++ b/dappledrum/accounts/entries.py
@@ -1,10 +1,10 @@
-"""What a paid second of a machine may be spent on, and why one is idle.
+"""The lines of the accounts, and the reasons for which a machine is idle.
 
-A machine runs several tasks at a time, so a second is divided by CPUs: each task takes the share
-that it holds, and what nobody holds is idle. Idle time is asked for its reason, since each reason
-has another remedy: nothing to do (return sooner, rent less), a task that does not fit (another
-type), a team at its limit, a kind that no waiting task may use, or room that fits and is still not
-used (the plan keeps it for something, or the start is on its way).
+A machine runs several tasks at a time, so a second is divided by CPUs: each task gets the share
+that it uses, and the rest is idle. Idle time is split by its reason, since each has another
+remedy: nothing to do (return sooner, rent less), tasks that do not fit (another type), a team at
+its limit, a kind that no waiting task may use, or capacity that fits and is still not used
+(reserved by the plan, or a start is on its way).
 """
 
 from collections.abc import Callable, Sequence
@@ -15,7 +15,7 @@
 
 
 class Entry(StrEnum):
-    """One line of the account."""
+    """A line of the accounts."""
 
     BOOT = "boot"  # from the request until the worker reports
     BOOKED = "booked"  # a start is recorded, and no report has shown the attempt yet
@@ -39,7 +39,7 @@
 
 
 class Want(NamedTuple):
-    """Tasks that wait, alike to a machine that might take one."""
+    """Waiting tasks of the same size and demands."""
 
     size: Size
     allowed: Callable[[Kind], bool]
@@ -47,7 +47,7 @@
 
 
 def why_idle(kind: Kind, free: Size, empty: bool, wants: Sequence[Want]) -> Entry:
-    """Why this room is not used."""
+    """Why free capacity of a machine is not used."""
     if not wants:
         return Entry.IDLE if empty else Entry.REST
     found = Entry.NO_KIND
--- a/dappledrum/accounts/ledger.py
+++ b/dappledrum/accounts/ledger.py
@@ -1,9 +1,8 @@
-"""The account of one term of leadership.
+"""The accounts of one term of leadership.
 
-Derived from what the leader knows anyway, in steps of a second or two, so it costs nothing but
-the steps: no message and no record depends on it. An attempt's time is carried by the attempt
-until its end says whether it was kept or lost. The sum of all lines is the money spent on the
-machines known; that is the invariant that the tests check.
+They are computed every second or two from what the leader knows anyway; no message and no record
+depends on them. The time of an attempt is booked with the attempt until its end shows whether it
+was kept or lost. Invariant: the sum of all lines is the money spent on the known machines.
 """
 
 import logging
@@ -29,7 +28,7 @@
 
 
 def shown(lines: Mapping[Entry, float]) -> str:
-    """An account for the log, largest first."""
+    """Lines as text for the log, largest first."""
     total = sum(lines.values())
     if total <= 0:
         return "nothing"
@@ -40,7 +39,7 @@
 
 
 class _Account:
-    """One machine."""
+    """The account of one machine."""
 
     __slots__ = ("at", "lines", "kind")
 
@@ -51,7 +50,7 @@
 
 
 class Ledger:
-    """Books what is spent; `step` is called every now and then."""
+    """Books what is spent; `step` is called every second or two."""
 
     def __init__(self, roster: Roster, clock: Clock) -> None:
         self.roster = roster
@@ -134,7 +133,7 @@
             self.ordinary += money
 
     def settle(self, placement: Placement, entry: Entry) -> None:
-        """An attempt is over: what it has cost was kept, or lost in one way."""
+        """Book an attempt that is over as kept, or as lost in one way."""
         account = self.accounts.get(placement.machine)
         if account is not None and placement.spent > 0:
             for lines in (account.lines, self.recent):
@@ -143,8 +142,8 @@
         placement.spent = 0.0
 
     def tell(self, at_once: bool = False) -> bool:
-        """One line a minute: what was booked since the last one, so that the lines of all leaders
-        add up; whether it was time for it."""
+        """Log what was booked since the last line, once a minute, so that the lines of all leaders
+        add up; returns whether a line was due."""
         now = self.clock.now()
         if not at_once and now - self.told_at < TOLD_EVERY:
             return False
--- a/dappledrum/accounts/served.py
+++ b/dappledrum/accounts/served.py
@@ -1,7 +1,9 @@
-"""What was accepted, started and done of each team, said with the account of money, and of each
-job what became of it.
+"""Counts the accepted, started and completed jobs of each team for the log, and logs the end of
+each job.
 
-A day is judged by the least share of any; `shares.py` sums the logs of all controllers up."""
+The service is judged by the smallest share of any team or class; `shares.py` sums up the logs of
+all controllers.
+"""
 
 from collections import Counter
 from collections.abc import Iterable, Sequence
@@ -13,13 +15,13 @@
 
 
 def described(tasks: int, job_class: str, team: str) -> str:
-    """Whose job it is, in the words that `shares.py` reads."""
+    """A job's class, team and size, in the wording that `shares.py` parses."""
     return f"{tasks} tasks of {job_class} for {team}"
 
 
 def ending(job: Job, objectives: Sequence[Objective]) -> str:
-    """What became of a job that is over: how long it took from its acceptance, and by when it was
-    expected: its owner's deadline, or the earliest time by which its class should be done."""
+    """A log line for a job that is over: its time since acceptance, and the time allowed, which is
+    its owner's deadline or the earliest deadline of its class."""
     record = job.ended_record()
     result = f"{job.id} is {record.state}: " + described(
         job.spec.tasks, job.spec.job_class, job.spec.team
@@ -36,18 +38,18 @@
 
 
 class Served:
-    """Jobs of one term, those that were live when it began included."""
+    """Job counts of one term, including jobs that were live at its beginning."""
 
     def __init__(self) -> None:
         self.done: Counter[str] = Counter()
         self.cancelled: Counter[str] = Counter()
 
     def ended(self, job: Job) -> None:
-        """A job's end is stored."""
+        """Count a job whose end is stored."""
         (self.cancelled if job.cancelled else self.done)[job.spec.team] += 1
 
     def shown(self, live: Iterable[Job]) -> str:
-        """One phrase a team, in the order of their names."""
+        """The counts as text, ordered by the names of the teams."""
         waiting: Counter[str] = Counter()
         started: Counter[str] = Counter()
         for job in live:
--- a/dappledrum/accounts/shares.py
+++ b/dappledrum/accounts/shares.py
@@ -1,13 +1,12 @@
-"""What each class of jobs, each team and the largest jobs of each class were served, from the logs
+"""Reports how each class, each team and the largest jobs of each class were served, from the logs
 of all controllers.
 
     python3 -m dappledrum.accounts.shares [--least 0.5] LOG [LOG ...]
 
-A term's own minute line ends with the term; these lines are of single jobs, so any number of
-controllers, terms and restarts adds up, in any order. A job counts as in time when it was done
-within its owner's deadline, or else within the earliest time that is expected of its class; one
-that never ended does not. Cancelled jobs count for nothing. Ends with status 1 when a share is
-below the least.
+The log lines are about single jobs, so any number of controllers, terms and restarts adds up, in
+any order. A job is in time when it was done within its owner's deadline, or else within the
+earliest deadline of its class; a job that never ended is not. Cancelled jobs do not count. The
+exit status is 1 if a share is below the least.
 """
 
 import argparse
@@ -19,7 +18,7 @@
 
 CAME = re.compile(r"(?:accepted|new job) (j-\d+): (\d+) tasks of (.+) for (.+)$")
 BEGAN = re.compile(r"(j-\d+) began (-?[\d.]+) s after it came$")
-LARGEST = 10  # one in so many jobs of a class, by tasks, at least one
+LARGEST = 10  # the largest tenth of the jobs of a class, by tasks, at least one
 LATE_S = 240.0  # the largest should have begun by then
 ENDED = re.compile(
     r"(j-\d+) is (done|cancelled): (\d+) tasks of (.+) for (.+?)"
@@ -29,7 +28,7 @@
 
 @dataclass
 class Known:
-    """What the logs tell of one job."""
+    """What the logs say about one job."""
 
     job_class: str
     team: str
@@ -41,14 +40,14 @@
 
     @property
     def in_time(self) -> bool:
-        """Whether it was done by the time that was expected."""
+        """Whether it was done within its deadline."""
         done = self.state == "done" and self.took_s is not None
         return done and (self.due_s is None or (self.took_s or 0.0) <= self.due_s)
 
 
 @dataclass
 class Share:
-    """What a class or a team was served: jobs, but for cancelled ones."""
+    """How the jobs of a class or team were served, without the cancelled ones."""
 
     of: str
     jobs: int
@@ -60,8 +59,8 @@
 
     @property
     def least(self) -> float:
-        """The lesser of the share that was done and the share that was in time; of a class's
-        largest jobs the share that was done, as there are few of them."""
+        """The smaller of the shares done and in time; for the largest jobs of a class only the
+        share done, as there are few of them."""
         if self.largest:
             return self.done / self.jobs
         timely = self.in_time / self.due if self.due else 1.0
@@ -89,7 +88,7 @@
 
 
 def shares(jobs: Iterable[Known]) -> Iterator[Share]:
-    """One for each class, then one for each team, by name."""
+    """One row for each class, then one for each team, by name."""
     counted = [job for job in jobs if job.state != "cancelled"]
     expected = {job.job_class for job in counted if job.due_s is not None}
     for what, name in [("class", "job_class"), ("team", "team"), ("largest of", "job_class")]:
--- a/dappledrum/fleet/__init__.py
+++ b/dappledrum/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""The rented machines: what can be had, what is there, what is on its way, and what goes back."""
+"""The rented machines: the catalog, the list of machines, boots, rentals and returns."""
--- a/dappledrum/fleet/boots.py
+++ b/dappledrum/fleet/boots.py
@@ -1,11 +1,11 @@
-"""How long machines take to come up, learned from what is seen.
-
-DESIGN assumes steady boots. Where they are not, the catalog's figure is only the start: what boots
-took is remembered by type, zone and kind, those like the one in question weighing most and old
-ones fading, and a boot that is not over counts as one of at least its present age. Whether a boot
-is given up follows from the same: when others that were asked for later are up already, a new
-machine is expected sooner than this one. While none comes up, all are slow, and giving one up
-would only begin another slow boot; then one at a time is exchanged, as a probe.
+"""Estimates how long machines take to boot, from the boots that were seen.
+
+DESIGN assumes steady boot times. Where they are not steady, the figure of the catalog is only a
+prior. Past boots are weighted by how similar their type, zone and kind are, and by age; a boot in
+progress counts as one of at least its present age. The same data decide whether a boot is given
+up: if machines that were requested later are up already, a new machine is expected sooner than
+this one. While no machine comes up, all boots are slow and a replacement would be slow, too; then
+one machine at a time is replaced as a probe.
 """
 
 import math
@@ -17,19 +17,19 @@
 from dappledrum.scheduling.lanes import Kind
 from dappledrum.timing.clock import ZERO
 
-PRIOR_WEIGHT = 2.0  # boots that weigh as much as the catalog's figure
-HALF_LIFE = timedelta(minutes=1)  # after which a boot that was seen weighs half
+PRIOR_WEIGHT = 2.0  # number of boots that weigh as much as the catalog's figure
+HALF_LIFE = timedelta(minutes=1)  # after which an observed boot has half its weight
 KEPT = 64
 MARGIN = 1.25  # one deviation and more: boots take 0.6 to 1.5 times the nominal time
-USUAL_MOST = 1.5  # so a boot up to this long says nothing bad
+USUAL_MOST = 1.5  # a boot of up to this ratio is no sign of slow boots
 SHORTEST = timedelta(seconds=1)
-OVERTAKEN = 2.0  # times the slowest recent boot, after which one that others have overtaken goes
-ALONE = 4.0  # times the expected boot, after which one goes while none comes up
+OVERTAKEN = 2.0  # times the slowest later boot, after which an overtaken machine is given up
+ALONE = 4.0  # times the expected boot, after which one is given up while none comes up
 FLOOR = timedelta(seconds=20)  # reports and lists take their time, too
 
 
 class Boot(NamedTuple):
-    """A boot that is over."""
+    """A completed boot."""
 
     kind: Kind
     ratio: float  # to the catalog's figure
@@ -38,20 +38,20 @@
 
 
 class Waiting(NamedTuple):
-    """A boot that is not over."""
+    """A boot in progress."""
 
     kind: Kind
     asked_at: timedelta
 
 
 def likeness(one: Kind, other: Kind) -> float:
-    """How much a boot of the one kind says about the other."""
+    """How much a boot of one kind says about another kind: the weight of its observation."""
     same = sum(a == b for a, b in zip(one, other, strict=True))
     return (0.25, 0.35, 0.6, 1.0)[same]
 
 
 class Boots:
-    """What a leader has seen of boots."""
+    """The boots that a leader has seen."""
 
     def __init__(self) -> None:
         self.nominal: dict[str, timedelta] = {}  # by type, from the catalog
@@ -65,32 +65,32 @@
         return max(self.nominal.get(kind.type, timedelta(seconds=60)), SHORTEST)
 
     def finished(self, kind: Kind, asked_at: timedelta, up_at: timedelta) -> None:
-        """A machine has come up."""
+        """Record a machine that has come up."""
         took = max(up_at - asked_at, SHORTEST)
         self.seen.append(Boot(kind, took / self._nominal(kind), asked_at, up_at))
         self._ratios.clear()
 
     def remember(self, boots: Iterable[Boot]) -> None:
-        """Boots that a predecessor has seen."""
+        """Add boots that the predecessor has seen."""
         self.seen.extend(boots)
         self._ratios.clear()
 
     def refresh(self, unfinished: Iterable[Waiting], now: timedelta) -> None:
-        """Note which boots are not over; estimates hold until the next time."""
+        """Set which boots are in progress; estimates stay the same until the next call."""
         self._unfinished = list(unfinished)
         self._refreshed_at = now
         self._ratios.clear()
 
     def ratio(self, kind: Kind) -> float:
-        """Expected boot as a multiple of the catalog's figure: a geometric mean, so that the few
-        that never come up don't outweigh all others."""
+        """Expected boot time as a multiple of the figure in the catalog. A geometric mean, so that
+        the few machines that never come up do not outweigh all others."""
         known = self._ratios.get(kind)
         if known is None:
             known = self._ratios[kind] = self._ratio(kind)
         return known
 
     def _over(self, kind: Kind) -> tuple[float, float]:
-        """Weighted sum of the logarithms of what boots took, and the sum of the weights."""
+        """Weighted sum of the logarithms of the completed boots, and the sum of the weights."""
         now = self._refreshed_at
         total, weight = 0.0, PRIOR_WEIGHT
         for boot in self.seen:
@@ -114,12 +114,12 @@
         return math.exp(total / weight)
 
     def expected(self, kind: Kind) -> timedelta:
-        """How long a machine asked for now will take, with some to spare."""
+        """How long a machine requested now will take, with a margin."""
         return max(self._nominal(kind) * self.ratio(kind) * MARGIN, SHORTEST)
 
     def left(self, kind: Kind, asked_at: timedelta, now: timedelta) -> timedelta:
-        """How much longer a boot will take that has not ended yet: past what was expected, the
-        longer it has taken, the longer it will."""
+        """How much longer a boot in progress will take. Beyond the expected time the estimate
+        grows with the age of the boot."""
         expected = self.expected(kind)
         late = now - asked_at - expected
         return -late if late < ZERO else expected * 0.3 + late * 0.5
@@ -138,11 +138,12 @@
         return self.exchanged_at is None or now - self.exchanged_at > self.expected(kind)
 
     def _later(self, kind: Kind, asked_at: timedelta) -> list[Boot]:
-        """Boots of the type and zone that are over, though asked for no earlier."""
+        """Completed boots of the type and zone that were requested at the same time or later."""
         return [b for b in self.seen if b.asked_at >= asked_at and b.kind[:2] == kind[:2]]
 
     def overtaken(self, kind: Kind, asked_at: timedelta, now: timedelta) -> bool:
-        """Others that were asked for later are up, and twice the slowest of them has passed."""
+        """Whether machines requested later are up, and twice the time of the slowest of them has
+        passed."""
         later = self._later(kind, asked_at)
         if not later:
             return False
@@ -151,5 +152,5 @@
         return now - asked_at > max(nominal * slowest * OVERTAKEN, nominal + FLOOR)
 
     def given_up(self, now: timedelta) -> None:
-        """One was given up, so that the next waits for what comes of it."""
+        """Note that a machine was given up, so that the next probe waits for the outcome."""
         self.exchanged_at = now
--- a/dappledrum/fleet/cloud.py
+++ b/dappledrum/fleet/cloud.py
@@ -1,4 +1,4 @@
-"""Client of the cloud, within its call rate."""
+"""Client of the cloud that keeps to the allowed call rate."""
 
 import asyncio
 import logging
@@ -27,7 +27,7 @@
 
 
 class CloudError(Exception):
-    """The cloud did not do it, or nobody knows whether it did."""
+    """The call failed, or its outcome is unknown."""
 
 
 class NoCapacityError(CloudError):
@@ -35,7 +35,7 @@
 
 
 class Cloud:
-    """Paced requests to the cloud."""
+    """Client that spaces its requests evenly."""
 
     def __init__(self, caller: Caller, rps: float, clock: Clock) -> None:
         self.caller = caller
@@ -87,17 +87,17 @@
         return self._decode(await self._call("GET", "/catalog", None), Catalog).types
 
     async def rent(self, request: RentalRequest, entitled: Callable[[], bool]) -> list[str]:
-        """Rent machines; fewer than asked for may come."""
+        """Rent machines; the cloud may give fewer than requested."""
         reply = await self._call("POST", "/rentals", msgspec.json.encode(request), entitled)
         return self._decode(reply, MachineNames).machines
 
     async def give_back(self, machines: list[str], entitled: Callable[[], bool]) -> None:
-        """Return machines; when this ends well they are gone."""
+        """Return machines; on success they are gone."""
         body = msgspec.json.encode(MachineNames(machines))
         await self._call("POST", "/rentals/return", body, entitled)
 
     async def machines(self) -> list[ListedMachine]:
-        """All machines, as they were some time ago."""
+        """The list of all machines; it lags behind."""
         result: list[ListedMachine] = []
         after = ""
         while True:
--- a/dappledrum/fleet/keeper.py
+++ b/dappledrum/fleet/keeper.py
@@ -1,4 +1,4 @@
-"""Loops that bring the rented machines in line with what is wanted."""
+"""Loops that rent and return machines until the fleet is as the plans want it."""
 
 import asyncio
 import logging
@@ -24,13 +24,13 @@
 RETURN_MOST = 100
 ASIDE = timedelta(seconds=8)
 ASIDE_MOST = timedelta(seconds=30)
-SLOW = 2.0  # times the catalog's figure, from which on slow boots are worth a line
+SLOW = 2.0  # times the catalog's figure, from which on slow boots are logged
 SLOW_NO_MORE = 1.5
 INTRODUCED = timedelta(seconds=20)  # beyond a lease: machines report to a new leader by then
 
 
 class Keeper:
-    """The leader's hands on the fleet, for one term."""
+    """Manages the rented machines for one term of leadership."""
 
     def __init__(
         self,
@@ -56,7 +56,7 @@
         self.leading = leading
         self.wake = wake
         self.boots = Boots()
-        self.slow: set[Kind] = set()  # kinds that boot slowly, once said
+        self.slow: set[Kind] = set()  # kinds whose slow boots were logged
         self.types: dict[str, MachineType] = {}
         self.wanted: dict[Kind, int] = {}  # from the newest plan
         self.needed: set[str] = set()  # machines that the newest plan counts on
@@ -71,16 +71,16 @@
         self.asked = asyncio.Event()
         self.no_list = Trouble(log, clock, "the cloud gives no machine list")
 
-    # what the planner wants to know
+    # questions of the planner
 
     def offered(self, kind: Kind) -> bool:
-        """Whether a kind of machine may be asked for now."""
+        """Whether a kind of machine can be requested now."""
         until = self.aside.get(kind)
         return until is None or self.clock.now() >= until[0]
 
     def interval(self, kind: Kind) -> timedelta:
-        """Length of a billed interval of a machine: not so short that it goes back just to be
-        booted again."""
+        """Length of a billed interval of a machine: at least some boot times, so that a machine is
+        not returned just to be booted again."""
         model = self.types.get(kind.type)
         if model is None:
             return self.base_interval
@@ -91,8 +91,8 @@
         return max(self.base_interval, boot * BOOTS_IN_INTERVAL)
 
     def ready_at(self, machine: Machine) -> timedelta:
-        """When a booting machine is expected to be up, or one that was up before this term to
-        report to this leader."""
+        """When a booting machine is expected to be up, or when a machine that was up before this
+        term is expected to report to this leader."""
         now = self.clock.now()
         if machine.kind is None:
             return now + self.base_interval
@@ -101,7 +101,8 @@
         return now + self.boots.left(machine.kind, machine.rented_at, now)
 
     def overdue(self, machine: Machine) -> bool:
-        """A new machine is expected to be up sooner than this one, which may never come up."""
+        """Whether a new machine is expected to be up sooner than this one, which may never come
+        up."""
         now = self.clock.now()
         return (
             not machine.up
@@ -113,11 +114,12 @@
         )
 
     def look_at_boots(self) -> None:
-        """Learn from the boots that are over, and from those that should be.
+        """Update the boot statistics.
 
-        Only of machines that this leader has asked for: others may have long been up and gone
-        again, and taken for boots of many minutes they made every takeover, and every wave of
-        reclaims, expect the same of each new machine. One given up as lost says nothing, either.
+        Only machines that this leader has requested count. Others may have been up for long and
+        away for a while; when those counted as boots of many minutes, every takeover and every
+        wave of reclaims made all new machines look slow. A machine that was given up as lost does
+        not count either.
         """
         now = self.clock.now()
         self.boots.nominal = {name: model.boot for name, model in self.types.items()}
@@ -148,8 +150,8 @@
     def order(self, rentals: dict[Kind, int], needed: set[str], began: timedelta) -> None:
         """Replace what is wanted by a newer plan.
 
-        A plan that began before a request was answered has not counted what came of it, and asks
-        for the same machines again: at a busy time that rented half as many as needed too many.
+        A plan that began before a request was answered does not know its result, and asks for the
+        same machines again; at a busy time that rented half as many machines too many.
         """
         self.wanted = {
             kind: count
@@ -164,7 +166,7 @@
     # renting
 
     async def rent_loop(self) -> None:
-        """Ask for what the newest plan wants, one kind at a time."""
+        """Request what the newest plan wants, one kind at a time."""
         while True:
             await self.asked.wait()
             self.asked.clear()
@@ -218,7 +220,7 @@
     # returning
 
     async def return_loop(self) -> None:
-        """Give back what is idle at the end of its interval, overdue, failed or drained."""
+        """Return machines that are overdue, failed, drained, or idle at the end of an interval."""
         while True:
             await asyncio.sleep(0.5)
             if not self.leading():
@@ -281,7 +283,7 @@
         return "it is idle at the end of its interval" if left <= timedelta(seconds=1) else None
 
     def _connected(self, now: timedelta) -> bool:
-        """Most machines report, so one that does not is to blame itself."""
+        """Whether most machines report, so that the fault is not on this side if one does not."""
         up = [m for m in self.roster if m.up]
         since = self.awake_since()
         heard = sum(not m.silent(now, self.params.workers.report, since) for m in up)
@@ -290,7 +292,7 @@
     # watching
 
     async def list_loop(self) -> None:
-        """Compare with the cloud's list, which lags behind."""
+        """Compare the known machines with the list of the cloud, which lags behind."""
         pause = max(self.params.cloud.list_lag / 2, timedelta(seconds=3))
         while True:
             if self.leading():
@@ -336,7 +338,7 @@
             machine.returning = True
 
     async def catalog_loop(self) -> None:
-        """Keep the prices current."""
+        """Keep the prices up to date."""
         while True:
             await asyncio.sleep(30)
             try:
--- a/dappledrum/fleet/memory.py
+++ b/dappledrum/fleet/memory.py
@@ -1,8 +1,8 @@
-"""Hands the machines that are still booting from one leader to the next.
+"""Passes the machines that are still booting on to the next leader.
 
-The cloud's list lags behind, so a new leader would not see what its predecessor has just rented,
-and rent it again. The record is only a hint: without it, machines turn up in the list or through
-their reports.
+The list of the cloud lags behind, so a new leader would not see what its predecessor has just
+rented, and would rent it again. The record is advisory: without it, machines turn up in the list
+or by their reports.
 """
 
 from datetime import UTC, datetime, timedelta
@@ -20,7 +20,7 @@
 
 
 class FleetMemory:
-    """Writes the record when it has changed, for one term."""
+    """Writes the record when it has changed, during one term."""
 
     def __init__(self, hint: Hint[FleetRecord], roster: Roster, clock: Clock) -> None:
         self.hint = hint
@@ -51,11 +51,11 @@
         return FleetRecord(rows)
 
     async def run(self) -> None:
-        """Keep the record current."""
+        """Keep the record up to date."""
         await self.hint.follow(self._record, PAUSE)
 
     async def recall(self) -> None:
-        """Take over what a predecessor has rented."""
+        """Read what a predecessor has rented."""
         record = await self.hint.recall()
         if record is None:
             return
--- a/dappledrum/fleet/messages.py
+++ b/dappledrum/fleet/messages.py
@@ -1,4 +1,4 @@
-"""What the cloud says."""
+"""Messages of the cloud's API, and the stored record of booting machines."""
 
 from datetime import timedelta
 from typing import Annotated
@@ -122,6 +122,6 @@
 
 
 class FleetRecord(msgspec.Struct):
-    """Value of the key `fleet`: what a successor could not see yet, since the list lags behind."""
+    """Value of the key `fleet`: machines that the lagging list may not show to a successor."""
 
     booting: list[BootingRecord]
--- a/dappledrum/learning/__init__.py
+++ b/dappledrum/learning/__init__.py
@@ -1,1 +1,1 @@
-"""What a leader has learned, handed on to the next one."""
+"""Passes what a leader has learned on to the next one."""
--- a/dappledrum/learning/memory.py
+++ b/dappledrum/learning/memory.py
@@ -1,9 +1,8 @@
-"""Hands learned run and boot times from one leader to the next.
+"""Passes learned run and boot times on to the next leader.
 
-A takeover every minute or so once began each time with the owners' estimates and the catalog's
-boot times, though the controllers had seen hundreds of tasks end. The record is a hint: written
-at most every few seconds, behind everything that somebody waits for, and a lost or damaged one
-costs only the learning.
+Without it, leaders that change every minute start again and again with the owners' estimates and
+the boot times of the catalog. The record is advisory: it is written every few seconds at most,
+with the lowest priority, and if it is lost or damaged only the learned values are lost.
 """
 
 import logging
@@ -27,7 +26,7 @@
 
 
 class LearnedMemory:
-    """Writes the record while it changes, for one term."""
+    """Writes the record when it has changed, during one term."""
 
     def __init__(
         self, hint: Hint[LearnedRecord], estimates: Estimates, boots: Boots, clock: Clock
@@ -38,7 +37,7 @@
         self.clock = clock
 
     def record(self) -> LearnedRecord:
-        """What is worth handing on, rounded, so that little changes are none."""
+        """The values worth keeping, rounded so that small changes cause no write."""
         now, today = self.clock.now(), self.clock.today()
         room = max(1, self.hint.value_bytes // ROW_BYTES)
         classes = sorted(self.estimates.classes.items(), key=lambda row: -row[1].count)
@@ -57,15 +56,15 @@
         return LearnedRecord(sorted(rows, key=lambda row: row.job_class), boots)
 
     async def run(self) -> None:
-        """Keep the record current."""
+        """Keep the record up to date."""
         await self.hint.follow(self.record, PAUSE)
 
     async def recall(self, nominal: Mapping[str, timedelta]) -> None:
-        """Take over what a predecessor has learned; `nominal`: the catalog's boot times, by type.
+        """Read what a predecessor has learned; `nominal`: the boot times of the catalog, by type.
 
-        A boot counts as a multiple of the catalog's figure, so without one it says nothing. Taken
-        over before the catalog was looked at, against a stand-in of a minute, boots of 15 s were
-        expected to be four times quicker than any.
+        Boots are kept as multiples of the catalog's figure, so they need the catalog. When they
+        were read before it was known, with one minute as a stand-in, boots of 15 s were expected
+        to be four times quicker than usual.
         """
         record = await self.hint.recall()
         if record is None:
--- a/dappledrum/learning/messages.py
+++ b/dappledrum/learning/messages.py
@@ -1,4 +1,4 @@
-"""Stored form of what was learned; unknown to versions before 0.4.0, which leave it alone."""
+"""Stored form of what was learned; versions before 0.4.0 neither read nor change it."""
 
 from typing import Annotated
 
@@ -11,7 +11,7 @@
 
 
 class ClassRow(msgspec.Struct, array_like=True):
-    """A class's ratio of actual to expected run time: logarithms, as a running sample."""
+    """Ratio of actual to estimated run time of a class: mean and deviation of its logarithm."""
 
     job_class: Label
     count: Weight
@@ -20,7 +20,7 @@
 
 
 class BootRow(msgspec.Struct, array_like=True):
-    """A boot that was seen to its end."""
+    """A completed boot."""
 
     type: Label
     zone: Label
@@ -30,7 +30,7 @@
 
 
 class LearnedRecord(msgspec.Struct, omit_defaults=True):
-    """Value of the key `learned`: a hint, without which a leader begins with the priors."""
+    """Value of the key `learned`: advisory, without it a leader begins with the priors."""
 
     classes: list[ClassRow] = []
     boots: list[BootRow] = []
