--- a/dappledrum/http/seats.py
+++ b/dappledrum/http/seats.py
@@ -1,13 +1,14 @@
-"""Who gets one of the few connections, and who has to go.
+"""Decides which connections are dropped when the limit of open connections is reached.
 
-A controller serves users, health checks and workers on one address. Workers are by far the most,
-and hundreds of them come at once when another controller has ended; they come again by themselves,
-as the protocol makes them. So they, and whoever has not asked for anything yet, may take all but
-a share of the connections; and when room is needed, the first to go is who has asked for nothing
-for a while, then the worker that has been idle for longest, then who has only just come, then
-anybody idle for longest. A connection with a request on it is never dropped for room.
+Users, health checks and workers share one address. Workers are by far the most; hundreds of them
+come at once when another controller has ended, and the protocol makes them reconnect by
+themselves. So workers, and connections without any request so far, may use all but a reserved
+share of the connections. When the limit is reached, the first to be dropped is a connection that
+has sent no request for a while, then the worker that has been idle for longest, then a new
+connection, then any other that has been idle for longest. A connection with a request in progress
+is never dropped for another.
 
-No sockets here: the server asks, and acts on the answers.
+This module does no I/O: the server asks it, and acts on the answers.
 """
 
 from collections.abc import Iterable
@@ -20,7 +21,7 @@
 
 
 class Role(IntEnum):
-    """What a connection has asked for; the lower, the sooner it is shed."""
+    """What a connection was used for; lower values are dropped first."""
 
     NEW = 0
     WORKER = 1
@@ -28,7 +29,7 @@
 
 
 class Seat(Protocol):
-    """What is known of a connection."""
+    """What is known about a connection."""
 
     role: Role
     idle: bool
@@ -36,12 +37,12 @@
 
 
 def most_workers(most: int) -> int:
-    """How many connections workers may hold."""
+    """How many connections workers may use."""
     return max(1, most - max(most // SPARED, 2))
 
 
 def to_shed(seats: Iterable[Seat], now: float) -> Seat | None:
-    """The connection to drop when room is needed; None: all have something on them."""
+    """The connection to drop for a new one; None: all have a request in progress."""
 
     def order(seat: Seat) -> tuple[float, float]:
         young = seat.role is Role.NEW and now - seat.since < SILENT.total_seconds()
@@ -51,6 +52,6 @@
 
 
 def to_shed_for_worker(seats: Iterable[Seat]) -> Seat | None:
-    """The worker's connection to drop for another worker's."""
+    """The worker's connection to drop for another worker."""
     idle = [seat for seat in seats if seat.idle and seat.role is Role.WORKER]
     return min(idle, key=lambda seat: seat.since, default=None)
--- a/dappledrum/http/server.py
+++ b/dappledrum/http/server.py
@@ -1,7 +1,7 @@
 """HTTP server as an asyncio protocol.
 
-Everything a stranger can get wrong is bounded here: size of head and body, time to send a request,
-number of sockets. One connection's trouble never touches another.
+Everything that a client can do wrong is bounded: the size of head and body, the time to send a
+request, and the number of sockets. A failure on one connection never affects another.
 """
 
 import asyncio
@@ -105,8 +105,8 @@
         return int(self._server.sockets[0].getsockname()[1])
 
     async def take(self, host: str, port: int) -> None:
-        """Have the address, as soon as nobody else has it: a process that is started again at once
-        may find the one before it not gone yet, and must not end for that."""
+        """Bind the address, waiting for a former process that still has it: one that is restarted
+        at once may find its predecessor not gone yet, and must not fail because of that."""
         waited = timedelta(0)
         while self._listening is None:
             try:
@@ -140,7 +140,7 @@
             self._tell()
 
     def _tell(self) -> None:
-        """Say who holds the connections when they become scarce, and again at each further
+        """Log who uses the connections when they become scarce, and again with each further
         eighth."""
         count = len(self.connections)
         if count < self.max_connections * CROWDED / 2:
@@ -162,7 +162,8 @@
         )
 
     def admit(self, connection: "Connection") -> bool:
-        """Take a new connection; when full, another has to go, or this one."""
+        """Accept a new connection. When the limit is reached another one is dropped, or this one
+        is refused."""
         if len(self.connections) >= self.max_connections:
             shed = to_shed(self.connections, asyncio.get_running_loop().time())
             if shed is None:
@@ -173,7 +174,7 @@
         return True
 
     def seat_worker(self, connection: "Connection") -> bool:
-        """A connection turns out to be a worker's: they may take only so many."""
+        """Note that a connection is a worker's; workers may use only a part of all."""
         if connection.role is Role.WORKER:
             return True
         connection.role = Role.WORKER
@@ -188,14 +189,14 @@
         return True
 
     def leave(self, connection: "Connection") -> None:
-        """A connection is over."""
+        """Forget a connection that is closed."""
         known = connection in self.connections
         self.connections.pop(connection, None)
         self.workers -= known and connection.role is Role.WORKER
 
 
 class Connection(asyncio.Protocol):
-    """One client connection; requests come one after the other."""
+    """One client connection; requests are served one after the other."""
 
     def __init__(self, server: Server) -> None:
         self.server = server
@@ -312,7 +313,7 @@
         self.deadline = self.since + IDLE_TIMES[self.role].total_seconds()
 
     def expire(self) -> None:
-        """Time is up: a half-sent request is told so, an idle connection is just closed."""
+        """Act on a deadline: an incomplete request is refused, an idle connection is closed."""
         if self.idle:
             self.abort()
         else:
--- a/dappledrum/settings.py
+++ b/dappledrum/settings.py
@@ -1,5 +1,4 @@
-"""The settings file that the platform hands over, checked field by field, and the operator's own
-settings."""
+"""The settings file of the platform, checked field by field, and the operator's own settings."""
 
 from dataclasses import dataclass
 from datetime import timedelta
@@ -47,7 +46,8 @@
 
 
 class Objective(msgspec.Struct, frozen=True, rename={"job_class": "class"}):
-    """What is expected of a class of jobs: waiting, finishing, or keeping the deadline."""
+    """What is expected for a class of jobs: a time to start, a time to finish, or keeping
+    deadlines."""
 
     kind: str
     share: Annotated[float, Meta(ge=0, le=1)] = 1.0
@@ -57,7 +57,7 @@
 
 
 class WorkerLimits(msgspec.Struct, frozen=True):
-    """Timing of the workers."""
+    """Intervals and leases of the workers."""
 
     report_s: Positive
     lease_s: Positive
@@ -70,12 +70,12 @@
 
     @property
     def lease(self) -> timedelta:
-        """How long a worker keeps its tasks with no answer."""
+        """How long a worker keeps its tasks without an answer."""
         return seconds(self.lease_s)
 
     @property
     def cancel(self) -> timedelta:
-        """Within which nothing of a cancelled job may be left."""
+        """Time within which nothing of a cancelled job may be left."""
         return seconds(self.cancel_s)
 
 
@@ -83,8 +83,8 @@
 
 
 class NextLimits(msgspec.Struct, frozen=True):
-    """What the state service will allow from some moment on, without notice; what is left out
-    stays."""
+    """Limits that the state service will have from some moment on, without notice; a limit that is
+    left out does not change."""
 
     rps: Positive | None = None
     write_rps: Positive | None = None
@@ -107,8 +107,8 @@
         return int(self.value_kb * 1024)
 
     def binding(self) -> "StateLimits":
-        """What this controller keeps to from its start on: the lesser of now and next, since the
-        change comes without notice."""
+        """The smaller of the present and the next limits. This controller keeps to them from its
+        start, since the change comes without notice."""
         if self.next is None:
             return self
         return StateLimits(
@@ -120,7 +120,7 @@
 
 
 class CloudLimits(msgspec.Struct, frozen=True):
-    """Call rate and list lag of the cloud."""
+    """Call rate of the cloud, and lag of its list."""
 
     rps: Positive
     list_lag_s: Amount
@@ -140,7 +140,7 @@
 
 
 class Params(msgspec.Struct, frozen=True):
-    """What holds for the whole deployment."""
+    """Parameters of the whole deployment."""
 
     teams: list[Team]
     workers: WorkerLimits
@@ -184,7 +184,8 @@
 
 @dataclass(frozen=True)
 class Tuning:
-    """The operator's own settings: the paper's open parameters, and what is enabled."""
+    """The operator's own settings: the open parameters of the paper, and which features are
+    enabled."""
 
     interval: timedelta = timedelta(seconds=60)
     ready_share: float = 0.3
--- a/dappledrum/timing/__init__.py
+++ b/dappledrum/timing/__init__.py
@@ -1,1 +1,1 @@
-"""Time as this process and others see it, waiting, and troubles that last."""
+"""Clocks, timeouts that tolerate pauses of the process, and logging of faults that last."""
--- a/dappledrum/timing/clock.py
+++ b/dappledrum/timing/clock.py
@@ -1,8 +1,8 @@
-"""The two clocks of a controller, as the standard library's time types.
+"""The steady clock and the time of day of a controller, as the standard library's time types.
 
-The steady clock counts from an arbitrary start and is what leases and waits are measured with; the
-time of day is only good for what must outlive a process (acceptance times, and how long a task has
-been running).
+The steady clock starts at an arbitrary point; leases and waits are measured with it. The time of
+day is used only for what must remain meaningful after a restart (times of acceptance, and how long
+a task has been running).
 """
 
 import asyncio
@@ -19,7 +19,7 @@
     """Steady time of the running event loop, and the time of day."""
 
     def now(self) -> timedelta:
-        """Steady time; only differences mean anything."""
+        """Steady time; only differences are meaningful."""
         return timedelta(seconds=asyncio.get_running_loop().time())
 
     def today(self) -> datetime:
@@ -28,15 +28,15 @@
 
 
 def seconds(value: float) -> timedelta:
-    """A wire amount of seconds as a duration."""
+    """A number of seconds from a message as a duration."""
     return timedelta(seconds=value)
 
 
 def longer(span: timedelta) -> timedelta:
-    """The most that this span on another machine's clock can be on ours."""
+    """The longest that this span on another machine's clock can be on ours."""
     return span * (1 + DRIFT)
 
 
 def shorter(span: timedelta) -> timedelta:
-    """The least that this span on another machine's clock can be on ours."""
+    """The shortest that this span on another machine's clock can be on ours."""
     return span * (1 - DRIFT)
--- a/dappledrum/timing/patience.py
+++ b/dappledrum/timing/patience.py
@@ -1,10 +1,10 @@
-"""Waiting that a pause of the whole process can't deceive.
+"""Timeouts that tolerate pauses of the whole process.
 
-A controller may stand still for seconds while its clocks run on. When it goes on, every time
-limit that passed meanwhile is due at once, and answers lie unread in sockets. A limit that comes
-due late therefore gets a little more time, in which what has arrived is read, before anybody's
-silence is concluded from it; and whoever judges machines by their silence asks since when this
-process has been awake.
+A controller may be suspended for seconds while its clocks run on. When it continues, every timeout
+that passed meanwhile is due at once, while answers still lie unread in the sockets. A timeout that
+fires late is therefore extended a little, so that arrived data is read before anybody is taken for
+silent. Code that judges machines by their silence asks `Pulse` since when this process has been
+running without a pause.
 """
 
 import asyncio
@@ -23,7 +23,7 @@
 
 
 class Patience:
-    """`asyncio.timeout` for what others may be blamed for."""
+    """Like `asyncio.timeout`, for waits after which another machine is considered silent."""
 
     def __init__(self, span: timedelta) -> None:
         self.span = span
@@ -60,7 +60,7 @@
 
 
 class Pulse:
-    """Notices when this process has stood still."""
+    """Detects pauses of this process."""
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
@@ -68,7 +68,7 @@
         self.since = self.beat
 
     def awake_since(self) -> timedelta:
-        """Beginning of the time in which nothing was missed."""
+        """Since when this process has been running without a pause."""
         now = self.clock.now()
         gap = now - self.beat
         self.beat = now
@@ -80,7 +80,7 @@
         return self.since
 
     async def run(self) -> None:
-        """Beat, for ever."""
+        """Check for pauses periodically, for ever."""
         while True:
             self.awake_since()
             await asyncio.sleep(BEAT.total_seconds())
--- a/dappledrum/timing/troubles.py
+++ b/dappledrum/timing/troubles.py
@@ -1,4 +1,4 @@
-"""A trouble that lasts is said when it begins and when it is over, not with each failure."""
+"""Logs a lasting fault when it begins and when it is over, not with each failure."""
 
 import logging
 from datetime import timedelta
@@ -7,7 +7,7 @@
 
 
 class Trouble:
-    """One thing that may not answer for a while."""
+    """The state of one service or condition that may fail for a while."""
 
     def __init__(self, log: logging.Logger, clock: Clock, what: str) -> None:
         self.log = log
@@ -18,7 +18,7 @@
         self.why = ""
 
     def seen(self, why: str) -> None:
-        """It failed, once more."""
+        """Note one more failure; the first one is logged."""
         self.failures += 1
         self.why = why
         if self.since is None:
@@ -26,7 +26,7 @@
             self.log.warning("%s: %s", self.what, why)
 
     def over(self) -> None:
-        """It works."""
+        """Note that it works again; the end of a fault is logged."""
         if self.since is not None:
             span = (self.clock.now() - self.since).total_seconds()
             self.log.warning(
