--- /dev/null
+++ b/dappledrum/controller/catalog.py
@@ -0,0 +1,85 @@
+"""Loads the catalog of machine types, once after each start."""
+
+import asyncio
+import logging
+import random
+from collections.abc import Callable
+
+import msgspec
+
+from dappledrum.fleet.cloud import Cloud, CloudError
+from dappledrum.fleet.messages import Catalog, MachineType
+from dappledrum.jobs.intake import Intake
+from dappledrum.leading.leader import Leader
+from dappledrum.settings import Params
+from dappledrum.state.budget import Rank
+from dappledrum.state.client import State, StateError, raw
+from dappledrum.state.messages import Guard, Put
+from dappledrum.timing.clock import Clock
+from dappledrum.timing.troubles import Trouble
+
+log = logging.getLogger(__name__)
+
+CATALOG = "catalog"
+
+
+class CatalogLoader:
+    """Passes the catalog to the intake of jobs and to the leader once it is known."""
+
+    def __init__(
+        self,
+        state: State,
+        cloud: Cloud,
+        params: Params,
+        clock: Clock,
+        rng: random.Random,
+        intake: Intake,
+        leader: Callable[[], Leader | None],
+    ) -> None:
+        self.state = state
+        self.cloud = cloud
+        self.params = params
+        self.rng = rng
+        self.intake = intake
+        self.leader = leader
+        self.no_catalog = Trouble(log, clock, "no machine types are known yet")
+
+    async def run(self) -> None:
+        """Load the catalog: from its stored copy if there is one, since the cloud may be
+        unreachable."""
+        while True:
+            types = await self._stored_types() or await self._cloud_types()
+            if types:
+                self.no_catalog.over()
+                self.intake.types = types
+                leader = self.leader()
+                if leader is not None:
+                    leader.set_types(types)
+                    leader.wake("catalog")
+                log.info("machine types: %s", ", ".join(t.name for t in types))
+                return
+            await asyncio.sleep(self.rng.uniform(0.5, 1.5))
+
+    async def _stored_types(self) -> list[MachineType]:
+        try:
+            entry = await self.state.get(CATALOG, Rank.INTAKE)
+            return (
+                msgspec.json.decode(entry.value, type=Catalog).types if entry is not None else []
+            )
+        except (StateError, msgspec.DecodeError) as error:
+            self.no_catalog.seen(f"no stored catalog: {error}")
+            return []
+
+    async def _cloud_types(self) -> list[MachineType]:
+        try:
+            types = await self.cloud.catalog()
+        except CloudError as error:
+            self.no_catalog.seen(f"no catalog: {error}")
+            return []
+        value = raw(Catalog(types))
+        if types and len(value) < self.params.state.value_bytes:
+            try:
+                await self.state.commit([Guard(CATALOG, 0)], [Put(CATALOG, value)], Rank.INTAKE)
+            except StateError as error:
+                log.info("catalog not stored: %s", error)
+        return types
--- /dev/null
+++ b/dappledrum/controller/peer_versions.py
@@ -0,0 +1,83 @@
+"""Learns which versions the other controllers run, since records and gangs depend on the oldest
+one."""
+
+import asyncio
+import logging
+from datetime import timedelta
+
+from dappledrum import __version__
+from dappledrum.jobs.intake import Intake
+from dappledrum.peers.client import Peers
+from dappledrum.peers.versions import GANGS, REACH, at_least
+from dappledrum.reach.service import Reach
+from dappledrum.state.budget import Rank
+from dappledrum.state.ceiling import Ceiling
+from dappledrum.state.client import State, StateError, raw
+from dappledrum.state.messages import Guard, Put
+
+log = logging.getLogger(__name__)
+
+GANGS_KNOWN = "gangs"
+PAUSES = (timedelta(milliseconds=250), timedelta(seconds=2))  # the first, the longest
+ANSWER_TIME = timedelta(milliseconds=900)
+
+
+class PeerVersions:
+    """Enables what every controller must support before it may be used."""
+
+    def __init__(
+        self, state: State, peers: Peers, reach: Reach, ceiling: Ceiling, intake: Intake
+    ) -> None:
+        self.state = state
+        self.peers = peers
+        self.reach = reach
+        self.ceiling = ceiling
+        self.intake = intake
+
+    async def run(self) -> None:
+        """Ask every other controller for its version until all of them have answered.
+
+        Versions before 0.3.0 do not answer, and can't read records that are split into parts; a
+        controller is never downgraded. Gangs are accepted once all controllers run a version that
+        supports them; that this was so is stored, since a controller may be down for long.
+        """
+        told: dict[str, str] = {}
+        settled = False
+        pause, longest = PAUSES
+        while True:
+            for member in self.peers.callers:
+                if at_least(told.get(member, ""), REACH):
+                    continue
+                version = await self.peers.version(member, ANSWER_TIME)
+                if version is not None and version != told.get(member):
+                    told[member] = version
+                    log.info("%s runs version %.40s", member, version)
+                    if at_least(version, REACH):
+                        self.reach.speaks.add(member)
+                        # At once: without messages of a peer this controller may not be ready.
+                        self.reach.tell()
+            if len(told) == len(self.peers.callers):
+                self.ceiling.settle("all controllers read them")
+            if all(at_least(told.get(member, ""), GANGS) for member in self.peers.callers):
+                self.intake.gangs = True
+            settled = settled or await self._gangs_known()
+            if settled and all(at_least(told.get(m, ""), REACH) for m in self.peers.callers):
+                return
+            await asyncio.sleep(pause.total_seconds())
+            pause = min(pause * 2, longest)
+
+    async def _gangs_known(self) -> bool:
+        """Whether it is stored, now or from before, that all controllers support gangs."""
+        try:
+            entry = await self.state.get(GANGS_KNOWN, Rank.RECORD)
+            if entry is None and self.intake.gangs:
+                value = raw({"version": __version__})
+                await self.state.commit(
+                    [Guard(GANGS_KNOWN, 0)], [Put(GANGS_KNOWN, value)], Rank.RECORD
+                )
+            self.intake.gangs = self.intake.gangs or entry is not None
+            # An older peer may yet be upgraded, which settles how records are written.
+            return self.intake.gangs and self.ceiling.settled
+        except StateError as error:
+            log.debug("not known whether all know gangs: %s", error)
+            return False
--- a/dappledrum/controller/test_copies.py
+++ b/dappledrum/controller/test_copies.py
@@ -261,7 +261,7 @@
         assert (await world._ask("GET", f"/submissions/{names[0]}", None, member)).status == 503
         assert now() - began < 0.5
         node = world.nodes[member]
-        assert node.elector.holding() is None and node._conductor() is None
+        assert node.elector.holding() is None and node.reports.conductor() is None
         await world.wait(20)
         for worker in world.cloud.workers():
             if worker.name in sessions:
--- a/dappledrum/controller/test_gap.py
+++ b/dappledrum/controller/test_gap.py
@@ -350,7 +350,7 @@
         node = world.nodes[world.leader()]
         node.elector.term.known_at -= timedelta(seconds=60)
         assert node.elector.holding() is None
-        assert (await node._answer(HoldingQuestion())).holds
+        assert (await node.peer_requests.answer(HoldingQuestion())).holds
         await world.wait(5)
 
     run(main())
--- /dev/null
+++ b/dappledrum/controller/worker_reports.py
@@ -0,0 +1,143 @@
+"""Reports of workers: answered as leader, forwarded to the leader, or redirected there."""
+
+import asyncio
+import logging
+from collections.abc import Callable
+from datetime import timedelta
+from http import HTTPStatus
+
+import msgspec
+
+from dappledrum.controller.isolation import Isolation
+from dappledrum.http.server import Request, Response
+from dappledrum.jobs.intake import refusal
+from dappledrum.leadership.elector import Elector
+from dappledrum.leading.leader import IDLE_MOST, Leader
+from dappledrum.peers.client import Peers
+from dappledrum.reach.service import Reach
+from dappledrum.settings import Tuning, WorkerLimits
+from dappledrum.state.client import State
+from dappledrum.timing.clock import Clock
+from dappledrum.timing.patience import Pulse
+from dappledrum.workers.knocks import Knocks, shunned
+from dappledrum.workers.messages import Commands, Redirect, Report
+
+log = logging.getLogger(__name__)
+
+KNOCK_TIME = timedelta(seconds=10)
+AVOID = timedelta(seconds=20)
+PASSED_WAIT = timedelta(
+    milliseconds=300
+)  # the longest that the answer to a forwarded report waits for work
+
+
+class WorkerReports:
+    """Answers workers as far as this controller is entitled to."""
+
+    def __init__(
+        self,
+        member: str,
+        limits: WorkerLimits,
+        tuning: Tuning,
+        clock: Clock,
+        state: State,
+        peers: Peers,
+        elector: Elector,
+        reach: Reach,
+        pulse: Pulse,
+        isolation: Isolation,
+        leader: Callable[[], Leader | None],
+    ) -> None:
+        self.member = member
+        self.limits = limits
+        self.tuning = tuning
+        self.clock = clock
+        self.state = state
+        self.peers = peers
+        self.elector = elector
+        self.reach = reach
+        self.pulse = pulse
+        self.isolation = isolation
+        self.leader = leader
+        self.knocks = Knocks()
+
+    async def watch(self) -> None:
+        """Resign as leader if no worker reports here while workers report to other controllers."""
+        silence = max(self.limits.report * 3, timedelta(seconds=3))
+        while True:
+            await asyncio.sleep(1)
+            leader = self.leader()
+            now = self.clock.now()
+            if leader is None or not leader.loaded.is_set() or self.elector.leading() is None:
+                continue
+            if self.tuning.reach and self.reach.speaks:
+                continue  # heartbeats of peers show more, and who should lead instead
+            heard = self.knocks.last
+            began = max(leader.began, self.pulse.awake_since())
+            if now - began < silence or (heard is not None and now - heard < silence):
+                continue
+            names = shunned(
+                await self.peers.knocks(KNOCK_TIME, timedelta(seconds=1)), leader.roster
+            )
+            if names and self.leader() is leader:
+                self.elector.resign(
+                    f"no worker reaches this controller, {len(names)} try others", AVOID
+                )
+
+    async def serve(self, request: Request) -> Response:
+        """Answer one report of a worker."""
+        try:
+            report = msgspec.json.decode(request.body, type=Report)
+        except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
+            log.warning("unusable report: %s", error)
+            return refusal(HTTPStatus.BAD_REQUEST, str(error))
+        self.knocks.note(report.machine, self.clock.now())
+        self.reach.zone(report.zone).heard(self.clock.now(), report.address)
+        commands = await self._commands(report, IDLE_MOST)
+        if commands is not None:
+            return Response(HTTPStatus.OK, msgspec.json.encode(commands))
+        conductor = self.conductor()
+        if conductor is not None and self.tuning.reach:
+            answer = await self.reach.pass_on(report, conductor, request.body)
+            if answer is not None:
+                return Response(HTTPStatus.OK, answer)
+        return Response(
+            HTTPStatus.MISDIRECTED_REQUEST,
+            msgspec.json.encode(Redirect(conductor)),
+            close=True,  # the worker goes elsewhere, so its connection is not needed
+        )
+
+    async def _commands(self, report: Report, most: timedelta) -> Commands | None:
+        """The leader's answer; None: this controller is not entitled to give one."""
+        leader = self.leader()
+        if leader is None or self.elector.holding() is not leader.term:
+            return None
+        return await leader.report(report, lambda: self.elector.answering() is leader.term, most)
+
+    def conductor(self) -> str | None:
+        """The controller to redirect a worker to; None: not known, the worker tries the next one
+        itself.
+
+        A controller that does not reach the state service may know only a former leader. Four of
+        them once redirected all workers in a circle, and none reached the fifth, which was the
+        leader.
+        """
+        if self.isolation.alone():
+            return None  # the leader known from before may have ended long ago
+        if self.tuning.reach:
+            member = self.reach.conductor()
+        else:
+            known = None if self.state.troubled() else self.elector.leader
+            member = known.member if known is not None else None
+        return None if member == self.member else member
+
+    async def answer_passed(self, body: bytes) -> bytes | None:
+        """The answer to a report that a peer has forwarded: the answer that the worker itself
+        would get, or None. It is never forwarded again."""
+        try:
+            report = msgspec.json.decode(body, type=Report)
+        except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
+            log.warning("unusable report from a peer: %s", error)
+            return None
+        commands = await self._commands(report, PASSED_WAIT)
+        return None if commands is None else msgspec.json.encode(commands)
