--- a/dappledrum/jobs/recorder.py
+++ b/dappledrum/jobs/recorder.py
@@ -15,7 +15,7 @@
 
 from dappledrum.jobs.messages import JobRecord
 from dappledrum.jobs.record import Job, Page, ended_key, head_key, rows_key, spec_key
-from dappledrum.leadership.elector import LEADER, Term
+from dappledrum.leadership.terms import LEADER, Term
 from dappledrum.settings import StateLimits
 from dappledrum.state.budget import Rank
 from dappledrum.state.ceiling import Ceiling
--- a/dappledrum/jobs/test_recorder.py
+++ b/dappledrum/jobs/test_recorder.py
@@ -8,7 +8,7 @@
 from dappledrum.jobs.messages import JobRecord, PageRecord, Spec
 from dappledrum.jobs.record import Job
 from dappledrum.jobs.recorder import LAZY, Recorder
-from dappledrum.leadership.elector import Term
+from dappledrum.leadership.terms import Term
 from dappledrum.settings import StateLimits
 from dappledrum.standins.time import run
 from dappledrum.standins.world import job
--- a/dappledrum/leadership/elector.py
+++ b/dappledrum/leadership/elector.py
@@ -13,9 +13,9 @@
 import asyncio
 import logging
 import random
-from collections.abc import Awaitable, Callable, Coroutine
+from collections.abc import Callable, Coroutine
 from datetime import timedelta
-from typing import Any, NamedTuple
+from typing import Any
 
 import msgspec
 
@@ -29,6 +29,8 @@
     Standing,
     StandingReply,
 )
+from dappledrum.leadership.questions import Asker, Giver, StandingAsker, majority
+from dappledrum.leadership.terms import LEADER, Offer, Term
 from dappledrum.leadership.witness import PROMISE, Witness
 from dappledrum.state.budget import Rank
 from dappledrum.state.client import (
@@ -45,7 +47,6 @@
 
 log = logging.getLogger(__name__)
 
-LEADER = "leader"
 EPOCH = "epoch"
 MARGIN = timedelta(milliseconds=100)
 #: How long a leader waits for its successor to say that it leads, before it ends its own lease.
@@ -60,72 +61,6 @@
 CLEAR_PAUSE = timedelta(milliseconds=500)
 #: An answer of a peer covers this much more than the time since all was known: what it takes.
 TOLD_MORE = timedelta(seconds=2)
-#: Of a single controller: it alone tells users anything.
-ALWAYS = timedelta(days=10_000)
-
-
-class Answers(NamedTuple):
-    """What became of a question to all peers."""
-
-    yes: int
-    asked: int
-    strong: int = 0  # of the promises, those that count for a majority
-    old: bool = False  # some peer is of a version that does not know the question
-    told: Attested = Attested(frozenset(), ZERO)  # by all of them; no span if one does not say
-
-
-def majority(peers: int, asked: int) -> bool:
-    """Whether so many of the peers that were asked make a majority with the one that asks."""
-    return (peers + 1) * 2 > asked + 1
-
-
-Asker = Callable[[PromiseRequest, timedelta], Awaitable[Answers]]
-StandingAsker = Callable[[Standing, timedelta], Awaitable[Answers]]
-Giver = Callable[[str, HandOver, timedelta], Awaitable[bool]]
-
-
-class Term:
-    """One period of leadership."""
-
-    def __init__(self, epoch: int, version: int, lease: int, began: timedelta = ZERO) -> None:
-        self.began = began
-        self.epoch = epoch
-        self.version = version
-        self.lease = lease
-        self.valid_until = ZERO  # by the lease
-        self.promised_until = ZERO  # by the promise of peers
-        self.renewed_at = began  # when the newest renewal that was answered was sent
-        #: Every cancellation that a user was told of until then is known; None: not read yet.
-        self.known_at: timedelta | None = None
-        #: From here on nobody else can have answered a worker; None: not known yet.
-        self.clear_at: timedelta | None = None
-        self.over = asyncio.Event()
-        self.successor: str | None = None  # to whom it is handed over
-
-    def knows(self, moment: timedelta) -> None:
-        """Every cancellation that any controller had told a user of at this moment is known, and
-        will be acted on with the next answer: by a reading of all records, or of all their
-        changes, that was *sent* then, or by the word of all controllers, asked then. A renewal
-        shows nothing of the kind, nor does the end of a watch that may have waited in an
-        outage."""
-        self.known_at = moment if self.known_at is None else max(self.known_at, moment)
-
-    def guard(self) -> Guard:
-        """Condition under which a write of this leader may happen."""
-        return Guard(LEADER, self.version)
-
-
-class Offer:
-    """A predecessor's word that it has stopped, until it is known what became of it."""
-
-    def __init__(self, request: HandOver) -> None:
-        self.request = request
-        self.leads: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
-
-    def settle(self, leads: bool) -> None:
-        """Tell the predecessor."""
-        if not self.leads.done():
-            self.leads.set_result(leads)
 
 
 class Elector:
--- /dev/null
+++ b/dappledrum/leadership/questions.py
@@ -0,0 +1,34 @@
+"""Questions of leaders and candidates to all other controllers, and the summary of the answers."""
+
+from collections.abc import Awaitable, Callable
+from datetime import timedelta
+from typing import NamedTuple
+
+from dappledrum.jobs.told import Attested
+from dappledrum.leadership.messages import HandOver, PromiseRequest, Standing
+from dappledrum.timing.clock import ZERO
+
+#: The span of a deployment of a single controller: no other one answers users.
+ALWAYS = timedelta(days=10_000)
+
+
+class Answers(NamedTuple):
+    """The answers of all peers to one question."""
+
+    yes: int
+    asked: int
+    strong: int = 0  # promises that count where only a majority promises
+    old: bool = False  # the version of some peer does not support the question
+    told: Attested = Attested(
+        frozenset(), ZERO
+    )  # by all of them; the span is zero if one did not say
+
+
+def majority(peers: int, asked: int) -> bool:
+    """Whether this many of the asked peers are a majority, counting the controller that asks."""
+    return (peers + 1) * 2 > asked + 1
+
+
+Asker = Callable[[PromiseRequest, timedelta], Awaitable[Answers]]
+StandingAsker = Callable[[Standing, timedelta], Awaitable[Answers]]
+Giver = Callable[[str, HandOver, timedelta], Awaitable[bool]]
--- /dev/null
+++ b/dappledrum/leadership/terms.py
@@ -0,0 +1,57 @@
+"""Terms of leadership, and the transfer of leadership to a named successor."""
+
+import asyncio
+from datetime import timedelta
+
+from dappledrum.leadership.messages import HandOver
+from dappledrum.state.messages import Guard
+from dappledrum.timing.clock import ZERO
+
+LEADER = "leader"
+
+
+class Term:
+    """One term of leadership, as its leader sees it."""
+
+    def __init__(self, epoch: int, version: int, lease: int, began: timedelta = ZERO) -> None:
+        self.began = began
+        self.epoch = epoch
+        self.version = version
+        self.lease = lease
+        self.valid_until = ZERO  # by the lease
+        self.promised_until = ZERO  # by promises of peers
+        self.renewed_at = began  # when the newest successful renewal was sent
+        #: All cancellations confirmed to users until then are known; None: not read yet.
+        self.known_at: timedelta | None = None
+        #: From then on no other controller can have answered a worker; None: not known yet.
+        self.clear_at: timedelta | None = None
+        self.over = asyncio.Event()
+        self.successor: str | None = None  # the controller that leadership is transferred to
+
+    def knows(self, moment: timedelta) -> None:
+        """Note that the leader knows every cancellation that any controller had confirmed to a
+        user by this moment, and acts on it with its next answer.
+
+        It knows that from reading all records or all their changes (the moment is that of
+        *sending* the request), or from the answers of all controllers (the moment of asking). A
+        renewal of the lease shows nothing of the kind, nor does the end of a watch, which may have
+        waited in an outage.
+        """
+        self.known_at = moment if self.known_at is None else max(self.known_at, moment)
+
+    def guard(self) -> Guard:
+        """The condition for each write of this leader."""
+        return Guard(LEADER, self.version)
+
+
+class Offer:
+    """A transfer from a leader that has stopped, until its outcome is known."""
+
+    def __init__(self, request: HandOver) -> None:
+        self.request = request
+        self.leads: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
+
+    def settle(self, leads: bool) -> None:
+        """Tell the former leader whether this controller leads now."""
+        if not self.leads.done():
+            self.leads.set_result(leads)
--- a/dappledrum/leadership/test_told.py
+++ b/dappledrum/leadership/test_told.py
@@ -9,8 +9,10 @@
 
 from dappledrum.http.client import NoResponseError, Reply
 from dappledrum.jobs.told import KEPT, Attested, Told, together
-from dappledrum.leadership.elector import ALWAYS, TOLD_MORE, Answers, Elector, Term
+from dappledrum.leadership.elector import TOLD_MORE, Elector
 from dappledrum.leadership.messages import PromiseReply, PromiseRequest
+from dappledrum.leadership.questions import ALWAYS, Answers
+from dappledrum.leadership.terms import Term
 from dappledrum.peers.client import Peers
 from dappledrum.peers.messages import encode
 from dappledrum.standins.time import run
--- a/dappledrum/peers/client.py
+++ b/dappledrum/peers/client.py
@@ -7,7 +7,6 @@
 
 from dappledrum.http.client import Caller, NoResponseError
 from dappledrum.jobs.told import Attested, together
-from dappledrum.leadership.elector import ALWAYS, Answers, majority
 from dappledrum.leadership.messages import (
     HandOver,
     HandOverReply,
@@ -16,6 +15,7 @@
     Standing,
     StandingReply,
 )
+from dappledrum.leadership.questions import ALWAYS, Answers, majority
 from dappledrum.peers.messages import (
     HoldingQuestion,
     HoldingReply,
