--- a/dappledrum/leading/__init__.py
+++ b/dappledrum/leading/__init__.py
@@ -1,1 +1,1 @@
-"""One term of leadership: its records, and the loops that act on them."""
+"""One term of leadership: reading the records, and the loops that act on them."""
--- a/dappledrum/leading/leader.py
+++ b/dappledrum/leading/leader.py
@@ -7,7 +7,6 @@
 from collections.abc import Awaitable, Callable
 from datetime import timedelta
 from itertools import islice
-from typing import TypeVar
 
 import msgspec
 
@@ -20,10 +19,12 @@
 from dappledrum.fleet.keeper import Keeper
 from dappledrum.fleet.memory import FLEET, FleetMemory
 from dappledrum.fleet.messages import FleetRecord, MachineType
-from dappledrum.jobs.messages import JobRecord, PageRecord, RowsRecord, SpecPart
-from dappledrum.jobs.record import Job, Page, head_key, spec_key
+from dappledrum.jobs.messages import JobRecord, SpecPart
+from dappledrum.jobs.record import Job, head_key, spec_key
 from dappledrum.jobs.recorder import Recorder
-from dappledrum.leadership.elector import Term
+from dappledrum.leadership.terms import Term
+from dappledrum.leading.records import JOBS, StoredJobs
+from dappledrum.leading.worker_answers import IDLE_MOST, WorkerAnswers
 from dappledrum.learning.memory import LearnedMemory
 from dappledrum.learning.messages import LearnedRecord
 from dappledrum.recovery.picture import Picture
@@ -36,16 +37,11 @@
 from dappledrum.state.messages import Event
 from dappledrum.timing.clock import ZERO, Clock
 from dappledrum.workers.bookkeeping import Bookkeeper
-from dappledrum.workers.messages import Command, Commands, Report
-from dappledrum.workers.roster import Machine, Roster
+from dappledrum.workers.messages import Commands, Report
+from dappledrum.workers.roster import Roster
 
 log = logging.getLogger(__name__)
 
-T = TypeVar("T")
-JOBS = "job/"
-PAGES = "page/"
-ROWS = "rows/"
-SPECS = "spec/"
 LEARNED = "learned"
 TIMER = timedelta(seconds=1)  # stalled boots and overruns wake nobody, so the clock does
 GATHER = timedelta(milliseconds=100)
@@ -54,19 +50,7 @@
 #: A watch tells nothing of the time in which it waits, so it is short: counted from its sending, a
 #: leader answers workers only for as long as the time for cancellations leaves.
 WATCH_WAIT = timedelta(seconds=2)
-HOLD = timedelta(
-    milliseconds=400
-)  # the most that an answer to a worker waits for a record that it could carry
-PLAN_TIME = timedelta(milliseconds=250)
-# Reports of an idle worker come a report's time apart, however late the answer: held for most of
-# that time, it can nearly always be given work at once.
-IDLE_SHARE = 0.85
-IDLE_MOST = timedelta(
-    seconds=2.6
-)  # well within the 4 s after which a worker turns to another controller
 KEPT_OVER = 10_000
-#: What a record that can be decoded may still lead to: numbers of zones or tasks that are none.
-BROKEN = (ValueError, LookupError, TypeError)
 
 
 class Leader:
@@ -100,6 +84,7 @@
         self.estimates = Estimates()
         self.recorder = Recorder(state, term, params.state, ceiling, clock)
         self.recorder.on_ended = self._ended
+        self.records = StoredJobs(state, self.jobs, self.recorder.garbage)
         self.graph = Graph(self.jobs, self.recorder.mark, self.wake)
         self.recorder.on_cancelled = self.graph.cancelled
         self.resolver = Resolver(state, self.graph, clock)
@@ -156,12 +141,23 @@
             # Pages of the version before may be larger than new ones, and are stored in parts.
             min(ceiling.now, ceiling.least * (params.state.txn_ops - 2)),
         )
-        self.unreadable: set[str] = set()  # jobs with a record that can't be read
         self.incomplete: dict[str, None] = {}  # new jobs whose specification is in parts
         self.loaded = asyncio.Event()
         self.woken = asyncio.Event()
         self.revision = 0
         self.began = clock.now()
+        self.answers = WorkerAnswers(
+            term,
+            leading,
+            params.workers,
+            clock,
+            self.roster,
+            self.bookkeeper,
+            self.recorder,
+            self.dispatcher.machines,
+            self.loaded,
+            self.woken,
+        )
 
     def set_types(self, types: list[MachineType]) -> None:
         """Take a catalog on."""
@@ -223,67 +219,8 @@
 
     async def _load_once(self) -> None:
         started = self.clock.now()
-        jobs, revision = await self.state.scan(JOBS, Rank.RECORD)
-        pages, rows, specs = [
-            entries
-            for entries, _ in await asyncio.gather(
-                *(self.state.scan(prefix, Rank.RECORD) for prefix in (PAGES, ROWS, SPECS))
-            )
-        ]
-        self.unreadable.clear()
-        parts: dict[str, dict[int, SpecPart]] = {}
-        for entry in specs:
-            _, name, number = entry.key.split("/")
-            part = self._readable(name, entry.value, SpecPart)
-            if part is not None:
-                parts.setdefault(name, {})[int(number)] = part
-        self.jobs.clear()
+        revision = await self.records.read()
         self.graph.clear()
-        for entry in jobs:
-            name = entry.key.removeprefix(JOBS)
-            record = self._readable(name, entry.value, JobRecord)
-            own = parts.pop(name, {})
-            if record is None or name in self.unreadable:
-                continue
-            job = self._job(record, entry.version, [own[number] for number in sorted(own)])
-            if job is not None:
-                job.page(0).stored_bytes = len(bytes(entry.value))
-                self.jobs[name] = job
-        for name, left in parts.items():
-            self.recorder.garbage.update((spec_key(name, number), None) for number in left)
-        for entry in pages:
-            _, name, index = entry.key.split("/")
-            found = self.jobs.get(name)
-            page = self._readable(name, entry.value, PageRecord)
-            if name in self.unreadable:
-                continue
-            if found is None:
-                self.recorder.garbage[entry.key] = None
-            elif page is not None:
-                try:
-                    found.add_page(int(index), page, entry.version)
-                except BROKEN as error:
-                    self._set_aside(name, error)
-                    continue
-                found.page(int(index)).stored_bytes = len(bytes(entry.value))
-        outgrown: dict[Page, int] = {}
-        for entry in rows:
-            _, name, index, number = entry.key.split("/")
-            found = self.jobs.get(name)
-            record_rows = self._readable(name, entry.value, RowsRecord)
-            if name in self.unreadable:
-                continue
-            if found is None:
-                self.recorder.garbage[entry.key] = None
-            elif int(number) >= found.page(int(index)).parts:
-                outgrown[found.page(int(index))] = int(number) + 1
-            elif record_rows is not None:
-                try:
-                    found.page(int(index)).load_rows(record_rows)
-                except BROKEN as error:
-                    self._set_aside(name, error)
-        for page_of, count in outgrown.items():  # those of jobs set aside meanwhile, too
-            page_of.parts = max(page_of.parts, count)  # removed with the page's next record
         for job in self.jobs.values():
             self.bookkeeper.restore(job)
         await self.memory.recall()
@@ -300,33 +237,6 @@
         self.picture.begin()
         self.wake("loaded")
 
-    def _readable(self, name: str, value: msgspec.Raw, kind: type[T]) -> T | None:
-        """A record; None: it can't be read. Its job is left alone then, with all that is stored of
-        it: nothing is removed, and nothing started, as nobody knows where it runs; what runs is
-        stopped, since nobody counts it. One such record would keep a leader from beginning."""
-        try:
-            return msgspec.json.decode(value, type=kind)
-        except (msgspec.DecodeError, UnicodeDecodeError) as error:
-            self._set_aside(name, error)
-            return None
-
-    def _job(self, record: JobRecord, version: int, parts: list[SpecPart]) -> Job | None:
-        """A job as it is recorded; None: its record can be decoded, and makes no sense. Without a
-        part of its specification it might be placed where it must not be."""
-        try:
-            if len(parts) < record.spec_parts:
-                raise ValueError(f"{len(parts)} of {record.spec_parts} parts of its specification")
-            return Job(record, version, parts)
-        except BROKEN as error:
-            self._set_aside(record.spec.id, error)
-            return None
-
-    def _set_aside(self, name: str, error: Exception) -> None:
-        if name not in self.unreadable:
-            log.error("a record of %s can't be read, its job is left alone: %s", name, error)
-        self.unreadable.add(name)
-        self.jobs.pop(name, None)
-
     async def _watch(self) -> None:
         """Hear of submissions and cancellations that any controller took."""
         await self.loaded.wait()
@@ -354,14 +264,18 @@
         job = self.jobs.get(name)
         if name in self.over or (job is not None and version <= job.page(0).version):
             return
-        record = self._readable(name, value, JobRecord) if name not in self.unreadable else None
+        record = (
+            self.records.decode(name, value, JobRecord)
+            if name not in self.records.unreadable
+            else None
+        )
         if record is None:
             return
         if job is None and record.spec_parts:
             self.incomplete[name] = None
             return
         if job is None:
-            made = self._job(record, version, [])
+            made = self.records.make_job(record, version, [])
             if made is None:
                 return
             job = self._new(made)
@@ -408,7 +322,7 @@
                     log.error("%s lacks a part of its specification", name)
                     return
                 parts.append(msgspec.json.decode(part.value, type=SpecPart))
-            made = self._job(record, entry.version, parts)
+            made = self.records.make_job(record, entry.version, parts)
             if made is not None:
                 self.recorder.mark(self._new(made).page(0))
                 self.wake("job changed")
@@ -518,73 +432,4 @@
     ) -> Commands | None:
         """Answer to a worker, which may wait for work for that long; None when this controller
         is not entitled to give one."""
-        if not self.loaded.is_set():
-            try:
-                async with asyncio.timeout(1.5):
-                    await self.loaded.wait()
-            except TimeoutError:
-                return None
-        if report.token > self.term.epoch:
-            log.warning("%s has seen token %d, stepping down", report.machine, report.token)
-            self.term.over.set()
-            return None
-        if report.machine in self.roster.gone:
-            return None
-        machine = self.bookkeeper.take(report)
-        known = self.roster.get(report.machine)
-        if machine is None:
-            if known is None or not holding():
-                return None
-            # No sign of life, and no new lease either: what an answer renews counts from the
-            # sending of its report, and this worker has sent a newer one since, which has come.
-            return Commands(self.term.epoch, [])
-        if self.leading():
-            await self._wait_for_work(machine, most)
-        if not holding() or machine.name in self.roster.gone:
-            return None
-        now = self.clock.now()
-        machine.last_answer = max(machine.last_answer, now)
-        fresh = (machine.session, machine.sequence) == (report.session, report.sequence)
-        if fresh:
-            machine.hearing.answered(now, self.params.workers.lease)
-        commands: list[Command] = []
-        if fresh and self.leading():
-            commands = self.bookkeeper.commands(machine, report)
-        elif fresh:
-            commands = self.bookkeeper.stops(machine, report)
-        return Commands(self.term.epoch, commands)
-
-    async def _wait_for_work(self, machine: Machine, most: timedelta) -> None:
-        """Starts go only into answers, and the next report may be seconds away, so an answer waits
-        a little: for the plan that the report itself has woken, or, when the machine is idle, for
-        any plan that gives it something; then for the record of what it was given."""
-        if not machine.up:
-            return  # the next report shows whether it hears us; until then it gets nothing
-        if not self.bookkeeper.pending(machine):
-            patience = ZERO
-            if self.woken.is_set():
-                patience = PLAN_TIME
-            hold = min(self.params.workers.report * IDLE_SHARE, most)
-            if not machine.placements or self.dispatcher.machines.may_wait(machine, hold):
-                patience = hold
-            machine.given.clear()
-            if patience <= ZERO or not await self._happens(machine.given.wait(), patience):
-                return
-        until = self.clock.now() + HOLD
-        while self.leading() and self.bookkeeper.pending(machine):
-            left = until - self.clock.now()
-            if left <= ZERO or not await self._happens(self._saved(), left):
-                return
-
-    async def _saved(self) -> bool:
-        async with self.recorder.saved:
-            return await self.recorder.saved.wait()
-
-    @staticmethod
-    async def _happens(wait: Awaitable[bool], patience: timedelta) -> bool:
-        try:
-            async with asyncio.timeout(patience.total_seconds()):
-                await wait
-        except TimeoutError:
-            return False
-        return True
+        return await self.answers.answer(report, holding, most)
--- /dev/null
+++ b/dappledrum/leading/worker_answers.py
@@ -0,0 +1,133 @@
+"""The leader's answers to reports of workers."""
+
+import asyncio
+import logging
+from collections.abc import Awaitable, Callable
+from datetime import timedelta
+
+from dappledrum.dispatch.machines import Machines
+from dappledrum.jobs.recorder import Recorder
+from dappledrum.leadership.terms import Term
+from dappledrum.settings import WorkerLimits
+from dappledrum.timing.clock import ZERO, Clock
+from dappledrum.workers.bookkeeping import Bookkeeper
+from dappledrum.workers.messages import Command, Commands, Report
+from dappledrum.workers.roster import Machine, Roster
+
+log = logging.getLogger(__name__)
+
+#: The longest that an answer to a worker waits for a record that it could carry.
+HOLD = timedelta(milliseconds=400)
+PLAN_TIME = timedelta(milliseconds=250)
+#: Part of the time between two reports for which the answer to an idle worker is held back. The
+#: worker reports at the same rate all the same, and nearly always gets new work at once.
+IDLE_SHARE = 0.85
+#: Well within the 4 s after which a worker turns to another controller.
+IDLE_MOST = timedelta(seconds=2.6)
+LOAD_TIME = timedelta(seconds=1.5)  # the longest that a report waits for the records to be read
+
+
+class WorkerAnswers:
+    """Answers workers during one term."""
+
+    def __init__(
+        self,
+        term: Term,
+        leading: Callable[[], bool],
+        limits: WorkerLimits,
+        clock: Clock,
+        roster: Roster,
+        bookkeeper: Bookkeeper,
+        recorder: Recorder,
+        machines: Machines,
+        loaded: asyncio.Event,
+        woken: asyncio.Event,
+    ) -> None:
+        self.term = term
+        self.leading = leading
+        self.limits = limits
+        self.clock = clock
+        self.roster = roster
+        self.bookkeeper = bookkeeper
+        self.recorder = recorder
+        self.machines = machines
+        self.loaded = loaded  # the records are read
+        self.woken = woken  # a plan is about to be made
+
+    async def answer(
+        self, report: Report, holding: Callable[[], bool], most: timedelta
+    ) -> Commands | None:
+        """The answer to a worker, which is held back for up to `most` while there is no work for
+        it; None when this controller is not entitled to answer."""
+        if not self.loaded.is_set() and not await self._happens(self.loaded.wait(), LOAD_TIME):
+            return None
+        if report.token > self.term.epoch:
+            log.warning("%s has seen token %d, stepping down", report.machine, report.token)
+            self.term.over.set()
+            return None
+        if report.machine in self.roster.gone:
+            return None
+        machine = self.bookkeeper.take(report)
+        known = self.roster.get(report.machine)
+        if machine is None:
+            if known is None or not holding():
+                return None
+            # No sign of life, and no new lease either: what an answer renews counts from the
+            # sending of its report, and this worker has sent a newer one since, which has come.
+            return Commands(self.term.epoch, [])
+        if self.leading():
+            await self._wait_for_work(machine, most)
+        if not holding() or machine.name in self.roster.gone:
+            return None
+        return self._commands(machine, report)
+
+    def _commands(self, machine: Machine, report: Report) -> Commands:
+        now = self.clock.now()
+        machine.last_answer = max(machine.last_answer, now)
+        fresh = (machine.session, machine.sequence) == (report.session, report.sequence)
+        if fresh:
+            machine.hearing.answered(now, self.limits.lease)
+        commands: list[Command] = []
+        if fresh and self.leading():
+            commands = self.bookkeeper.commands(machine, report)
+        elif fresh:
+            commands = self.bookkeeper.stops(machine, report)
+        return Commands(self.term.epoch, commands)
+
+    async def _wait_for_work(self, machine: Machine, most: timedelta) -> None:
+        """Wait a little before answering, so that the answer can carry starts.
+
+        Starts are sent only in answers, and the next report may be seconds away. So an answer
+        waits for the plan that the report itself has triggered, or, when the machine is idle, for
+        any plan that places something there; then for the record of what was placed.
+        """
+        if not machine.up:
+            return  # the next report shows whether it gets our answers; until then it gets nothing
+        if not self.bookkeeper.pending(machine):
+            patience = ZERO
+            if self.woken.is_set():
+                patience = PLAN_TIME
+            hold = min(self.limits.report * IDLE_SHARE, most)
+            if not machine.placements or self.machines.may_wait(machine, hold):
+                patience = hold
+            machine.given.clear()
+            if patience <= ZERO or not await self._happens(machine.given.wait(), patience):
+                return
+        until = self.clock.now() + HOLD
+        while self.leading() and self.bookkeeper.pending(machine):
+            left = until - self.clock.now()
+            if left <= ZERO or not await self._happens(self._saved(), left):
+                return
+
+    async def _saved(self) -> bool:
+        async with self.recorder.saved:
+            return await self.recorder.saved.wait()
+
+    @staticmethod
+    async def _happens(wait: Awaitable[bool], patience: timedelta) -> bool:
+        try:
+            async with asyncio.timeout(patience.total_seconds()):
+                await wait
+        except TimeoutError:
+            return False
+        return True
