--- a/dappledrum/reach/__init__.py
+++ b/dappledrum/reach/__init__.py
@@ -1,1 +1,1 @@
-"""What controllers know of the links between machines, and what they make of it."""
+"""What controllers know about the links between machines, and the decisions that follow."""
--- a/dappledrum/reach/choose.py
+++ b/dappledrum/reach/choose.py
@@ -1,8 +1,8 @@
-"""What is concluded from the words: who leads, who had better lead, who stands first.
+"""Conclusions from heartbeats: who leads, who would lead better, and who stands for leader first.
 
-Plain functions of what is known, so that a slow model can be compared with them. None of these
-conclusions entitles anybody to anything: commands hang on the lease of the key `leader` alone, so
-the worst that a wrong word can do is a way that is a second longer.
+Pure functions, so that tests can compare them with a slow model. None of the conclusions entitles
+a controller to anything: commands depend on the lease of the key `leader` alone. The worst effect
+of a wrong heartbeat is a detour of a second.
 """
 
 from collections.abc import Iterable, Mapping
@@ -25,7 +25,7 @@
 
 
 class Claim(NamedTuple):
-    """Somebody's knowledge of who leads: nobody, if `member` is None."""
+    """What one controller knows about who leads; `member` is None if nobody does."""
 
     epoch: int
     member: str | None
@@ -34,7 +34,7 @@
 
 
 def claims(known: Iterable[Known], own: Claim | None) -> list[Claim]:
-    """All that is claimed, own knowledge included."""
+    """All claims, our own knowledge included."""
     result = [] if own is None else [own]
     for one in known:
         word = one.word
@@ -51,17 +51,17 @@
 
 
 def late(word: Word) -> bool:
-    """Whether the state service keeps a controller waiting for longer than a move would take."""
+    """Whether the state service answers a controller more slowly than a transfer would take."""
     return word.state_ms is None or span(word.state_ms) > WORTH
 
 
 def who_leads(claimed: Iterable[Claim], words: Mapping[str, Word]) -> str | None:
-    """The controller to which workers are sent; None: not known.
+    """The controller to which workers are redirected; None: not known.
 
-    Never one of a lower epoch than anybody knows of, and none that says that it does not lead.
-    Of the same epoch the newest strong claim wins, since a key may end before its holder's word
-    does; weak ones count only where there is no other, as in an outage with a leader of a version
-    that tells nothing.
+    Never one of a lower epoch than the highest known, and never one that says it does not lead.
+    Within an epoch the newest strong claim decides, since a key may end before the heartbeat of
+    its holder is old. Weak claims count only if there is no strong one, as in an outage with a
+    leader of a version that sends no heartbeats.
     """
     claimed = list(claimed)
     epoch = max((claim.epoch for claim in claimed), default=0)
@@ -78,7 +78,7 @@
 
 
 class Situation(NamedTuple):
-    """What a leader knows of its own links."""
+    """What a leader knows about its own links."""
 
     now: timedelta
     state: timedelta  # what a request to the state service would take
@@ -93,11 +93,12 @@
 
 
 def successor(ours: Situation, table: Table, speaking: Iterable[str]) -> tuple[str, str] | None:
-    """A controller that would lead clearly better, and why; None: the leader stays.
+    """A controller that would clearly be a better leader, and why; None: the leader stays.
 
-    First the state service, then workers, then the cloud. Only one that has told so itself, since
-    the trouble began, and that has not just stood still; so in a trouble that is everybody's the
-    leader stays, and the only one left stays, too.
+    The state service counts first, then workers, then the cloud. Only a controller qualifies that
+    has sent a heartbeat itself since the fault began, and that was not paused just before. So if
+    all controllers have the same fault the leader stays, and so does a controller that is the only
+    one left.
     """
     able: list[Known] = []
     for member in sorted(speaking):
@@ -139,11 +140,12 @@
 
 
 def _reached(known: Known, ours: Situation) -> set[str]:
-    """Zones whose workers this controller reaches: of those lost to us it has heard since; of the
-    others nothing says that it does not.
+    """Zones whose workers this controller reaches: of those that we have lost, the ones from which
+    it has heard since; of the others, those that it does not report as lost.
 
-    Where our own probes go through, only workers that came there by themselves count: a leader
-    that had just begun, and to which they had not found yet, once handed over for nothing.
+    Where our own probes get through, only workers that came there by themselves count: a leader
+    that had just begun, and that workers had not found yet, once transferred leadership for
+    nothing.
     """
     word = known.word
     back = set()
@@ -156,7 +158,7 @@
 
 
 def deference(own: Word, others: Iterable[Word]) -> timedelta:
-    """How long to let a better candidate stand first; nothing among equals."""
+    """How long to let a better candidate stand for leader first; zero among equals."""
     mine = _rank(own)
     return DEFER if any(_rank(word) < mine for word in others) else ZERO
 
--- a/dappledrum/reach/links.py
+++ b/dappledrum/reach/links.py
@@ -1,4 +1,4 @@
-"""How well this controller's own links work, from the traffic that flows over them."""
+"""How well this controller's own links work, measured by their traffic."""
 
 from collections import deque
 from datetime import timedelta
@@ -11,10 +11,10 @@
 
 
 class Link:
-    """What a request over one link would take now.
+    """Estimates how long a request over one link would take now.
 
-    Neither up nor down: a slow link counts by what it delays, and one without answers by how long
-    the oldest request has been waiting for one.
+    A link is neither up nor down: a slow link counts by its delay, and one without answers by how
+    long the oldest request has been waiting.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -24,14 +24,15 @@
         self.waiting_since: timedelta | None = None  # sent, or refused, and none served since
 
     def sent(self) -> timedelta:
-        """A request leaves; returns when, for `served`."""
+        """Note a request that is sent; returns the moment, for `served`."""
         now = self.clock.now()
         if self.waiting_since is None:
             self.waiting_since = now
         return now
 
     def served(self, sent: timedelta) -> None:
-        """An answer to a request that was sent then; what was sent before it is not mourned."""
+        """Note the answer to a request that was sent at this moment. Requests sent before it no
+        longer count as waiting."""
         now = self.clock.now()
         if self.served_at is None:
             self.usual = now - sent
@@ -41,21 +42,21 @@
         self.waiting_since = None
 
     def cost(self) -> timedelta | None:
-        """What a request would take; None when nothing was ever tried."""
+        """How long a request would take; None if none was ever sent."""
         if self.waiting_since is None:
             return self.usual if self.served_at is not None else None
         return max(self.usual, self.clock.now() - self.waiting_since)
 
     def quiet_for(self, span: timedelta) -> bool:
-        """Whether nothing has flowed for so long that it takes a probe to know."""
+        """Whether there was no answer for so long that the link must be probed."""
         return self.served_at is None or self.clock.now() - self.served_at > span
 
 
 class Zone:
-    """The workers of one zone, as this controller hears and reaches them."""
+    """The workers of one zone, as far as this controller has contact with them."""
 
     def __init__(self) -> None:
-        self.heard_at: timedelta | None = None  # a report or a knock
+        self.heard_at: timedelta | None = None  # a report, answered or not
         self.reached_at: timedelta | None = None  # an answer to a probe
         self.probed_at: timedelta | None = None
         self.failed_at: timedelta | None = None  # when a probe was sent that was not answered
@@ -64,19 +65,19 @@
 
     @property
     def last(self) -> timedelta | None:
-        """When anything came from there."""
+        """When anything came from there last."""
         known = [at for at in (self.heard_at, self.reached_at) if at is not None]
         return max(known, default=None)
 
     def heard(self, now: timedelta, address: str) -> None:
-        """A worker of the zone has come by itself."""
+        """Note a report of a worker of the zone."""
         self.heard_at = now
         self.unanswered = 0
         if address not in self.addresses:
             self.addresses.append(address)
 
     def probed(self, sent: timedelta, now: timedelta, answered: bool) -> None:
-        """A worker of the zone was asked."""
+        """Note the outcome of a probe."""
         if answered:
             self.reached_at = now
             self.unanswered = 0
@@ -85,10 +86,11 @@
             self.unanswered += 1
 
     def apart_since(self, silent: timedelta) -> bool:
-        """Whether a worker was asked since then, and the newest answer that it gave is older."""
+        """Whether a probe sent since then failed, and none was answered after it."""
         failed, reached = self.failed_at, self.reached_at
         return failed is not None and failed >= silent and (reached is None or reached < failed)
 
     def lost(self) -> bool:
-        """Whether probes say that the zone is not reached; one worker may just have ended."""
+        """Whether probes show that the zone is not reached; a single failure may be a worker that
+        ended."""
         return self.unanswered >= LOST_AFTER
--- a/dappledrum/reach/messages.py
+++ b/dappledrum/reach/messages.py
@@ -1,9 +1,10 @@
-"""What controllers tell each other of their links. Ages, not times; the order of one controller's
-words is by its own clocks.
+"""Heartbeats between controllers: what each knows about its links. They carry ages, not times; the
+heartbeats of one controller are ordered by its own clocks.
 
-A word is small (about 220 bytes in CBOR) and told about once a second to each peer, with the words
-that came directly from the others, so that two that can't talk still know of each other. Spoken
-from 0.5.0 on; older versions refuse it, and are not asked.
+A heartbeat is small (about 220 bytes in CBOR). It is sent to each peer about once a second,
+together with the heartbeats received directly from the others, so that two controllers that can't
+reach each other still know about each other. Versions before 0.5.0 refuse heartbeats, and get
+none.
 """
 
 from typing import Annotated
@@ -18,11 +19,12 @@
 
 
 class Word(msgspec.Struct, omit_defaults=True):
-    """What one controller knew of its own links when it said so.
+    """What one controller knew about its own links at one moment.
 
-    `age_ms` is how long ago that was, as the teller knows it; everything else counts from then.
-    `born` is the time of day at which its process began, in milliseconds, and `tick` its steady
-    time since: the newer word is the one with the larger pair, however late it comes.
+    `age_ms` is how long ago that moment was, as far as the sender knows; all other ages count from
+    it. `born` is the time of day at which the controller's process began, in milliseconds, and
+    `tick` its steady time since. The newer heartbeat is the one with the larger pair, however late
+    it arrives.
     """
 
     member: Text
@@ -53,26 +55,26 @@
 
 
 class Words(msgspec.Struct, tag="reach", tag_field="kind"):
-    """A controller's own word, and the words that it has directly from others."""
+    """A controller's own heartbeat, and those that it has received directly from others."""
 
     own: Word
     heard: list[Word] = []
 
 
 class WordsReply(msgspec.Struct):
-    """The same from the other side."""
+    """The same from the controller that was asked."""
 
     own: Word
     heard: list[Word] = []
 
 
 class Passed(msgspec.Struct, tag="passed", tag_field="kind"):
-    """Reports of workers that do not reach the leader, as they came, for it to answer."""
+    """Reports of workers that do not reach the leader, unchanged, for the leader to answer."""
 
     reports: list[bytes]
 
 
 class PassedReply(msgspec.Struct):
-    """The bodies of the leader's answers, in the same order; None: it gives none."""
+    """The bodies of the leader's answers, in the same order; None: it gives no answer."""
 
     answers: list[bytes | None]
--- a/dappledrum/reach/passing.py
+++ b/dappledrum/reach/passing.py
@@ -1,7 +1,8 @@
-"""The way round for workers that do not reach the leader: their reports go through this one.
+"""Forwards reports of workers that do not reach the leader.
 
-A worker takes an equal token from any node, so the answer that the leader gave is the answer that
-it gets. One hop: what was passed on is answered or refused by the leader, never passed on again.
+A worker accepts an answer from any controller if its token is not older, so it gets the leader's
+own answer. There is one hop only: a forwarded report is answered or refused by the leader, and
+never forwarded again.
 """
 
 import asyncio
@@ -23,7 +24,7 @@
 
 
 class Detour:
-    """One worker that came here while another leads, by that leader's epoch."""
+    """A worker that came here while another controller leads, for one epoch of that leader."""
 
     def __init__(self, epoch: int) -> None:
         self.epoch = epoch
@@ -34,22 +35,22 @@
 
 
 class Detours:
-    """Which workers were sent to the leader, and have come back."""
+    """The workers that were redirected to the leader, and those that came back."""
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
         self.workers: OrderedDict[str, Detour] = OrderedDict()
 
     def needed(self, machine: str, token: int, epoch: int, lost: bool, late: bool) -> bool:
-        """Whether a report has to be passed on to the leader of this epoch; otherwise the worker
-        is sent there, and that is noted.
-
-        It has to be when its zone is known not to reach the leader (`lost`), when the worker was
-        answered by this leader before and is here now, and when it was sent there and is here
-        again: so nobody goes in a ring. After a while it is sent there once more, since links
-        heal. One that comes only when the leader has led for long (`late`) has a search behind it,
-        and may have no time left for another vain try: it gets a single answer first. A worker
-        that has never been answered has nothing to lose.
+        """Whether a report must be forwarded to the leader of this epoch; if not, the worker is
+        redirected there, and that is noted.
+
+        It must be forwarded if the zone is known not to reach the leader (`lost`), if the worker
+        was answered by this leader before and comes here now, and if it was redirected there and
+        comes here again: so no worker is redirected in a circle. After a while it is redirected
+        once more, since links recover. A worker that comes here only when the leader has led for
+        long (`late`) has been searching, and may have no time left for another failed attempt: one
+        report of it is forwarded first. A worker that was never answered has no tasks to lose.
         """
         now = self.clock.now()
         detour = self.workers.get(machine)
@@ -77,7 +78,7 @@
 
 
 class Passing:
-    """Sends reports to the leader in batches, and brings each its answer."""
+    """Sends reports to the leader in batches, and returns each answer to its report."""
 
     def __init__(self, send: Send) -> None:
         self.send = send
--- a/dappledrum/reach/service.py
+++ b/dappledrum/reach/service.py
@@ -1,8 +1,8 @@
-"""What one controller knows of the links, told, heard and acted upon.
+"""Exchanges heartbeats with the other controllers, probes idle links, and acts on what is known.
 
-Words go out when something has changed, and otherwise about once a second; a peer that has just
-told its own needs no question, so at rest each pair talks once a second. Nothing is probed over
-which something flows.
+Heartbeats are sent when something has changed, and otherwise about once a second. A peer that has
+just sent its own needs no request, so at rest each pair exchanges one message a second. A link
+with traffic is not probed.
 """
 
 import asyncio
@@ -35,7 +35,7 @@
 log = logging.getLogger(__name__)
 
 EVERY = timedelta(seconds=1)
-QUIET = timedelta(milliseconds=850)  # a peer that told this lately need not be asked
+QUIET = timedelta(milliseconds=850)  # a peer whose heartbeat is newer is not asked
 ASK_TIME = timedelta(milliseconds=900)
 PASS_TIME = timedelta(seconds=3.2)  # the worker gives up after 4 s
 LOOK = timedelta(milliseconds=250)
@@ -48,11 +48,11 @@
 SILENCE_LEAST = timedelta(seconds=1.5)
 #: A worker gives a controller up after 4 s, and turns to the next a second later.
 SEARCH = timedelta(seconds=6)
-#: Longer than another takes to stand once the key is gone.
+#: Longer than another controller takes to become leader once the key is gone.
 ASIDE = timedelta(seconds=2)
-#: A worker that has not been answered by a leader of so long a term has a search behind it.
+#: A worker that a leader has not answered for so long in its term has been searching.
 FOUND = timedelta(seconds=3)
-#: Nobody's clock is further ahead of one's own; a word that says so is nobody's.
+#: No clock is further ahead of ours; a heartbeat that claims so is not genuine.
 CLOCKS_APART = timedelta(hours=1)
 SAMPLES = 2
 MOST_ZONES = 16
@@ -61,7 +61,7 @@
 
 
 class Reach:
-    """Loops and answers; one for each controller."""
+    """Loops and answers about links; one for each controller."""
 
     def __init__(
         self,
@@ -89,8 +89,8 @@
         self.pulse = pulse
         self.state = state
         self.cloud = cloud
-        self.speaks: set[str] = set()  # peers of a version that knows words
-        self.reporting = reporting  # machines that should be heard of, by zone
+        self.speaks: set[str] = set()  # peers whose version supports heartbeats
+        self.reporting = reporting  # machines that should report, by zone
         self.probe = probe
         self.ask_state = ask_state
         self.ask_cloud = ask_cloud
@@ -103,11 +103,11 @@
         self.born = int(clock.today().timestamp() * 1000)
         self.silent: dict[str, timedelta] = {}
         self.counted_at = ZERO  # machines by zone
-        self.heard_at: timedelta | None = None  # words of any peer, newly told
+        self.heard_at: timedelta | None = None  # the last heartbeat of any peer
         self._news: dict[str, asyncio.Event] = {peer: asyncio.Event() for peer in peers.callers}
 
     async def run(self) -> None:
-        """Everything that goes on by itself."""
+        """Run all background tasks."""
         await asyncio.gather(
             *(self._guard(lambda peer=peer: self._talk(peer)) for peer in self.peers.callers),
             self._guard(self._look),
@@ -125,7 +125,7 @@
                 await asyncio.sleep(1)
 
     def zone(self, name: str) -> Zone:
-        """A zone, new or known."""
+        """The state of a zone, created if necessary."""
         if name not in self.zones:
             while len(self.zones) >= MOST_ZONES:
                 self.zones.pop(next(iter(self.zones)))
@@ -135,7 +135,7 @@
     # words
 
     def own(self) -> Word:
-        """What this controller knows of its links now."""
+        """This controller's own heartbeat."""
         now = self.clock.now()
         term = self.elector.holding()
         leader = self.elector.leader
@@ -168,11 +168,11 @@
         return [name for name, zone in self.zones.items() if zone.lost()]
 
     def _apart(self) -> dict[str, timedelta]:
-        """Silent zones whose workers do not answer a probe either."""
+        """Zones without reports whose workers do not answer probes either."""
         return {n: at for n, at in self.silent.items() if self.zone(n).apart_since(at)}
 
     def hear(self, words: Words | WordsReply) -> None:
-        """Words of a peer."""
+        """Take over the heartbeats of a peer."""
         now = self.clock.now()
         self.heard_at = now
         self.table.note(words.own, now, direct=True)
@@ -182,11 +182,11 @@
             self.table.note(word, now, direct=False)
 
     def _outlive(self, word: Word) -> None:
-        """What a peer knows of this controller must not be newer than what it says itself.
+        """Make sure that this process counts as newer than a former process of this controller.
 
-        Clocks wander: of two processes that begin a moment apart, the later one may think that it
-        began earlier, and all its words would be taken for old ones of the process before. A peer
-        hands that one's newest word on to it, and it begins after that.
+        Clocks are not exact: of two processes that begin a moment apart, the later one may have
+        the earlier `born`, and all its heartbeats would count as old ones of the former process. A
+        peer passes the former process's newest heartbeat on to it, and it begins after that.
         """
         now = ms(self.clock.now() - self.began)
         newest = int((self.clock.today() + CLOCKS_APART).timestamp() * 1000)
@@ -196,14 +196,15 @@
             self.tell()
 
     def answer(self, words: Words) -> WordsReply:
-        """A peer tells its words, and gets ours; it speaks them, whatever its version was."""
+        """Answer a peer's heartbeats with ours. A peer that sends heartbeats supports them,
+        whatever its version was before."""
         if words.own.member in self.table.members:
             self.speaks.add(words.own.member)
         self.hear(words)
         return WordsReply(self.own(), self.table.to_hand_on(self.clock.now()))
 
     def tell(self) -> None:
-        """Something has changed that others should know at once."""
+        """Send heartbeats at once, since something has changed that others should know."""
         for event in self._news.values():
             event.set()
 
@@ -232,8 +233,12 @@
                 await self.ask_state()
 
     async def _probe_workers(self) -> None:
-        """Followers ask a worker now and then, all zones while the leader hears nothing from one;
-        the leader asks those zones itself, to know whether it is cut off or they are."""
+        """Probe workers where no reports arrive.
+
+        Followers probe a worker now and then, and workers of all zones while the leader gets no
+        reports from one. The leader probes the zones without reports itself, to find out whether
+        it is cut off or they are.
+        """
         last = ZERO
         while True:
             await asyncio.sleep(PROBE_SOON.total_seconds() * self.rng.uniform(0.9, 1.1))
@@ -251,7 +256,7 @@
             await asyncio.gather(*(self._ask(name) for name in asked[: None if hurried else 1]))
 
     def _to_ask(self, leads: bool) -> list[str]:
-        """Zones of which nothing has come lately, the one not asked for longest first."""
+        """Zones from which nothing has come lately, starting with the oldest probe."""
         now = self.clock.now()
         names = [
             name
@@ -269,7 +274,8 @@
         zone.probed(sent, self.clock.now(), answered)
 
     async def _probe_cloud(self) -> None:
-        """Calls are few, so only while the leader gets no answer; it uses none of them then."""
+        """Ask the cloud while the leader gets no answer from it. Calls are limited; the leader
+        uses none of them then."""
         while True:
             await asyncio.sleep(CLOUD_EVERY.total_seconds() * self.rng.uniform(0.9, 1.1))
             if any(w.holds and span(w.cloud_ms or 0) > CLOUD_EVERY for w in self._words()):
@@ -281,7 +287,7 @@
         return self.table.fresh(self.clock.now())
 
     def conductor(self) -> str | None:
-        """The controller to which workers should go; None: not known."""
+        """The controller to which workers should be redirected; None: not known."""
         now = self.clock.now()
         leader = self.elector.leader
         cost = self.state.cost()
@@ -295,24 +301,24 @@
         return who_leads(claims((self.table.known[name] for name in words), own), words)
 
     def talks(self) -> bool:
-        """Whether any peer has told something lately."""
+        """Whether any peer has sent a heartbeat lately."""
         now = self.clock.now()
         return any(self.table.talks(peer, now) for peer in self.speaks)
 
     def served_peers(self) -> list[str]:
-        """Peers that the state service serves, the quickest first."""
+        """Peers that reach the state service, the quickest first."""
         now = self.clock.now()
         able = [w for w in self._words() if not late(w) and self.table.talks(w.member, now)]
         return [word.member for word in sorted(able, key=lambda w: w.state_ms or 0)]
 
     def deference(self) -> timedelta:
-        """How long to let others stand first."""
+        """How long to let better candidates stand for leader first."""
         now = self.clock.now()
         return deference(self.own(), [w for w in self._words() if self.table.talks(w.member, now)])
 
     async def pass_on(self, report: Report, leader: str, body: bytes) -> bytes | None:
-        """The leader's answer to a worker that does not reach it; None: the worker should go
-        there itself, or the leader gives none."""
+        """The leader's answer to a worker that does not reach it; None: the worker should go there
+        itself, or the leader gives no answer."""
         now = self.clock.now()
         word = self.table.word(leader, now)
         if word is None or not self.table.talks(leader, now):
@@ -327,7 +333,8 @@
         return await self.peers.passed(leader, reports, PASS_TIME)
 
     async def _look(self) -> None:
-        """As leader: see which zones have fallen silent, and whether another had better lead."""
+        """As leader: find zones without reports, and transfer leadership if another controller is
+        better connected."""
         told: set[str] = set()
         while True:
             await asyncio.sleep(LOOK.total_seconds())
@@ -353,15 +360,15 @@
                 self.elector.resign("neither workers nor peers reach this controller", ASIDE)
 
     def _useless(self, ours: Situation) -> bool:
-        """Whether nobody is served by this leader, and nobody can be asked who had better lead:
-        it steps aside for a moment, and leads again if no other does."""
+        """Whether this leader reaches no worker and no peer that could lead instead. It then steps
+        aside for a moment, and leads again if no other controller does."""
         if ours.heard or not ours.apart or self.talks():
             return False
         return all(ours.now - at > SEARCH for at in ours.apart.values())
 
     def _fallen_silent(self, began: timedelta) -> dict[str, timedelta]:
-        """Zones with machines that should report, of which none has for longer than any of them
-        may take; what this controller itself has slept through does not count."""
+        """Zones with machines that should report, but from which nothing has come for longer than
+        any of them may take. Time in which this controller itself was paused does not count."""
         now = self.clock.now()
         since = max(began, self.pulse.awake_since())
         if now - since <= SILENCE_LEAST:
@@ -381,9 +388,9 @@
         return result
 
     def _gap(self, machines: int) -> timedelta:
-        """The longest that nothing may be heard of so many: none of them is ever later than a
-        quarter more than usual, and of many that come at random moments some come much sooner
-        (all of them later than this: once in e^-12 of the times)."""
+        """The longest time without a report from this many machines. No machine is ever later than
+        a quarter of the usual interval, and of many machines with random offsets some report much
+        sooner: all of them are later than this with probability e^-12."""
         many = self.limits.report * 12 / machines
         return min(self.limits.report * 1.25 + SLACK, max(many, SILENCE_LEAST))
 
--- a/dappledrum/reach/table.py
+++ b/dappledrum/reach/table.py
@@ -1,4 +1,4 @@
-"""What is known of all controllers: the newest word of each, and how it came."""
+"""The newest heartbeat of each controller, and how it arrived."""
 
 from collections.abc import Iterable
 from datetime import timedelta
@@ -8,12 +8,12 @@
 from dappledrum.reach.messages import Word
 from dappledrum.timing.clock import DRIFT, ZERO
 
-FRESH = timedelta(seconds=3.5)  # three words of a second, and a little
+FRESH = timedelta(seconds=3.5)  # three heartbeats of a second, with a margin
 MOST_AGE = timedelta(seconds=10)
 
 
 class Known:
-    """The newest word of one controller, and the moment of our clock that it speaks of."""
+    """The newest heartbeat of one controller, and the moment on our clock that it describes."""
 
     def __init__(self, word: Word, at: timedelta, direct: bool) -> None:
         self.word = word
@@ -24,22 +24,22 @@
 
     @property
     def key(self) -> tuple[int, int]:
-        """Order of the words of one controller."""
+        """Order of the heartbeats of one controller."""
         return self.word.born, self.word.tick
 
 
 def ms(span: timedelta) -> int:
-    """Whole milliseconds, as words have them."""
+    """Whole milliseconds, as in heartbeats."""
     return max(0, int(span.total_seconds() * 1000))
 
 
 def span(value: int) -> timedelta:
-    """A span told in milliseconds."""
+    """A duration from a number of milliseconds."""
     return timedelta(milliseconds=value)
 
 
 class Table:
-    """Words by member, without one's own."""
+    """The heartbeats of the other controllers, by member."""
 
     def __init__(self, member: str, members: Iterable[str]) -> None:
         self.member = member
@@ -47,7 +47,8 @@
         self.known: dict[str, Known] = {}
 
     def note(self, word: Word, now: timedelta, direct: bool) -> None:
-        """Take a word on, unless a newer one is known; who is no member has no word."""
+        """Store a heartbeat unless a newer one is known. Heartbeats of unknown members are
+        ignored."""
         if word.member not in self.members or word.member == self.member:
             return
         known = self.known.get(word.member)
@@ -70,27 +71,27 @@
         self.known[word.member] = new
 
     def word(self, member: str, now: timedelta, within: timedelta = FRESH) -> Word | None:
-        """The word of a controller, if it is not older than that."""
+        """The heartbeat of a controller, if it is not older than `within`."""
         known = self.known.get(member)
         return known.word if known is not None and now - known.at <= within else None
 
     def at(self, member: str) -> timedelta:
-        """The moment of our clock that a known word speaks of."""
+        """The moment on our clock that a known heartbeat describes."""
         return self.known[member].at
 
     def talks(self, member: str, now: timedelta, within: timedelta = FRESH) -> bool:
-        """Whether the controller itself has told something lately."""
+        """Whether the controller itself has sent a heartbeat lately."""
         known = self.known.get(member)
         return (
             known is not None and known.direct_at is not None and now - known.direct_at <= within
         )
 
     def fresh(self, now: timedelta) -> list[Word]:
-        """All words that are not old."""
+        """All heartbeats that are not old."""
         return [known.word for known in self.known.values() if now - known.at <= FRESH]
 
     def to_hand_on(self, now: timedelta) -> list[Word]:
-        """Words that came directly: each goes on once, with its age as it is now."""
+        """Heartbeats that were received directly: each is passed on once, with its present age."""
         return [
             msgspec.structs.replace(known.word, age_ms=ms(now - known.at), samples={})
             for known in self.known.values()
@@ -99,5 +100,5 @@
 
 
 def reached_at(at: timedelta, age: int | None) -> timedelta | None:
-    """The moment of our clock of something that a word of the moment `at` gives an age for."""
+    """The moment on our clock of an event whose age a heartbeat of the moment `at` gives."""
     return None if age is None else max(at - span(age), ZERO)
