--- a/dappledrum/leadership/witness.py
+++ b/dappledrum/leadership/witness.py
@@ -1,12 +1,13 @@
-"""What one controller has promised to others about leadership, and what it has told candidates.
+"""What one controller has promised to leaders, and what it has answered to candidates.
 
-Two rounds meet here. A leader that the state service does not serve asks its peers to promise, and
-goes on renewing workers' leases while a majority (itself included) or all of them do. A candidate
-asks its peers whether they hold to a promise, and takes silence for no proof of anything until a
-majority says that it does not. Each two majorities share a controller, so what one round was told
-there the other one meets: a promise that stands, or the bar that "free" leaves behind.
+There are two kinds of voting. A leader that does not reach the state service asks its peers to
+promise not to stand for leader, and goes on answering workers while a majority (itself included)
+or all of them do. A candidate asks its peers in a pre-vote whether they hold to a promise; until a
+majority says that they do not, it takes no leader's silence as proof. Any two majorities share a
+controller, so one round of voting meets what the other has left there: a promise that is still
+valid, or the lowest epoch that may still get promises.
 
-No I/O and no clock of its own: the model in `model/promises.py` runs this very code.
+This module does no I/O and reads no clock; the model in `model/promises.py` runs this very code.
 """
 
 from datetime import timedelta
@@ -19,7 +20,7 @@
 
 
 class Witness:
-    """The memory of one process, lost with it."""
+    """The promises and pre-votes of one process; they are lost with it."""
 
     def __init__(self, now: timedelta) -> None:
         #: A process of this member before it may have promised something that this one does not
@@ -32,18 +33,19 @@
         self.barred = 0  # no promise to a leader of a lower epoch than this
 
     def free_at(self) -> timedelta:
-        """The moment from which nothing that was promised is in the way of standing."""
+        """The moment from which no promise prevents this controller from standing for leader."""
         return max(self.stand_after, self.unknown_until)
 
     def promise(
         self, request: PromiseRequest, now: timedelta, leads: bool, epoch: int
     ) -> PromiseReply:
-        """Answer a leader that can't reach the state service, and which this controller can't
+        """Answer a leader that does not reach the state service, which this controller does not
         reach either.
 
-        `epoch` is the highest that it knows of. Refused when it leads itself, and when it has
-        stood against this epoch (its transaction may still be applied). Weak when it has told a
-        candidate that it was free, and when it may have done so and forgotten.
+        `epoch` is the highest that this controller knows of. The promise is refused if this
+        controller leads itself, or has stood for leader against this epoch (its transaction may
+        still be executed). It is weak if the controller has told a candidate that it was free, or
+        may have done so in a former process.
         """
         if leads:
             return PromiseReply(False, "leading")
@@ -56,8 +58,8 @@
         return PromiseReply(True, "", self.barred > request.epoch or now < self.forgot_until)
 
     def standing(self, epoch: int, now: timedelta, holds: bool) -> StandingReply:
-        """Answer a candidate for this epoch: free only if nobody can rely on this controller, and
-        nobody of a lower epoch will from now on."""
+        """Answer the pre-vote of a candidate for this epoch: free only if no leader can rely on a
+        promise of this controller, which will promise nothing to a lower epoch from now on."""
         if holds or now < self.free_at():
             return StandingReply(False)
         self.barred = max(self.barred, epoch)
--- a/dappledrum/recovery/__init__.py
+++ b/dappledrum/recovery/__init__.py
@@ -1,1 +1,1 @@
-"""The start of a term, when much is known and little of it is certain."""
+"""The beginning of a term, when stored records are known but machines have not reported yet."""
--- a/dappledrum/recovery/back.py
+++ b/dappledrum/recovery/back.py
@@ -1,12 +1,13 @@
-"""When machines that were up before a term are expected to report to its leader.
+"""Estimates when machines that were up before a term report to its leader.
 
-A new leader hears of them through records and the cloud's list, at once and all together, and from
-their workers one after the other, as each gives up a controller that does not answer and finds its
-way. Taken for boots that had lasted for minutes they counted as no room, and new ones were rented
-in their place while they came back. To the planner such a machine is a lane that opens at a
-moment: a report's time and a search away at first, and past that the further, the longer it has
-been missing, as with a boot. So nothing waits for a fixed time: what comes is used, what does not
-come is rented for soon, and work that can't wait even that long is rented for at once.
+A new leader learns about them all at once, from records and the list of the cloud; their workers
+report one after the other, as each gives up a controller that does not answer and finds the
+leader. When they were taken for boots that had lasted for minutes, they did not count as capacity,
+and new machines were rented in their place while they came back. To the planner such a machine is
+capacity that becomes available at an expected moment: at first after one report interval and a
+search, later the further away, the longer it has been missing, as with a boot. So nothing waits
+for a fixed time: machines that report are used, those that do not are soon replaced, and for work
+that can't wait machines are rented at once.
 """
 
 from datetime import timedelta
@@ -19,6 +20,6 @@
 
 
 def back_in(waited: timedelta, report: timedelta) -> timedelta:
-    """How much longer a machine will take to report, `waited` after it was first heard of."""
+    """How much longer a machine will take to report that was first heard of `waited` ago."""
     late = waited - (report * 1.25 + SEARCH)
     return -late if late < ZERO else SEARCH / 2 + late * DOUBT
--- a/dappledrum/recovery/picture.py
+++ b/dappledrum/recovery/picture.py
@@ -1,5 +1,5 @@
-"""What was there before a term, and what became of it: told in the log, once, when all of it has
-come back or is given up."""
+"""Logs once in each term what became of the machines and tasks from before it, when all of them
+have reported or are given up."""
 
 import logging
 from collections import Counter
@@ -15,7 +15,7 @@
 
 
 class Picture:
-    """One for each term; it only looks."""
+    """Watches the recovery of one term; it changes nothing."""
 
     def __init__(
         self, roster: Roster, clock: Clock, lease: timedelta, listed: Callable[[], bool]
@@ -29,16 +29,16 @@
         self.began: timedelta | None = None  # None: nothing to tell (any more)
 
     def begin(self) -> None:
-        """The records are read."""
+        """Start when the records are read."""
         self.began = self.clock.now()
         self.placed = {machine.name for machine in self.roster if machine.placements}
 
     def lost(self, why: str) -> None:
-        """A placement was given up."""
+        """Count a placement that was given up."""
         self.gone[why] += 1
 
     def look(self) -> None:
-        """Tell what became of it, once nothing is awaited any more."""
+        """Log the outcome once nothing is awaited any more."""
         if self.began is None:
             return
         waited = self.clock.now() - self.began
--- a/dappledrum/state/ceiling.py
+++ b/dappledrum/state/ceiling.py
@@ -1,10 +1,10 @@
 """How large a value may be written at this moment.
 
-The settings may name limits that the state service will have from some moment after an upgrade,
-without notice. Values that the version before can't read in parts are written whole, up to the
-present limit, for as long as such a controller may still come to lead; the limits do not drop
-before all controllers are upgraded. Once all are, or the service has refused a value, nothing
-larger than the lesser limit is written, and what is larger goes into parts.
+The settings may announce limits that the state service will have after some upgrade, without
+notice. Versions before this one can't read values that are split into parts. So values are written
+whole, up to the present limit, as long as such a controller may still become leader; the limits do
+not drop before all controllers are upgraded. Once all are, or the service has refused a value,
+nothing larger than the smaller limit is written, and larger values are split.
 """
 
 import logging
@@ -15,7 +15,7 @@
 
 
 class Ceiling:
-    """One for each controller."""
+    """The limit of one controller."""
 
     def __init__(self, limits: StateLimits) -> None:
         self.now = limits.value_bytes
@@ -28,9 +28,9 @@
         return self.least if self.settled else self.now
 
     def refused(self, largest: int, why: str) -> bool:
-        """The state service refused values of which the largest has this size; whether that tells
-        that its limits have dropped. Anything smaller must have been refused for something else,
-        and says nothing of what other controllers can read."""
+        """Note that the state service refused values of which the largest has this size; returns
+        whether that shows that its limits have dropped. Smaller values must have been refused for
+        another reason, and show nothing about what other controllers can read."""
         dropped = not self.settled and largest > self.least
         if dropped:
             log.warning("the limits of the state service have dropped")
@@ -38,7 +38,7 @@
         return dropped
 
     def settle(self, why: str) -> None:
-        """From now on the lesser limit holds for everything."""
+        """Use the smaller limit from now on."""
         if not self.settled:
             self.settled = True
             log.info("records larger than %d bytes are written in parts: %s", self.least, why)
--- a/dappledrum/state/hint.py
+++ b/dappledrum/state/hint.py
@@ -1,4 +1,5 @@
-"""Records that only help a successor: nothing rests on them, and they are not worth a retry."""
+"""Advisory records that only help a successor: no decision relies on them, and a failed write is
+not repeated."""
 
 import asyncio
 import logging
@@ -32,7 +33,7 @@
         self.stored: T | None = None
 
     async def keep(self, record: T) -> None:
-        """Write the record if it is not the one that is stored, as far as that is known."""
+        """Write the record if it differs from what is stored, as far as that is known."""
         if record == self.stored:
             return
         value = raw(record)
@@ -46,13 +47,13 @@
             log.debug("%s not written: %s", self.key, error)
 
     async def follow(self, make: Callable[[], T], pause: timedelta) -> None:
-        """Keep the record current, for ever."""
+        """Keep the record up to date, for ever."""
         while True:
             await asyncio.sleep(pause.total_seconds())
             await self.keep(make())
 
     async def recall(self) -> T | None:
-        """What a predecessor has left; None when there is nothing, or nothing usable."""
+        """The record of a predecessor; None if there is none, or none that can be used."""
         try:
             entry = await self.state.get(self.key, Rank.RECORD)
             return None if entry is None else msgspec.json.decode(entry.value, type=self.kind)
--- a/dappledrum/workers/hearing.py
+++ b/dappledrum/workers/hearing.py
@@ -1,21 +1,22 @@
-"""Whether a machine hears what it is told, as far as its own reports show it.
-
-A link may carry reports one way and no answers the other. Such a machine looks alive: it reports,
-its tasks are shown, and it obeys nothing; its session ends once a lease, with all that was put
-there. It is told apart by what only an answer can have caused:
-
-- a start that was offered in an answer is shown by the next report, `fetching` at the least. A
-  worker that has dropped the answer shows nothing. After VAIN reports in a row the machine counts
-  as deaf;
-- a session ends only when no answer has come through for a lease. If its reports were answered
-  all along, it is deaf. Not if they had stopped: that is a machine that hung, or a cut both ways,
-  from which held back reports may come together at its end;
-- this term's token is shown by the report after the first answer.
-
-It is taken back once something shows that it hears: what was offered, the token, or a session that
-is older than a lease, which it can't be without answers. The argument for each rests on one report
-being on its way at a time: the next one is sent when the answer to the one before has been
-executed or dropped.
+"""Whether a machine gets our answers, as far as its reports show it.
+
+A link may deliver reports but lose all answers. Such a machine looks alive: it reports and shows
+its tasks, but carries out nothing. Its session ends every lease, with all tasks that were placed
+there. It is recognised by what only an answer can have caused:
+
+- A start that was sent in an answer is shown by the next report, at least as `fetching`. A worker
+  that has lost the answer does not show it. After `VAIN` reports in a row the machine counts as
+  unreachable.
+- A session ends only when no answer has arrived for a lease. If its reports were answered all
+  along, the machine is unreachable. This does not hold if the reports had stopped: then the
+  machine hung, or was cut off in both directions, and held back reports may arrive together
+  afterwards.
+- The report after the first answer of this term carries its token.
+
+The machine counts as reachable again once a report shows one of these: what was sent, the token,
+or a session that is older than a lease, which is impossible without answers. All of this rests on
+the fact that only one report is under way at a time: the next one is sent when the answer to the
+former has been carried out or lost.
 """
 
 from datetime import timedelta
@@ -33,7 +34,7 @@
 
 
 class Hearing:
-    """What is known of one machine, in one term."""
+    """What is known about the answers to one machine in one term."""
 
     __slots__ = ("deaf", "session_at", "answered_at", "steady_at", "token_shown", "vain")
 
@@ -46,14 +47,14 @@
         self.vain = 0
 
     def answered(self, now: timedelta, lease: timedelta) -> None:
-        """A report was answered with this term's token."""
+        """Note that a report was answered with this term's token."""
         if self.answered_at is None or now - self.answered_at > lease * STEADY:
             self.steady_at = now
         self.answered_at = now
 
     def in_vain(self) -> bool:
-        """A report does not show what an answer before it carried; True: it counts as deaf from
-        now on."""
+        """Note a report that does not show what an earlier answer carried; True: the machine
+        counts as unreachable from now on."""
         self.vain += 1
         if self.deaf or self.vain < VAIN:
             return False
@@ -61,16 +62,19 @@
         return True
 
     def heard(self) -> bool:
-        """A report shows something that only an answer can have caused; True: it was deaf."""
+        """Note a report that shows what only an answer can have caused; True: the machine counted
+        as unreachable until now."""
         was = self.deaf
         self.deaf = False
         self.vain = 0
         return was
 
     def new_session(self, now: timedelta, lease: timedelta, awake_since: timedelta) -> bool:
-        """Its session has ended; True: in spite of our answers, so it is deaf from now on.
+        """Note that the machine's session has ended; True: although its reports were answered, so
+        it counts as unreachable from now on.
 
-        What this controller has slept through may be answers that came too late.
+        Time in which this controller was paused does not count, since its answers may have come
+        too late.
         """
         answered, steady = self.answered_at, self.steady_at
         self.session_at = now
@@ -82,6 +86,6 @@
         return True
 
     def lasts(self, now: timedelta, lease: timedelta) -> bool:
-        """Its session is older than one can be that no answer has reached since it began, or
+        """Whether the session is older than one can be that has got no answer since it began, or
         since it was first heard of."""
         return self.session_at is not None and now > self.session_at + longer(lease) + GONE_MARGIN
--- a/dappledrum/workers/knocks.py
+++ b/dappledrum/workers/knocks.py
@@ -1,7 +1,8 @@
-"""Which machines have tried to report to this controller, entitled or not.
+"""Which machines have tried to report to this controller, whether it leads or not.
 
-A leader that no worker reaches, while they try elsewhere, is in the way: it keeps its lease, and
-all tasks are killed by theirs. It finds out by asking its peers who knocked there.
+A leader that no worker reaches, while workers report to other controllers, does harm: it keeps its
+lease while the leases of all tasks run out. It finds out by asking its peers which machines have
+tried to report to them.
 """
 
 from collections import deque
@@ -14,24 +15,24 @@
 
 
 class Knocks:
-    """Recent knocks, oldest first."""
+    """Recent attempts to report, oldest first."""
 
     def __init__(self) -> None:
         self.recent: deque[tuple[timedelta, str]] = deque(maxlen=MOST)
 
     def note(self, machine: str, now: timedelta) -> None:
-        """A report has come in."""
+        """Note a report."""
         self.recent.append((now, machine))
         while self.recent[0][0] < now - KEPT:
             self.recent.popleft()
 
     @property
     def last(self) -> timedelta | None:
-        """When the newest came in."""
+        """When the newest one came."""
         return self.recent[-1][0] if self.recent else None
 
     def within(self, span: timedelta, now: timedelta) -> dict[str, int]:
-        """Number of knocks by machine."""
+        """Number of attempts within this time, by machine."""
         result: dict[str, int] = {}
         for at, machine in reversed(self.recent):
             if at < now - span:
@@ -41,10 +42,11 @@
 
 
 def shunned(elsewhere: dict[str, int], roster: Roster) -> list[str]:
-    """Machines that the leader should have heard of by now.
+    """Machines that the leader should have had reports from by now.
 
-    One that has reported to this leader before, or came to the same peer twice: the first knock of
-    a machine that has just come up is answered with the leader's name, and says nothing.
+    These are machines that have reported to this leader before, or that came to the same peer
+    twice. The first report of a machine that has just come up is redirected to the leader, and
+    shows nothing.
     """
     result = []
     for name, count in elsewhere.items():
--- a/dappledrum/workers/roster.py
+++ b/dappledrum/workers/roster.py
@@ -51,9 +51,9 @@
 
     @property
     def up(self) -> bool:
-        """Its worker has reported to this leader, and can't be a late copy of one that has gone:
-        it has shown this term's token, or was rented in this term, so that every report of it has
-        come to this leader first."""
+        """Whether its worker has reported to this leader, and the report can't be a late copy from
+        a machine that is gone: it carried this term's token, or the machine was rented in this
+        term, so that all its reports came to this leader first."""
         return self.up_at is not None
 
     @property
@@ -63,12 +63,12 @@
 
     @property
     def usable(self) -> bool:
-        """Nothing speaks against putting something there."""
+        """Whether new work may be placed there."""
         return not (self.returning or self.draining or self.failed or self.retiring)
 
     def expired(self, now: timedelta, lease: timedelta) -> bool:
-        """The worker has certainly given up its session: no answer can have reached it for longer
-        than a lease."""
+        """Whether the worker has certainly ended its session: no answer can have reached it for
+        longer than a lease."""
         # A machine that has just come up may not have been answered at all: what counts then is
         # that it was heard.
         heard = (
@@ -79,15 +79,15 @@
         return now > heard + longer(lease) + GONE_MARGIN
 
     def silent(self, now: timedelta, report: timedelta, awake_since: timedelta) -> bool:
-        """Reports are missing, so nothing new should be put there; what this controller itself
-        has slept through is not the machine's silence."""
+        """Whether reports are missing, so that no new work should be placed there. Time in which
+        this controller was paused does not count."""
         if self.last_report is None:
             return True
         return now - max(self.last_report, awake_since) > report * 2 + timedelta(seconds=2)
 
     def remember_image(self, image: str, size_gb: float, cache_gb: float) -> None:
-        """The machine has fetched an image, and may have dropped the least recently used ones for
-        it."""
+        """Note that the machine has fetched an image; it may have dropped the least recently used
+        ones."""
         self.images[image] = size_gb
         self.images.move_to_end(image)
         while len(self.images) > 1 and sum(self.images.values()) > cache_gb:
@@ -95,7 +95,7 @@
 
 
 class Roster:
-    """All machines, and the names of those that are gone for good."""
+    """All machines, and the names of those that are gone."""
 
     def __init__(self) -> None:
         self.machines: dict[str, Machine] = {}
@@ -109,7 +109,7 @@
         return self.machines.get(name)
 
     def ensure(self, name: str, kind: Kind | None, now: timedelta) -> Machine:
-        """A machine, new or known; what is learned about its kind is kept."""
+        """A machine, created if necessary; its kind is set once it is known."""
         machine = self.machines.get(name)
         if machine is None:
             machine = self.machines[name] = Machine(name, kind, now)
@@ -118,13 +118,13 @@
         return machine
 
     def one_sided(self) -> bool:
-        """Most machines that are up seem to hear nothing: it is this controller that can't be
-        heard, and none of them is to blame."""
+        """Whether most machines that are up seem to get no answers: then the fault is on this
+        side, and no machine is to blame."""
         up = [machine for machine in self.machines.values() if machine.up]
         return sum(machine.hearing.deaf for machine in up) * 2 > len(up)
 
     def drop(self, name: str) -> None:
-        """The machine is gone; late words about it must not bring it back."""
+        """Remove a machine that is gone; late reports of it must not bring it back."""
         self.machines.pop(name, None)
         self.gone[name] = None
         while len(self.gone) > KEPT_NAMES:
