--- a/dappledrum/chains/__init__.py
+++ b/dappledrum/chains/__init__.py
@@ -1,2 +1,1 @@
-"""Jobs that wait for others: which do, when they are released, and what a cancellation takes
-along."""
+"""Jobs that wait for other jobs: when they are released, and which are cancelled together."""
--- a/dappledrum/chains/graph.py
+++ b/dappledrum/chains/graph.py
@@ -1,10 +1,10 @@
-"""Who waits for whom among the live jobs, in the memory of one term.
+"""The waiting relation among the live jobs, in the memory of one term.
 
-Nothing rests on this memory: it follows from the records of live jobs and of those that are over,
-so a successor finds the same. A job is released only when the ends of all that it needs are
-*stored* as done; the report of a last task is not enough, since a cancellation on another
-controller may still win the record. And a job is cancelled with another only when that one's
-cancellation is stored.
+It is derived from the records of live and ended jobs, so a successor derives the same. A job is
+released only when the ends of all jobs that it waits for are *stored* as done. The report of a
+last task is not enough, since a cancellation on another controller may still win the write of the
+record. Likewise, a job is cancelled because of another one only when the cancellation of that one
+is stored.
 """
 
 import logging
@@ -23,7 +23,7 @@
 
 
 class Past(NamedTuple):
-    """What matters of a job that is over."""
+    """What must be known about a job that is over."""
 
     outcome: Outcome
     at: datetime | None  # None: a version that does not say has written the end
@@ -38,7 +38,7 @@
 
 
 class Graph:
-    """One for each term of leadership."""
+    """The relation for one term of leadership."""
 
     def __init__(
         self,
@@ -51,16 +51,18 @@
         self.wake = wake
         self.followers: dict[str, dict[str, None]] = {}  # live jobs that wait for each job
         self.past: OrderedDict[str, Past] = OrderedDict()
-        self.unknown: dict[str, None] = {}  # needed, neither live nor known to be over: to be read
+        self.unknown: dict[
+            str, None
+        ] = {}  # neither live nor known to be over: their ends must be read
 
     def clear(self) -> None:
-        """The records are read anew."""
+        """Forget everything, since the records are read again."""
         self.followers.clear()
         self.past.clear()
         self.unknown.clear()
 
     def add(self, job: Job) -> None:
-        """A live job has become known."""
+        """Add a live job."""
         self.unknown.pop(job.id, None)
         for need in sorted(job.unmet):
             self.followers.setdefault(need, {})[job.id] = None
@@ -80,18 +82,18 @@
             self.cancelled(job)
 
     def cancelled(self, job: Job) -> None:
-        """A job's cancellation is stored, by whomever."""
+        """Note that the cancellation of a job is stored, by any controller."""
         self._take_along(job)
 
     def ended(self, job: Job) -> None:
-        """A job's end is stored."""
+        """Note that the end of a job is stored."""
         record = job.ended_record()
         for need in job.unmet:
             self._unlink(need, job.id)
         self.settle(job.id, record, job.depth)
 
     def settle(self, name: str, record: EndedRecord, depth: int = 0) -> None:
-        """The end of a job is known to be stored."""
+        """Note a stored end, and release or cancel the jobs that wait for it."""
         at = None if record.at_ms is None else datetime.fromtimestamp(record.at_ms / 1000, UTC)
         past = self.past[name] = Past(record.state, at, depth)
         while len(self.past) > KEPT:
@@ -128,7 +130,8 @@
             self.wake("job released")
 
     def _take_along(self, first: Job) -> None:
-        """Cancel all that need a job, directly or not; never recursive, as chains may be long."""
+        """Cancel all jobs that wait for a job, directly or indirectly. Without recursion, since
+        chains may be long."""
         stack = [first]
         while stack:
             job = stack.pop()
--- a/dappledrum/chains/resolver.py
+++ b/dappledrum/chains/resolver.py
@@ -1,4 +1,4 @@
-"""Reads how jobs ended that others need, where this term has not seen it."""
+"""Reads the ends of jobs that other jobs wait for, if this term has not seen them."""
 
 import asyncio
 import logging
@@ -22,7 +22,7 @@
 
 
 class Resolver:
-    """One for each term of leadership."""
+    """The reader for one term of leadership."""
 
     def __init__(self, state: State, graph: Graph, clock: Clock) -> None:
         self.state = state
@@ -31,13 +31,13 @@
         self.tries: dict[str, tuple[timedelta, int]] = {}  # when to look again, how often before
 
     async def run(self) -> None:
-        """Look for as long as anything is unknown."""
+        """Read as long as any end is unknown."""
         while True:
             await self.look()
             await asyncio.sleep(LOOK.total_seconds())
 
     async def look(self) -> None:
-        """One round over what is unknown now."""
+        """Read once what is unknown now."""
         now = self.clock.now()
         unknown = self.graph.unknown
         self.tries = {name: held for name, held in self.tries.items() if name in unknown}
--- a/dappledrum/controller/node.py
+++ b/dappledrum/controller/node.py
@@ -36,14 +36,14 @@
 LEADER_SHARE = 0.6
 FOLLOWER_BURST = 2.0  # seconds
 HOLDERS_TIME = timedelta(milliseconds=200)
-QUIET_ASKED = timedelta(seconds=5)  # a controller that is not there by then says nothing new
-#: What is left of a cancellation's time when a leader that a majority, but not all, have promised
-#: has gone on for as long as it may, and its workers' leases have run out.
+QUIET_ASKED = timedelta(seconds=5)  # later answers add nothing
+#: Margin within the time for cancellations: a leader with promises of only a majority stops early
+#: enough that its workers' leases have expired this long before that time is over.
 ALONE_MARGIN = timedelta(seconds=5)
-#: The same for one that last knew of all cancellations when the user was told of one.
+#: The same margin for a leader that last knew of all cancellations just before the user's.
 KNOWN_MARGIN = timedelta(seconds=1)
-#: With a time for cancellations no longer than a lease leaders could answer nobody: they read all
-#: changes this often at the least.
+#: Least time for which knowledge of all cancellations lasts. If the time for cancellations were no
+#: longer than a lease, leaders could otherwise answer no worker at all.
 KNOWN_LEAST = timedelta(seconds=6)
 SETTLE = timedelta(milliseconds=500)
 LIFE_MOST = timedelta(seconds=3)
@@ -167,8 +167,8 @@
             if self.elector.term is not None
             else (1 - LEADER_SHARE) / others
         )
-        # A follower's share is small, and submissions come in clusters; those of all followers
-        # rarely come at once.
+        # A follower's share is small, and submissions come in bursts, rarely at all followers at
+        # once, so each may use some seconds of its share in one burst.
         self.state.set_share(share * 0.95, 1.0 if share >= LEADER_SHARE else FOLLOWER_BURST)
 
     def _leadership_changed(self) -> None:
--- a/dappledrum/leadership/messages.py
+++ b/dappledrum/leadership/messages.py
@@ -1,4 +1,4 @@
-"""Stored form of leadership, and what controllers tell each other about it."""
+"""Stored records of leadership, and messages between controllers about it."""
 
 from typing import Annotated
 
@@ -17,13 +17,14 @@
 
 
 class EpochRecord(msgspec.Struct):
-    """Value of the key `epoch`; it only grows."""
+    """Value of the key `epoch`, which only grows."""
 
     epoch: int
 
 
 class PromiseRequest(msgspec.Struct):
-    """A leader that can't reach the state service asks a peer not to stand for a bounded time."""
+    """A leader that does not reach the state service asks a peer not to stand for leader for a
+    limited time."""
 
     member: str
     epoch: int
@@ -35,9 +36,9 @@
 class PromiseReply(msgspec.Struct, omit_defaults=True):
     """The peer's answer.
 
-    A weak promise counts only where all promise, since a candidate may have been told that this
-    controller holds to none. `cancelled` names the jobs that this process has told users are
-    cancelled, all of the last `told_ms`; versions before 0.7.0 say nothing of it.
+    A weak promise counts only if all peers promise, since a candidate may have been told that this
+    controller holds to none. `cancelled` names the jobs whose cancellation this process has
+    confirmed to users, all of the last `told_ms`; versions before 0.7.0 leave it out.
     """
 
     granted: bool
@@ -48,25 +49,26 @@
 
 
 class Standing(msgspec.Struct, tag="standing", tag_field="kind"):
-    """A candidate for this epoch asks whether a peer holds to a promise; see witness.py. Known
-    from 0.5.0 on; who refuses it is of a version with which all have to promise."""
+    """Pre-vote: a candidate for this epoch asks whether a peer holds to a promise; see witness.py.
+    Supported from 0.5.0 on. A peer of an older version refuses it, and then a leader needs the
+    promises of all peers."""
 
     member: str
     epoch: Count
 
 
 class StandingReply(msgspec.Struct):
-    """Whether it does not, and will not promise anything to a leader of a lower epoch."""
+    """Whether the peer holds to no promise, and will promise nothing to a lower epoch."""
 
     free: bool
 
 
 class HandOver(msgspec.Struct, tag="hand_over", tag_field="kind"):
-    """A leader that has stopped for good names its successor: the key `leader` may be replaced at
-    this version, and the epoch raised from this one.
+    """Leadership transfer: a leader that has stopped for good names its successor, which may
+    replace the key `leader` of this version and raise the epoch from this one.
 
-    `moves_ms` tells how long ago leadership was handed over before, for the bound on it; `clear`
-    whether the leader knew that none before it could still go on for promises.
+    `moves_ms` are the ages of earlier transfers, since their rate is limited. `clear` is whether
+    the leader knew that no former leader could still be acting on promises.
     """
 
     member: str
--- a/dappledrum/leading/leader.py
+++ b/dappledrum/leading/leader.py
@@ -43,12 +43,12 @@
 log = logging.getLogger(__name__)
 
 LEARNED = "learned"
-TIMER = timedelta(seconds=1)  # stalled boots and overruns wake nobody, so the clock does
+TIMER = timedelta(seconds=1)  # slow boots and overruns trigger no plan, so a timer does
 GATHER = timedelta(milliseconds=100)
 LOAD = 4  # a plan is followed by a pause of at least this many times its own duration
 WATCH_GAP = timedelta(milliseconds=150)
-#: A watch tells nothing of the time in which it waits, so it is short: counted from its sending, a
-#: leader answers workers only for as long as the time for cancellations leaves.
+#: A watch shows nothing about the time in which it waits, so it is short: how long a leader may
+#: answer workers is counted from the moment at which the watch was sent.
 WATCH_WAIT = timedelta(seconds=2)
 KEPT_OVER = 10_000
 
@@ -160,12 +160,12 @@
         )
 
     def set_types(self, types: list[MachineType]) -> None:
-        """Take a catalog on."""
+        """Take over a catalog."""
         self.keeper.types = {t.name: t for t in types}
         self.bookkeeper.cache_gb = {t.name: t.cache_gb for t in types}
 
     def quiet_since(self, moment: timedelta) -> None:
-        """Nobody but this leader has answered a worker since then, by the word of all."""
+        """Note that no other controller has answered a worker since then."""
         term = self.term
         if moment < term.began:
             span = (term.began - moment).total_seconds()
@@ -174,7 +174,7 @@
             self.bookkeeper.quiet_since(moment)
 
     def wake(self, why: str) -> None:
-        """Something has happened that the rule should look at."""
+        """Trigger a planning round; `why` is for debugging."""
         self.woken.set()
 
     async def run(self) -> None:
@@ -203,7 +203,7 @@
             await asyncio.gather(*tasks, return_exceptions=True)
 
     async def _guard(self, loop: Callable[[], Awaitable[None]]) -> None:
-        """A loop that fails is logged and begun again; it must not take the others along."""
+        """Run a loop, and start it again when it fails; the others are not affected."""
         while not self.term.over.is_set():
             try:
                 await loop()
@@ -229,7 +229,7 @@
             self.graph.add(job)
             self.recorder.mark(job.page(0))
         self.revision = revision
-        self.term.knows(started)  # whatever was cancelled later the watch tells
+        self.term.knows(started)  # later cancellations are seen by the watch
         self.loaded.set()
         took = (self.clock.now() - started).total_seconds() * 1e3
         placed = sum(job.on_machines() for job in self.jobs.values())
@@ -238,7 +238,7 @@
         self.wake("loaded")
 
     async def _watch(self) -> None:
-        """Hear of submissions and cancellations that any controller took."""
+        """Follow the submissions and cancellations that all controllers store."""
         await self.loaded.wait()
         while True:
             sent = self.clock.now()
@@ -293,9 +293,10 @@
             self.graph.cancelled(job)
 
     def hear_cancelled(self, names: frozenset[str]) -> None:
-        """Users were told that these jobs are cancelled, so it is stored, and final. Its tasks are
-        stopped from now on, also while this leader only holds on to its term; a record written in
-        ignorance of it meets another version, and is read again."""
+        """Cancel jobs whose cancellation other controllers have confirmed to users, so that it is
+        stored and final. Their tasks are stopped from now on, also while this leader only keeps
+        its term by promises. A record that this leader writes without knowing the cancellation
+        fails by its version, and is read again."""
         for name in names:
             job = self.jobs.get(name)
             if job is not None and not job.cancelled:
@@ -311,7 +312,7 @@
         return job
 
     async def _complete(self, name: str) -> None:
-        """Read a new job whose specification is too long for its head."""
+        """Read a new job whose specification is stored in parts."""
         entry = await self.state.get(head_key(name), Rank.RECORD)
         if entry is not None and name not in self.jobs:
             record = msgspec.json.decode(entry.value, type=JobRecord)
@@ -372,7 +373,7 @@
         await self.learned.run()
 
     async def _account(self) -> None:
-        """Book what is spent; what is not told yet is told when the term ends."""
+        """Book what is spent; the rest is logged when the term ends."""
         await self.loaded.wait()
         try:
             while True:
@@ -397,9 +398,8 @@
     async def _sweep(self) -> None:
         await self.loaded.wait()
         while True:
-            # One that has stood still past its term does not know what others have answered since:
-            # it once took hundreds of tasks for lost, and said so, though it could store none of
-            # it.
+            # A leader that was paused until its term was over does not know what others have
+            # answered since: one took hundreds of tasks for lost, though it could store nothing.
             if self.leading():
                 self.bookkeeper.sweep()
             self.picture.look()
@@ -409,7 +409,7 @@
     # workers
 
     def reporting(self) -> Counter[str]:
-        """How many machines should be heard of, by zone."""
+        """How many machines should report, by zone."""
         now, lease = self.clock.now(), self.params.workers.lease
         result: Counter[str] = Counter()
         for machine in self.roster:
@@ -422,7 +422,7 @@
         return result
 
     async def settle(self, patience: timedelta) -> None:
-        """Write down what has happened, before another leads."""
+        """Write pending records before another controller leads."""
         until = self.clock.now() + patience
         while self.recorder.dirty and self.clock.now() < until:
             await asyncio.sleep(0.02)
@@ -430,6 +430,6 @@
     async def report(
         self, report: Report, holding: Callable[[], bool], most: timedelta = IDLE_MOST
     ) -> Commands | None:
-        """Answer to a worker, which may wait for work for that long; None when this controller
-        is not entitled to give one."""
+        """The answer to a worker, which is held back for up to `most` while there is no work for
+        it; None when this controller is not entitled to answer."""
         return await self.answers.answer(report, holding, most)
--- a/dappledrum/peers/__init__.py
+++ b/dappledrum/peers/__init__.py
@@ -1,1 +1,1 @@
-"""What controllers say to each other, in CBOR over HTTP."""
+"""Messages between controllers, in CBOR over HTTP."""
--- a/dappledrum/peers/client.py
+++ b/dappledrum/peers/client.py
@@ -1,4 +1,4 @@
-"""Asking the other controllers."""
+"""Client for questions to the other controllers."""
 
 import asyncio
 import logging
@@ -42,7 +42,7 @@
 
     def __init__(self, callers: dict[str, Caller]) -> None:
         self.callers = callers
-        self.refusals: dict[str, str] = {}  # why each refused its newest promise, once said
+        self.refusals: dict[str, str] = {}  # why each refused its newest promise, as logged
 
     async def _ask(self, member: str, question: Question, kind: type, timeout: timedelta) -> Any:  # noqa: ANN401
         try:
@@ -78,7 +78,8 @@
         return Answers(len(granted), len(replies), strong, told=together(told))
 
     async def standing(self, question: Standing, timeout: timedelta) -> Answers:
-        """How many of the others hold to no promise; the answers of a majority are enough."""
+        """How many of the other controllers hold to no promise (pre-vote). Returns as soon as a
+        majority has answered so."""
         asked = [
             asyncio.ensure_future(self._standing(member, question, timeout))
             for member in self.callers
@@ -96,7 +97,7 @@
         return Answers(yes, len(asked), old=old)
 
     async def _standing(self, member: str, question: Standing, timeout: timedelta) -> bool | None:
-        """Whether a peer is free; None when it does not know the question."""
+        """Whether a peer holds to no promise; None if it does not support the question."""
         try:
             reply = await self.callers[member].request("POST", "/peer", encode(question), timeout)
             if reply.status == 400:
@@ -107,7 +108,7 @@
             return False
 
     async def knocks(self, within: timedelta, timeout: timedelta) -> dict[str, int]:
-        """Machines that have tried to report to another controller, and how often they came to the
+        """Machines that have tried to report to another controller, and how often each came to the
         same one."""
         question = Knocks(int(within.total_seconds() * 1000))
         replies = await asyncio.gather(
@@ -120,12 +121,12 @@
         return result
 
     async def nobody_holds(self, timeout: timedelta) -> bool:
-        """Whether every other controller tells that it holds no term."""
+        """Whether every other controller answers that it holds no term."""
         return all(r is not None and not r.holds for r in await self._holders(timeout))
 
     async def quiet(self, timeout: timedelta) -> timedelta | None:
-        """For how long none of the others has answered a worker by a term of its own; None when
-        one does not tell."""
+        """For how long none of the others has answered a worker in a term of its own; None if one
+        of them does not say."""
         spans = []
         for reply in await self._holders(timeout):
             if reply is None or reply.quiet_ms is None:
@@ -138,28 +139,28 @@
         return await asyncio.gather(*asked)
 
     async def version(self, member: str, timeout: timedelta) -> str | None:
-        """The version that a peer runs, if it tells."""
+        """The version that a peer runs; None if it does not answer."""
         reply = await self._ask(member, VersionQuestion(), VersionReply, timeout)
         return None if reply is None else reply.version
 
     async def relay(self, member: str, request: Relay, timeout: timedelta) -> RelayReply | None:
-        """Have a peer serve a user's request."""
+        """Let a peer serve a user's request."""
         reply: RelayReply | None = await self._ask(member, request, RelayReply, timeout)
         return reply
 
     async def words(self, member: str, words: Words, timeout: timedelta) -> WordsReply | None:
-        """Tell a peer what is known of the links, and hear what it knows."""
+        """Exchange heartbeats with a peer."""
         reply: WordsReply | None = await self._ask(member, words, WordsReply, timeout)
         return reply
 
     async def passed(
         self, member: str, reports: list[bytes], timeout: timedelta
     ) -> list[bytes | None] | None:
-        """Have the leader answer reports of workers that do not reach it."""
+        """Let the leader answer reports of workers that do not reach it."""
         reply = await self._ask(member, Passed(reports), PassedReply, timeout)
         return None if reply is None else reply.answers
 
     async def hand_over(self, member: str, request: HandOver, timeout: timedelta) -> bool:
-        """Name a successor; whether it leads now."""
+        """Transfer leadership to a peer; returns whether it leads now."""
         reply = await self._ask(member, request, HandOverReply, timeout)
         return reply is not None and reply.leads
--- a/dappledrum/peers/messages.py
+++ b/dappledrum/peers/messages.py
@@ -21,7 +21,7 @@
 
 
 class Relay(msgspec.Struct, tag="relay", tag_field="kind"):
-    """A user's request that the sender can't serve, being cut off from the state service."""
+    """A user's request that the sender can't serve because it does not reach the state service."""
 
     method: str
     path: str
@@ -37,7 +37,7 @@
 
 
 class Knocks(msgspec.Struct, tag="knocks", tag_field="kind"):
-    """A leader that hears no worker asks whether workers try elsewhere."""
+    """Asked by a leader that gets no reports: whether workers report elsewhere."""
 
     within_ms: int
 
@@ -49,32 +49,32 @@
 
 
 class Promise(msgspec.Struct, tag="promise", tag_field="kind"):
-    """See leadership: a request not to stand for a bounded time."""
+    """A request not to stand for leader for a limited time; see `leadership/`."""
 
     request: PromiseRequest
 
 
 class VersionQuestion(msgspec.Struct, tag="version", tag_field="kind"):
-    """Asked of every controller until it tells; versions up to 0.2.0 refuse it."""
+    """Asked of every controller until it answers; versions up to 0.2.0 refuse it."""
 
 
 class VersionReply(msgspec.Struct):
-    """The version that runs there."""
+    """The version that the controller runs."""
 
     version: str
 
 
 class HoldingQuestion(msgspec.Struct, tag="holding", tag_field="kind"):
-    """Asked by a controller that has just begun: whether somebody may rely on a promise of the
-    process before it; versions before 0.4.0 refuse it."""
+    """Asked by a controller that has just started: whether a leader may rely on a promise of its
+    former process. Versions before 0.4.0 refuse it."""
 
 
 class HoldingReply(msgspec.Struct):
-    """Whether the controller holds a term, be it by its lease or by promises.
+    """Whether the controller holds a term, by its lease or by promises.
 
-    `quiet_ms` is for how long it has certainly answered no worker by a term of its own: since its
-    last one ended, or its process began; no more than QUIET_MOST is told, and nothing by versions
-    before 0.6.0.
+    `quiet_ms` is for how long it has certainly answered no worker in a term of its own: since its
+    last term ended, or since its process began, up to QUIET_MOST. Versions before 0.6.0 leave it
+    out.
     """
 
     holds: bool
@@ -106,16 +106,16 @@
 
 
 class MalformedError(Exception):
-    """Not a message of ours."""
+    """The data are no valid message."""
 
 
 def encode(message: Question | Reply) -> bytes:
-    """A message as it goes over the wire."""
+    """Encode a message for sending."""
     return cbor2.dumps(msgspec.to_builtins(message, builtin_types=(bytes,)))
 
 
 def decode(data: bytes, kind: Any) -> Any:  # noqa: ANN401 - a union is no type to the checker
-    """A checked message."""
+    """Decode and check a message."""
     try:
         return msgspec.convert(cbor2.loads(data), kind, builtin_types=(bytes,))
     except (cbor2.CBORDecodeError, msgspec.ValidationError, ValueError, RecursionError) as error:
--- a/dappledrum/peers/versions.py
+++ b/dappledrum/peers/versions.py
@@ -1,11 +1,11 @@
-"""Versions of the other controllers, as far as they tell."""
+"""Versions of the other controllers, and the features that depend on them."""
 
-GANGS = (0, 4, 0)  # from this version on gangs are known
-REACH = (0, 5, 0)  # from this version on words of links are spoken
+GANGS = (0, 4, 0)  # first version that supports gangs
+REACH = (0, 5, 0)  # first version that supports heartbeats
 
 
 def at_least(version: str, least: tuple[int, ...]) -> bool:
-    """Whether a version that somebody told is as new; what can't be read is not."""
+    """Whether a version is at least the given one; a version that can't be parsed is not."""
     parts = version.split(".")[: len(least)]
     if len(parts) < len(least) or not all(p.isascii() and p.isdigit() for p in parts):
         return False
