--- a/dappledrum/controller/test_copies.py
+++ b/dappledrum/controller/test_copies.py
@@ -202,7 +202,7 @@
         assert await status(f"/submissions/{work.names[0]}") == 503
         assert now() - began < 0.5
         node = world.nodes[member]
-        assert node.elector.holding() is None and node._conductor() is None
+        assert node.elector.holding() is None and node.reports.conductor() is None
         await world.wait(20)
         kept = sessions.keys() & work.sessions().keys()
         assert {name: work.sessions()[name] for name in kept} == {n: sessions[n] for n in kept}
--- a/dappledrum/controller/test_gap.py
+++ b/dappledrum/controller/test_gap.py
@@ -262,7 +262,7 @@
         node = work.leading_node()
         node.elector.term.known_at -= timedelta(seconds=60)
         assert node.elector.holding() is None
-        assert (await node._answer(HoldingQuestion())).holds
+        assert (await node.peer_requests.answer(HoldingQuestion())).holds
         await work.world.wait(5)
 
     play_long_work(8, act, jobs=1)
