--- a/dappledrum/model/rules.py
+++ b/dappledrum/model/rules.py
@@ -1,5 +1,6 @@
 """The rules of the protocol as a checker that is told everything that happens, step by step."""
 
+from collections import Counter
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 from typing import Any
@@ -29,6 +30,9 @@
     limits: dict[str, tuple[float, float]]  # team: most CPUs, most GPUs; 0: no limit
     jobs: dict[str, JobFacts] = field(default_factory=dict)
     running: dict[tuple[str, int], dict[str, tuple[str, str, bool]]] = field(default_factory=dict)
+    #: The same by job, and by team how many tasks of each size (CPUs, GPUs) are on machines.
+    tasks_of: dict[str, set[int]] = field(default_factory=dict)
+    in_use: dict[str, Counter[tuple[float, float]]] = field(default_factory=dict)
     broken: list[str] = field(default_factory=list)
     starts: int = 0
     in_part: dict[str, float] = field(default_factory=dict)  # gangs in part on machines, since
@@ -169,12 +173,11 @@
         places = self.running.setdefault((job, task), {})
         if any(other != machine for other in places):
             self._break("ran_twice", at, f"{job}/{task} on {machine} and {', '.join(places)}")
-        others = [
-            k
-            for (j, t), where in self.running.items()
-            if j == job and t != task
-            for k in where.values()
-        ]
+        tasks = self.tasks_of.setdefault(job, set())
+        others = [k for t in tasks if t != task for k in self.running[job, t].values()]
+        tasks.add(task)
+        if machine not in places:
+            self._use(facts.spec, +1)
         places[machine] = kind
         self._place(at, facts.spec, kind, others)
         self._quota(at, facts.spec["crew"])
@@ -189,9 +192,10 @@
     def ended(self, machine: str, job: str, task: int, completed: bool) -> None:
         """A task is off a machine."""
         places = self.running.get((job, task), {})
-        places.pop(machine, None)
-        if not places:
-            self.running.pop((job, task), None)
+        if places.pop(machine, None) is not None:
+            self._use(self.jobs[job].spec, -1)
+        if not places and self.running.pop((job, task), None) is not None:
+            self.tasks_of[job].discard(task)
         if completed:
             self.jobs[job].done.add(task)
 
@@ -213,14 +217,17 @@
         if wrong:
             self._break("wrong_place", at, f"{spec['id']} on {kind}")
 
+    def _use(self, spec: dict[str, Any], change: int) -> None:
+        """A task of a job is on one machine more, or on one less."""
+        self.in_use.setdefault(spec["crew"], Counter())[spec["vcpus"], spec["accelerators"]] += (
+            change
+        )
+
     def _quota(self, at: float, team: str) -> None:
         most_cpus, most_gpus = self.limits.get(team, (0.0, 0.0))
-        cpus = gpus = 0.0
-        for (job, _), where in self.running.items():
-            spec = self.jobs[job].spec
-            if spec["crew"] == team:
-                cpus += spec["vcpus"] * len(where)
-                gpus += spec["accelerators"] * len(where)
+        sizes = self.in_use.get(team, Counter())
+        cpus = sum(size[0] * count for size, count in sizes.items())
+        gpus = sum(size[1] * count for size, count in sizes.items())
         if (most_cpus and cpus > most_cpus + 1e-6) or (most_gpus and gpus > most_gpus + 1e-6):
             self._break("quota", at, f"{team} uses {cpus:g} CPUs and {gpus:g} GPUs")
 
@@ -244,7 +251,8 @@
     def tick(self, at: float) -> None:
         """Time has passed."""
         self._gangs(at)
-        for job, task in self.running:
-            since = self._cancelled_since(job)
+        for job, tasks in self.tasks_of.items():
+            since = self._cancelled_since(job) if tasks else None
             if since is not None and at > since + self.cancel_s:
-                self._break("ran_cancelled", at, f"{job}/{task} still there")
+                for task in sorted(tasks):
+                    self._break("ran_cancelled", at, f"{job}/{task} still there")
--- a/dappledrum/standins/fleet.py
+++ b/dappledrum/standins/fleet.py
@@ -2,6 +2,7 @@
 
 import asyncio
 import json
+import math
 import random
 from dataclasses import dataclass, field
 from datetime import timedelta
@@ -12,6 +13,9 @@
 from dappledrum.standins.network import Network
 from dappledrum.standins.state_service import reply
 
+LIST_LAGS = 2  # the list is older than its usual age by so much at the most
+LEASE_STEP_S = 0.05  # how late the end of a lease may be seen
+
 
 @dataclass
 class Attempt:
@@ -51,6 +55,8 @@
     faulty: set[str] = field(default_factory=set)  # machines on which every task fails
     gang_wait_s: float = 30.0
     gang_peer_s: float = 6.0
+    step_s: float = 0.5  # in which a task's progress grows; longer ones cost less to play
+    subnet: str = "10.1"  # of the workers' addresses
     # Members of each gang that have their image and are on some machine, wherever it is.
     gangs: dict[str, dict[int, "Attempt"]] = field(default_factory=dict)
     # Seconds of progress that tasks have saved, outside their machines.
@@ -73,7 +79,7 @@
     ) -> None:
         self.name, self.kind, self.size = name, kind, size
         number = int(name.rpartition("-")[2])
-        self.address = f"10.1.{number // 250}.{number % 250}:9000"
+        self.address = f"{timing.subnet}.{number // 250}.{number % 250}:9000"
         network.services[name] = self._inspect
         network.addresses[self.address] = name
         self.network, self.rules, self.timing, self.nodes, self.rng = (
@@ -135,7 +141,8 @@
 
     async def _lease_loop(self) -> None:
         while True:
-            await asyncio.sleep(0.05)
+            left = self.renewed + self.timing.lease_s - self.now()
+            await asyncio.sleep(max(LEASE_STEP_S, left))
             # Also while it hangs: it may go on at any moment within its lease, not after it.
             if self.now() > self.renewed + self.timing.lease_s:
                 self._kill_all()
@@ -294,13 +301,14 @@
             attempt.progress = self.timing.saved.get(attempt.name, 0.0)
             left = 0.0 if attempt.name in self.done else run_s - attempt.progress
             missing = 0.0
+            step = self.timing.step_s
             while left > 0:
-                await asyncio.sleep(min(left, 0.5))
-                left -= 0.0 if self.hung else 0.5
-                attempt.progress += 0.0 if self.hung else 0.5
+                await asyncio.sleep(min(left, step))
+                left -= 0.0 if self.hung else step
+                attempt.progress += 0.0 if self.hung else step
                 if spec["markEveryS"] > 0 and attempt.progress % spec["markEveryS"] == 0:
                     self.timing.saved[attempt.name] = attempt.progress
-                missing = missing + 0.5 if gang and not self._gathered(attempt.job) else 0.0
+                missing = missing + step if gang and not self._gathered(attempt.job) else 0.0
                 if missing > self.timing.gang_peer_s:
                     self._exit(attempt, "peers")
                     return
@@ -331,9 +339,23 @@
     kind: tuple[str, str, bool]
     since: float
     boots: bool
-    state: str = "booting"
     worker: Worker | None = None
-    gone: bool = False
+    up_at: float = math.inf
+    gone_at: float = math.inf
+
+    def row(self, at: float) -> dict[str, Any] | None:
+        """As the list shows it at some moment, or None when it does not."""
+        if not self.since <= at < self.gone_at:
+            return None
+        return {
+            "id": self.name,
+            "endpoint": "10.1.0.1:9000",
+            "build": self.kind[0],
+            "hall": self.kind[1],
+            "loaners": self.kind[2],
+            "stance": "running" if self.up_at <= at else "booting",
+            "since": self.since,
+        }
 
 
 class CloudService:
@@ -362,8 +384,8 @@
             lag_s,
         )
         self.machines: dict[str, Rented] = {}
+        self.gone: list[Rented] = []  # not long ago: the list may still show them
         self.answers: dict[str, list[str]] = {}
-        self.snapshots: list[tuple[float, list[dict[str, Any]]]] = []
         self.most = 12
         self.out = False
         self.stalled = 0.0  # share of machines that never come up
@@ -407,59 +429,41 @@
         if machine.boots:
             delay = model["readyS"] * self.rng.uniform(0.6, 1.5) * self.slow
             asyncio.get_running_loop().call_later(delay, self._up, machine, model)
-        self._snapshot()
         return name
 
     def _up(self, machine: Rented, model: dict[str, Any]) -> None:
-        if machine.gone:
+        if machine.gone_at < math.inf:
             return
-        machine.state = "running"
+        machine.up_at = Worker.now()
         size = {wire: model[wire] for wire in ("vcpus", "accelerators", "memGb")}
-        machine.worker = Worker(
-            machine.name,
-            machine.kind,
-            size,
-            self.network,
-            self.rules,
-            self.timing,
-            self.nodes,
-            self.rng,
+        machine.worker = self.make_worker(machine.name, machine.kind, size)
+
+    def make_worker(
+        self, name: str, kind: tuple[str, str, bool], size: dict[str, float]
+    ) -> Worker:
+        """The worker of a machine that is up."""
+        return Worker(
+            name, kind, size, self.network, self.rules, self.timing, self.nodes, self.rng
         )
-        self._snapshot()
 
     def take(self, name: str) -> None:
         """A machine is gone, with all that is on it."""
         machine = self.machines.pop(name, None)
         if machine is not None:
-            machine.gone = True
+            machine.gone_at = Worker.now()
             if machine.worker is not None:
                 machine.worker.vanish()
-            self._snapshot()
+            oldest = Worker.now() - LIST_LAGS * self.lag_s
+            self.gone = [one for one in self.gone if one.gone_at > oldest]
+            self.gone.append(machine)
 
     def workers(self) -> list[Worker]:
         """Workers that are up."""
         return [m.worker for m in self.machines.values() if m.worker is not None]
 
-    def _snapshot(self) -> None:
-        rows = [
-            {
-                "id": m.name,
-                "endpoint": "10.1.0.1:9000",
-                "build": m.kind[0],
-                "hall": m.kind[1],
-                "loaners": m.kind[2],
-                "stance": m.state,
-                "since": m.since,
-            }
-            for m in self.machines.values()
-        ]
-        self.snapshots.append((Worker.now(), rows))
-
     def _list(self) -> Reply:
-        seen_at = Worker.now() - self.lag_s * self.rng.uniform(0.5, 2)
-        rows: list[dict[str, Any]] = []
-        for at, snapshot in self.snapshots:
-            if at <= seen_at:
-                rows = snapshot
+        seen_at = Worker.now() - self.lag_s * self.rng.uniform(0.5, LIST_LAGS)
+        machines = sorted([*self.machines.values(), *self.gone], key=lambda one: one.name)
+        rows = [row for one in machines if (row := one.row(seen_at)) is not None]
         aged = [row | {"ageS": max(0.0, seen_at - row["since"])} for row in rows]
         return reply(200, {"drums": aged, "more": False})
--- a/dappledrum/standins/state_service.py
+++ b/dappledrum/standins/state_service.py
@@ -1,6 +1,7 @@
 """The state service: keys with versions, guarded transactions, leases and watches."""
 
 import asyncio
+import bisect
 import json
 from typing import Any
 from urllib.parse import parse_qs
@@ -173,11 +174,11 @@
             events = []
             if not self.out and source not in self.refused:
                 self._expire()
+                newer = bisect.bisect_right(self.log, since, key=lambda event: event["stamp"])
                 events = [
                     event
-                    for event in self.log
-                    if event["stamp"] > since
-                    and (event.get("write") or event["remove"]).startswith(options["prefix"])
+                    for event in self.log[newer:]
+                    if (event.get("write") or event["remove"]).startswith(options["prefix"])
                 ]
             if events or loop.time() >= end:
                 return reply(200, {"tally": self.tally, "events": events})
