--- a/dappledrum/scale/__main__.py
+++ b/dappledrum/scale/__main__.py
@@ -3,11 +3,13 @@
 import argparse
 import asyncio
 import os
+import signal
 import sys
 from pathlib import Path
 
 import msgspec
 
+from dappledrum.scale.report import ScaleReport
 from dappledrum.scale.run import PHASES, Options, play
 
 EXAMPLES = """examples:
@@ -84,14 +86,22 @@
     )
 
 
+async def _played(options: Options) -> ScaleReport:
+    """One run; a request to terminate ends it as an interrupt does, with all that it started."""
+    task = asyncio.current_task()
+    assert task is not None
+    asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, task.cancel)
+    return await play(options, lambda text: print(text, flush=True))
+
+
 def main(argv: list[str] | None = None) -> int:
     """Run, print progress and a summary; 1 when a rule was broken."""
     cli = parser()
     given = cli.parse_args(argv)
     options = checked(cli, given)
     try:
-        report = asyncio.run(play(options, lambda text: print(text, flush=True)))
-    except KeyboardInterrupt:
+        report = asyncio.run(_played(options))
+    except (KeyboardInterrupt, asyncio.CancelledError):
         return 130
     if given.report is not None:
         given.report.write_bytes(msgspec.json.format(msgspec.json.encode(report), indent=1))
--- a/dappledrum/scale/order.py
+++ b/dappledrum/scale/order.py
@@ -2,6 +2,7 @@
 
 import heapq
 from collections.abc import Callable
+from functools import partial
 
 from dappledrum.model.rules import Rules
 from dappledrum.scale.messages import Ended, Event, Started
@@ -15,21 +16,29 @@
     def __init__(self, rules: Rules, began: Callable[[float, str, int], None]) -> None:
         self.rules = rules
         self.began = began
-        self._heap: list[tuple[float, int, Started | Ended]] = []
+        self._heap: list[tuple[float, int, Callable[[], None]]] = []
         self._count = 0
 
     def add(self, event: Event) -> None:
         """An event has come."""
-        if isinstance(event, Started | Ended):
-            self._count += 1
-            heapq.heappush(self._heap, (event.at, self._count, event))
+        if isinstance(event, Started):
+            self.at(event.at, partial(self._started, event))
+        elif isinstance(event, Ended):
+            self.at(event.at, partial(self._ended, event))
+
+    def at(self, at: float, tell: Callable[[], None]) -> None:
+        """Something else that the rules are to be told of, such as an answer to a user."""
+        self._count += 1
+        heapq.heappush(self._heap, (at, self._count, tell))
 
     def release(self, now: float) -> None:
         """Tell the rules what happened more than `WAIT_S` ago."""
         while self._heap and self._heap[0][0] < now - WAIT_S:
-            _, _, event = heapq.heappop(self._heap)
-            if isinstance(event, Started):
-                self.rules.started(event.at, event.machine, event.kind, event.job, event.task)
-                self.began(event.at, event.job, event.task)
-            else:
-                self.rules.ended(event.machine, event.job, event.task, event.completed)
+            heapq.heappop(self._heap)[2]()
+
+    def _started(self, event: Started) -> None:
+        self.rules.started(event.at, event.machine, event.kind, event.job, event.task)
+        self.began(event.at, event.job, event.task)
+
+    def _ended(self, event: Ended) -> None:
+        self.rules.ended(event.machine, event.job, event.task, event.completed)
--- a/dappledrum/scale/run.py
+++ b/dappledrum/scale/run.py
@@ -29,6 +29,8 @@
 CPUS = 32.0  # of a machine
 BUSY = 0.9  # share of the room for tasks that the work fills
 RELEASE_S = 0.25
+RAMP_MOST_S = 90.0  # until every worker has been answered and work has begun
+RAMP_LOOK_S = 0.5
 BOOT_S = 2.0
 LIST_LAG_S = 4.0
 STATE_LATENCY_S = 0.004
@@ -89,7 +91,7 @@
         network = SocketNetwork({**self.controllers.public, "state": addresses["state"]})
         self.state_link: SocketLink = network.caller("meter", "state")
         self.users = Users(
-            network, self.controllers.names, self.cloud, self.rules, random.Random(options.seed)
+            network, self.controllers.names, self.cloud, self.ordered, random.Random(options.seed)
         )
         self.meter = Meter(self.controllers, self.state, self.state_link, self.hosts)
 
@@ -204,6 +206,7 @@
 
     async def _phase(self, name: str) -> None:
         actions: dict[str, Callable[[], Awaitable[None]]] = {
+            "ramp": self._ramp,
             "peak": self._peak,
             "loss": self._loss,
             "leader": self._end_leader,
@@ -227,6 +230,16 @@
             f" reports a second; cores: {cores}"
         )
 
+    async def _ramp(self) -> None:
+        """Wait until every worker has been answered, and tasks run."""
+        end = asyncio.get_running_loop().time() + RAMP_MOST_S
+        while asyncio.get_running_loop().time() < end:
+            reading = await self.meter.read(self.rules.starts)
+            answered = sum(counters.answered_workers for counters in reading.hosts)
+            if answered >= self.options.workers and self.rules.starts:
+                return
+            await asyncio.sleep(RAMP_LOOK_S)
+
     async def _peak(self) -> None:
         """A tenth of the fleet's room in small jobs at once."""
         for _ in range(max(1, self.room // 100)):
--- a/dappledrum/scale/users.py
+++ b/dappledrum/scale/users.py
@@ -5,14 +5,15 @@
 import random
 from dataclasses import dataclass, field
 from datetime import timedelta
+from functools import partial
 from http import HTTPStatus
 from typing import Any
 
 from hdrh.histogram import HdrHistogram
 
 from dappledrum.http.client import NoResponseError, Reply
-from dappledrum.model.rules import Rules
 from dappledrum.scale.fleet import RemoteCloud
+from dappledrum.scale.order import OrderedEvents
 from dappledrum.scale.sockets import SocketNetwork
 
 ASK_EVERY_S = 5.0
@@ -57,13 +58,14 @@
         network: SocketNetwork,
         controllers: list[str],
         cloud: RemoteCloud,
-        rules: Rules,
+        ordered: OrderedEvents,
         rng: random.Random,
     ) -> None:
         self.network = network
         self.controllers = controllers
         self.cloud = cloud
-        self.rules = rules
+        self.ordered = ordered
+        self.rules = ordered.rules
         self.rng = rng
         self.counts = UserCounts()
         self.submitted_at: dict[str, float] = {}
@@ -147,7 +149,9 @@
             reply = await self._ask("POST", "/submissions", body)
             if reply is not None and reply.status in (HTTPStatus.OK, HTTPStatus.CREATED):
                 state = json.loads(reply.body).get("stance")
-                self.rules.submit_answer(loop.time(), spec["id"], reply.status, state)
+                now, status = loop.time(), reply.status
+                answer = partial(self.rules.submit_answer, now, spec["id"], status, state)
+                self.ordered.at(now, answer)
                 self.counts.submit_ms.record_value(milliseconds(loop.time() - began))
                 return True
             await asyncio.sleep(RETRY_S)
@@ -158,21 +162,24 @@
         asked = loop.time()
         reply = await self._ask("GET", f"/submissions/{job}")
         if reply is None or reply.status not in (HTTPStatus.OK, HTTPStatus.NOT_FOUND):
-            self.rules.not_answered(asked, job)
+            self.ordered.at(loop.time(), partial(self.rules.not_answered, asked, job))
             return None
         self.counts.poll_ms.record_value(milliseconds(loop.time() - asked))
         state = json.loads(reply.body).get("stance") if reply.status == HTTPStatus.OK else None
-        self.rules.poll_answer(loop.time(), job, reply.status, state)
+        self._answered(job, reply.status, state)
         return state
 
+    def _answered(self, job: str, status: int, state: str | None) -> None:
+        now = asyncio.get_running_loop().time()
+        self.ordered.at(now, partial(self.rules.poll_answer, now, job, status, state))
+
     async def _cancel(self, job: str) -> bool:
         self.rules.cancel_asked(job)
         reply = await self._ask("POST", f"/submissions/{job}/cancel", b"")
         if reply is None or reply.status != HTTPStatus.OK:
             return False
         state = json.loads(reply.body)["stance"]
-        now = asyncio.get_running_loop().time()
-        self.rules.poll_answer(now, job, HTTPStatus.OK, state)
+        self._answered(job, reply.status, state)
         return True
 
     async def stop(self) -> None:
