--- /dev/null
+++ b/dappledrum/controller/test_user_meetings.py
@@ -0,0 +1,262 @@
+"""Users meet what happens to their jobs (docs/design.md, "Meetings"): acceptance, cancellation,
+the end of the last task, odd requests, many small jobs. Seeds are fixed, moments drawn from
+them."""
+
+import asyncio
+import random
+
+import pytest
+
+from dappledrum.standins.odd_requests import QUESTIONS, OddRequests, changed
+from dappledrum.standins.pairs import FIVE
+from dappledrum.standins.scenario import now, play
+from dappledrum.standins.time import run
+from dappledrum.standins.users import AnswerOrder, ImpatientUser, one_task_user, wandering_latency
+from dappledrum.standins.world import World, job
+
+SEEDS = pytest.mark.parametrize("seed", range(3))
+
+
+def impatient(scenario, order, seed, count, tasks=(1, 2, 2, 3)):
+    """Users with short jobs, each with luck of its own."""
+    users = []
+    for number in range(count):
+        rng = random.Random(f"{seed} impatient {number}")
+        beats = rng.choice(tasks)
+        runs = [rng.uniform(0.5, 8) for _ in range(beats)]
+        spec = job(700 + number, beats=beats, vcpus=0.5, runS=runs, dueS=None)
+        users.append(ImpatientUser(scenario.world, order, spec, rng))
+    scenario.names += [user.name for user in users]
+    return users
+
+
+async def finished(scenario, order, doing):
+    """Wait for all of them, with the rules and the order of answers checked at each step; what
+    they return."""
+    tasks = [asyncio.ensure_future(one) for one in doing]
+    while not all(task.done() for task in tasks):
+        await scenario.world.wait(0.25)
+        assert not order.broken, order.broken
+    return [task.result() for task in tasks]
+
+
+@SEEDS
+@pytest.mark.parametrize("trouble", ["none", "refused", "slow", "lists in parts"])
+def test_answers_at_all_nodes_within_milliseconds(seed, trouble):
+    """Right after a job is accepted, ended or cancelled nobody answers anything older: nor a
+    controller that the state service refuses alone and that relays its users, nor one whose
+    requests overtake each other, nor one that reads the list of jobs in several requests."""
+
+    async def refuse_one_after_another(world, rng):
+        while True:
+            world.state.refused = {rng.choice(FIVE)}
+            await asyncio.sleep(rng.uniform(2, 8))
+
+    async def act(scenario):
+        world, rng = scenario.world, scenario.rng
+        order = AnswerOrder()
+        users = impatient(scenario, order, seed, 12)
+        troubles = []
+        if trouble == "refused":
+            troubles.append(refuse_one_after_another(world, rng))
+        if trouble == "lists in parts":
+            world.state.list_most = 2
+        if trouble in ("slow", "lists in parts"):
+            troubles.append(wandering_latency(world, rng, FIVE, 0.25))
+        running = [asyncio.ensure_future(one) for one in troubles]
+        states = await finished(scenario, order, [user.run() for user in users])
+        for one in running:
+            one.cancel()
+        assert set(states) == {"done", "cancelled"}
+        assert sum(len(answers) for answers in order.answers.values()) > 1500
+
+    play(seed, act, users=4)
+
+
+@SEEDS
+@pytest.mark.parametrize("written", [False, True])
+def test_cancellations_and_questions_meet_the_end_of_the_last_task(seed, written):
+    """Within half a second after the task has completed, or within milliseconds of the leader's
+    write of the end: one of the two wins, and everybody is told the same for ever."""
+
+    async def act(scenario):
+        order = AnswerOrder()
+        users = impatient(scenario, order, seed, 16)
+        most = 0.012 if written else 0.5
+        meeting = [user.meet_end(written, user.rng.uniform(0, most)) for user in users]
+        states = await finished(scenario, order, meeting)
+        assert set(states) == {"done", "cancelled"}
+
+    play(seed, act, users=2)
+
+
+@SEEDS
+def test_odd_requests_at_every_controller_and_in_the_first_second_of_a_process(seed):
+    """A process that has not learned the machine types yet refuses nothing that it can't judge,
+    and accepts nothing that can't run."""
+
+    async def act(scenario):
+        world, rng = scenario.world, scenario.rng
+        odd = OddRequests(world)
+        await odd.prepare()
+        for member in FIVE:
+            await odd.check(member)
+        member = rng.choice(FIVE)
+        world.state.refused.add(member)
+        await odd.check(member, undecided=(503,))
+        await world.wait(2)
+        await odd.check(member)  # served through its peers
+        world.state.refused.clear()
+        for member in rng.sample(FIVE, 3):
+            await world.restart(member, rng.choice((0.1, 1.0)))
+            for _ in range(8):
+                await odd.check(member, undecided=(503,))
+                await asyncio.sleep(rng.uniform(0, 0.2))
+        await world.wait(5)
+        for member in FIVE:
+            await odd.check(member)
+        await world.cancel("j-000961")
+
+    play(seed, act, users=2)
+
+
+@SEEDS
+def test_odd_requests_while_no_machine_types_are_known(seed):
+    """All controllers begin without the cloud and without a record of its types."""
+
+    async def act(scenario):
+        world = scenario.world
+        odd = OddRequests(world)
+        await odd.prepare()
+        for member in FIVE:
+            world.kill(member)
+        world.cloud.out = True
+        del world.state.keys["catalog"]
+        for member in FIVE:
+            world.start(member)
+        await world.wait(2)
+        for member in FIVE:
+            assert world.nodes[member].intake.types is None
+            await odd.check(member, undecided=(503,))
+            response, _ = await odd.ask(member, "POST", "/submissions", changed(952, {}))
+            assert response.status == 503
+            response, state = await odd.ask(
+                member, "POST", "/submissions", changed(960, {"vcpus": 400.0})
+            )
+            assert (response.status, state) == (200, "done")
+        world.cloud.out = False
+        await world.wait(8)
+        for member in FIVE:
+            await odd.check(member)
+        await world.cancel("j-000961")
+
+    play(seed, act, users=2)
+
+
+@SEEDS
+def test_odd_requests_in_an_outage(seed):
+    """Whatever needs the state service is answered with 503 and a time to come back, at once."""
+
+    async def act(scenario):
+        world, rng = scenario.world, scenario.rng
+        odd = OddRequests(world)
+        await odd.prepare()
+        world.state.out = True
+        until = now() + rng.uniform(5, 20)
+        while now() < until:
+            member = rng.choice(FIVE)
+            asked = now()
+            await odd.check(member, undecided=(503,))
+            assert now() - asked < QUESTIONS * 0.6
+            response, _ = await odd.ask(member, "POST", "/submissions", changed(952, {}))
+            assert response.status == 503
+            await world.wait(rng.uniform(0, 1))
+        world.state.end_outage()
+        await world.wait(8)
+        for member in FIVE:
+            await odd.check(member)
+        await world.cancel("j-000961")
+
+    play(seed, act, users=2)
+
+
+@pytest.mark.parametrize("seed", range(6))
+def test_a_former_leader_finds_a_job_ended_by_its_successor(seed):
+    """Its own end of the job, as done, had no known outcome; the user cancelled meanwhile, and the
+    successor ended it as cancelled. The former leader must not answer from its memory."""
+
+    async def act(scenario):
+        world, rng = scenario.world, scenario.rng
+        spec = job(800, beats=1, runS=rng.uniform(2, 4), expectedS=3.0, dueS=None)
+        scenario.names.append(spec["id"])
+        order = AnswerOrder()
+        user = ImpatientUser(world, order, spec, rng)
+        await user.until(user.submit, 200, 201)
+        former = world.leader()
+        ending = f'"remove":"job/{user.name}"'.encode()
+        world.network.watcher = lambda sent: 60.0 if ending in sent.body else None
+        jobs = world.nodes[former].leader.jobs
+        await world.until(lambda: user.name in jobs)
+        live = jobs[user.name]
+        while not live.page(0).uncertain:
+            await asyncio.sleep(0.01)
+        world.freeze(former)
+        world.network.watcher = None
+        await scenario.until_led(former)
+        successor = world.leader()
+        while not (reply := await user.cancel(successor)) or reply.status != 200:
+            await world.wait(0.2)
+        await world.until(lambda: f"ended/{user.name}" in world.state.keys)
+        world.thaw(former)
+        for _ in range(10):
+            await asyncio.gather(*(user.poll(member) for member in FIVE))
+            await world.wait(0.1)
+        assert not order.broken, order.broken
+
+    play(seed, act, users=2)
+
+
+ONE_TASK_JOBS = 480  # two minutes of them
+A_SECOND = 4.0
+
+
+@pytest.mark.parametrize(("seed", "rps", "write_rps"), [(0, 250.0, 35.0), (1, 200.0, 80.0)])
+def test_one_task_jobs_four_a_second_a_quarter_of_them_cancelled(seed, rps, write_rps):
+    """At the rates of requests and changes that large deployments have: users are answered, the
+    queue of changes does not grow, nothing is forgotten, and nothing is kept of ended jobs but
+    their ends."""
+
+    async def main():
+        world = World(seed, members=FIVE, rps=rps, write_rps=write_rps, limited=True)
+        world.cloud.most = 30
+        for _ in range(12):
+            world.cloud.add(("small", world.rng.choice(("a", "b")), True))
+        await world.until(lambda: world.leader() is not None)
+        leader = world.nodes[world.leader()].leader
+        accepted_after, users, queue = [], [], []
+        for number in range(ONE_TASK_JOBS):
+            one = random.Random(f"{seed} one task {number}")
+            user = one_task_user(world, number, one, accepted_after, 0.25)
+            users.append(asyncio.ensure_future(user))
+            await world.wait(one.expovariate(A_SECOND))
+            queue.append(len(leader.recorder.dirty) + len(leader.recorder.ending))
+        await world.until(lambda: all(user.done() for user in users))
+        states = [user.result() for user in users]
+        assert states.count("cancelled") > ONE_TASK_JOBS * 0.15
+        assert sorted(accepted_after)[int(ONE_TASK_JOBS * 0.95)] < 0.3
+        assert max(queue) < world.params.state.txn_ops
+        assert world.state.over_rate == 0
+        world.rules.quiet_at = now()
+        for number in range(0, ONE_TASK_JOBS, 7):
+            for member in FIVE:
+                assert await world.poll(f"j-{number:06d}", member) == states[number]
+        await world.wait(5)
+        assert world.nodes[world.leader()].leader is leader
+        assert not leader.jobs and not leader.graph.jobs and not leader.bookkeeper.jobs
+        assert not leader.recorder.dirty and not leader.recorder.garbage
+        assert {key.split("/")[0] for key in world.state.keys if "/j-" in key} == {"ended"}
+        for node in world.nodes.values():
+            assert not node.intake.polls.waiting and not node.intake.admission.waiting
+        assert not world.rules.broken, world.rules.broken
+
+    run(main())
