--- a/dappledrum/controller/test_limit_meetings.py
+++ b/dappledrum/controller/test_limit_meetings.py
@@ -83,10 +83,14 @@
     async def act(scenario):
         world, rng = scenario.world, scenario.rng
         for number, team in enumerate(("blue", "red")):
-            await scenario.submit_long(number, crew=team, beats=4, vcpus=2.0, runS=300.0, dueS=60.0)
+            await scenario.submit_long(
+                number, crew=team, beats=4, vcpus=2.0, runS=300.0, dueS=60.0
+            )
         await world.until(lambda: running(scenario, 0) + running(scenario, 1) == 8)
         for number, team in enumerate(("blue", "red")):
-            await scenario.submit_long(number + 2, crew=team, beats=4, vcpus=2.0, runS=5.0, dueS=60.0)
+            await scenario.submit_long(
+                number + 2, crew=team, beats=4, vcpus=2.0, runS=5.0, dueS=60.0
+            )
         on = sorted(scenario.machines_of(0) | scenario.machines_of(1))
         send_away(scenario, how, rng.sample(on, max(2, len(on) - 1)))
         await world.wait(rng.uniform(0, 4))
--- /dev/null
+++ b/dappledrum/scale/capacity.py
@@ -0,0 +1,218 @@
+"""What each role needs at the size that operators expect, worked out from measured slopes.
+
+    python3 -m dappledrum.scale.capacity [DIRECTORY]
+
+Reads the reports of scale runs in a directory (docs/capacity), fits a straight line through the
+readings of one phase against the number of workers, and prints the table of docs/CAPACITY.md.
+"""
+
+import sys
+from collections.abc import Callable, Iterable
+from pathlib import Path
+from typing import NamedTuple
+
+import msgspec
+
+from dappledrum.scale.report import PhaseReport, ScaleReport
+
+DIRECTORY = Path(__file__).parents[2] / "docs" / "capacity"
+PHASE = "steady"
+TARGET_WORKERS = 10_000
+LEAST_SIZES = 4
+
+
+class Hardware(NamedTuple):
+    """What one control machine has, and what a region's state service serves."""
+
+    cores: float = 1.0  # a controller is one process that runs on one core
+    memory_mb: float = 1024.0
+    sockets: float = 16_000.0
+    state_requests: float = 200.0
+    state_changes: float = 80.0
+    worker_bytes: float = 18_000.0  # a second and worker, both ways
+
+    def scaled(self, factor: float) -> "Hardware":
+        """The same, so many times as large; what workers may send stays."""
+        return Hardware(*(value * factor for value in self[:-1]), self.worker_bytes)
+
+
+class Line(NamedTuple):
+    """A least-squares line through readings."""
+
+    slope: float
+    intercept: float
+    residual: float  # the largest distance of a reading, as a share of the largest reading
+
+    def at(self, workers: float) -> float:
+        """The value that the line gives for a number of workers."""
+        return self.intercept + self.slope * workers
+
+    def reaches(self, limit: float) -> float | None:
+        """The number of workers at which the line reaches a limit; None: never."""
+        return (limit - self.intercept) / self.slope if self.slope > 0 else None
+
+
+def fit(points: Iterable[tuple[float, float]]) -> Line:
+    """The line through points of workers and readings; raises ValueError for less than two."""
+    known = list(points)
+    if len({x for x, _ in known}) < 2:
+        raise ValueError("a line needs readings at two sizes")
+    mean_x = sum(x for x, _ in known) / len(known)
+    mean_y = sum(y for _, y in known) / len(known)
+    slope = sum((x - mean_x) * (y - mean_y) for x, y in known) / sum(
+        (x - mean_x) ** 2 for x, _ in known
+    )
+    intercept = mean_y - slope * mean_x
+    largest = max(abs(y) for _, y in known) or 1.0
+    residual = max(abs(y - intercept - slope * x) for x, y in known) / largest
+    return Line(slope, intercept, residual)
+
+
+class Need(NamedTuple):
+    """One row of the table: a reading, its limit and what carries it."""
+
+    name: str
+    unit: str
+    read: Callable[[PhaseReport], float]
+    limit: Callable[[Hardware], float]
+    mechanism: str
+    per_worker: bool = False  # the reading is that of one worker, and does not grow with them
+
+
+def _of(role: str, field: str) -> Callable[[PhaseReport], float]:
+    """A field of one role; processor time is that of one process of it."""
+
+    def read(phase: PhaseReport) -> float:
+        use = next(use for use in phase.roles if use.role == role)
+        return use.cores / use.processes if field == "cores" else float(getattr(use, field))
+
+    return read
+
+
+NEEDS = (
+    Need(
+        "leader, processor",
+        "cores",
+        _of("leader", "cores"),
+        lambda hardware: hardware.cores,
+        "one leader for each partition of the fleet; missing",
+    ),
+    Need(
+        "leader, memory",
+        "MB",
+        _of("leader", "memory_mb"),
+        lambda hardware: hardware.memory_mb,
+        "records of live jobs only; exists",
+    ),
+    Need(
+        "leader, sockets",
+        "",
+        _of("leader", "sockets"),
+        lambda hardware: hardware.sockets,
+        "connection limits by role; exists",
+    ),
+    Need(
+        "follower, processor",
+        "cores",
+        _of("follower", "cores"),
+        lambda hardware: hardware.cores,
+        "any controller serves users; exists",
+    ),
+    Need(
+        "follower, memory",
+        "MB",
+        _of("follower", "memory_mb"),
+        lambda hardware: hardware.memory_mb,
+        "nothing but final states is kept; exists",
+    ),
+    Need(
+        "state service, requests",
+        "a second",
+        lambda phase: phase.state_requests,
+        lambda hardware: hardware.state_requests,
+        "polls share readings; exists",
+    ),
+    Need(
+        "state service, changes",
+        "a second",
+        lambda phase: phase.state_changes,
+        lambda hardware: hardware.state_changes,
+        "starts and ends of a wave in one page; a state service for each region; missing",
+    ),
+    Need(
+        "worker, bytes",
+        "a second",
+        lambda phase: (phase.worker_bytes_sent + phase.worker_bytes_received) / phase.workers,
+        lambda hardware: hardware.worker_bytes,
+        "reports every 3 s and on changes; exists",
+        per_worker=True,
+    ),
+)
+
+
+def load(directory: Path) -> list[ScaleReport]:
+    """The reports of a directory, by size; raises ValueError when one can't be read."""
+    reports = []
+    for path in sorted(directory.glob("*.json")):
+        try:
+            reports.append(msgspec.json.decode(path.read_bytes(), type=ScaleReport))
+        except msgspec.DecodeError as error:
+            raise ValueError(f"{path}: {error}") from error
+    return sorted(reports, key=lambda report: report.workers)
+
+
+def _phase(report: ScaleReport) -> PhaseReport:
+    return next(phase for phase in report.phases if phase.name == PHASE)
+
+
+def _number(value: float) -> str:
+    return f"{value:.3g}" if abs(value) < 1000 else f"{value:,.0f}"
+
+
+def rows(reports: list[ScaleReport], hardware: Hardware) -> list[str]:
+    """The table's rows."""
+    result = []
+    phases = [_phase(report) for report in reports]
+    for need in NEEDS:
+        points = [(float(phase.workers), need.read(phase)) for phase in phases]
+        line = fit(points)
+        readings = ", ".join(_number(value) for _, value in points)
+        limit = need.limit(hardware)
+        if need.per_worker:
+            value = max(y for _, y in points)
+            slope, wall = "none", "none" if value <= limit else "any"
+        else:
+            value = line.at(TARGET_WORKERS)
+            slope = f"{line.slope * 1000:.3g}"
+            reached = line.reaches(limit)
+            wall = "none" if reached is None else f"{reached:,.0f}"
+        result.append(
+            f"| {need.name} | {need.unit} | {readings} | {slope} | {line.residual:.0%} |"
+            f" {_number(value)} | {_number(limit)} | {wall} | {need.mechanism} |"
+        )
+    return result
+
+
+def table(reports: list[ScaleReport], hardware: Hardware | None = None) -> str:
+    """The table as it stands in docs/CAPACITY.md."""
+    sizes = ", ".join(f"{_phase(report).workers:,}" for report in reports)
+    head = [
+        f"| need | unit | measured at {sizes} workers | slope per 1,000 workers | residual |"
+        f" at {TARGET_WORKERS:,} | limit | reached at workers | mechanism |",
+        "| --- | --- | --- | --- | --- | --- | --- | --- | --- |",
+    ]
+    return "\n".join(head + rows(reports, hardware or Hardware()))
+
+
+def main(argv: list[str] | None = None) -> int:
+    """Print the table for the assumed hardware, and for half and twice that."""
+    arguments = sys.argv[1:] if argv is None else argv
+    reports = load(Path(arguments[0]) if arguments else DIRECTORY)
+    for factor in (1.0, 0.5, 2.0):
+        print(f"\n{factor:g} times the assumed hardware:\n")
+        print(table(reports, Hardware().scaled(factor)))
+    return 0
+
+
+if __name__ == "__main__":
+    sys.exit(main())
--- a/dappledrum/scale/controllers.py
+++ b/dappledrum/scale/controllers.py
@@ -13,6 +13,8 @@
 from dappledrum.scale.addresses import free_address
 from dappledrum.scale.processes import ROOT
 
+#: Plans are told in the log; idle machines stay, so that the size of the fleet is what was asked.
+ENVIRONMENT = {"LOG_LEVEL": "debug", "DAPPLEDRUM_INTERVAL_S": "86400"}
 SERVICE = ROOT / "deploy" / "service.toml"
 
 
@@ -73,7 +75,7 @@
                 stdin=asyncio.subprocess.DEVNULL,
                 stdout=log,
                 stderr=log,
-                env=os.environ | {"LOG_LEVEL": "debug"},
+                env=os.environ | ENVIRONMENT,
             )
         self.processes[name] = process
         task = asyncio.get_running_loop().create_task(self._watch(name, process))
--- a/dappledrum/scale/state_service.py
+++ b/dappledrum/scale/state_service.py
@@ -17,7 +17,7 @@
 from dappledrum.scale.messages import Command, Counters, StateCounters
 from dappledrum.scale.sockets import HEAD_BYTES, served
 from dappledrum.settings import split_address
-from dappledrum.standins.state_service import StateService, reply
+from dappledrum.standins.state_service import StateService
 
 
 class StateSettings(msgspec.Struct):
@@ -33,48 +33,33 @@
 
 
 class MeteredState:
-    """Counts what passes, delays it, and refuses what is above the rate of requests."""
+    """Counts what passes, and delays it."""
 
     def __init__(self, settings: StateSettings) -> None:
         self.settings = settings
         self.service = StateService()
+        self.service.rps = settings.requests_per_s
         self.service.write_rps = settings.changes_per_s
         self.service.value_bytes = int(settings.value_kb * 1024)
         self.service.txn_ops = settings.transaction_changes
         self.rng = random.Random(settings.seed)
-        self.spare = settings.requests_per_s
-        self.spare_at = 0.0
-        self.refused = self.received = self.sent = 0
+        self.received = self.sent = 0
 
     async def __call__(self, source: str, method: str, path: str, body: bytes) -> Reply:
         """One request."""
         if path == "/counters":
             return Reply(200, msgspec.json.encode(self._counters()))
         self.received += HEAD_BYTES + len(path) + len(body)
-        if not self._affordable():
-            self.refused += 1
-            return reply(429, {"error": "too many requests"})
         await asyncio.sleep(self.settings.latency_s * self.rng.uniform(0.5, 1.5))
         answer = await self.service(source, method, path, body)
         self.sent += HEAD_BYTES + len(answer.body)
         return answer
 
-    def _affordable(self) -> bool:
-        """Bursts of one second's worth are served."""
-        now = asyncio.get_running_loop().time()
-        rate = self.settings.requests_per_s
-        self.spare = min(rate, self.spare + (now - self.spare_at) * rate)
-        self.spare_at = now
-        if self.spare < 1:
-            return False
-        self.spare -= 1
-        return True
-
     def _counters(self) -> StateCounters:
         return StateCounters(
             self.service.requests,
             self.service.writes,
-            self.refused + self.service.over_rate,
+            self.service.over_rate,
             self.received,
             self.sent,
             len(self.service.keys),
