--- a/dappledrum/standins/test_recording.py
+++ b/dappledrum/standins/test_recording.py
@@ -83,8 +83,8 @@
     async def main():
         world = await world_with_a_job()
         world.rules.submitted(job(2, vcpus=1.0))  # the service knows nothing of it
-        world.rules.submit_answer(world._now(), "j-000002", 201, "pending")
-        world.rules.quiet_at = world._now() + 5
+        world.rules.submit_answer(world.now(), "j-000002", 201, "pending")
+        world.rules.quiet_at = world.now() + 5
         await world.wait(94)
         with pytest.raises(AssertionError, match="left_waiting"):
             await world.wait(4)
