--- a/dappledrum/controller/test_leadership_meetings.py
+++ b/dappledrum/controller/test_leadership_meetings.py
@@ -323,11 +323,13 @@
         world, rng = scenario.world, scenario.rng
         await scenario.submit_long(0, 1, 2, **LONG)
         await world.wait(6)
-        leader = world.leader()
-        member = leader if leads else rng.choice(scenario.others())
-        await scenario.cancel(0, member)
+        leader, told = world.leader(), rng.choice(scenario.others())
+        world.state.refused.add(leader)
+        await world.wait(rng.uniform(0, 0.5))
+        await scenario.cancel(0, told)  # the leader cannot read it
+        member = leader if leads else told
         world.state.out = True
-        await world.wait(rng.uniform(0, 10))
+        await world.wait(rng.uniform(0, 0.3))
         await world.restart(member, rng.choice((0.1, 0.3)))
         await world.wait(CANCEL_S + rng.uniform(0, 10))
         assert not scenario.machines_of(0)
