--- a/dappledrum/accounts/entries.py
+++ b/dappledrum/accounts/entries.py
@@ -11,7 +11,7 @@
 from enum import StrEnum
 from typing import NamedTuple
 
-from dappledrum.scheduling.lanes import Kind, Size
+from dappledrum.scheduling.timeline import Kind, Size
 
 
 class Entry(StrEnum):
@@ -43,7 +43,7 @@
 
     size: Size
     allowed: Callable[[Kind], bool]
-    team_has_room: bool
+    team_has_capacity: bool
 
 
 def why_idle(kind: Kind, free: Size, empty: bool, wants: Sequence[Want]) -> Entry:
@@ -54,7 +54,7 @@
     for want in wants:
         if not want.allowed(kind):
             continue
-        if not want.team_has_room:
+        if not want.team_has_capacity:
             found = Entry.NO_TEAM if found is Entry.NO_KIND else found
         elif free.times(want.size) >= 1:
             return Entry.KEEPING
--- a/dappledrum/accounts/ledger.py
+++ b/dappledrum/accounts/ledger.py
@@ -13,14 +13,14 @@
 from dappledrum.accounts.entries import Entry, Want, why_idle
 from dappledrum.fleet.messages import MachineType
 from dappledrum.jobs.record import Placement
-from dappledrum.scheduling.lanes import Kind, Size
+from dappledrum.scheduling.timeline import Kind, Size
 from dappledrum.timing.clock import ZERO, Clock
 from dappledrum.workers.roster import Machine, Roster
 
 log = logging.getLogger(__name__)
 
 STEP = timedelta(seconds=2)
-TOLD_EVERY = timedelta(minutes=1)
+LOG_EVERY = timedelta(minutes=1)
 SHOWN = 0.005  # lines below this share are left out of the log
 
 #: Money in the currency of the catalog.
@@ -59,7 +59,7 @@
         self.accounts: dict[str, _Account] = {}
         self.recent: Lines = Counter()  # since it was last told
         self.ordinary = 0.0  # of that on machines that are not spot
-        self.told_at = self.began
+        self.logged_at = self.began
 
     def step(
         self,
@@ -141,23 +141,23 @@
                 lines[entry] += placement.spent
         placement.spent = 0.0
 
-    def tell(self, at_once: bool = False) -> bool:
+    def log_totals(self, at_once: bool = False) -> bool:
         """Log what was booked since the last line, once a minute, so that the lines of all leaders
         add up; returns whether a line was due."""
         now = self.clock.now()
-        if not at_once and now - self.told_at < TOLD_EVERY:
+        if not at_once and now - self.logged_at < LOG_EVERY:
             return False
         total = sum(self.recent.values())
         if total > 0:
             log.info(
                 "%.3f spent in %.0f s on %d machines, %.0f%% on ordinary ones: %s",
                 total,
-                (now - self.told_at).total_seconds(),
+                (now - self.logged_at).total_seconds(),
                 len(self.accounts),
                 100 * self.ordinary / total,
                 shown({entry: max(amount, 0.0) for entry, amount in self.recent.items()}),
             )
-        self.told_at = now
+        self.logged_at = now
         self.recent.clear()
         self.ordinary = 0.0
         return True
--- a/dappledrum/accounts/test_accounts.py
+++ b/dappledrum/accounts/test_accounts.py
@@ -12,7 +12,7 @@
 from dappledrum.fleet.messages import MachineType
 from dappledrum.jobs.messages import JobRecord, PageRecord, Spec
 from dappledrum.jobs.record import Job
-from dappledrum.scheduling.lanes import Kind, Size
+from dappledrum.scheduling.timeline import Kind, Size
 from dappledrum.standins.world import TYPES, job
 from dappledrum.timing.clock import seconds
 from dappledrum.workers.roster import Roster
@@ -89,7 +89,7 @@
     assert min(ledger.recent.values(), default=0.0) > -1e-9
     by_machine = sum(sum(a.lines.values()) for a in ledger.accounts.values())
     assert abs(by_machine - total) < 1e-9
-    ledger.tell(at_once=True)
+    ledger.log_totals(at_once=True)
     assert not ledger.recent
 
 
--- a/dappledrum/chains/lookup.py
+++ b/dappledrum/chains/lookup.py
@@ -12,7 +12,7 @@
 from datetime import timedelta
 
 from dappledrum.jobs.messages import Form, JobRecord
-from dappledrum.jobs.polls import Live
+from dappledrum.jobs.polls import LiveRecord
 from dappledrum.jobs.record import ended_key, head_key
 from dappledrum.state.budget import Rank
 from dappledrum.state.client import ConflictError, RefusedError, State, StateError
@@ -20,7 +20,7 @@
 from dappledrum.state.messages import Guard
 
 KEPT = 20_000
-PATIENCE = timedelta(seconds=1)
+REQUEST_TIMEOUT = timedelta(seconds=1)
 SINGLE = 4  # up to so many heads are read one by one, more from the list of all live ones
 
 
@@ -30,12 +30,12 @@
     def __init__(
         self,
         state: State,
-        most_guards: int,
+        max_guards: int,
         read: Callable[[str], Awaitable[JobRecord | None]],
-        read_many: Callable[[set[str]], Awaitable[dict[str, Live]]],
+        read_many: Callable[[set[str]], Awaitable[dict[str, LiveRecord]]],
     ) -> None:
         self.state = state
-        self.most_names = max(1, most_guards // 2)
+        self.max_names = max(1, max_guards // 2)
         self.read = read
         self.read_many = read_many
         self.arrays: OrderedDict[str, None] = OrderedDict()  # accepted, and not services
@@ -54,8 +54,8 @@
             return "a job can't wait for itself"
         names = sorted(need for need in needs if need not in self.arrays)
         live: set[str] = set()
-        for first in range(0, len(names), self.most_names):
-            batch = names[first : first + self.most_names]
+        for first in range(0, len(names), self.max_names):
+            batch = names[first : first + self.max_names]
             found = await self._existing(batch)
             for name in batch:
                 if not found & {head_key(name), ended_key(name)}:
@@ -71,11 +71,11 @@
         return None
 
     async def _existing(self, names: Collection[str]) -> set[str]:
-        if self.state.busy_for(Rank.INTAKE) > PATIENCE / 2:
+        if self.state.busy_for(Rank.INTAKE) > REQUEST_TIMEOUT / 2:
             raise RefusedError("over the share of requests")
         guards = [Guard(key(name), 0) for name in names for key in (head_key, ended_key)]
         try:
-            await commit_idempotent(self.state, guards, [], Rank.INTAKE, PATIENCE)
+            await commit_idempotent(self.state, guards, [], Rank.INTAKE, REQUEST_TIMEOUT)
         except ConflictError as error:
             return set(error.failed)
         return set()
--- a/dappledrum/chains/resolver.py
+++ b/dappledrum/chains/resolver.py
@@ -18,7 +18,7 @@
 AT_ONCE = 8
 LOOK = timedelta(milliseconds=100)
 AGAIN = timedelta(seconds=1)
-AGAIN_MOST = timedelta(seconds=30)
+MAX_AGAIN_PAUSE = timedelta(seconds=30)
 
 
 class Resolver:
@@ -70,5 +70,5 @@
 
     def _later(self, name: str, grown: int) -> None:
         count = self.tries.get(name, (self.clock.now(), 0))[1] + grown
-        pause = min(AGAIN * 2 ** min(count, 6), AGAIN_MOST)
+        pause = min(AGAIN * 2 ** min(count, 6), MAX_AGAIN_PAUSE)
         self.tries[name] = (self.clock.now() + pause, count)
--- a/dappledrum/chains/test_chains.py
+++ b/dappledrum/chains/test_chains.py
@@ -53,28 +53,28 @@
     await world.wait(0)
 
 
-TROUBLES = [nothing, troubles.leader_killed, troubles.all_killed, outage]
+FAULTS = [nothing, troubles.leader_killed, troubles.all_killed, outage]
 
 
-@pytest.mark.parametrize("trouble", TROUBLES)
-async def test_a_pipeline_outlives_trouble_at_each_stage(trouble):
+@pytest.mark.parametrize("fault", FAULTS)
+async def test_a_pipeline_outlives_trouble_at_each_stage(fault):
     """A successor finds from the records alone what waits, and what has been released."""
     world = await settled_world(32)
     names = await pipeline(world)
     for done in names[:-1]:
         await world.until(lambda done=done: len(world.rules.jobs[done].done) > 0)
-        await trouble(world)
+        await fault(world)
     await world.finish(names)
 
 
-@pytest.mark.parametrize("trouble", TROUBLES)
-async def test_a_cancellation_takes_along_all_that_follows(trouble):
+@pytest.mark.parametrize("fault", FAULTS)
+async def test_a_cancellation_takes_along_all_that_follows(fault):
     """Also when the leader that would have cancelled them ends first."""
     world = await settled_world(33)
     names = await pipeline(world, runS=60.0)
     await world.until(lambda: world.rules.starts > 0)
     assert await world.cancel(names[0]) == "cancelled"
-    await trouble(world)
+    await fault(world)
     # Named long after: accepted all the same, and cancelled.
     assert await world.submit(link(9, 4)) == 201
     await world.wait(28)
--- a/dappledrum/controller/catalog.py
+++ b/dappledrum/controller/catalog.py
@@ -16,7 +16,7 @@
 from dappledrum.state.client import State, StateError, raw
 from dappledrum.state.messages import Guard, Put
 from dappledrum.timing.clock import Clock
-from dappledrum.timing.troubles import Trouble
+from dappledrum.timing.fault_log import FaultLog
 
 log = logging.getLogger(__name__)
 
@@ -42,7 +42,7 @@
         self.rng = rng
         self.intake = intake
         self.leader = leader
-        self.no_catalog = Trouble(log, clock, "no machine types are known yet")
+        self.no_catalog = FaultLog(log, clock, "no machine types are known yet")
 
     async def run(self) -> None:
         """Load the catalog: from its stored copy if there is one, since the cloud may be
--- a/dappledrum/controller/isolation.py
+++ b/dappledrum/controller/isolation.py
@@ -5,7 +5,7 @@
 from dappledrum.reach.service import Reach
 from dappledrum.state.client import State
 from dappledrum.timing.clock import Clock
-from dappledrum.timing.patience import Pulse
+from dappledrum.timing.timeouts import PauseDetector
 
 ALONE_AFTER = timedelta(seconds=3)  # longer than heartbeats, or a restart of all others, take
 
@@ -13,11 +13,13 @@
 class Isolation:
     """Judges by the last answers of the state service and the last messages of peers."""
 
-    def __init__(self, state: State, reach: Reach, clock: Clock, pulse: Pulse) -> None:
+    def __init__(
+        self, state: State, reach: Reach, clock: Clock, pause_detector: PauseDetector
+    ) -> None:
         self.state = state
         self.reach = reach
         self.clock = clock
-        self.pulse = pulse
+        self.pause_detector = pause_detector
 
     def alone(self) -> bool:
         """Whether neither the state service nor a peer has been heard from for a while, though
@@ -26,4 +28,4 @@
         heard = self.reach.heard_at
         if heard is None or failing is None or failing < ALONE_AFTER:
             return False
-        return self.clock.now() - max(heard, self.pulse.awake_since()) > ALONE_AFTER
+        return self.clock.now() - max(heard, self.pause_detector.awake_since()) > ALONE_AFTER
--- a/dappledrum/controller/node.py
+++ b/dappledrum/controller/node.py
@@ -26,17 +26,17 @@
 from dappledrum.reach.service import Probe, Reach
 from dappledrum.settings import Settings, Tuning
 from dappledrum.state.budget import Rank
-from dappledrum.state.ceiling import Ceiling
 from dappledrum.state.client import State, StateError
+from dappledrum.state.value_limit import ValueLimit
 from dappledrum.timing.clock import ZERO, Clock, longer
-from dappledrum.timing.patience import Pulse
+from dappledrum.timing.timeouts import PauseDetector
 
 log = logging.getLogger(__name__)
 
 LEADER_SHARE = 0.6
 FOLLOWER_BURST = 2.0  # seconds
 HOLDERS_TIME = timedelta(milliseconds=200)
-QUIET_ASKED = timedelta(seconds=5)  # later answers add nothing
+NO_ANSWERS_ASKED = timedelta(seconds=5)  # later answers add nothing
 #: Margin within the time for cancellations: a leader with promises of only a majority stops early
 #: enough that its workers' leases have expired this long before that time is over.
 ALONE_MARGIN = timedelta(seconds=5)
@@ -44,9 +44,9 @@
 KNOWN_MARGIN = timedelta(seconds=1)
 #: Least time for which knowledge of all cancellations lasts. If the time for cancellations were no
 #: longer than a lease, leaders could otherwise answer no worker at all.
-KNOWN_LEAST = timedelta(seconds=6)
+MIN_KNOWN_SPAN = timedelta(seconds=6)
 SETTLE = timedelta(milliseconds=500)
-LIFE_MOST = timedelta(seconds=3)
+MAX_LEASE_LIFE = timedelta(seconds=3)
 
 
 class Node:
@@ -73,7 +73,7 @@
         self.state = State(state, self.params.state, clock, rng)
         self.cloud = Cloud(cloud, self.params.cloud.rps * 0.9, clock)
         self.peers = Peers(peers)
-        life = min(LIFE_MOST, self.params.workers.lease / 3)
+        life = min(MAX_LEASE_LIFE, self.params.workers.lease / 3)
         left = self.params.workers.lease + KNOWN_MARGIN
         self.elector = Elector(
             settings.member,
@@ -82,17 +82,17 @@
             rng,
             life,
             self.peers.promise,
-            self.peers.standing,
-            self.peers.hand_over,
+            self.peers.pre_vote,
+            self.peers.transfer_leadership,
             max(ZERO, self.params.workers.cancel - self.params.workers.lease - ALONE_MARGIN),
-            max(KNOWN_LEAST, self.params.workers.cancel - longer(left)),
+            max(MIN_KNOWN_SPAN, self.params.workers.cancel - longer(left)),
         )
         self.elector.on_change = self._leadership_changed
-        self.ceiling = Ceiling(limits)
-        self.intake = Intake(self.state, self.params, clock, self.ceiling)
-        self.elector.told = lambda span: self.intake.told.within(span, clock.now())
-        self.elector.on_told = self._hear_told
-        self.pulse = Pulse(clock)
+        self.value_limit = ValueLimit(limits)
+        self.intake = Intake(self.state, self.params, clock, self.value_limit)
+        self.elector.confirmed = lambda span: self.intake.confirmed.within(span, clock.now())
+        self.elector.on_confirmed = self._apply_confirmed
+        self.pause_detector = PauseDetector(clock)
         self.leader: Leader | None = None
         self.reach = Reach(
             settings.member,
@@ -101,19 +101,21 @@
             self.peers,
             self.elector,
             self.params.workers,
-            self.pulse,
+            self.pause_detector,
             self.state.link,
             self.cloud.link,
             lambda: self.leader.reporting() if self.leader is not None else {},
             probe,
             self._ask_state,
             self._ask_cloud,
-            self._hand_over,
+            self._transfer_leadership,
         )
         if tuning.reach:
-            self.elector.defer = self.reach.deference
-            self.elector.all_ask = lambda: len(self.reach.speaks) == len(self.peers.callers)
-        isolation = Isolation(self.state, self.reach, clock, self.pulse)
+            self.elector.candidacy_delay = self.reach.candidacy_delay
+            self.elector.all_ask = lambda: (
+                len(self.reach.heartbeat_peers) == len(self.peers.callers)
+            )
+        isolation = Isolation(self.state, self.reach, clock, self.pause_detector)
         self.catalog = CatalogLoader(
             self.state,
             self.cloud,
@@ -123,7 +125,9 @@
             self.intake,
             lambda: self.leader,
         )
-        self.versions = PeerVersions(self.state, self.peers, self.reach, self.ceiling, self.intake)
+        self.versions = PeerVersions(
+            self.state, self.peers, self.reach, self.value_limit, self.intake
+        )
         self.users = UserRequests(self.state, self.reach, self.peers, self.intake, isolation)
         self.reports = WorkerReports(
             settings.member,
@@ -134,7 +138,7 @@
             self.peers,
             self.elector,
             self.reach,
-            self.pulse,
+            self.pause_detector,
             isolation,
             lambda: self.leader,
         )
@@ -147,7 +151,7 @@
     async def run(self) -> None:
         """Run all background tasks."""
         await asyncio.gather(
-            self.pulse.run(),
+            self.pause_detector.run(),
             self.elector.run(),
             self._lead(),
             self.catalog.run(),
@@ -174,7 +178,7 @@
     def _leadership_changed(self) -> None:
         self._set_share()
         self._term_begun.set()
-        self.reach.tell()
+        self.reach.announce()
 
     async def _lead(self) -> None:
         """Run the leader's part for as long as each term lasts."""
@@ -188,16 +192,16 @@
                 term,
                 lambda: self.elector.leading() is not None,
                 self.state,
-                self.ceiling,
+                self.value_limit,
                 self.cloud,
                 self.params,
                 self.clock,
                 self.tuning,
                 self.intake.types or [],
                 self._job_ended,
-                self.pulse.awake_since,
+                self.pause_detector.awake_since,
             )
-            asking = asyncio.ensure_future(self._ask_quiet(self.leader))
+            asking = asyncio.ensure_future(self._learn_no_answers(self.leader))
             try:
                 await self.leader.run()
             except Exception:
@@ -207,22 +211,22 @@
                 asking.cancel()
                 self.leader = None
 
-    async def _ask_quiet(self, leader: Leader) -> None:
+    async def _learn_no_answers(self, leader: Leader) -> None:
         """Ask the peers since when no other controller can have answered a worker. It matters
         after all controllers were down, and when the former leader is back."""
         began = leader.term.began
         own = self.elector.held_at
-        while self.clock.now() - began < QUIET_ASKED:
-            quiet = await self.peers.quiet(HOLDERS_TIME)
-            if quiet is not None:
-                leader.quiet_since(max(own, self.clock.now() - quiet))
+        while self.clock.now() - began < NO_ANSWERS_ASKED:
+            unanswered = await self.peers.no_answers_for(HOLDERS_TIME)
+            if unanswered is not None:
+                leader.no_answers_since(max(own, self.clock.now() - unanswered))
                 return
             await asyncio.sleep(HOLDERS_TIME.total_seconds())
 
-    def _hear_told(self, cancelled: frozenset[str]) -> bool:
+    def _apply_confirmed(self, cancelled: frozenset[str]) -> bool:
         if self.leader is None:
             return False
-        self.leader.hear_cancelled(cancelled)
+        self.leader.apply_confirmed_cancellations(cancelled)
         return True
 
     def _job_ended(self, job: Job) -> None:
@@ -242,19 +246,19 @@
         except CloudError as error:
             log.debug("cloud not reached: %s", error)
 
-    async def _hand_over(self, member: str, why: str) -> None:
+    async def _transfer_leadership(self, member: str, why: str) -> None:
         """Name a successor, after writing pending records if possible."""
-        if self.leader is not None and not self.state.troubled():
+        if self.leader is not None and not self.state.is_failing():
             await self.leader.settle(SETTLE)
-        self.elector.hand_over(member, why)
+        self.elector.transfer_leadership(member, why)
 
     async def _learn_holders(self) -> None:
         """After a restart, ask whether any leader may still rely on a promise of the process
         before. Without the answer this controller must wait until such promises have expired,
         which is most of the time that a restart of all controllers takes."""
-        while self.elector.witness.unknown_until > self.clock.now():
-            if self.peers.callers and await self.peers.nobody_holds(HOLDERS_TIME):
-                self.elector.nobody_holds()
+        while self.elector.votes.unknown_until > self.clock.now():
+            if self.peers.callers and await self.peers.no_term_held(HOLDERS_TIME):
+                self.elector.no_term_held()
                 return
             await asyncio.sleep(HOLDERS_TIME.total_seconds())
 
--- a/dappledrum/controller/peer_requests.py
+++ b/dappledrum/controller/peer_requests.py
@@ -11,24 +11,29 @@
 from dappledrum.controller.worker_reports import WorkerReports
 from dappledrum.http.server import Request, Response
 from dappledrum.leadership.elector import Elector
-from dappledrum.leadership.messages import HandOver, HandOverReply, PromiseReply, Standing
+from dappledrum.leadership.messages import (
+    PreVote,
+    PromiseReply,
+    TransferLeadership,
+    TransferLeadershipReply,
+)
 from dappledrum.peers.messages import (
     HoldingQuestion,
     HoldingReply,
-    KnocksReply,
     MalformedError,
     Promise,
     Question,
     Relay,
     RelayReply,
     Reply,
+    ReportAttemptsQuestion,
+    ReportAttemptsReply,
     VersionQuestion,
     VersionReply,
     decode,
     encode,
 )
-from dappledrum.peers.messages import Knocks as KnocksQuestion
-from dappledrum.reach.messages import Passed, PassedReply, Words
+from dappledrum.reach.messages import ForwardedReports, ForwardedReportsReply, Heartbeats
 from dappledrum.reach.service import Reach
 from dappledrum.state.budget import Rank
 from dappledrum.state.client import State, StateError
@@ -36,7 +41,7 @@
 
 log = logging.getLogger(__name__)
 
-QUIET_MOST = timedelta(minutes=10)
+MAX_NO_ANSWERS = timedelta(minutes=10)
 
 
 class PeerRequests:
@@ -73,32 +78,34 @@
 
     async def answer(self, question: Question) -> Reply:
         if isinstance(question, Relay):
-            if self.state.troubled():
+            if self.state.is_failing():
                 return RelayReply(HTTPStatus.SERVICE_UNAVAILABLE, b"{}", 1)
             response = await self.users.serve_here(
                 Request(question.method, question.path, question.body)
             )
             return RelayReply(response.status, response.body, response.retry_after)
-        if isinstance(question, Words):
+        if isinstance(question, Heartbeats):
             return self.reach.answer(question)
-        if isinstance(question, Passed):
-            return PassedReply(
-                await asyncio.gather(*map(self.reports.answer_passed, question.reports))
+        if isinstance(question, ForwardedReports):
+            return ForwardedReportsReply(
+                await asyncio.gather(*map(self.reports.answer_forwarded, question.reports))
             )
-        if isinstance(question, Standing):
-            return self.elector.standing(question)
-        if isinstance(question, HandOver):
-            return HandOverReply(await self.elector.take_over(question))
+        if isinstance(question, PreVote):
+            return self.elector.pre_vote(question)
+        if isinstance(question, TransferLeadership):
+            return TransferLeadershipReply(await self.elector.accept_leadership(question))
         if isinstance(question, HoldingQuestion):
-            quiet = min(self.elector.quiet_for(), QUIET_MOST)
+            unanswered = min(self.elector.no_answers_for(), MAX_NO_ANSWERS)
             # Also a term that may answer nobody just now for what it does not know: it may again.
             holds = self.elector.term is not None
-            return HoldingReply(holds, int(quiet.total_seconds() * 1000))
+            return HoldingReply(holds, int(unanswered.total_seconds() * 1000))
         if isinstance(question, VersionQuestion):
             return VersionReply(__version__)
-        if isinstance(question, KnocksQuestion):
+        if isinstance(question, ReportAttemptsQuestion):
             within = timedelta(milliseconds=min(max(question.within_ms, 0), 60_000))
-            return KnocksReply(self.reports.knocks.within(within, self.clock.now()))
+            return ReportAttemptsReply(
+                self.reports.report_attempts.within(within, self.clock.now())
+            )
         assert isinstance(question, Promise)
         # Ask first, every time: while this controller is served, a leader that is refused alone
         # must not be kept in office, since leadership can simply move.
--- a/dappledrum/controller/peer_versions.py
+++ b/dappledrum/controller/peer_versions.py
@@ -11,9 +11,9 @@
 from dappledrum.peers.versions import GANGS, REACH, at_least
 from dappledrum.reach.service import Reach
 from dappledrum.state.budget import Rank
-from dappledrum.state.ceiling import Ceiling
 from dappledrum.state.client import State, StateError, raw
 from dappledrum.state.messages import Guard, Put
+from dappledrum.state.value_limit import ValueLimit
 
 log = logging.getLogger(__name__)
 
@@ -26,12 +26,12 @@
     """Enables what every controller must support before it may be used."""
 
     def __init__(
-        self, state: State, peers: Peers, reach: Reach, ceiling: Ceiling, intake: Intake
+        self, state: State, peers: Peers, reach: Reach, value_limit: ValueLimit, intake: Intake
     ) -> None:
         self.state = state
         self.peers = peers
         self.reach = reach
-        self.ceiling = ceiling
+        self.value_limit = value_limit
         self.intake = intake
 
     async def run(self) -> None:
@@ -41,27 +41,27 @@
         controller is never downgraded. Gangs are accepted once all controllers run a version that
         supports them; that this was so is stored, since a controller may be down for long.
         """
-        told: dict[str, str] = {}
+        versions: dict[str, str] = {}
         settled = False
         pause, longest = PAUSES
         while True:
             for member in self.peers.callers:
-                if at_least(told.get(member, ""), REACH):
+                if at_least(versions.get(member, ""), REACH):
                     continue
                 version = await self.peers.version(member, ANSWER_TIME)
-                if version is not None and version != told.get(member):
-                    told[member] = version
+                if version is not None and version != versions.get(member):
+                    versions[member] = version
                     log.info("%s runs version %.40s", member, version)
                     if at_least(version, REACH):
-                        self.reach.speaks.add(member)
+                        self.reach.heartbeat_peers.add(member)
                         # At once: without messages of a peer this controller may not be ready.
-                        self.reach.tell()
-            if len(told) == len(self.peers.callers):
-                self.ceiling.settle("all controllers read them")
-            if all(at_least(told.get(member, ""), GANGS) for member in self.peers.callers):
+                        self.reach.announce()
+            if len(versions) == len(self.peers.callers):
+                self.value_limit.settle("all controllers read them")
+            if all(at_least(versions.get(member, ""), GANGS) for member in self.peers.callers):
                 self.intake.gangs = True
             settled = settled or await self._gangs_known()
-            if settled and all(at_least(told.get(m, ""), REACH) for m in self.peers.callers):
+            if settled and all(at_least(versions.get(m, ""), REACH) for m in self.peers.callers):
                 return
             await asyncio.sleep(pause.total_seconds())
             pause = min(pause * 2, longest)
@@ -77,7 +77,7 @@
                 )
             self.intake.gangs = self.intake.gangs or entry is not None
             # An older peer may yet be upgraded, which settles how records are written.
-            return self.intake.gangs and self.ceiling.settled
+            return self.intake.gangs and self.value_limit.settled
         except StateError as error:
             log.debug("not known whether all know gangs: %s", error)
             return False
--- a/dappledrum/controller/test_boots.py
+++ b/dappledrum/controller/test_boots.py
@@ -11,14 +11,14 @@
 
 
 def slow(factor):
-    async def trouble(world):
+    async def fault(world):
         world.cloud.slow = factor
         await machines_taken(world)
         await world.wait(40)
         world.cloud.slow = 1.0
 
-    trouble.__name__ = f"boots_times_{factor}"
-    return trouble
+    fault.__name__ = f"boots_times_{factor}"
+    return fault
 
 
 async def some_never_and_a_kill(world):
@@ -37,13 +37,13 @@
     world.cloud.lag_s = 4.0
 
 
-TROUBLES = [slow(0.05), slow(6.0), some_never_and_a_kill, lists_lag]
+FAULTS = [slow(0.05), slow(6.0), some_never_and_a_kill, lists_lag]
 
 
-@pytest.mark.parametrize("trouble", TROUBLES, ids=lambda t: t.__name__)
-def test_day_keeps_the_rules_and_ends(trouble):
+@pytest.mark.parametrize("fault", FAULTS, ids=lambda t: t.__name__)
+def test_day_keeps_the_rules_and_ends(fault):
     async def main():
-        await day(World(seed=51), trouble, runS=10.0)
+        await day(World(seed=51), fault, runS=10.0)
 
     run(main())
 
--- a/dappledrum/controller/test_copies.py
+++ b/dappledrum/controller/test_copies.py
@@ -13,10 +13,10 @@
 #: Requests of all kinds: of users, workers and controllers, to the state service and the cloud.
 ALL = ("/hello", "/submissions", "/multi", "/holds", "/rentals", "/peer")
 REPORTS = ALL[:1]
-TROUBLES = ("end", "die", "hang", "taken", "all", "die", "end", "outage")
+FAULTS = ("end", "die", "hang", "taken", "all", "die", "end", "outage")
 
 
-async def trouble(work, what):
+async def fault(work, what):
     """One of the troubles above."""
     world, rng = work.world, work.rng
     workers = [worker for worker in world.cloud.workers() if not worker.hung]
@@ -44,8 +44,8 @@
 
     async def main():
         work = await begin_short_work(seed, paths)
-        for turn, what in enumerate(TROUBLES):
-            await trouble(work, what)
+        for turn, what in enumerate(FAULTS):
+            await fault(work, what)
             await work.submit(100 + turn, beats=3)
             await work.world.wait(work.rng.uniform(1, 6))
         await work.finish(most=400)
@@ -113,11 +113,15 @@
     run(main())
 
 
-def deaf(world):
+def unreachable(world):
     """Machines that the leader believes to hear nothing."""
     member = world.leader()
     leader = world.nodes[member].leader if member is not None else None
-    return {m.name for m in leader.roster if m.hearing.deaf} if leader is not None else set()
+    return (
+        {m.name for m in leader.roster if m.reachability.unreachable}
+        if leader is not None
+        else set()
+    )
 
 
 @pytest.mark.parametrize("seed", range(2))
@@ -130,7 +134,7 @@
         work = await begin_short_work(seed, machines=9)
         world = work.world
         chosen = sorted(worker.name for worker in world.cloud.workers())[:3]
-        world.deafen(chosen)
+        world.drop_answers(chosen)
         assert await world.cancel(work.names.pop(0)) in ("cancelled", "done")
         if takeover:
             await world.restart(world.leader(), 0.3)
@@ -142,18 +146,18 @@
         await world.wait(2.5 * LEASE_S)
         leader = work.leader()
         still = {n for n in chosen if n in world.cloud.machines and leader.roster.get(n)}
-        lanes = leader.dispatcher.machines.lanes(leader.clock.now())
+        timelines = leader.dispatcher.machines.timelines(leader.clock.now())
         # One that has shown nothing in this term is awaited like any that has not come yet.
-        assert not still & {view.machine for view in lanes if not view.booting}
-        assert takeover or deaf(world) & still
+        assert not still & {view.machine for view in timelines if not view.booting}
+        assert takeover or unreachable(world) & still
         await world.finish(work.names, most=300)
         assert not set(chosen) & {m.name for m in leader.roster if m.placements}
         assert await world.poll(service) == "running"
         assert len(work.running(20)) == 2
         world.network.heal()
-        world.rules.quiet_at = now()
+        world.rules.faults_over_at = now()
         await world.wait(2 * LEASE_S)
-        assert not deaf(world)
+        assert not unreachable(world)
         last = job(99, beats=20, dueS=None)
         assert await world.submit(last) == 201
         assert await world.cancel(service) == "cancelled"
@@ -166,12 +170,14 @@
     async def main():
         work = await begin_short_work(3, machines=6)
         world = work.world
-        world.deafen([worker.name for worker in world.cloud.workers()])
+        world.drop_answers([worker.name for worker in world.cloud.workers()])
         await world.wait(3 * LEASE_S)
         leader = work.leader()
         leader.dispatcher.machines.refresh()
         up = [machine for machine in leader.roster if machine.up]
-        assert len(deaf(world)) * 2 <= len(up) or leader.dispatcher.machines.one_sided
+        assert (
+            len(unreachable(world)) * 2 <= len(up) or leader.dispatcher.machines.mostly_unreachable
+        )
         world.network.heal()
         await work.finish(most=200)
 
@@ -202,12 +208,12 @@
         assert await status(f"/submissions/{work.names[0]}") == 503
         assert now() - began < 0.5
         node = world.nodes[member]
-        assert node.elector.holding() is None and node.reports.conductor() is None
+        assert node.elector.holding() is None and node.reports.redirect_target() is None
         await world.wait(20)
         kept = sessions.keys() & work.sessions().keys()
         assert {name: work.sessions()[name] for name in kept} == {n: sessions[n] for n in kept}
         world.network.heal()
-        world.rules.quiet_at = now()
+        world.rules.faults_over_at = now()
         await world.wait(2)
         assert await status("/ready") == 200
         await world.finish(work.names, most=200)
@@ -256,7 +262,7 @@
         world, rng = work.world, work.rng
         for turn in range(6):
             up = world.cloud.workers()
-            world.deafen([worker.name for worker in rng.sample(up, len(up) // 4)])
+            world.drop_answers([worker.name for worker in rng.sample(up, len(up) // 4)])
             world.isolate(rng.choice(FIVE))
             if world.leader() is not None and turn % 2:
                 await world.restart(world.leader(), rng.uniform(0, 0.5))
--- a/dappledrum/controller/test_ends.py
+++ b/dappledrum/controller/test_ends.py
@@ -56,7 +56,7 @@
     await world.wait(6)  # what the one before has told is not fresh any more
     for other in world.others(member):
         reach = world.nodes[other].reach
-        assert reach.table.talks(member, reach.clock.now())
+        assert reach.table.is_connected(member, reach.clock.now())
 
 
 async def test_a_process_in_a_loop_of_ends_slows_nobody():
--- a/dappledrum/controller/test_freeze.py
+++ b/dappledrum/controller/test_freeze.py
@@ -10,14 +10,14 @@
 from dappledrum.standins.time import PROCESS, VirtualLoop, run
 from dappledrum.standins.world import World, led_world
 from dappledrum.timing.clock import Clock
-from dappledrum.timing.patience import Patience, Pulse
+from dappledrum.timing.timeouts import PauseDetector, PauseTolerantTimeout
 
 PAUSES = [pausing(w, s) for w in ("leader", "follower", "all") for s in (2, 7, 30)]
 
 
-@pytest.mark.parametrize("trouble", PAUSES, ids=lambda t: t.__name__)
-async def test_a_pause_keeps_the_rules(trouble):
-    await day(World(seed=31), trouble, runS=15.0)
+@pytest.mark.parametrize("fault", PAUSES, ids=lambda t: t.__name__)
+async def test_a_pause_keeps_the_rules(fault):
+    await day(World(seed=31), fault, runS=15.0)
 
 
 @pytest.mark.parametrize("other", [short_outage, machines_taken, rolled], ids=lambda t: t.__name__)
@@ -78,7 +78,7 @@
         PROCESS.set("a")
         answer = loop.create_future()
         loop.call_later(3.0, answer.set_result, "here")  # in the middle of the pause
-        async with Patience(timedelta(seconds=1.5)):
+        async with PauseTolerantTimeout(timedelta(seconds=1.5)):
             return await answer
 
     asked = loop.create_task(ask())
@@ -90,7 +90,7 @@
 
     async def ask_in_vain():
         PROCESS.set("b")
-        async with Patience(timedelta(seconds=1.5)):
+        async with PauseTolerantTimeout(timedelta(seconds=1.5)):
             await loop.create_future()
 
     with pytest.raises(TimeoutError):
@@ -98,12 +98,12 @@
 
 
 async def test_a_pause_is_noticed():
-    pulse = Pulse(Clock())
-    began = pulse.awake_since()
+    pause_detector = PauseDetector(Clock())
+    began = pause_detector.awake_since()
     await asyncio.sleep(1)
-    assert pulse.awake_since() == began
+    assert pause_detector.awake_since() == began
     await asyncio.sleep(8)
-    assert pulse.awake_since() == pulse.clock.now() > began
+    assert pause_detector.awake_since() == pause_detector.clock.now() > began
 
 
 def test_a_failure_while_a_process_stands_still_ends_the_test():
--- a/dappledrum/controller/test_gap.py
+++ b/dappledrum/controller/test_gap.py
@@ -163,7 +163,7 @@
         world.state.refused.add(world.leader())
         await work.cancel(0, work.others()[0])
         world.state.out = True
-        world.deafen([worker.name for worker in world.cloud.workers()][::2])
+        world.drop_answers([worker.name for worker in world.cloud.workers()][::2])
         await world.wait(CANCEL_S + 15)
         assert node.elector.answering() is not None
         assert not work.running(0) and world.rules.running
--- a/dappledrum/controller/test_idle.py
+++ b/dappledrum/controller/test_idle.py
@@ -2,7 +2,7 @@
 
 from datetime import timedelta
 
-from dappledrum.scheduling.lanes import Size
+from dappledrum.scheduling.timeline import Size
 from dappledrum.standins.time import run
 from dappledrum.standins.world import World, job
 
--- a/dappledrum/controller/test_large.py
+++ b/dappledrum/controller/test_large.py
@@ -23,11 +23,11 @@
 
 @pytest.mark.long
 @pytest.mark.parametrize(
-    "trouble",
+    "fault",
     [leader_killed, rolled, short_outage, wave_and_leader_killed],
     ids=lambda f: f.__name__,
 )
-def test_a_large_day(trouble):
+def test_a_large_day(fault):
     """Guards, at size, against plans that hold up the renewal of the leader's lease, records that
     do not fit, and takeovers that lose or repeat tasks."""
 
@@ -44,7 +44,7 @@
             assert await world.submit(spec) == 201
         await world.until(lambda: world.rules.starts >= 300)
         assert len(world.cloud.machines) > 100
-        await trouble(world)
+        await fault(world)
         await world.finish(names)
 
     run(main())
--- a/dappledrum/controller/test_leadership_meetings.py
+++ b/dappledrum/controller/test_leadership_meetings.py
@@ -55,7 +55,7 @@
     world, rng = scenario.world, scenario.rng
     outgoing = world.leader()
     if step == "transfer":
-        world.nodes[outgoing].elector.hand_over(incoming, "a test")
+        world.nodes[outgoing].elector.transfer_leadership(incoming, "a test")
     elif step == "end":
         world.kill(outgoing)
         later(rng.choice((0.0, 0.1, 0.5)), world.start, outgoing)
@@ -141,7 +141,9 @@
                 world.kill(former)
                 later(0.3, world.start, former)
             else:
-                world.nodes[former].elector.hand_over(rng.choice(scenario.others()), "a test")
+                world.nodes[former].elector.transfer_leadership(
+                    rng.choice(scenario.others()), "a test"
+                )
             world.cloud.take(rng.choice(world.cloud.workers()).name)
             while world.leader() is None:
                 await world.wait(0.02)
@@ -301,7 +303,9 @@
                 world.isolate(former)
                 await scenario.until_led(former)
             elif world.leader() == former:
-                world.nodes[former].elector.hand_over(rng.choice(scenario.others()), "a test")
+                world.nodes[former].elector.transfer_leadership(
+                    rng.choice(scenario.others()), "a test"
+                )
             await world.wait(rng.uniform(0, 1))
             for number in numbers[1:3]:
                 await confirm(scenario, number, world.leader() or former)
--- a/dappledrum/controller/test_limit_meetings.py
+++ b/dappledrum/controller/test_limit_meetings.py
@@ -35,7 +35,7 @@
     if rng.random() < 0.6:
         await world.restart(leader, rng.choice((0.1, 3.0)))
     else:
-        world.nodes[leader].elector.hand_over(rng.choice(scenario.others()), "a test")
+        world.nodes[leader].elector.transfer_leadership(rng.choice(scenario.others()), "a test")
         await world.wait(0.5)
     await scenario.until_led()
 
@@ -65,9 +65,9 @@
                 worker.hung = True
                 later(rng.uniform(1, 2 * LEASE_S), setattr, worker, "hung", False)
     elif how == "deaf":
-        world.deafen(names)
+        world.drop_answers(names)
     elif how == "mute":
-        world.mute(names)
+        world.drop_reports(names)
     else:
         cut_off(scenario, names)
 
@@ -178,7 +178,7 @@
                 await change_leader(scenario)
         await world.wait(rng.uniform(20, 40))
         world.network.slow.clear()
-        world.rules.quiet_at = now()  # from here on no job may be left waiting beside room
+        world.rules.faults_over_at = now()  # from here on no job may be left waiting beside room
         await world.until(lambda: all(begun(scenario, number) for number in range(24)), 240)
         world.rules.check_largest(now())
 
@@ -282,7 +282,7 @@
         for model in world.cloud.types:
             model["readyS"] = 100.0
         await world.wait(35)  # the catalog is read every 30 s
-        world.rules.quiet_at = now()  # from here on no job may be left waiting beside room
+        world.rules.faults_over_at = now()  # from here on no job may be left waiting beside room
         for number in range(12):
             estimate = rng.choice((150.0, 250.0))
             await scenario.submit_long(number, beats=1, runS=150.0, expectedS=estimate)
@@ -303,7 +303,7 @@
         await world.wait(8)
         for number in range(3):
             on = sorted(scenario.machines_of(number))
-            silent = world.mute(rng.sample(on, max(1, len(on) - 1)) if on else [])
+            silent = world.drop_reports(rng.sample(on, max(1, len(on) - 1)) if on else [])
             span = rng.choice((3.0, LEASE_S - 2, LEASE_S + 3, 3 * LEASE_S))
             later(span, world.network.muted.difference_update, silent)
             await world.wait(rng.uniform(0, LEASE_S))
@@ -326,7 +326,7 @@
         await world.until(lambda: running(scenario, 0) + running(scenario, 1) == 4)
         starts = world.rules.starts
         for _ in range(2):
-            silent = world.mute(sorted(scenario.machines_of(0) | scenario.machines_of(1)))
+            silent = world.drop_reports(sorted(scenario.machines_of(0) | scenario.machines_of(1)))
             await world.wait(rng.uniform(1, 2.5))  # and 6 s until a worker has found its way
             world.network.muted -= silent
             await world.wait(5)
--- a/dappledrum/controller/test_lost_answers.py
+++ b/dappledrum/controller/test_lost_answers.py
@@ -143,7 +143,9 @@
                 world.kill(leader)
                 later(rng.uniform(0.1, 3), world.start, leader)
             elif way == "transfer":
-                world.nodes[leader].elector.hand_over(rng.choice(scenario.others()), "test")
+                world.nodes[leader].elector.transfer_leadership(
+                    rng.choice(scenario.others()), "test"
+                )
             else:
                 world.nodes[leader].elector.resign("test", world.nodes[leader].elector.life * 2)
             await scenario.until_led(leader)
--- a/dappledrum/controller/test_meetings.py
+++ b/dappledrum/controller/test_meetings.py
@@ -30,7 +30,9 @@
             if how == "end" and leader is not None:
                 await world.restart(leader, rng.choice((0.1, 4.0)))
             elif how == "hand over" and leader is not None:
-                world.nodes[leader].elector.hand_over(rng.choice(scenario.others()), "a test")
+                world.nodes[leader].elector.transfer_leadership(
+                    rng.choice(scenario.others()), "a test"
+                )
             elif leader is not None:
                 pairs = {(leader, w.name) for w in world.cloud.workers()}
                 world.network.blocked |= pairs
@@ -119,7 +121,7 @@
                 worker.hung = True
                 later(rng.uniform(1, LEASE_S), setattr, worker, "hung", False)
         elif how == "deaf":
-            world.deafen(away)
+            world.drop_answers(away)
         elif how == "cut":
             for name in away:
                 for member in FIVE:
@@ -147,7 +149,7 @@
         first, second = world.leader(), rng.choice(scenario.others())
         for one, other in ((first, second), (second, first)):
             if world.leader() == one:
-                world.nodes[one].elector.hand_over(other, "a test")
+                world.nodes[one].elector.transfer_leadership(other, "a test")
             await world.wait(rng.uniform(0, 0.5))
         await scenario.cancel(0, rng.choice(FIVE))
         for member in FIVE:
@@ -192,7 +194,7 @@
         await world.wait(CANCEL_S + rng.uniform(0, 15))
         world.state.refused.clear()
         world.state.end_outage()
-        world.rules.quiet_at = now()
+        world.rules.faults_over_at = now()
         for one in cancelled:
             while not one.done():
                 await world.wait(1)
@@ -238,7 +240,9 @@
             if leader is not None and turn % 2:
                 await world.restart(leader, rng.choice((0.0, 0.3, 5.0)))
             elif leader is not None:
-                world.nodes[leader].elector.hand_over(rng.choice(scenario.others()), "a test")
+                world.nodes[leader].elector.transfer_leadership(
+                    rng.choice(scenario.others()), "a test"
+                )
         world.network.late_writes = None
         await world.wait(13)
         while not cancelled.done():
--- a/dappledrum/controller/test_user_meetings.py
+++ b/dappledrum/controller/test_user_meetings.py
@@ -51,8 +51,8 @@
 
 
 @SEEDS
-@pytest.mark.parametrize("trouble", ["none", "refused", "slow", "lists in parts"])
-def test_answers_at_all_nodes_within_milliseconds(seed, trouble):
+@pytest.mark.parametrize("fault", ["none", "refused", "slow", "lists in parts"])
+def test_answers_at_all_nodes_within_milliseconds(seed, fault):
     """Right after a job is accepted, ended or cancelled nobody answers anything older: nor a
     controller that the state service refuses alone and that relays its users, nor one whose
     requests overtake each other, nor one that reads the list of jobs in several requests."""
@@ -67,11 +67,11 @@
         order = AnswerOrder()
         users = impatient(scenario, order, seed, 12)
         troubles = []
-        if trouble == "refused":
+        if fault == "refused":
             troubles.append(refuse_one_after_another(world, rng))
-        if trouble == "lists in parts":
+        if fault == "lists in parts":
             world.state.list_most = 2
-        if trouble in ("slow", "lists in parts"):
+        if fault in ("slow", "lists in parts"):
             troubles.append(wandering_latency(world, rng, FIVE, 0.25))
         running = [asyncio.ensure_future(one) for one in troubles]
         states = await finished(scenario, order, [user.run() for user in users])
@@ -273,7 +273,7 @@
         assert sorted(accepted_after)[int(ONE_TASK_JOBS * 0.95)] < 0.3
         assert max(queue) < world.params.state.txn_ops
         assert world.state.over_rate == 0
-        world.rules.quiet_at = now()
+        world.rules.faults_over_at = now()
         for number in range(0, ONE_TASK_JOBS, 7):
             for member in FIVE:
                 assert await world.poll(f"j-{number:06d}", member) == states[number]
--- a/dappledrum/controller/test_world.py
+++ b/dappledrum/controller/test_world.py
@@ -8,7 +8,7 @@
 from dappledrum.standins.scenario import day, now
 from dappledrum.standins.world import World, job, led_world
 
-TROUBLES = [
+FAULTS = [
     troubles.quiet,
     troubles.leader_killed,
     troubles.all_killed,
@@ -35,9 +35,9 @@
 ]
 
 
-@pytest.mark.parametrize("trouble", TROUBLES, ids=lambda t: t.__name__)
-async def test_day_keeps_the_rules(trouble):
-    await day(World(seed=3), trouble)
+@pytest.mark.parametrize("fault", FAULTS, ids=lambda t: t.__name__)
+async def test_day_keeps_the_rules(fault):
+    await day(World(seed=3), fault)
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -240,9 +240,9 @@
     world.kill("drummer-2")
     await world.restart("drummer-0", 1.0)
     node = world.nodes["drummer-0"]
-    assert node.elector.witness.unknown_until > node.clock.now()
+    assert node.elector.votes.unknown_until > node.clock.now()
     await world.wait(1.5)
-    assert node.elector.witness.unknown_until > node.clock.now()
+    assert node.elector.votes.unknown_until > node.clock.now()
 
 
 async def test_a_leader_that_holds_on_promises_keeps_a_restarted_peer_from_standing():
@@ -256,8 +256,8 @@
     assert world.nodes[leader].elector.holding() is not None
     await world.restart(other, 0.2)
     await world.wait(1.0)
-    witness = world.nodes[other].elector.witness
-    assert witness.free_at() > world.nodes[other].clock.now()
+    votes = world.nodes[other].elector.votes
+    assert votes.free_at() > world.nodes[other].clock.now()
     world.state.end_outage()
     await world.wait(3)
 
--- a/dappledrum/controller/user_requests.py
+++ b/dappledrum/controller/user_requests.py
@@ -45,15 +45,15 @@
         open connections, and the load balancer preferred it to those that could serve.
         """
         reached = self.state.reached and not self.isolation.alone()
-        if reached or self.reach.talks():
+        if reached or self.reach.is_connected():
             return Response(HTTPStatus.OK, msgspec.json.encode({"state": self._way()}))
-        why = self.state.trouble.why or "no answer yet"
+        why = self.state.fault.why or "no answer yet"
         return refusal(
             HTTPStatus.SERVICE_UNAVAILABLE, f"the state service was not reached yet: {why}"
         )
 
     def _way(self) -> str:
-        if not self.state.troubled():
+        if not self.state.is_failing():
             return "reached"
         through = self.reach.served_peers()
         return f"through {through[0]}" if through else "not reached"
@@ -61,7 +61,7 @@
     async def serve(self, request: Request) -> Response:
         """Serve a user here, or through a peer while this controller does not reach the state
         service."""
-        if self.state.troubled():
+        if self.state.is_failing():
             if self.isolation.alone():
                 return busy(2)  # at once: no peer can be asked
             relayed = await self._relay(request)
@@ -69,7 +69,7 @@
                 return relayed
             return await self.serve_here(request) if not self.state.hanging() else busy(2)
         response = await self.serve_here(request)
-        if response.status == HTTPStatus.SERVICE_UNAVAILABLE and self.state.troubled():
+        if response.status == HTTPStatus.SERVICE_UNAVAILABLE and self.state.is_failing():
             return await self._relay(request) or response
         return response
 
--- a/dappledrum/controller/worker_reports.py
+++ b/dappledrum/controller/worker_reports.py
@@ -12,21 +12,21 @@
 from dappledrum.http.server import Request, Response
 from dappledrum.jobs.intake import refusal
 from dappledrum.leadership.elector import Elector
-from dappledrum.leading.leader import IDLE_MOST, Leader
+from dappledrum.leading.leader import MAX_IDLE_WAIT, Leader
 from dappledrum.peers.client import Peers
 from dappledrum.reach.service import Reach
 from dappledrum.settings import Tuning, WorkerLimits
 from dappledrum.state.client import State
 from dappledrum.timing.clock import Clock
-from dappledrum.timing.patience import Pulse
-from dappledrum.workers.knocks import Knocks, shunned
+from dappledrum.timing.timeouts import PauseDetector
 from dappledrum.workers.messages import Commands, Redirect, Report
+from dappledrum.workers.report_attempts import ReportAttempts, reporting_elsewhere
 
 log = logging.getLogger(__name__)
 
-KNOCK_TIME = timedelta(seconds=10)
+ATTEMPT_WINDOW = timedelta(seconds=10)
 AVOID = timedelta(seconds=20)
-PASSED_WAIT = timedelta(
+FORWARDED_WAIT = timedelta(
     milliseconds=300
 )  # the longest that the answer to a forwarded report waits for work
 
@@ -44,7 +44,7 @@
         peers: Peers,
         elector: Elector,
         reach: Reach,
-        pulse: Pulse,
+        pause_detector: PauseDetector,
         isolation: Isolation,
         leader: Callable[[], Leader | None],
     ) -> None:
@@ -56,10 +56,10 @@
         self.peers = peers
         self.elector = elector
         self.reach = reach
-        self.pulse = pulse
+        self.pause_detector = pause_detector
         self.isolation = isolation
         self.leader = leader
-        self.knocks = Knocks()
+        self.report_attempts = ReportAttempts()
 
     async def watch(self) -> None:
         """Resign as leader if no worker reports here while workers report to other controllers."""
@@ -70,14 +70,15 @@
             now = self.clock.now()
             if leader is None or not leader.loaded.is_set() or self.elector.leading() is None:
                 continue
-            if self.tuning.reach and self.reach.speaks:
+            if self.tuning.reach and self.reach.heartbeat_peers:
                 continue  # heartbeats of peers show more, and who should lead instead
-            heard = self.knocks.last
-            began = max(leader.began, self.pulse.awake_since())
+            heard = self.report_attempts.last
+            began = max(leader.began, self.pause_detector.awake_since())
             if now - began < silence or (heard is not None and now - heard < silence):
                 continue
-            names = shunned(
-                await self.peers.knocks(KNOCK_TIME, timedelta(seconds=1)), leader.roster
+            names = reporting_elsewhere(
+                await self.peers.report_attempts(ATTEMPT_WINDOW, timedelta(seconds=1)),
+                leader.roster,
             )
             if names and self.leader() is leader:
                 self.elector.resign(
@@ -91,19 +92,19 @@
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
             log.warning("unusable report: %s", error)
             return refusal(HTTPStatus.BAD_REQUEST, str(error))
-        self.knocks.note(report.machine, self.clock.now())
+        self.report_attempts.note(report.machine, self.clock.now())
         self.reach.zone(report.zone).heard(self.clock.now(), report.address)
-        commands = await self._commands(report, IDLE_MOST)
+        commands = await self._commands(report, MAX_IDLE_WAIT)
         if commands is not None:
             return Response(HTTPStatus.OK, msgspec.json.encode(commands))
-        conductor = self.conductor()
-        if conductor is not None and self.tuning.reach:
-            answer = await self.reach.pass_on(report, conductor, request.body)
+        redirect_target = self.redirect_target()
+        if redirect_target is not None and self.tuning.reach:
+            answer = await self.reach.forward_report(report, redirect_target, request.body)
             if answer is not None:
                 return Response(HTTPStatus.OK, answer)
         return Response(
             HTTPStatus.MISDIRECTED_REQUEST,
-            msgspec.json.encode(Redirect(conductor)),
+            msgspec.json.encode(Redirect(redirect_target)),
             close=True,  # the worker goes elsewhere, so its connection is not needed
         )
 
@@ -114,7 +115,7 @@
             return None
         return await leader.report(report, lambda: self.elector.answering() is leader.term, most)
 
-    def conductor(self) -> str | None:
+    def redirect_target(self) -> str | None:
         """The controller to redirect a worker to; None: not known, the worker tries the next one
         itself.
 
@@ -125,13 +126,13 @@
         if self.isolation.alone():
             return None  # the leader known from before may have ended long ago
         if self.tuning.reach:
-            member = self.reach.conductor()
+            member = self.reach.redirect_target()
         else:
-            known = None if self.state.troubled() else self.elector.leader
+            known = None if self.state.is_failing() else self.elector.leader
             member = known.member if known is not None else None
         return None if member == self.member else member
 
-    async def answer_passed(self, body: bytes) -> bytes | None:
+    async def answer_forwarded(self, body: bytes) -> bytes | None:
         """The answer to a report that a peer has forwarded: the answer that the worker itself
         would get, or None. It is never forwarded again."""
         try:
@@ -139,5 +140,5 @@
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
             log.warning("unusable report from a peer: %s", error)
             return None
-        commands = await self._commands(report, PASSED_WAIT)
+        commands = await self._commands(report, FORWARDED_WAIT)
         return None if commands is None else msgspec.json.encode(commands)
--- a/dappledrum/dispatch/dispatcher.py
+++ b/dappledrum/dispatch/dispatcher.py
@@ -9,10 +9,10 @@
 from dappledrum.dispatch.preemption import Preemption
 from dappledrum.dispatch.savings import Savings
 from dappledrum.dispatch.work import Work
-from dappledrum.fleet.keeper import Keeper
+from dappledrum.fleet.manager import FleetManager
 from dappledrum.jobs.record import Job, Page
 from dappledrum.scheduling.estimates import Estimates
-from dappledrum.scheduling.plan import Plan, Planner, TeamRoom
+from dappledrum.scheduling.plan import Plan, Planner, TeamCapacity
 from dappledrum.settings import Params, Tuning
 from dappledrum.timing.clock import Clock
 from dappledrum.workers.roster import Roster
@@ -20,7 +20,7 @@
 TURN = timedelta(milliseconds=15)  # planning time before the event loop runs other tasks
 IDLE_EVERY = timedelta(seconds=3)
 #: Time limit of one plan; bags it has not reached by then come first in the next one.
-PLAN_MOST = timedelta(milliseconds=700)
+MAX_PLAN_TIME = timedelta(milliseconds=700)
 
 
 class Dispatcher:
@@ -31,7 +31,7 @@
         jobs: dict[str, Job],
         roster: Roster,
         estimates: Estimates,
-        keeper: Keeper,
+        fleet_manager: FleetManager,
         params: Params,
         clock: Clock,
         tuning: Tuning,
@@ -40,17 +40,17 @@
         page_bytes: int | None = None,
     ) -> None:
         self.jobs = jobs
-        self.keeper = keeper
+        self.fleet_manager = fleet_manager
         self.clock = clock
         self.tuning = tuning
-        self.work = Work(jobs, estimates, keeper, params, clock, tuning)
-        self.machines = Machines(jobs, roster, estimates, keeper, params, clock)
+        self.work = Work(jobs, estimates, fleet_manager, params, clock, tuning)
+        self.machines = Machines(jobs, roster, estimates, fleet_manager, params, clock)
         self.placing = Placing(self.work, roster, params, clock, mark, backlog, page_bytes)
-        self.preemption = Preemption(roster, keeper, params)
-        self.savings = Savings(jobs, roster, self.machines, keeper, params)
+        self.preemption = Preemption(roster, fleet_manager, params)
+        self.savings = Savings(jobs, roster, self.machines, fleet_manager, params)
         self.idle_at = -IDLE_EVERY
-        self.put_off: set[str] = set()  # bags that the newest plan did not reach
-        self.calm = False  # the newest plan had nothing late and rented nothing
+        self.postponed: set[str] = set()  # bags that the newest plan did not reach
+        self.nothing_late = False  # the newest plan had nothing late and rented nothing
 
     async def run(self) -> Plan:
         """Make one plan and carry it out.
@@ -63,38 +63,40 @@
         now = self.clock.now()
         self.machines.refresh()
         self.work.refresh()
-        lanes = self.machines.lanes(now)
+        timelines = self.machines.timelines(now)
         # Not with every plan: thousands of idle tasks cost as much as all others together.
         due = now - self.idle_at >= IDLE_EVERY
         self.idle_at = now if due else self.idle_at
-        bags = self.work.bags(now, self.machines.idle_room(lanes, self.calm) if due else 0.0)
+        bags = self.work.bags(
+            now, self.machines.idle_capacity(timelines, self.nothing_late) if due else 0.0
+        )
         planner = Planner(
             now,
-            lanes,
+            timelines,
             self.machines.offers(),
             self.tuning.ready_share,
-            TeamRoom(self.work.team_room()),
+            TeamCapacity(self.work.team_capacity()),
         )
         plan = planner.plan
         await self._step(planner.fill(bags), plan)
-        await self._step(planner.rent(self.put_off), plan, now + PLAN_MOST)
-        self.put_off = {bag.id for bag, _ in planner.left}
+        await self._step(planner.rent(self.postponed), plan, now + MAX_PLAN_TIME)
+        self.postponed = {bag.id for bag, _ in planner.left}
         guaranteed, yielding = self.work.guaranteed, self.work.yielding()
         for bag in bags:
-            if bag.id in plan.late and not bag.held and not bag.thrifty and bag.id in self.jobs:
+            if bag.id in plan.late and not bag.held and not bag.cheap_only and bag.id in self.jobs:
                 job, late = self.jobs[bag.id], plan.late[bag.id]
-                self.preemption.make_room(job, bag, late, now, guaranteed, yielding)
-        self.calm = not plan.late and not plan.rentals and not self.put_off
+                self.preemption.free_capacity(job, bag, late, now, guaranteed, yielding)
+        self.nothing_late = not plan.late and not plan.rentals and not self.postponed
         needed = plan.needed
-        if self.put_off:
+        if self.postponed:
             # What the postponed bags need is not known yet, so no needed machine is dropped.
-            needed = needed | self.keeper.needed
+            needed = needed | self.fleet_manager.needed
         else:
             self.savings.release_from_idle(plan, now, yielding)
-            if self.keeper.listed:
-                self.savings.cheapen(plan, lanes)
+            if self.fleet_manager.listed:
+                self.savings.cheapen(plan, timelines)
         # Before the first list it is not known what the predecessor has rented.
-        self.keeper.order(plan.rentals if self.keeper.listed else {}, needed, now)
+        self.fleet_manager.order(plan.rentals if self.fleet_manager.listed else {}, needed, now)
         return plan
 
     async def _step(
--- a/dappledrum/dispatch/machines.py
+++ b/dappledrum/dispatch/machines.py
@@ -2,11 +2,11 @@
 
 from datetime import timedelta
 
-from dappledrum.fleet.keeper import RENT_MOST, Keeper
+from dappledrum.fleet.manager import MAX_RENTALS, FleetManager
 from dappledrum.jobs.messages import Form
 from dappledrum.jobs.record import Job, Placement
 from dappledrum.scheduling.estimates import Estimates
-from dappledrum.scheduling.lanes import Kind, Lanes, Offer, Size
+from dappledrum.scheduling.timeline import Kind, MachineTimeline, Offer, Size
 from dappledrum.settings import Params
 from dappledrum.timing.clock import ZERO, Clock
 from dappledrum.workers.roster import Machine, Roster
@@ -24,39 +24,43 @@
         jobs: dict[str, Job],
         roster: Roster,
         estimates: Estimates,
-        keeper: Keeper,
+        fleet_manager: FleetManager,
         params: Params,
         clock: Clock,
     ) -> None:
         self.jobs = jobs
         self.roster = roster
         self.estimates = estimates
-        self.keeper = keeper
+        self.fleet_manager = fleet_manager
         self.params = params
         self.clock = clock
         self.sizes: set[Size] = set()  # of the tasks of live jobs
         self.awake_since = ZERO
-        self.one_sided = False  # most machines get no answers: the fault is on this side
+        self.mostly_unreachable = False  # most machines get no answers: the fault is on this side
         self._moments: dict[str, tuple[timedelta, timedelta]] = {}  # for one plan
 
     def refresh(self) -> None:
         """Compute what all machines of one plan have in common."""
-        self.awake_since = self.keeper.awake_since()
-        self.one_sided = self.roster.one_sided()
+        self.awake_since = self.fleet_manager.awake_since()
+        self.mostly_unreachable = self.roster.mostly_unreachable()
         self.sizes = {
             Size(job.spec.cpus, job.spec.gpus, job.spec.memory_gb) for job in self.jobs.values()
         }
         self._moments = {}
 
-    def lanes(self, now: timedelta) -> list[Lanes]:
+    def timelines(self, now: timedelta) -> list[MachineTimeline]:
         """One entry for each machine that new work may use, now or later."""
-        return [view for machine in self.roster if (view := self._lanes(machine, now)) is not None]
+        return [
+            view for machine in self.roster if (view := self._timeline(machine, now)) is not None
+        ]
 
     def may_wait(self, machine: Machine, span: timedelta) -> bool:
         """Whether the answer to a busy machine may be held back for this time. It has free
         capacity, and none of its tasks is expected to end meanwhile: the report of that end would
         have to wait for the answer to this report."""
-        model = self.keeper.types.get(machine.kind.type) if machine.kind is not None else None
+        model = (
+            self.fleet_manager.types.get(machine.kind.type) if machine.kind is not None else None
+        )
         if model is None or not machine.usable or machine.recall_at is not None:
             return False
         now = self.clock.now()
@@ -82,7 +86,9 @@
         """Whether new work may be placed on a machine, now or once it is up."""
         if not machine.usable:
             return False
-        if machine.rumour or (machine.hearing.deaf and not self.one_sided):
+        if machine.unconfirmed or (
+            machine.reachability.unreachable and not self.mostly_unreachable
+        ):
             return False
         report = self.params.workers.report
         return not machine.up or not (
@@ -92,16 +98,16 @@
     def _mean(self, job: Job) -> timedelta:
         return self.estimates.moments(job.id, job.spec.job_class, job.spec.estimate)[0]
 
-    def _lanes(self, machine: Machine, now: timedelta) -> Lanes | None:
+    def _timeline(self, machine: Machine, now: timedelta) -> MachineTimeline | None:
         kind = machine.kind
-        model = self.keeper.types.get(kind.type) if kind is not None else None
+        model = self.fleet_manager.types.get(kind.type) if kind is not None else None
         if kind is None or model is None or not self._takes_work(machine, now):
             return None
-        if not machine.up and machine.placements and not machine.expected_back:
+        if not machine.up and machine.placements and not machine.awaiting_report:
             return None
-        ready_at = now if machine.up else self.keeper.ready_at(machine)
+        ready_at = now if machine.up else self.fleet_manager.ready_at(machine)
         until = None if machine.recall_at is None else machine.recall_at - timedelta(seconds=1)
-        lanes = Lanes(
+        timeline = MachineTimeline(
             machine.name,
             kind,
             Size(model.cpus, model.gpus, model.memory_gb),
@@ -109,23 +115,25 @@
             machine.rented_at,
             model.hourly(kind.spot),
             model.fetch_gb_per_s,
-            self.keeper.interval(kind),
+            self.fleet_manager.interval(kind),
             until,
             booting=not machine.up,
         )
         for image in machine.images:
-            lanes.images[image] = ready_at
+            timeline.images[image] = ready_at
         for placement in machine.placements.values():
             spec = placement.page.job.spec
-            lanes.reserve(
+            timeline.reserve(
                 ready_at,
-                max(ready_at, self._finish(placement, lanes, now)),
+                max(ready_at, self._finish(placement, timeline, now)),
                 Size(spec.cpus, spec.gpus, spec.memory_gb),
             )
-            lanes.expect(spec.image, spec.image_gb, now)
-        return lanes
+            timeline.expect(spec.image, spec.image_gb, now)
+        return timeline
 
-    def _finish(self, placement: Placement, lanes: Lanes, now: timedelta) -> timedelta:
+    def _finish(
+        self, placement: Placement, timeline: MachineTimeline, now: timedelta
+    ) -> timedelta:
         """When a task that is placed on a machine is expected to end there."""
         job = placement.page.job
         if placement.lost or job.cancelled:
@@ -139,37 +147,39 @@
             )
         mean, deviation = known
         if placement.running_at is None:
-            return now + lanes.duration(mean + deviation, job.spec.image, job.spec.image_gb, now)
+            return now + timeline.duration(
+                mean + deviation, job.spec.image, job.spec.image_gb, now
+            )
         left = mean + deviation - (now - placement.running_at)
         return now + max(left, deviation / 2, timedelta(seconds=1))
 
-    def idle_room(self, lanes: list[Lanes], calm: bool) -> float:
+    def idle_capacity(self, timelines: list[MachineTimeline], nothing_late: bool) -> float:
         """CPUs that jobs without any deadline may take in this plan: what is free on machines that
         are paid for anyway, less a reserve for work that may come; and a few machines more while
         nothing is late. Such jobs run for minutes, so they would fit into no billed interval, and
         with a distant deadline they would be postponed for ever."""
-        up = [view for view in lanes if not view.booting]
+        up = [view for view in timelines if not view.booting]
         total = free = 0.0
         for view in up:
             total += view.capacity
             free += max(0.0, view.free[0].cpus)
         more = 0.0
-        if calm:
-            largest = max((model.cpus for model in self.keeper.types.values()), default=0.0)
-            more = max(IDLE_RENTED * sum(view.capacity for view in lanes), largest)
+        if nothing_late:
+            largest = max((model.cpus for model in self.fleet_manager.types.values()), default=0.0)
+            more = max(IDLE_RENTED * sum(view.capacity for view in timelines), largest)
         return max(0.0, free - IDLE_SPARED * total) + more
 
     def offers(self) -> list[Offer]:
         """The kinds of machines that can be rented now."""
         result = []
-        for model in self.keeper.types.values():
+        for model in self.fleet_manager.types.values():
             for zone in model.zones:
                 for spot in (True, False):
                     kind = Kind(model.name, zone, spot)
-                    if (spot and model.spot_price is None) or not self.keeper.offered(kind):
+                    if (spot and model.spot_price is None) or not self.fleet_manager.offered(kind):
                         continue
                     capacity = Size(model.cpus, model.gpus, model.memory_gb)
-                    boot = self.keeper.boots.expected(kind)
+                    boot = self.fleet_manager.boots.expected(kind)
                     result.append(
                         Offer(
                             kind,
@@ -177,8 +187,8 @@
                             model.hourly(spot),
                             boot,
                             model.fetch_gb_per_s,
-                            self.keeper.interval(kind),
-                            RENT_MOST,
+                            self.fleet_manager.interval(kind),
+                            MAX_RENTALS,
                         )
                     )
         return result
--- a/dappledrum/dispatch/placing.py
+++ b/dappledrum/dispatch/placing.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 
 from dappledrum.dispatch.work import Work
-from dappledrum.gangs.whole import is_gang
+from dappledrum.gangs.all_or_nothing import is_gang
 from dappledrum.jobs.messages import RANKS, Priority
 from dappledrum.jobs.record import Job, Page
 from dappledrum.settings import Params
--- a/dappledrum/dispatch/preemption.py
+++ b/dappledrum/dispatch/preemption.py
@@ -3,31 +3,31 @@
 import logging
 from datetime import timedelta
 
-from dappledrum.fleet.keeper import Keeper
-from dappledrum.gangs.whole import give_up, is_gang
+from dappledrum.fleet.manager import FleetManager
+from dappledrum.gangs.all_or_nothing import give_up, is_gang
 from dappledrum.jobs.messages import RANKS, Priority
 from dappledrum.jobs.record import Job, Placement
 from dappledrum.scheduling.bags import Bag
-from dappledrum.scheduling.lanes import Size
 from dappledrum.scheduling.preempt import Host, Victim, choose
+from dappledrum.scheduling.timeline import Size
 from dappledrum.settings import Params
 from dappledrum.timing.clock import ZERO
 from dappledrum.workers.roster import Roster
 
 log = logging.getLogger(__name__)
 
-MOST_STOPPED = 16  # tasks of one job for which one plan stops others
+MAX_STOPPED = 16  # tasks of one job for which one plan stops others
 
 
 class Preemption:
     """Frees capacity for tasks that would be late."""
 
-    def __init__(self, roster: Roster, keeper: Keeper, params: Params) -> None:
+    def __init__(self, roster: Roster, fleet_manager: FleetManager, params: Params) -> None:
         self.roster = roster
-        self.keeper = keeper
+        self.fleet_manager = fleet_manager
         self.params = params
 
-    def make_room(
+    def free_capacity(
         self,
         job: Job,
         bag: Bag,
@@ -49,7 +49,11 @@
             return
         hosts = []
         for machine in self.roster:
-            model = self.keeper.types.get(machine.kind.type) if machine.kind is not None else None
+            model = (
+                self.fleet_manager.types.get(machine.kind.type)
+                if machine.kind is not None
+                else None
+            )
             if (
                 model is None
                 or machine.kind is None
@@ -75,7 +79,7 @@
                     ran *= other.on_machines() if is_gang(other) else 1
                     victims.append(Victim(placement, size, ran))
             hosts.append(Host(machine.name, free, victims))
-        most = late if bag.gang else min(late, MOST_STOPPED)
+        most = late if bag.gang else min(late, MAX_STOPPED)
         for victim in choose(bag.size, most, hosts, whole=bag.gang):
             assert isinstance(victim, Placement)
             log.info("stopping %s/%d for %s", victim.page.job.id, victim.task, job.id)
--- a/dappledrum/dispatch/savings.py
+++ b/dappledrum/dispatch/savings.py
@@ -5,12 +5,12 @@
 from datetime import timedelta
 
 from dappledrum.dispatch.machines import Machines
-from dappledrum.fleet.keeper import RENT_MOST, Keeper
+from dappledrum.fleet.manager import MAX_RENTALS, FleetManager
 from dappledrum.fleet.messages import MachineType
 from dappledrum.jobs.messages import Form
 from dappledrum.jobs.record import Job
 from dappledrum.scheduling.draft import Plan
-from dappledrum.scheduling.lanes import Kind, Lanes, Size
+from dappledrum.scheduling.timeline import Kind, MachineTimeline, Size
 from dappledrum.settings import Params
 from dappledrum.workers.roster import Machine, Roster
 
@@ -28,16 +28,16 @@
         jobs: dict[str, Job],
         roster: Roster,
         machines: Machines,
-        keeper: Keeper,
+        fleet_manager: FleetManager,
         params: Params,
     ) -> None:
         self.jobs = jobs
         self.roster = roster
         self.machines = machines
-        self.keeper = keeper
+        self.fleet_manager = fleet_manager
         self.params = params
 
-    def cheapen(self, plan: Plan, lanes: list[Lanes]) -> None:
+    def cheapen(self, plan: Plan, timelines: list[MachineTimeline]) -> None:
         """Retire ordinary machines whose work fits on spot machines.
 
         While small tasks come and go, a large machine is never idle at the end of its interval,
@@ -49,7 +49,7 @@
         replacements. Without spare capacity, or with late work, all machines are used.
         """
         retiring = [machine for machine in self.roster if machine.retiring]
-        spare = self._spare(lanes) - sum(self._used(machine) for machine in retiring)
+        spare = self._spare(timelines) - sum(self._used(machine) for machine in retiring)
         bound = any(not job.spec.spot for job in self.jobs.values())
         if bound or (plan.late and spare <= 0):
             for machine in retiring:
@@ -57,11 +57,11 @@
             return
         ordinary = [
             (view, machine)
-            for view in lanes
+            for view in timelines
             if not view.kind.spot
             and not view.booting
             and (machine := self.roster.get(view.machine)) is not None
-            and self._has_spot(self.keeper.types.get(view.kind.type))
+            and self._has_spot(self.fleet_manager.types.get(view.kind.type))
             and all(p.page.job.spec.form is not Form.SERVICE for p in machine.placements.values())
         ]
         ordinary.sort(key=lambda pair: (-pair[0].hourly_cpu, len(pair[1].placements)))
@@ -75,25 +75,25 @@
             else:
                 left += used
         # What would go back is worth more as room for what ordinary machines still do.
-        self.keeper.keep_spot = bool(ordinary)
+        self.fleet_manager.keep_spot = bool(ordinary)
         if left > 0 and not plan.late and not plan.rentals:
-            plan.rentals.update(self._swap(left - spare, lanes))
+            plan.rentals.update(self._swap(left - spare, timelines))
 
-    def _swap(self, cpus: float, lanes: list[Lanes]) -> dict[Kind, int]:
+    def _swap(self, cpus: float, timelines: list[MachineTimeline]) -> dict[Kind, int]:
         """Spot machines to rent for work that now runs on ordinary ones: the cheapest type on
         which all live tasks fit, a tenth of the fleet at a time."""
-        coming = sum(view.capacity for view in lanes if view.booting and view.kind.spot)
-        cpus = min(cpus, SWAPPED * sum(view.capacity for view in lanes)) - coming
+        coming = sum(view.capacity for view in timelines if view.booting and view.kind.spot)
+        cpus = min(cpus, SWAPPED * sum(view.capacity for view in timelines)) - coming
         result: dict[Kind, int] = {}
-        models = [m for m in self.keeper.types.values() if m.cpus > 0 and self._has_spot(m)]
+        models = [m for m in self.fleet_manager.types.values() if m.cpus > 0 and self._has_spot(m)]
         for model in sorted(models, key=lambda m: m.hourly(True) / m.cpus):
             whole = Size(model.cpus, model.gpus, model.memory_gb)
             if any(whole.times(size) < 1 for size in self.machines.sizes):
                 continue
             for zone in model.zones:
                 kind = Kind(model.name, zone, True)
-                count = min(math.ceil(cpus / model.cpus), RENT_MOST)
-                if count > 0 and self.keeper.offered(kind):
+                count = min(math.ceil(cpus / model.cpus), MAX_RENTALS)
+                if count > 0 and self.fleet_manager.offered(kind):
                     result[kind] = count
                     cpus -= count * model.cpus
         return result
@@ -110,13 +110,13 @@
             model is not None and model.spot_price is not None and model.spot_price < model.price
         )
 
-    def _spare(self, lanes: list[Lanes]) -> float:
+    def _spare(self, timelines: list[MachineTimeline]) -> float:
         """CPUs on running spot machines that the plan does not use, counted in units of the
         largest tasks, less the reserve."""
-        spot = [view for view in lanes if view.kind.spot and not view.booting]
+        spot = [view for view in timelines if view.kind.spot and not view.booting]
         free = 0.0
         for view in spot:
-            model = self.keeper.types[view.kind.type]
+            model = self.fleet_manager.types[view.kind.type]
             whole = Size(model.cpus, model.gpus, model.memory_gb)
             fitting = [size for size in self.machines.sizes if whole.times(size) >= 1]
             size = max(fitting, key=lambda one: one.cpus, default=whole)
@@ -136,7 +136,7 @@
             jobs = [p.page.job for p in machine.placements.values()]
             if not jobs or machine.retiring or any(j.id not in yielding for j in jobs):
                 continue
-            interval = self.keeper.interval(machine.kind)
+            interval = self.fleet_manager.interval(machine.kind)
             left = interval - (now - machine.rented_at) % interval
             if left <= report * 3 + max(j.spec.save for j in jobs) * 1.5 + timedelta(seconds=1):
                 log.info("%s gets no new work: only idle work is left on it", machine.name)
--- a/dappledrum/dispatch/test_dispatcher.py
+++ b/dappledrum/dispatch/test_dispatcher.py
@@ -2,7 +2,7 @@
 
 from datetime import timedelta
 
-from dappledrum.dispatch.dispatcher import PLAN_MOST
+from dappledrum.dispatch.dispatcher import MAX_PLAN_TIME
 from dappledrum.scheduling.renting import Renting
 from dappledrum.standins.time import run
 from dappledrum.standins.world import World, job
@@ -42,17 +42,21 @@
             rent(renting, bag, count)
 
         monkeypatch.setattr(Renting, "rent", note)
-        dispatcher.keeper.needed = {"counted on before"}
+        dispatcher.fleet_manager.needed = {"counted on before"}
         whole = dispatcher.clock
-        dispatcher.clock = SlowClock(whole, PLAN_MOST / 12)
+        dispatcher.clock = SlowClock(whole, MAX_PLAN_TIME / 12)
         await dispatcher.run()
         first, came[:] = list(came), []
-        late = set(dispatcher.put_off)
+        late = set(dispatcher.postponed)
         assert 0 < len(first) < 8 and late == {f"j-{n:06d}" for n in range(8)} - set(first)
-        assert "counted on before" in dispatcher.keeper.needed and not dispatcher.calm
+        assert (
+            "counted on before" in dispatcher.fleet_manager.needed and not dispatcher.nothing_late
+        )
         dispatcher.clock = whole
         await dispatcher.run()
         assert set(came[: len(late)]) == late and len(came) == 8
-        assert not dispatcher.put_off and "counted on before" not in dispatcher.keeper.needed
+        assert (
+            not dispatcher.postponed and "counted on before" not in dispatcher.fleet_manager.needed
+        )
 
     run(main())
--- a/dappledrum/dispatch/work.py
+++ b/dappledrum/dispatch/work.py
@@ -6,9 +6,9 @@
 from datetime import timedelta
 
 from dappledrum.accounts.entries import Want
-from dappledrum.fleet.keeper import Keeper
+from dappledrum.fleet.manager import FleetManager
 from dappledrum.fleet.messages import MachineType
-from dappledrum.gangs.whole import is_gang
+from dappledrum.gangs.all_or_nothing import is_gang
 from dappledrum.jobs.intake import allowed
 from dappledrum.jobs.messages import RANKS, Form, Priority
 from dappledrum.jobs.record import Job
@@ -16,14 +16,14 @@
 from dappledrum.scheduling.chains import Link, Stage, stages
 from dappledrum.scheduling.deadlines import closing_deadlines, next_deadline, stage_deadlines
 from dappledrum.scheduling.estimates import Estimates
-from dappledrum.scheduling.lanes import Kind, Size, fetch_time
+from dappledrum.scheduling.timeline import Kind, Size, fetch_time
 from dappledrum.settings import Params, Tuning
 from dappledrum.timing.clock import ZERO, Clock
 from dappledrum.workers.failures import suspected
 
 log = logging.getLogger(__name__)
 
-MOST_READY = 2_000  # tasks of one job that a plan looks at
+MAX_READY = 2_000  # tasks of one job that a plan looks at
 NO_LIMIT = 1e18
 SMALL = 4  # tasks of a job that may share a bag with others
 ALIKE = 1.3  # factor up to which run times count as alike
@@ -32,7 +32,7 @@
 BEGIN_BY = timedelta(seconds=120)
 #: A job of which nothing has begun for so long uses room that is there, though that costs another
 #: billed interval: operators count on no job being left waiting for 90 s while there is room.
-ROOM_BY = timedelta(seconds=60)
+FREE_CAPACITY_BY = timedelta(seconds=60)
 OPTIMISM = 0.8  # a deadline counts as missed only if tasks of 0.8 times the estimate miss it
 
 
@@ -43,14 +43,14 @@
         self,
         jobs: dict[str, Job],
         estimates: Estimates,
-        keeper: Keeper,
+        fleet_manager: FleetManager,
         params: Params,
         clock: Clock,
         tuning: Tuning,
     ) -> None:
         self.jobs = jobs
         self.estimates = estimates
-        self.keeper = keeper
+        self.fleet_manager = fleet_manager
         self.params = params
         self.clock = clock
         self.tuning = tuning
@@ -109,12 +109,14 @@
 
     def _fetch(self, job: Job) -> timedelta:
         """How long the fetch of a missing image takes on the machines with the highest rate."""
-        rates = [m.fetch_gb_per_s for m in self.keeper.types.values() if allowed(job.spec, m)]
+        rates = [
+            m.fetch_gb_per_s for m in self.fleet_manager.types.values() if allowed(job.spec, m)
+        ]
         return fetch_time(job.spec.image_gb, max(rates, default=1.0))
 
     def wants(self) -> list[Want]:
         """What waits for capacity, for the accounts; similar jobs are listed once."""
-        room = self.team_room()
+        capacity = self.team_capacity()
         now = self.clock.now()
         result: dict[Hashable, Want] = {}
         for job in self.jobs.values():
@@ -125,7 +127,7 @@
             size = Size(spec.cpus, spec.gpus, spec.memory_gb)
             likeness = (size, types, spec.zone, spec.spot, spec.team)
             if likeness not in result:
-                left = room.get(spec.team)
+                left = capacity.get(spec.team)
                 has = left is None or left.times(Size(spec.cpus, spec.gpus, 0.0)) >= 1
                 result[likeness] = Want(size, self._allowed(job, set()), has)
         return list(result.values())
@@ -180,13 +182,13 @@
             first.due = min(first.due, bag.due)
             first.rank = min(first.rank, bag.rank)
             first.waited = max(first.waited, bag.waited)
-            first.room_now |= bag.room_now
+            first.use_free_capacity |= bag.use_free_capacity
         return result
 
     def _bag(self, job: Job, now: timedelta) -> Bag | None:
         spec = job.spec
         gang = is_gang(job)
-        ready = job.waiting() if gang else min(job.waiting(), MOST_READY)
+        ready = job.waiting() if gang else min(job.waiting(), MAX_READY)
         if gang and job.on_machines():
             return None  # complete on machines, or being stopped
         if ready <= 0 or job.cancelled or job.over or now < job.retry_at or job.unmet:
@@ -210,12 +212,12 @@
                 return None
             self._idle_cpus -= ready * spec.cpus
         if not limits:
-            patience = (
+            time_limit = (
                 run + timedelta(seconds=30)
                 if spec.form is Form.SERVICE
                 else run * 4 + self.tuning.interval
             )
-            limits = [patience - age]
+            limits = [time_limit - age]
         limit = next_deadline(limits, run * OPTIMISM)
         if idle:
             limit = ZERO  # as soon as there is room, however long it has waited
@@ -236,7 +238,7 @@
             size=Size(spec.cpus, spec.gpus, spec.memory_gb),
             ready=1 if held and not gang else ready,
             unready=0 if stage is None else stage.tasks - stage.ready,
-            beside=0 if stage is None else max(0, stage.ready - job.waiting()),
+            ready_siblings=0 if stage is None else max(0, stage.ready - job.waiting()),
             total=spec.tasks if stage is None else stage.tasks,
             run=run,
             due=due,
@@ -249,14 +251,14 @@
             ),
             rank=self._rank(job, 2 if held or idle else -1 if overdue else int(missed), due - run),
             one_zone=spec.one_zone and not zones,
-            zone_room=self._zone_room(job) if spec.spread else None,
+            zone_capacity=self._zone_capacity(job) if spec.spread else None,
             team=spec.team,
             held=held,
             waited=waited,
-            thrifty=missed,
+            cheap_only=missed,
             idle=idle,
             gang=gang,
-            room_now=waited > ROOM_BY and unbegun,
+            use_free_capacity=waited > FREE_CAPACITY_BY and unbegun,
         )
 
     def _rank(self, job: Job, missed: int, latest_start: timedelta) -> tuple[float, ...]:
@@ -288,7 +290,7 @@
         self, job: Job, zones: set[str], spot_only: bool = False
     ) -> Callable[[Kind], bool]:
         spec = job.spec
-        types: dict[str, MachineType] = self.keeper.types
+        types: dict[str, MachineType] = self.fleet_manager.types
         fits = {name for name, model in types.items() if allowed(spec, model)}
 
         def check(kind: Kind) -> bool:
@@ -300,14 +302,16 @@
 
         return check
 
-    def _zone_room(self, job: Job) -> dict[str, int]:
+    def _zone_capacity(self, job: Job) -> dict[str, int]:
         most = -(-job.spec.tasks // 2)
-        room = {zone: most for model in self.keeper.types.values() for zone in model.zones}
+        capacity = {
+            zone: most for model in self.fleet_manager.types.values() for zone in model.zones
+        }
         for placement in job.placements():
-            room[placement.zone] = room.get(placement.zone, most) - 1
-        return room
+            capacity[placement.zone] = capacity.get(placement.zone, most) - 1
+        return capacity
 
-    def team_room(self) -> dict[str, Size | None]:
+    def team_capacity(self) -> dict[str, Size | None]:
         """What the limit of each team leaves; None: it has no limit."""
         used: dict[str, list[float]] = {}
         for job in self.jobs.values():
@@ -315,18 +319,18 @@
             total = used.setdefault(job.spec.team, [0.0, 0.0])
             total[0] += job.spec.cpus * count
             total[1] += job.spec.gpus * count
-        room: dict[str, Size | None] = {}
+        capacity: dict[str, Size | None] = {}
         for team in self.params.teams:
             cpus, gpus = used.get(team.name, [0.0, 0.0])
             if team.cpus_max <= 0 and team.gpus_max <= 0:
-                room[team.name] = None
+                capacity[team.name] = None
                 continue
-            room[team.name] = Size(
+            capacity[team.name] = Size(
                 team.cpus_max - cpus if team.cpus_max > 0 else NO_LIMIT,
                 team.gpus_max - gpus if team.gpus_max > 0 else NO_LIMIT,
                 NO_LIMIT,
             )
-        return room
+        return capacity
 
     def _guaranteed(self) -> set[str]:
         """Jobs that fit into the guarantee of their team together with its earlier unfinished
--- a/dappledrum/fleet/boots.py
+++ b/dappledrum/fleet/boots.py
@@ -14,14 +14,14 @@
 from datetime import timedelta
 from typing import NamedTuple
 
-from dappledrum.scheduling.lanes import Kind
+from dappledrum.scheduling.timeline import Kind
 from dappledrum.timing.clock import ZERO
 
 PRIOR_WEIGHT = 2.0  # number of boots that weigh as much as the catalog's figure
 HALF_LIFE = timedelta(minutes=1)  # after which an observed boot has half its weight
 KEPT = 64
 MARGIN = 1.25  # one deviation and more: boots take 0.6 to 1.5 times the nominal time
-USUAL_MOST = 1.5  # a boot of up to this ratio is no sign of slow boots
+MAX_USUAL_RATIO = 1.5  # a boot of up to this ratio is no sign of slow boots
 SHORTEST = timedelta(seconds=1)
 OVERTAKEN = 2.0  # times the slowest later boot, after which an overtaken machine is given up
 ALONE = 4.0  # times the expected boot, after which one is given up while none comes up
@@ -103,7 +103,7 @@
     def _ratio(self, kind: Kind) -> float:
         total, weight = self._over(kind)
         # Beyond what was seen so far; after a time of quick boots that says most.
-        expected = min(math.exp(total / weight) * MARGIN, USUAL_MOST)
+        expected = min(math.exp(total / weight) * MARGIN, MAX_USUAL_RATIO)
         for one in self._unfinished:
             age = ZERO if self._refreshed_at is None else self._refreshed_at - one.asked_at
             ratio = age / self._nominal(one.kind)
@@ -128,7 +128,7 @@
         """Whether a new machine is expected sooner than this one."""
         nominal = self._nominal(kind)
         age = now - asked_at
-        if age <= nominal * USUAL_MOST + FLOOR:
+        if age <= nominal * MAX_USUAL_RATIO + FLOOR:
             return False
         if self._later(kind, asked_at):
             return self.overtaken(kind, asked_at, now)
@@ -148,7 +148,7 @@
         if not later:
             return False
         nominal = self._nominal(kind)
-        slowest = max(max(boot.ratio for boot in later), USUAL_MOST)
+        slowest = max(max(boot.ratio for boot in later), MAX_USUAL_RATIO)
         return now - asked_at > max(nominal * slowest * OVERTAKEN, nominal + FLOOR)
 
     def given_up(self, now: timedelta) -> None:
--- a/dappledrum/fleet/cloud.py
+++ b/dappledrum/fleet/cloud.py
@@ -23,7 +23,7 @@
 log = logging.getLogger(__name__)
 
 T = TypeVar("T")
-PATIENCE = timedelta(seconds=4)
+REQUEST_TIMEOUT = timedelta(seconds=4)
 
 
 class CloudError(Exception):
@@ -62,7 +62,7 @@
             raise CloudError("no longer entitled")
         sent = self.link.sent()
         try:
-            reply = await self.caller.request(method, path, body, PATIENCE)
+            reply = await self.caller.request(method, path, body, REQUEST_TIMEOUT)
         except NoResponseError as error:
             raise CloudError(str(error)) from error
         if reply.status < 500 or b"no capacity" in reply.body:
--- a/dappledrum/fleet/keeper.py
+++ b/dappledrum/fleet/manager.py
@@ -8,28 +8,28 @@
 from dappledrum.fleet.boots import Boots, Waiting
 from dappledrum.fleet.cloud import Cloud, CloudError, NoCapacityError
 from dappledrum.fleet.messages import ListedMachine, MachineType, RentalRequest
-from dappledrum.recovery.back import back_in
-from dappledrum.scheduling.lanes import Kind
+from dappledrum.recovery.return_times import expected_report_in
+from dappledrum.scheduling.timeline import Kind
 from dappledrum.settings import Params
 from dappledrum.timing.clock import ZERO, Clock
-from dappledrum.timing.troubles import Trouble
+from dappledrum.timing.fault_log import FaultLog
 from dappledrum.workers.bookkeeping import Bookkeeper
 from dappledrum.workers.roster import Machine, Roster
 
 log = logging.getLogger(__name__)
 
 BOOTS_IN_INTERVAL = 2
-RENT_MOST = 50
+MAX_RENTALS = 50
 TAKEN = timedelta(seconds=1)  # after the moment named in a spot notice
-RETURN_MOST = 100
+MAX_RETURNS = 100
 ASIDE = timedelta(seconds=8)
-ASIDE_MOST = timedelta(seconds=30)
+MAX_TIME_ASIDE = timedelta(seconds=30)
 SLOW = 2.0  # times the catalog's figure, from which on slow boots are logged
 SLOW_NO_MORE = 1.5
 INTRODUCED = timedelta(seconds=20)  # beyond a lease: machines report to a new leader by then
 
 
-class Keeper:
+class FleetManager:
     """Manages the rented machines for one term of leadership."""
 
     def __init__(
@@ -69,7 +69,7 @@
         self.listed = False
         self.planned = False
         self.asked = asyncio.Event()
-        self.no_list = Trouble(log, clock, "the cloud gives no machine list")
+        self.no_list = FaultLog(log, clock, "the cloud gives no machine list")
 
     # questions of the planner
 
@@ -96,8 +96,8 @@
         now = self.clock.now()
         if machine.kind is None:
             return now + self.base_interval
-        if machine.expected_back:
-            return now + back_in(now - machine.seen_at, self.params.workers.report)
+        if machine.awaiting_report:
+            return now + expected_report_in(now - machine.seen_at, self.params.workers.report)
         return now + self.boots.left(machine.kind, machine.rented_at, now)
 
     def overdue(self, machine: Machine) -> bool:
@@ -172,7 +172,7 @@
             self.asked.clear()
             while self.wanted and self.leading():
                 kind = max(self.wanted, key=lambda k: self.wanted[k])
-                count = min(self.wanted.pop(kind), RENT_MOST)
+                count = min(self.wanted.pop(kind), MAX_RENTALS)
                 if count > 0 and self.offered(kind):
                     self.settled[kind] = timedelta.max
                     try:
@@ -213,7 +213,7 @@
 
     def _set_aside(self, kind: Kind) -> None:
         _, before = self.aside.get(kind, (ZERO, ZERO))
-        span = min(max(before * 2, ASIDE), ASIDE_MOST)
+        span = min(max(before * 2, ASIDE), MAX_TIME_ASIDE)
         self.aside[kind] = (self.clock.now() + span, span)
         log.info("no more %s for now, set aside for %.0f s", kind, span.total_seconds())
 
@@ -233,7 +233,7 @@
                     machine.returning = True
                     if not machine.up:
                         self.boots.given_up(self.clock.now())
-            names = [m.name for m in self.roster if m.returning][:RETURN_MOST]
+            names = [m.name for m in self.roster if m.returning][:MAX_RETURNS]
             if names:
                 try:
                     await self.cloud.give_back(names, self.leading)
@@ -276,7 +276,7 @@
         if not machine.up or not self.planned or machine.name in self.needed:
             return None
         spared = self.keep_spot and machine.kind is not None and machine.kind.spot
-        if spared and not machine.hearing.deaf:
+        if spared and not machine.reachability.unreachable:
             return None
         interval = self.interval(machine.kind) if machine.kind is not None else self.base_interval
         left = interval - (now - machine.rented_at) % interval
@@ -317,7 +317,7 @@
             if machine.kind is None:
                 machine.kind = Kind(item.type, item.zone, item.spot)
             machine.listed_at = now
-            machine.rumour = False
+            machine.unconfirmed = False
             machine.failed |= item.state == "failed"
             machine.listed_up |= item.state == "running"
         if not self.listed:
--- a/dappledrum/fleet/memory.py
+++ b/dappledrum/fleet/memory.py
@@ -8,7 +8,7 @@
 from datetime import UTC, datetime, timedelta
 
 from dappledrum.fleet.messages import BootingRecord, FleetRecord
-from dappledrum.scheduling.lanes import Kind
+from dappledrum.scheduling.timeline import Kind
 from dappledrum.state.hint import Hint
 from dappledrum.timing.clock import ZERO, Clock
 from dappledrum.workers.roster import Roster
@@ -39,7 +39,7 @@
         groups: dict[tuple[Kind, int], list[str]] = {}
         for machine in self.roster:
             age = now - machine.rented_at
-            settled = machine.up or machine.returning or machine.rumour
+            settled = machine.up or machine.returning or machine.unconfirmed
             if settled or machine.kind is None or age > KEPT:
                 continue
             # Whole seconds, and only changes of the machines matter: clocks wander by less.
--- a/dappledrum/fleet/test_boots.py
+++ b/dappledrum/fleet/test_boots.py
@@ -3,7 +3,7 @@
 from datetime import timedelta
 
 from dappledrum.fleet.boots import Boots, Waiting
-from dappledrum.scheduling.lanes import Kind
+from dappledrum.scheduling.timeline import Kind
 from dappledrum.timing.clock import seconds
 
 HERE, THERE = Kind("small", "a", True), Kind("large", "b", False)
--- a/dappledrum/gangs/whole.py
+++ b/dappledrum/gangs/all_or_nothing.py
@@ -36,7 +36,7 @@
     return on < job.spec.tasks - job.done or any(p.lost for p in job.placements())
 
 
-def keep_whole(jobs: Iterable[Job]) -> None:
+def stop_broken_gangs(jobs: Iterable[Job]) -> None:
     """Give up the remaining tasks of gangs that have lost a member."""
     for job in jobs:
         if is_gang(job) and not job.cancelled and not job.over and split(job):
--- a/dappledrum/gangs/together.py
+++ b/dappledrum/gangs/search.py
@@ -12,7 +12,7 @@
 from datetime import timedelta
 from typing import NamedTuple
 
-from dappledrum.scheduling.lanes import SLACK, Kind, Lanes, Offer, Size, fetch_time
+from dappledrum.scheduling.timeline import SLACK, Kind, MachineTimeline, Offer, Size, fetch_time
 from dappledrum.timing.clock import ZERO
 
 PROBED = 24  # moments tried at first; in a fleet there are thousands
@@ -29,10 +29,10 @@
     image: str
     image_gb: float
     allowed: Callable[[Kind], bool]
-    zone_room: dict[str, int] | None = None  # spread: how many tasks each zone may take
+    zone_capacity: dict[str, int] | None = None  # spread: how many tasks each zone may take
 
 
-class Room(NamedTuple):
+class GangSlot(NamedTuple):
     """A moment, the tasks on each rented machine, and the machines to rent."""
 
     start: timedelta
@@ -42,10 +42,10 @@
     cost: float
 
 
-def room_at(lanes: Lanes, size: Size, start: timedelta, finish: timedelta) -> int:
+def capacity_at(timeline: MachineTimeline, size: Size, start: timedelta, finish: timedelta) -> int:
     """How many tasks a machine can run from one moment to another."""
-    times, free = lanes.times, lanes.free
-    if start < times[0] or (lanes.until is not None and finish > lanes.until):
+    times, free = timeline.times, timeline.free
+    if start < times[0] or (timeline.until is not None and finish > timeline.until):
         return 0
     count = 0
     for at in range(len(times) - 1, -1, -1):
@@ -62,15 +62,19 @@
     """Search for one gang on the machines of one plan."""
 
     def __init__(
-        self, gang: Gang, lanes: Sequence[Lanes], offers: Sequence[Offer], now: timedelta
+        self,
+        gang: Gang,
+        timelines: Sequence[MachineTimeline],
+        offers: Sequence[Offer],
+        now: timedelta,
     ) -> None:
         self.gang = gang
         self.now = now
-        self.lanes = [one for one in lanes if gang.allowed(one.kind)]
+        self.timelines = [one for one in timelines if gang.allowed(one.kind)]
         # The cheapest first, then those that are committed for longest: the others fall idle.
-        self.lanes.sort(key=lambda one: (one.hourly_cpu, -one.committed, one.index))
+        self.timelines.sort(key=lambda one: (one.hourly_cpu, -one.committed, one.index))
         self.offers = [one for one in offers if gang.allowed(one.kind)]
-        rates = [one.fetch_gb_per_s for one in self.lanes if gang.image not in one.images]
+        rates = [one.fetch_gb_per_s for one in self.timelines if gang.image not in one.images]
         rates += [one.fetch_gb_per_s for one in self.offers]
         # The last image decides when the gang begins, so all are held for that long.
         fetch = fetch_time(gang.image_gb, min(rates)) if rates else ZERO
@@ -80,13 +84,13 @@
         """Tasks on the rented machines at one moment, what each zone may still take, and how many
         tasks are left over."""
         left = self.gang.count
-        zones = None if self.gang.zone_room is None else dict(self.gang.zone_room)
+        zones = None if self.gang.zone_capacity is None else dict(self.gang.zone_capacity)
         result = []
-        for one in self.lanes:
+        for one in self.timelines:
             if left <= 0:
                 break
             most = left if zones is None else min(left, zones.get(one.kind.zone, 0))
-            take = min(most, room_at(one, self.gang.size, start, start + self.span))
+            take = min(most, capacity_at(one, self.gang.size, start, start + self.span))
             if take > 0:
                 result.append((one.index, take))
                 left -= take
@@ -94,17 +98,17 @@
                     zones[one.kind.zone] -= take
         return result, zones, left
 
-    def at_once(self) -> Room | None:
+    def at_once(self) -> GangSlot | None:
         """Capacity for all tasks now, on the rented machines."""
         shares, _, left = self.shares(self.now)
-        return self._room(self.now, shares) if left <= 0 else None
+        return self._slot(self.now, shares) if left <= 0 else None
 
-    def without_renting(self) -> Room | None:
+    def without_renting(self) -> GangSlot | None:
         """The earliest moment found with capacity on the rented machines. At first only some of
         the moments are probed; the one found is then refined."""
-        if (room := self.at_once()) is not None:
-            return room
-        moments = sorted({t for one in self.lanes for t in one.times if t > self.now})
+        if (slot := self.at_once()) is not None:
+            return slot
+        moments = sorted({t for one in self.timelines for t in one.times if t > self.now})
         step = max(1, -(-len(moments) // PROBED))
         probes = [*range(0, len(moments), step)]
         if moments and probes[-1] != len(moments) - 1:
@@ -128,9 +132,9 @@
                 at, shares = middle, tried
             else:
                 before = middle
-        return self._room(moments[at], shares)
+        return self._slot(moments[at], shares)
 
-    def with_renting(self, offers: Sequence[Offer]) -> Room | None:
+    def with_renting(self, offers: Sequence[Offer]) -> GangSlot | None:
         """Capacity for all tasks once the slowest of some kinds of machines has booted. Machines
         are rented as far as needed, of the first kinds first."""
         start = self.now + max(one.boot for one in offers)
@@ -150,9 +154,9 @@
                 zones[one.kind.zone] -= tasks
             paid = -(-(start + self.span - self.now) // one.interval) * one.interval
             cost += number * one.hourly * (paid / timedelta(hours=1))
-        return self._room(start, shares, rented, cost) if left <= 0 else None
+        return self._slot(start, shares, rented, cost) if left <= 0 else None
 
-    def best(self, rent: bool) -> Room | None:
+    def best(self, rent: bool) -> GangSlot | None:
         """The option with the least overrun, then the least added cost, then the earliest."""
         options = [self.without_renting()]
         if rent and (options[0] is None or options[0].start > self.now):
@@ -163,17 +167,17 @@
         found = [one for one in options if one is not None]
         return min(found, key=self._worth, default=None)
 
-    def _worth(self, room: Room) -> tuple[int, float, timedelta]:
-        return round(max(room.finish - self.gang.due, ZERO) / SLACK), room.cost, room.start
+    def _worth(self, slot: GangSlot) -> tuple[int, float, timedelta]:
+        return round(max(slot.finish - self.gang.due, ZERO) / SLACK), slot.cost, slot.start
 
-    def _room(
+    def _slot(
         self,
         start: timedelta,
         shares: list[tuple[int, int]],
         rented: dict[Kind, tuple[int, int]] | None = None,
         cost: float = 0.0,
-    ) -> Room:
+    ) -> GangSlot:
         finish = start + self.span
-        by_index = {one.index: one for one in self.lanes}
+        by_index = {one.index: one for one in self.timelines}
         cost += sum(by_index[index].added_cost(finish, fresh=False) for index, _ in shares)
-        return Room(start, finish, shares, rented or {}, cost)
+        return GangSlot(start, finish, shares, rented or {}, cost)
--- a/dappledrum/gangs/test_gangs.py
+++ b/dappledrum/gangs/test_gangs.py
@@ -5,10 +5,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from dappledrum.gangs.together import Gang, Search, room_at
+from dappledrum.gangs.search import Gang, Search, capacity_at
 from dappledrum.peers.versions import GANGS, at_least
-from dappledrum.scheduling.lanes import Kind, Lanes, Offer, Size
-from dappledrum.scheduling.plan import Bag, Planner, TeamRoom
+from dappledrum.scheduling.plan import Bag, Planner, TeamCapacity
+from dappledrum.scheduling.timeline import Kind, MachineTimeline, Offer, Size
 from dappledrum.settings import Team
 from dappledrum.standins.time import run
 from dappledrum.standins.world import World, job
@@ -28,46 +28,49 @@
 def build(drawn):
     result = []
     for index, (cpus, ready, taken) in enumerate(drawn):
-        lanes = Lanes(
+        timeline = MachineTimeline(
             *(f"m{index}", Kind("p", "z", True), Size(cpus, 0, 99), seconds(NOW + ready)),
             *(seconds(NOW), 0.4, 1.0, seconds(60)),
             booting=ready > 0,
         )
-        lanes.index = index
-        lanes.images["i"] = seconds(NOW)
+        timeline.index = index
+        timeline.images["i"] = seconds(NOW)
         for start, length, size in taken:
             at = max(NOW + start, NOW + ready)
-            if room_at(lanes, Size(size, 0, 1), seconds(at), seconds(at + length)):
-                lanes.reserve(seconds(at), seconds(at + length), Size(size, 0, 1))
-        result.append(lanes)
+            if capacity_at(timeline, Size(size, 0, 1), seconds(at), seconds(at + length)):
+                timeline.reserve(seconds(at), seconds(at + length), Size(size, 0, 1))
+        result.append(timeline)
     return result
 
 
-def plain_room(drawn, lanes, cpus, start, span):
+def plain_capacity(drawn, timeline, cpus, start, span):
     """Tasks that fit on one machine, looked at second by second."""
     whole, ready, _ = drawn
     if start < NOW + ready:
         return 0
     least = 99
     for at in range(start, start + span):
-        step = max(i for i, t in enumerate(lanes.times) if t <= seconds(at))
-        least = min(least, int(lanes.free[step].cpus) // cpus)
+        step = max(i for i, t in enumerate(timeline.times) if t <= seconds(at))
+        least = min(least, int(timeline.free[step].cpus) // cpus)
     return least
 
 
 @settings(max_examples=200, derandomize=True, deadline=None)
 @given(rows, st.integers(1, 4), st.integers(1, 8), st.integers(1, 25))
 def test_the_earliest_moment_with_room_for_all(drawn, cpus, count, span):
-    lanes = build(drawn)
+    timelines = build(drawn)
     gang = Gang(
         *(Size(cpus, 0, 1), count, seconds(span), seconds(NOW + 500), "i", 0.0, lambda kind: True)
     )
-    found = Search(gang, lanes, [], seconds(NOW)).without_renting()
-    moments = sorted({NOW, *(int(t.total_seconds()) for one in lanes for t in one.times)})
+    found = Search(gang, timelines, [], seconds(NOW)).without_renting()
+    moments = sorted({NOW, *(int(t.total_seconds()) for one in timelines for t in one.times)})
     enough = [
         at
         for at in moments
-        if sum(plain_room(row, one, cpus, at, span) for row, one in zip(drawn, lanes, strict=True))
+        if sum(
+            plain_capacity(row, one, cpus, at, span)
+            for row, one in zip(drawn, timelines, strict=True)
+        )
         >= count
     ]
     if not enough:
@@ -77,8 +80,8 @@
         assert sum(number for _, number in found.shares) == count
 
 
-def plan(lanes, bags, offers=()):
-    return Planner(seconds(NOW), lanes, offers, 0.3, TeamRoom({})).run(bags)
+def plan(timelines, bags, offers=()):
+    return Planner(seconds(NOW), timelines, offers, 0.3, TeamCapacity({})).run(bags)
 
 
 def bag(name, count, rank=(), **changes):
@@ -100,8 +103,8 @@
 
 
 def test_two_gangs_never_take_half_of_the_room_each():
-    lanes = build([(8, 0, []), (8, 0, [(0, 30, 4)])])
-    made = plan(lanes, [bag("a", 3, (0,)), bag("b", 3, (1,))])
+    timelines = build([(8, 0, []), (8, 0, [(0, 30, 4)])])
+    made = plan(timelines, [bag("a", 3, (0,)), bag("b", 3, (1,))])
     assert sum(n for name, _, n in made.starts if name == "a") == 3
     assert not any(name == "b" for name, _, _ in made.starts)
     made = plan(build([(8, 0, [(0, 9, 4)])]), [bag("a", 2, (0,)), bag("c", 1, (1,), gang=False)])
--- a/dappledrum/http/client.py
+++ b/dappledrum/http/client.py
@@ -10,7 +10,7 @@
 
 import httptools
 
-from dappledrum.timing.patience import Patience
+from dappledrum.timing.timeouts import PauseTolerantTimeout
 
 MAX_REPLY = 64 * 1024 * 1024
 
@@ -116,7 +116,7 @@
             head += f"Content-Type: application/json\r\nContent-Length: {len(body)}\r\n"
         data = head.encode("latin-1") + b"\r\n" + (body or b"")
         try:
-            async with Patience(timeout):
+            async with PauseTolerantTimeout(timeout):
                 return await self._request(data, again=method == "GET")
         except TimeoutError as error:
             raise NoResponseError(f"no answer within {timeout.total_seconds():g} s") from error
--- a/dappledrum/http/seats.py
+++ b/dappledrum/http/connection_limits.py
@@ -17,7 +17,7 @@
 from typing import Protocol
 
 SILENT = timedelta(seconds=2)  # a connection that asks for nothing for so long may be shed
-SPARED = 8  # a share of 1/8 is kept from workers
+RESERVED_SHARE = 8  # a share of 1/8 is kept from workers
 
 
 class Role(IntEnum):
@@ -28,7 +28,7 @@
     USER = 2
 
 
-class Seat(Protocol):
+class ConnectionInfo(Protocol):
     """What is known about a connection."""
 
     role: Role
@@ -36,22 +36,28 @@
     since: float  # event loop's time: when it became idle, or its request began
 
 
-def most_workers(most: int) -> int:
+def max_workers(most: int) -> int:
     """How many connections workers may use."""
-    return max(1, most - max(most // SPARED, 2))
+    return max(1, most - max(most // RESERVED_SHARE, 2))
 
 
-def to_shed(seats: Iterable[Seat], now: float) -> Seat | None:
+def to_shed(connections: Iterable[ConnectionInfo], now: float) -> ConnectionInfo | None:
     """The connection to drop for a new one; None: all have a request in progress."""
 
-    def order(seat: Seat) -> tuple[float, float]:
-        young = seat.role is Role.NEW and now - seat.since < SILENT.total_seconds()
-        return (Role.WORKER + 0.5 if young else seat.role, seat.since)
+    def order(connection: ConnectionInfo) -> tuple[float, float]:
+        young = connection.role is Role.NEW and now - connection.since < SILENT.total_seconds()
+        return (Role.WORKER + 0.5 if young else connection.role, connection.since)
 
-    return min((seat for seat in seats if seat.idle), key=order, default=None)
+    return min(
+        (connection for connection in connections if connection.idle), key=order, default=None
+    )
 
 
-def to_shed_for_worker(seats: Iterable[Seat]) -> Seat | None:
+def to_shed_for_worker(connections: Iterable[ConnectionInfo]) -> ConnectionInfo | None:
     """The worker's connection to drop for another worker."""
-    idle = [seat for seat in seats if seat.idle and seat.role is Role.WORKER]
-    return min(idle, key=lambda seat: seat.since, default=None)
+    idle = [
+        connection
+        for connection in connections
+        if connection.idle and connection.role is Role.WORKER
+    ]
+    return min(idle, key=lambda connection: connection.since, default=None)
--- a/dappledrum/http/server.py
+++ b/dappledrum/http/server.py
@@ -16,7 +16,7 @@
 
 import httptools
 
-from dappledrum.http.seats import Role, most_workers, to_shed, to_shed_for_worker
+from dappledrum.http.connection_limits import Role, max_workers, to_shed, to_shed_for_worker
 
 log = logging.getLogger(__name__)
 
@@ -35,9 +35,9 @@
 #: still once took hundreds at once on top of those that were over, unread, and had no socket left.
 ACCEPTED = 16
 WORKERS = "/hello"
-TAKEN_PAUSE = timedelta(milliseconds=50)  # until an address in use is tried again
-TAKEN_MOST = timedelta(seconds=10)
-CROWDED = 0.9  # of the connections there may be: said, with who holds them
+ADDRESS_RETRY_PAUSE = timedelta(milliseconds=50)  # until an address in use is tried again
+MAX_ADDRESS_WAIT = timedelta(seconds=10)
+WARN_SHARE = 0.9  # of the connections there may be: said, with who holds them
 
 
 class Request(NamedTuple):
@@ -85,7 +85,7 @@
         self.waiting = waiting  # the most that wait to be accepted
         self.connections: dict[Connection, None] = {}
         self.workers = 0  # connections that workers hold
-        self.told = 0  # how many connections there were when that was last said
+        self.announced = 0  # how many connections there were when that was last said
         self._listening: socket.socket | None = None
         self._server: asyncio.Server | None = None
         self._sweeper: asyncio.Task[None] | None = None
@@ -113,12 +113,12 @@
                 self._listening = socket.create_server((host, port), backlog=self.waiting)
                 return
             except OSError as error:
-                if error.errno != errno.EADDRINUSE or waited >= TAKEN_MOST:
+                if error.errno != errno.EADDRINUSE or waited >= MAX_ADDRESS_WAIT:
                     raise
                 if not waited:
                     log.warning("%s:%d is still in use, waiting for it", host, port)
-            await asyncio.sleep(TAKEN_PAUSE.total_seconds())
-            waited += TAKEN_PAUSE
+            await asyncio.sleep(ADDRESS_RETRY_PAUSE.total_seconds())
+            waited += ADDRESS_RETRY_PAUSE
 
     async def stop(self) -> None:
         """Stop listening and drop every connection."""
@@ -137,20 +137,20 @@
             now = asyncio.get_running_loop().time()
             for connection in [c for c in self.connections if c.deadline < now]:
                 connection.expire()
-            self._tell()
+            self._log_usage()
 
-    def _tell(self) -> None:
+    def _log_usage(self) -> None:
         """Log who uses the connections when they become scarce, and again with each further
         eighth."""
         count = len(self.connections)
-        if count < self.max_connections * CROWDED / 2:
-            self.told = 0
+        if count < self.max_connections * WARN_SHARE / 2:
+            self.announced = 0
         if count < max(
-            self.max_connections * CROWDED, self.told + max(1, self.max_connections // 8)
+            self.max_connections * WARN_SHARE, self.announced + max(1, self.max_connections // 8)
         ):
             return
-        self.told = count
-        held = Counter((seat.role, seat.idle) for seat in self.connections)
+        self.announced = count
+        held = Counter((connection.role, connection.idle) for connection in self.connections)
         log.warning(
             "%d of %d connections taken: %s",
             count,
@@ -173,13 +173,13 @@
         self.connections[connection] = None
         return True
 
-    def seat_worker(self, connection: "Connection") -> bool:
+    def admit_worker(self, connection: "Connection") -> bool:
         """Note that a connection is a worker's; workers may use only a part of all."""
         if connection.role is Role.WORKER:
             return True
         connection.role = Role.WORKER
         self.workers += 1
-        if self.workers <= most_workers(self.max_connections):
+        if self.workers <= max_workers(self.max_connections):
             return True
         shed = to_shed_for_worker(self.connections)
         if shed is None:
@@ -272,7 +272,7 @@
         )
         if request.path != WORKERS:
             self.role = Role.USER if self.role is Role.NEW else self.role
-        elif not self.server.seat_worker(self):
+        elif not self.server.admit_worker(self):
             self._refuse(HTTPStatus.SERVICE_UNAVAILABLE)
             return
         self.deadline = float("inf")
--- a/dappledrum/http/test_seats.py
+++ b/dappledrum/http/test_connection_limits.py
@@ -10,7 +10,13 @@
 
 from dappledrum.controller.wiring import sockets
 from dappledrum.http.client import Client
-from dappledrum.http.seats import SPARED, Role, most_workers, to_shed, to_shed_for_worker
+from dappledrum.http.connection_limits import (
+    RESERVED_SHARE,
+    Role,
+    max_workers,
+    to_shed,
+    to_shed_for_worker,
+)
 from dappledrum.http.server import ACCEPTED, Response, Server
 from dappledrum.http.test_http import SECOND, echo
 
@@ -30,27 +36,27 @@
 
 @settings(max_examples=300, derandomize=True, deadline=None)
 @given(places)
-def test_the_idle_go_in_the_order_of_their_roles(seats):
+def test_the_idle_go_in_the_order_of_their_roles(connections):
     now = 20.0
     plainly = [
-        [s for s in seats if s.idle and s.role is Role.NEW and s.since <= now - 2],
-        [s for s in seats if s.idle and s.role is Role.WORKER],
-        [s for s in seats if s.idle and s.role is Role.NEW and s.since > now - 2],
-        [s for s in seats if s.idle and s.role is Role.USER],
+        [s for s in connections if s.idle and s.role is Role.NEW and s.since <= now - 2],
+        [s for s in connections if s.idle and s.role is Role.WORKER],
+        [s for s in connections if s.idle and s.role is Role.NEW and s.since > now - 2],
+        [s for s in connections if s.idle and s.role is Role.USER],
     ]
     first = next((group for group in plainly if group), None)
-    shed = to_shed(seats, now)
+    shed = to_shed(connections, now)
     if first is None:
         assert shed is None
     else:
         assert shed in first and shed.since == min(s.since for s in first)
-    worker = to_shed_for_worker(seats)
+    worker = to_shed_for_worker(connections)
     assert (worker is None) == (not plainly[1])
     assert worker is None or worker in plainly[1]
 
 
 def test_workers_never_take_the_places_of_users():
-    most = 2 * SPARED
+    most = 2 * RESERVED_SHARE
     held = asyncio.Event()
 
     async def handler(request):
@@ -66,12 +72,12 @@
             for _ in range(most)
         ]
         await asyncio.sleep(0.2)
-        assert server.workers == most_workers(most) < most
+        assert server.workers == max_workers(most) < most
         user = Client("127.0.0.1", port)
         assert (await user.request("GET", "/ready", None, SECOND)).status == 200
         held.set()
         told = [reply.status for reply in await asyncio.gather(*workers)]
-        assert told.count(503) == most - most_workers(most) and told.count(200) == len(
+        assert told.count(503) == most - max_workers(most) and told.count(200) == len(
             told
         ) - told.count(503)
         await server.stop()
--- a/dappledrum/http/test_http.py
+++ b/dappledrum/http/test_http.py
@@ -138,8 +138,8 @@
     async def check(server, port):
         held = [await asyncio.open_connection("127.0.0.1", port) for _ in range(4)]
         assert (await Client("127.0.0.1", port).request("GET", "/x", None, SECOND)).status == 200
-        server._tell()
-        server._tell()
+        server._log_usage()
+        server._log_usage()
         for _, writer in held:
             writer.close()
 
--- a/dappledrum/jobs/admission.py
+++ b/dappledrum/jobs/admission.py
@@ -10,7 +10,7 @@
 from datetime import timedelta
 from typing import NamedTuple
 
-from dappledrum.jobs.polls import Found
+from dappledrum.jobs.polls import StoredJob
 from dappledrum.jobs.record import ended_key, head_key
 from dappledrum.state.budget import Rank
 from dappledrum.state.client import TXN_BYTES, ConflictError, State, StateError
@@ -26,7 +26,7 @@
 class _Item(NamedTuple):
     job: str
     puts: list[Put]
-    answer: asyncio.Future[int | Found]
+    answer: asyncio.Future[int | StoredJob]
 
     def fail(self, error: Exception) -> None:
         """Tell whoever waits what became of the transaction, unless a read has told it already."""
@@ -38,10 +38,10 @@
     """Jobs on their way into the state service."""
 
     def __init__(
-        self, state: State, most_changes: int, find: Callable[[str, Rank], Awaitable[Found]]
+        self, state: State, max_changes: int, find: Callable[[str, Rank], Awaitable[StoredJob]]
     ) -> None:
         self.state = state
-        self.most_changes = most_changes
+        self.max_changes = max_changes
         self.find = find
         self.waiting: dict[str, _Item] = {}
         self.writing: set[asyncio.Task[None]] = set()
@@ -51,12 +51,12 @@
         """Whether the rate of changes leaves no room for one more job soon."""
         return self.state.busy_for(Rank.INTAKE, writes=len(self.waiting) + 1) > QUEUE
 
-    async def admit(self, job: str, puts: list[Put]) -> int | Found:
+    async def admit(self, job: str, puts: list[Put]) -> int | StoredJob:
         """Store a new job; returns the version, or what was read of the job while the answer was
         late, or raises what became of its transaction."""
         item = self.waiting.get(job)
         if item is None:
-            future: asyncio.Future[int | Found] = asyncio.get_running_loop().create_future()
+            future: asyncio.Future[int | StoredJob] = asyncio.get_running_loop().create_future()
             item = self.waiting[job] = _Item(job, puts, future)
         if self.writer is None:
             self.writer = asyncio.get_running_loop().create_task(self._write())
@@ -82,7 +82,7 @@
             size += sum(len(bytes(put.value)) + 300 for put in item.puts)
             changes += len(item.puts)
             over = self.state.busy_for(Rank.INTAKE, writes=changes) > ZERO
-            if batch and (size > TXN_BYTES or changes > self.most_changes or over):
+            if batch and (size > TXN_BYTES or changes > self.max_changes or over):
                 break
             batch.append(self.waiting.pop(item.job))
         return batch
--- a/dappledrum/jobs/told.py
+++ b/dappledrum/jobs/confirmed_cancellations.py
@@ -17,7 +17,7 @@
 KEPT = 1_000  # names; whoever tells more at once attests a shorter time
 
 
-class Attested(NamedTuple):
+class CancellationWindow(NamedTuple):
     """What one controller has told, or several together have, and for how long back that is all
     that they have told."""
 
@@ -33,7 +33,7 @@
         return now - shorter(self.span) <= since
 
 
-class Told:
+class ConfirmedCancellations:
     """The memory of one process, lost with it."""
 
     def __init__(self, now: timedelta) -> None:
@@ -48,7 +48,7 @@
         while len(self._first) > KEPT:
             _, self.complete_since = self._first.popitem(last=False)
 
-    def within(self, span: timedelta, now: timedelta) -> Attested:
+    def within(self, span: timedelta, now: timedelta) -> CancellationWindow:
         """All that was told first within this span, as far back as it is known."""
         names: set[str] = set()
         for job, at in reversed(self._first.items()):
@@ -56,10 +56,12 @@
                 break
             names.add(job)
         # What was dropped was told at `complete_since` or before it.
-        return Attested(frozenset(names), min(span, max(now - self.complete_since, timedelta(0))))
+        return CancellationWindow(
+            frozenset(names), min(span, max(now - self.complete_since, timedelta(0)))
+        )
 
 
-def together(attested: list[Attested]) -> Attested:
+def merge_windows(windows: list[CancellationWindow]) -> CancellationWindow:
     """What all of them have told; complete for as long back as the least of them is."""
-    names = frozenset[str]().union(*(one.cancelled for one in attested))
-    return Attested(names, min(one.span for one in attested))
+    names = frozenset[str]().union(*(one.cancelled for one in windows))
+    return CancellationWindow(names, min(one.span for one in windows))
--- a/dappledrum/jobs/intake.py
+++ b/dappledrum/jobs/intake.py
@@ -18,6 +18,7 @@
 from dappledrum.fleet.messages import MachineType
 from dappledrum.http.server import Response
 from dappledrum.jobs.admission import Admission
+from dappledrum.jobs.confirmed_cancellations import ConfirmedCancellations
 from dappledrum.jobs.messages import (
     Answer,
     EndedRecord,
@@ -29,12 +30,10 @@
     Spec,
 )
 from dappledrum.jobs.parts import LONG, split_spec
-from dappledrum.jobs.polls import Found, Live, Polls, Seen, seen
+from dappledrum.jobs.polls import LiveRecord, LiveStatus, Polls, StoredJob, seen
 from dappledrum.jobs.record import ended_key, head_key, page_size, spec_key
-from dappledrum.jobs.told import Told
 from dappledrum.settings import Params
 from dappledrum.state.budget import Rank
-from dappledrum.state.ceiling import Ceiling
 from dappledrum.state.client import (
     ConflictError,
     RefusedError,
@@ -45,11 +44,12 @@
 )
 from dappledrum.state.hedge import commit_or_find
 from dappledrum.state.messages import Guard, Put
+from dappledrum.state.value_limit import ValueLimit
 from dappledrum.timing.clock import Clock
 
 log = logging.getLogger(__name__)
 
-READ_PATIENCE = timedelta(seconds=1)
+READ_TIMEOUT = timedelta(seconds=1)
 KEPT = 20_000
 
 T = TypeVar("T")
@@ -100,17 +100,17 @@
     """Submissions, polls and cancellations."""
 
     def __init__(
-        self, state: State, params: Params, clock: Clock, ceiling: Ceiling | None = None
+        self, state: State, params: Params, clock: Clock, value_limit: ValueLimit | None = None
     ) -> None:
         self.state = state
         self.params = params
         self.clock = clock
-        self.ceiling = ceiling or Ceiling(params.state)
+        self.value_limit = value_limit or ValueLimit(params.state)
         self.types: list[MachineType] | None = None
         # Versions before 0.4.0 can't read the record of a gang, and would lead nothing for it.
         self.gangs = False
         self.ended: OrderedDict[str, EndedRecord] = OrderedDict()
-        self.told = Told(clock.now())
+        self.confirmed = ConfirmedCancellations(clock.now())
         self.admission = Admission(state, params.state.txn_ops, self.find)
         self.polls = Polls(
             state, params.state.txn_ops * 4, self.find, self._find_many, self._find_ended
@@ -161,7 +161,7 @@
         try:
             stored = await self.admission.admit(spec.id, puts)
         except TooLargeError as error:
-            self.ceiling.refused(max(len(bytes(put.value)) for put in puts), str(error))
+            self.value_limit.refused(max(len(bytes(put.value)) for put in puts), str(error))
             return busy()
         except ConflictError:
             found = await self.find(spec.id, Rank.INTAKE)
@@ -209,10 +209,10 @@
 
     def _record(self, spec: Spec) -> list[Put]:
         """What is stored of a new job; the head first."""
-        least = self.ceiling.least
+        least = self.value_limit.least
         stored, parts = spec, []
         # Jobs that wait come when every controller reads parts.
-        apart = self.ceiling.settled or spec.needs
+        apart = self.value_limit.settled or spec.needs
         if apart and len(msgspec.json.encode(spec)) > least // LONG:
             stored, parts = split_spec(spec, least)
         at_ms = round(self.clock.today().timestamp() * 1000)
@@ -227,7 +227,7 @@
         if (
             spec.types is not None
             and len(msgspec.json.encode(msgspec.structs.replace(spec, needs=None)))
-            > self.ceiling.now // 4  # doesn't shrink with a smaller limit
+            > self.value_limit.now // 4  # doesn't shrink with a smaller limit
         ):
             return "list of machine types too long"
         return None
@@ -280,48 +280,48 @@
             log.info("cancellation of %s not taken: %s", job, error)
         return busy()
 
-    async def _cancelled(self, job: str) -> Found:
+    async def _cancelled(self, job: str) -> StoredJob:
         """What is stored of a job that is cancelled or over, whoever has stored it; else None."""
         found = await self.find(job, Rank.INTAKE)
         if isinstance(found, tuple) and not found[0].cancelled:
             return None
         return found
 
-    async def find(self, job: str, rank: Rank) -> Found:
+    async def find(self, job: str, rank: Rank) -> StoredJob:
         """Read a job.
 
         It moves from live to ended only, so the live key is read first; both absent: never
         accepted.
         """
         self._affordable(rank)
-        entry = await self.state.get(head_key(job), rank, READ_PATIENCE)
+        entry = await self.state.get(head_key(job), rank, READ_TIMEOUT)
         if entry is not None:
             return self._decode(entry.value, JobRecord), entry.version
         return await self._find_ended(job, rank)
 
     async def _read_live(self, job: str) -> JobRecord | None:
         """Read the head of a live job."""
-        entry = await self.state.get(head_key(job), Rank.INTAKE, READ_PATIENCE)
+        entry = await self.state.get(head_key(job), Rank.INTAKE, READ_TIMEOUT)
         return None if entry is None else self._decode(entry.value, JobRecord)
 
     def _affordable(self, rank: Rank) -> None:
-        if self.state.busy_for(rank) > READ_PATIENCE / 2:
+        if self.state.busy_for(rank) > READ_TIMEOUT / 2:
             raise RefusedError("over the share of requests")
 
     async def _find_ended(self, job: str, rank: Rank) -> EndedRecord | None:
         """Read the final state of a job that is not live any more, or never was."""
-        entry = await self.state.get(ended_key(job), rank, READ_PATIENCE)
+        entry = await self.state.get(ended_key(job), rank, READ_TIMEOUT)
         if entry is None:
             return None
         record = self._decode(entry.value, EndedRecord)
         self.remember(job, record)
         return record
 
-    async def _find_many(self, jobs: set[str]) -> dict[str, Live]:
+    async def _find_many(self, jobs: set[str]) -> dict[str, LiveRecord]:
         """Those of the jobs that are live, from one look at all live ones; a record that can't be
         read is the trouble of those who ask for its job, not of all who ask together."""
         entries, _ = await self.state.scan(head_key(""), Rank.POLL)
-        result: dict[str, Live] = {}
+        result: dict[str, LiveRecord] = {}
         for entry in entries:
             job = entry.key.removeprefix(head_key(""))
             if job in jobs:
@@ -339,7 +339,7 @@
             raise StateError(f"unusable record: {error}") from error
 
     def _present(
-        self, job: str, found: Found | Seen, status: int, brief: bool = False
+        self, job: str, found: StoredJob | LiveStatus, status: int, brief: bool = False
     ) -> Response:
         if isinstance(found, EndedRecord):
             body = Answer(
@@ -347,12 +347,12 @@
             )
         else:
             assert found is not None
-            live = found if isinstance(found, Seen) else seen(found[0])
+            live = found if isinstance(found, LiveStatus) else seen(found[0])
             state = Outcome.RUNNING if live.running else Outcome.QUEUED
             if live.cancelled:
                 # Of a job that has moved to the ended ones it is proven, and stored, that none of
                 # its tasks is left.
-                self.told.note(job, self.clock.now())
+                self.confirmed.note(job, self.clock.now())
             body = Answer(
                 job, Outcome.CANCELLED if live.cancelled else state, live.done, live.running
             )
--- a/dappledrum/jobs/parts.py
+++ b/dappledrum/jobs/parts.py
@@ -22,33 +22,33 @@
     bytes."""
     here: list[Row] = []
     parts: list[RowsRecord] = []
-    room, target = first, here
+    capacity, target = first, here
     overhead = len(msgspec.json.encode(RowsRecord(prefix, zones, []))) + SPARE
     for suffix, session, zone, numbers in rows:
         for at in range(0, len(numbers), 3 * ROW_TASKS):
             row: Row = (suffix, session, zone, numbers[at : at + 3 * ROW_TASKS])
             size = len(msgspec.json.encode(row)) + 1
-            if size > room:
+            if size > capacity:
                 parts.append(RowsRecord(prefix, zones, []))
-                room, target = most - overhead, parts[-1].rows
+                capacity, target = most - overhead, parts[-1].rows
             target.append(row)
-            room -= size
+            capacity -= size
     return here, parts
 
 
 def split_spec(spec: Spec, most: int) -> tuple[Spec, list[SpecPart]]:
     """A specification without its lists, and the parts that hold those."""
     parts: list[SpecPart] = []
-    room = 0
+    capacity = 0
     lists = (("types", spec.types or []), ("needs", spec.needs or []))
     for kind, names in lists:
         for name in names:
             size = len(msgspec.json.encode(name)) + 1
-            if size > room:
+            if size > capacity:
                 parts.append(SpecPart())
-                room = most - SPARE
+                capacity = most - SPARE
             getattr(parts[-1], kind).append(name)
-            room -= size
+            capacity -= size
     return msgspec.structs.replace(spec, types=None, needs=None), parts
 
 
--- a/dappledrum/jobs/polls.py
+++ b/dappledrum/jobs/polls.py
@@ -24,13 +24,13 @@
 
 KEPT = 4_000  # live jobs of which the newest reading is kept
 GATHER = timedelta(milliseconds=10)  # polls that come together are read together
-GATHER_MOST = timedelta(milliseconds=300)
-PATIENCE = timedelta(seconds=1)
+MAX_GATHER_TIME = timedelta(milliseconds=300)
+REQUEST_TIMEOUT = timedelta(seconds=1)
 AT_ONCE = 3  # readings on their way: one that hangs must not hold up all others
 SINGLE = 2  # up to so many jobs are read one by one, more from the list of all live ones
 
 
-class Seen(NamedTuple):
+class LiveStatus(NamedTuple):
     """What users are told of a live job."""
 
     cancelled: bool
@@ -38,14 +38,14 @@
     running: int
 
 
-Live = tuple[JobRecord, int] | StateError  # of a live job, or why its record is of no use
-Found = tuple[JobRecord, int] | EndedRecord | None
-Told = Seen | EndedRecord | None
+LiveRecord = tuple[JobRecord, int] | StateError  # of a live job, or why its record is of no use
+StoredJob = tuple[JobRecord, int] | EndedRecord | None
+PollAnswer = LiveStatus | EndedRecord | None
 
 
-def seen(record: JobRecord) -> Seen:
+def seen(record: JobRecord) -> LiveStatus:
     """The part of a record that users are told."""
-    return Seen(record.cancelled, record.done, record.running)
+    return LiveStatus(record.cancelled, record.done, record.running)
 
 
 class Polls:
@@ -54,22 +54,22 @@
     def __init__(
         self,
         state: State,
-        most_guards: int,
-        find: Callable[[str, Rank], Awaitable[Found]],
-        find_many: Callable[[set[str]], Awaitable[dict[str, Live]]],
+        max_guards: int,
+        find: Callable[[str, Rank], Awaitable[StoredJob]],
+        find_many: Callable[[set[str]], Awaitable[dict[str, LiveRecord]]],
         find_ended: Callable[[str, Rank], Awaitable[EndedRecord | None]],
     ) -> None:
         self.state = state
-        self.most_guards = most_guards
+        self.max_guards = max_guards
         self.find = find
         self.find_many = find_many
         self.find_ended = find_ended
-        self.known: OrderedDict[str, tuple[Seen, int]] = OrderedDict()
-        self.waiting: dict[str, asyncio.Future[Told]] = {}
+        self.known: OrderedDict[str, tuple[LiveStatus, int]] = OrderedDict()
+        self.waiting: dict[str, asyncio.Future[PollAnswer]] = {}
         self.running: set[asyncio.Task[None]] = set()
         self.starter: asyncio.Task[None] | None = None
 
-    def note(self, job: str, found: Seen, version: int) -> None:
+    def note(self, job: str, found: LiveStatus, version: int) -> None:
         """Keep what a read or an own write has shown."""
         before = self.known.get(job)
         if before is None or before[1] <= version:
@@ -78,10 +78,10 @@
             while len(self.known) > KEPT:
                 self.known.popitem(last=False)
 
-    async def ask(self, job: str) -> Told:
+    async def ask(self, job: str) -> PollAnswer:
         """State of a job, from a reading that begins after this call."""
         wait = self.state.busy_for(Rank.POLL)
-        if wait > PATIENCE * 0.8 or len(self.waiting) > KEPT:
+        if wait > REQUEST_TIMEOUT * 0.8 or len(self.waiting) > KEPT:
             raise RefusedError("over the share of requests")
         answer = self.waiting.get(job)
         if answer is None:
@@ -96,13 +96,13 @@
             while self.waiting:
                 # The more of the share is used up, the more polls go into one reading.
                 scarce = 1 - max(0.0, self.state.requests.level) / self.state.requests.size
-                pause = GATHER + (GATHER_MOST - GATHER) * scarce
-                pause = max(pause, min(self.state.busy_for(Rank.POLL), PATIENCE / 2))
+                pause = GATHER + (MAX_GATHER_TIME - GATHER) * scarce
+                pause = max(pause, min(self.state.busy_for(Rank.POLL), REQUEST_TIMEOUT / 2))
                 await asyncio.sleep(pause.total_seconds())
                 if len(self.running) >= AT_ONCE:
                     await asyncio.wait(self.running, return_when=asyncio.FIRST_COMPLETED)
                 batch = {}
-                for job in list(self.waiting)[: self.most_guards]:
+                for job in list(self.waiting)[: self.max_guards]:
                     batch[job] = self.waiting.pop(job)
                 task = asyncio.get_running_loop().create_task(self._answer(batch))
                 self.running.add(task)
@@ -110,7 +110,7 @@
         finally:
             self.starter = None
 
-    async def _answer(self, batch: dict[str, asyncio.Future[Told]]) -> None:
+    async def _answer(self, batch: dict[str, asyncio.Future[PollAnswer]]) -> None:
         try:
             found = await self._read(set(batch))
             for job, answer in batch.items():
@@ -129,11 +129,11 @@
         for answer in batch.values():
             answer.exception()  # whoever asked may have gone
 
-    async def _read(self, jobs: set[str]) -> dict[str, Told | StateError]:
+    async def _read(self, jobs: set[str]) -> dict[str, PollAnswer | StateError]:
         held = await self._unchanged({job for job in jobs if job in self.known})
-        result: dict[str, Told | StateError] = dict(held)
+        result: dict[str, PollAnswer | StateError] = dict(held)
         missing = jobs - held.keys()
-        find: Callable[[str, Rank], Awaitable[Found]] = self.find
+        find: Callable[[str, Rank], Awaitable[StoredJob]] = self.find
         if len(missing) > SINGLE:
             find = self.find_ended  # what is not among the live ones now was over before
             for job, found in (await self.find_many(missing)).items():
@@ -147,14 +147,14 @@
         result.update(zip(missing, singly, strict=True))
         return result
 
-    async def _unchanged(self, jobs: set[str]) -> dict[str, Seen]:
+    async def _unchanged(self, jobs: set[str]) -> dict[str, LiveStatus]:
         """Those of the known jobs that are still as they were known."""
         if len(jobs) < 2:
             return {}  # a read costs no more, and tells what has changed, too
         claims = {job: self.known[job] for job in jobs}
         guards = [Guard(head_key(job), version) for job, (_, version) in claims.items()]
         try:
-            await commit_idempotent(self.state, guards, [], Rank.POLL, PATIENCE)
+            await commit_idempotent(self.state, guards, [], Rank.POLL, REQUEST_TIMEOUT)
             failed: set[str] = set()
         except ConflictError as error:
             failed = set(error.failed)
@@ -169,8 +169,8 @@
         return result
 
     async def _single(
-        self, find: Callable[[str, Rank], Awaitable[Found]], job: str
-    ) -> Told | StateError:
+        self, find: Callable[[str, Rank], Awaitable[StoredJob]], job: str
+    ) -> PollAnswer | StateError:
         try:
             found = await find(job, Rank.POLL)
         except StateError as error:
--- a/dappledrum/jobs/record.py
+++ b/dappledrum/jobs/record.py
@@ -27,7 +27,7 @@
 from dappledrum.timing.clock import ZERO
 
 PAGE = 256  # tasks, at most
-LEAST_PAGE = 8
+MIN_PAGE = 8
 ROW = 30  # bytes that a task on a machine of its own usually takes
 FRAME = 220  # bytes of a head besides its specification, its bitmap and its rows
 
@@ -40,8 +40,8 @@
 def page_size(spec: Spec, value_bytes: int) -> int:
     """Tasks in a page of a new job: as many as fit into a value when each is on a machine of its
     own, beside the specification in the head, so that no task waits for room in a record."""
-    room = value_bytes - len(msgspec.json.encode(spec)) - FRAME
-    return min(PAGE, max(LEAST_PAGE, room * 4 // (ROW * 4 + 1)))
+    capacity = value_bytes - len(msgspec.json.encode(spec)) - FRAME
+    return min(PAGE, max(MIN_PAGE, capacity * 4 // (ROW * 4 + 1)))
 
 
 def page_key(job: str, index: int) -> str:
--- a/dappledrum/jobs/recorder.py
+++ b/dappledrum/jobs/recorder.py
@@ -20,7 +20,6 @@
 from dappledrum.leadership.terms import LEADER, Term
 from dappledrum.settings import StateLimits
 from dappledrum.state.budget import Rank
-from dappledrum.state.ceiling import Ceiling
 from dappledrum.state.client import (
     TXN_BYTES,
     ConflictError,
@@ -31,6 +30,7 @@
 )
 from dappledrum.state.hedge import Evidence, commit_idempotent, commit_or_find
 from dappledrum.state.messages import Delete, Guard, Put
+from dappledrum.state.value_limit import ValueLimit
 from dappledrum.timing.clock import Clock
 
 log = logging.getLogger(__name__)
@@ -47,12 +47,12 @@
     """One for each term of leadership."""
 
     def __init__(
-        self, state: State, term: Term, limits: StateLimits, ceiling: Ceiling, clock: Clock
+        self, state: State, term: Term, limits: StateLimits, value_limit: ValueLimit, clock: Clock
     ) -> None:
         self.state = state
         self.term = term
         self.limits = limits
-        self.ceiling = ceiling
+        self.value_limit = value_limit
         self.clock = clock
         self.dirty: dict[Page, timedelta] = {}  # since when
         self.ending: dict[Job, None] = {}
@@ -87,12 +87,12 @@
     def shrink(self, jobs: Iterable[Job]) -> None:
         """Write again what is stored in one value that would now be refused: a controller that
         cancels a job writes its head as it is."""
-        if self.shrunk or not self.ceiling.settled:
+        if self.shrunk or not self.value_limit.settled:
             return
         self.shrunk = True
         for job in jobs:
             for page in job.pages.values():
-                if page.stored_bytes > self.ceiling.least and not job.over:
+                if page.stored_bytes > self.value_limit.least and not job.over:
                     page.touch()
                     self.mark(page)
 
@@ -134,38 +134,38 @@
         only accumulate: written with each of them, a hundred live jobs would use up the rate of
         changes, and every start would queue behind them.
         """
-        room = self._room()
+        capacity = self._capacity()
         if not self.dirty and not self.ending:
-            await self._collect(room)
+            await self._collect(capacity)
             return True
         now = self.clock.now()
         urgent = [p for p, since in self.dirty.items() if p.starts > p.saved or now - since > LAZY]
         # Starts of urgent jobs before others': a swarm of small jobs must not delay them.
         urgent.sort(key=lambda page: (page.starts <= page.saved, page.job.rank))
-        spare = min(room, int(self.state.writes.level - 0.5 * self.state.writes.size))
+        spare = min(capacity, int(self.state.writes.level - 0.5 * self.state.writes.size))
         hurried = set(urgent)
         lazy = [page for page in self.dirty if page not in hurried][: max(0, spare)]
         pages: list[Page] = []
         jobs: list[Job] = []
         noted = self._to_note()
-        for page in noted[: max(1, room // 2 if urgent else room)]:
+        for page in noted[: max(1, capacity // 2 if urgent else capacity)]:
             if await self._certain(page):
                 pages.append(page)
-                room -= 1
+                capacity -= 1
         for job in list(self.ending):
             if noted and job.cancelled:
                 continue
-            if room >= 2 and await self._certain(job.page(0)):
+            if capacity >= 2 and await self._certain(job.page(0)):
                 jobs.append(job)
-                room -= 2
+                capacity -= 2
                 if urgent and len(jobs) * 4 >= self.limits.txn_ops:
                     break
         for page in urgent + lazy:
             if page.job.over or page.job in self.ending:
                 self.dirty.pop(page, None)
-            elif room >= 1 and await self._certain(page):
+            elif capacity >= 1 and await self._certain(page):
                 pages.append(page)
-                room -= 1
+                capacity -= 1
         if pages or jobs:
             await self._write(pages, jobs)
         return bool(pages or jobs)
@@ -177,7 +177,7 @@
             return []
         return [job.page(0) for job in self.ending if job.cancelled and not job.cancel_stored]
 
-    def _room(self) -> int:
+    def _capacity(self) -> int:
         """Number of changes for the next transaction: what the rate allows now, but always a
         few."""
         allowed = int(self.state.writes.level - 0.2 * self.state.writes.size)
@@ -197,7 +197,7 @@
             if not job.page(0).twin_possible:
                 evidence.append(Evidence(ended.key, 0, ended.value))
         for page in pages:
-            own = page.to_values(self.ceiling.whole, self.ceiling.least)
+            own = page.to_values(self.value_limit.whole, self.value_limit.least)
             length = sum(len(bytes(c.value)) + 400 for c in own if isinstance(c, Put))
             main = own[0]
             assert isinstance(main, Put)
@@ -223,7 +223,9 @@
                 page.uncertain |= page.key in failed
             return
         except TooLargeError as error:
-            if not self.ceiling.refused(max((row[3] for row in written), default=0), str(error)):
+            if not self.value_limit.refused(
+                max((row[3] for row in written), default=0), str(error)
+            ):
                 raise
             return  # certainly not executed: again, in parts
         except StateError:
@@ -246,7 +248,7 @@
                 self.dirty[page] = self.clock.now()
         for job in jobs:
             self._ended(job)
-        await self._tell()
+        await self._notify_saved()
 
     @staticmethod
     def _unmistakable(page: Page) -> bool:
@@ -275,7 +277,7 @@
             return None
         return entry.version
 
-    async def _tell(self) -> None:
+    async def _notify_saved(self) -> None:
         self.on_saved()
         async with self.saved:
             self.saved.notify_all()
@@ -299,7 +301,7 @@
         elif page.index == 0:
             await self._read_end(job)
             self._ended(job)
-            await self._tell()
+            await self._notify_saved()
             return False
         else:
             page.version = 0
@@ -338,14 +340,14 @@
             self.garbage[spec_key(job.id, part)] = None
         self.on_ended(job)
 
-    async def _collect(self, room: int) -> None:
+    async def _collect(self, capacity: int) -> None:
         """Remove what is left of jobs that are over, or never were.
 
         Only while they have no head, whenever this is carried out: a job that was submitted while
         a new leader read the records was in the list of parts and not in that of jobs, and lost
         its parts; and a removal that is carried out late may meet a job that has come since.
         """
-        keys = list(self.garbage)[: max(1, room // 2)]
+        keys = list(self.garbage)[: max(1, capacity // 2)]
         heads = {key: head_key(key.split("/")[1]) for key in keys}
         guards = [self.term.guard(), *(Guard(head, 0) for head in sorted(set(heads.values())))]
         try:
--- a/dappledrum/jobs/test_old_records.py
+++ b/dappledrum/jobs/test_old_records.py
@@ -11,7 +11,14 @@
 from dappledrum.jobs.messages import EndedRecord, JobRecord, Outcome, PageRecord
 from dappledrum.jobs.record import Job
 from dappledrum.leadership.messages import EpochRecord, LeaderRecord, PromiseReply
-from dappledrum.peers.messages import Knocks, KnocksReply, Promise, Question, Relay, RelayReply
+from dappledrum.peers.messages import (
+    Promise,
+    Question,
+    Relay,
+    RelayReply,
+    ReportAttemptsQuestion,
+    ReportAttemptsReply,
+)
 from dappledrum.peers.messages import decode as decode_peer
 from dappledrum.standins.world import job
 
@@ -145,14 +152,14 @@
     assert msgspec.json.decode(catalog, type=Catalog).types[0].name == "small"
     questions = [
         ({"kind": "relay", "method": "GET", "path": "/x", "body": b""}, Relay),
-        ({"kind": "knocks", "within_ms": 10}, Knocks),
+        ({"kind": "knocks", "within_ms": 10}, ReportAttemptsQuestion),
         ({"kind": "promise", "request": {"member": "n", "epoch": 3, "for_ms": 2000}}, Promise),
     ]
     for message, kind in questions:
         assert isinstance(decode_peer(cbor2.dumps(message), Question), kind)
     replies = [
         ({"status": 200, "body": b"{}", "retry_after": None}, RelayReply),
-        ({"machines": {"host-000001": 2}}, KnocksReply),
+        ({"machines": {"host-000001": 2}}, ReportAttemptsReply),
         ({"granted": False, "reason": "why"}, PromiseReply),
     ]
     for message, kind in replies:
--- a/dappledrum/jobs/test_recorder.py
+++ b/dappledrum/jobs/test_recorder.py
@@ -14,8 +14,8 @@
 from dappledrum.standins.time import run
 from dappledrum.standins.world import job
 from dappledrum.state.budget import Budget
-from dappledrum.state.ceiling import Ceiling
 from dappledrum.state.client import State
+from dappledrum.state.value_limit import ValueLimit
 from dappledrum.timing.clock import Clock
 
 
@@ -47,7 +47,7 @@
         clock = Clock()
         limits = StateLimits(100, 20, 8, 24)
         state = Slow(limits, clock)
-        recorder = Recorder(state, Term(1, 1, 1), limits, Ceiling(limits), clock)
+        recorder = Recorder(state, Term(1, 1, 1), limits, ValueLimit(limits), clock)
         jobs = [live(number) for number in range(12)]
         for one in jobs[:-1]:
             one.page(0).finish(0)
--- a/dappledrum/leadership/elector.py
+++ b/dappledrum/leadership/elector.py
@@ -19,19 +19,19 @@
 
 import msgspec
 
-from dappledrum.jobs.told import Attested
+from dappledrum.jobs.confirmed_cancellations import CancellationWindow
 from dappledrum.leadership.messages import (
     EpochRecord,
-    HandOver,
     LeaderRecord,
+    PreVote,
+    PreVoteReply,
     PromiseReply,
     PromiseRequest,
-    Standing,
-    StandingReply,
+    TransferLeadership,
 )
-from dappledrum.leadership.questions import Asker, Giver, StandingAsker, majority
-from dappledrum.leadership.terms import LEADER, Offer, Term
-from dappledrum.leadership.witness import PROMISE, Witness
+from dappledrum.leadership.questions import Asker, PreVoteAsker, TransferCall, majority
+from dappledrum.leadership.terms import LEADER, PendingTransfer, Term
+from dappledrum.leadership.votes import PROMISE, VoteState
 from dappledrum.state.budget import Rank
 from dappledrum.state.client import (
     CompactedError,
@@ -44,24 +44,25 @@
 from dappledrum.state.hedge import commit_or_find
 from dappledrum.state.messages import Event, Guard, Put
 from dappledrum.timing.clock import ZERO, Clock, longer, shorter
-from dappledrum.timing.troubles import Trouble
+from dappledrum.timing.fault_log import FaultLog
 
 log = logging.getLogger(__name__)
 
 EPOCH = "epoch"
 MARGIN = timedelta(milliseconds=100)
 #: How long a leader waits for its successor to say that it leads, before it ends its own lease.
-GIVING = timedelta(seconds=1.5)
+TRANSFER_TIME = timedelta(seconds=1.5)
 #: The bound on handing over, whatever the links do: not in the first moments of a term, and this
 #: often in this time at the most.
-TERM_LEAST = timedelta(seconds=10)
-MOVES = 3
-MOVES_IN = timedelta(seconds=60)
+MIN_TERM_AGE = timedelta(seconds=10)
+MAX_TRANSFERS = 3
+TRANSFER_WINDOW = timedelta(seconds=60)
 
-STANDING = timedelta(milliseconds=400)  # the most that a candidate waits for a majority's answers
-CLEAR_PAUSE = timedelta(milliseconds=500)
+# the most that a candidate waits for a majority's answers
+PRE_VOTE_TIME = timedelta(milliseconds=400)
+OTHERS_STOPPED_PAUSE = timedelta(milliseconds=500)
 #: An answer of a peer covers this much more than the time since all was known: what it takes.
-TOLD_MORE = timedelta(seconds=2)
+WINDOW_MARGIN = timedelta(seconds=2)
 
 
 class Elector:
@@ -75,10 +76,10 @@
         rng: random.Random,
         life: timedelta,
         ask_peers: Asker,
-        ask_standing: StandingAsker,
-        give: Giver,
-        alone_most: timedelta,
-        known_most: timedelta,
+        ask_pre_vote: PreVoteAsker,
+        send_transfer: TransferCall,
+        max_alone: timedelta,
+        max_known: timedelta,
     ) -> None:
         self.member = member
         self.state = state
@@ -86,35 +87,37 @@
         self.rng = rng
         self.life = life
         self.ask_peers = ask_peers
-        self.ask_standing = ask_standing
-        self.give = give
+        self.ask_pre_vote = ask_pre_vote
+        self.send_transfer = send_transfer
         #: How long a leader goes on, from its newest renewal, when a majority promises but not
         #: all: somebody may be served meanwhile, and tell a user that a job is cancelled.
-        self.alone_most = alone_most
+        self.max_alone = max_alone
         #: How long after it has known of all cancellations a leader may answer workers.
-        self.known_most = known_most
+        self.max_known = max_known
         #: What this process has told users itself; who hears what all have told, and took it on.
-        self.told: Callable[[timedelta], Attested] = lambda span: Attested(frozenset(), ZERO)
-        self.on_told: Callable[[frozenset[str]], bool] = lambda cancelled: False
+        self.confirmed: Callable[[timedelta], CancellationWindow] = lambda span: (
+            CancellationWindow(frozenset(), ZERO)
+        )
+        self.on_confirmed: Callable[[frozenset[str]], bool] = lambda cancelled: False
         #: Whether all peers are known to ask before they stand; else all have to promise.
         self.all_ask: Callable[[], bool] = lambda: False
         self.term: Term | None = None
         self.leader: LeaderRecord | None = None
         self.on_change: Callable[[], None] = lambda: None
-        self.witness = Witness(clock.now())
+        self.votes = VoteState(clock.now())
         self.avoid_until = ZERO
-        self.untold = Trouble(
+        self.incomplete_confirmations = FaultLog(
             log, clock, "not every controller tells what users were told is cancelled"
         )
         self.epoch = 0  # the highest that was heard of
-        self.moves: list[timedelta] = []  # when leadership was handed over, as far as known
+        self.transfers: list[timedelta] = []  # when leadership was handed over, as far as known
         #: How long this controller lets a better one stand first; asked once for each vacancy.
-        self.defer: Callable[[], timedelta] = lambda: ZERO
-        self._deferred = False
+        self.candidacy_delay: Callable[[], timedelta] = lambda: ZERO
+        self._delayed = False
         #: The last moment at which this process, or one before it, may have answered a worker.
         self.held_at = clock.now()
-        self._offer: Offer | None = None
-        self._offered = asyncio.Event()
+        self._pending_transfer: PendingTransfer | None = None
+        self._transfer_arrived = asyncio.Event()
 
     def leading(self) -> Term | None:
         """The running term, if this controller may give commands at this moment."""
@@ -136,51 +139,51 @@
         """Until when workers may be answered, for what is known of cancellations. One that has not
         read them by then answers nobody, and lets another try."""
         known = term.began if term.known_at is None else term.known_at
-        return known + shorter(self.known_most)
+        return known + shorter(self.max_known)
 
     def answering(self) -> Term | None:
         """The running term, if a worker may be answered at this moment, which renews its lease.
 
-        Invariant: nobody answers later than `known_most` after a moment up to which it knows of
+        Invariant: nobody answers later than `max_known` after a moment up to which it knows of
         every cancellation that users were told of. What it does not know of is gone a lease later.
         """
         term = self.holding()
         return None if term is None or term.known_at is None else term
 
-    def quiet_for(self) -> timedelta:
+    def no_answers_for(self) -> timedelta:
         """For how long nobody can have been answered by a term of this controller."""
         return ZERO if self.term is not None else self.clock.now() - self.held_at
 
-    def nobody_holds(self) -> None:
+    def no_term_held(self) -> None:
         """Every other controller has told that it holds no term, asked after this process began.
 
         A promise of an earlier process can only serve a term that has been held without a break
         since before that, so none is left that rests on one, and there is nothing to wait for.
         """
-        if self.witness.unknown_until > self.clock.now():
+        if self.votes.unknown_until > self.clock.now():
             log.info("nobody relies on a promise from before, standing at once")
-            self.witness.unknown_until = self.clock.now()
+            self.votes.unknown_until = self.clock.now()
 
     def resign(self, why: str, avoid: timedelta) -> None:
         """Give leadership up and don't stand again for a while."""
         self.avoid_until = self.clock.now() + avoid
-        self.moves.append(self.clock.now())
+        self.transfers.append(self.clock.now())
         if self.term is not None:
             log.warning("resigning: %s", why)
             self.term.over.set()
 
-    def may_move(self) -> bool:
+    def may_transfer(self) -> bool:
         """Whether leadership may be handed over now, by the bound on how often."""
         term, now = self.term, self.clock.now()
-        self.moves = [at for at in self.moves if now - at < MOVES_IN]
+        self.transfers = [at for at in self.transfers if now - at < TRANSFER_WINDOW]
         return (
             term is not None
             and not term.over.is_set()
-            and now - term.began >= TERM_LEAST
-            and len(self.moves) < MOVES
+            and now - term.began >= MIN_TERM_AGE
+            and len(self.transfers) < MAX_TRANSFERS
         )
 
-    def hand_over(self, member: str, why: str) -> None:
+    def transfer_leadership(self, member: str, why: str) -> None:
         """Stop acting for good, then name a successor, which need not wait for the lease.
 
         The order matters: nothing may be answered once the successor can lead.
@@ -191,21 +194,21 @@
             term.successor = member
             term.over.set()
 
-    async def take_over(self, request: HandOver) -> bool:
+    async def accept_leadership(self, request: TransferLeadership) -> bool:
         """A leader has stopped and names this controller; whether it leads now."""
-        if self.term is not None or self._offer is not None:
+        if self.term is not None or self._pending_transfer is not None:
             return False
-        offer = self._offer = Offer(request)
-        self._offered.set()
+        transfer = self._pending_transfer = PendingTransfer(request)
+        self._transfer_arrived.set()
         try:
-            async with asyncio.timeout(GIVING.total_seconds()):
-                return await offer.leads
+            async with asyncio.timeout(TRANSFER_TIME.total_seconds()):
+                return await transfer.leads
         except TimeoutError:
             return False
         finally:
-            if self._offer is offer:
-                self._offer = None
-                self._offered.clear()
+            if self._pending_transfer is transfer:
+                self._pending_transfer = None
+                self._transfer_arrived.clear()
 
     async def run(self) -> None:
         """Follow or lead, for ever."""
@@ -225,13 +228,13 @@
         holder = next((e for e in entries if e.key == LEADER), None)
         if holder is None:
             self._learn(None)
-            if await self._may_stand():
-                await self._stand()
+            if await self._may_campaign():
+                await self._campaign()
             return
-        self._deferred = False
+        self._delayed = False
         version = holder.version
         self._learn(msgspec.json.decode(holder.value, type=LeaderRecord))
-        await self._outlive(version)
+        await self._end_own_lease(version)
         while True:
             try:
                 seen = await self._watch(revision)
@@ -245,11 +248,11 @@
                 if event.put == LEADER:
                     version = event.version  # a key that is handed over is replaced, not removed
                     self._learn(msgspec.json.decode(event.value, type=LeaderRecord))
-                    await self._outlive(version)
+                    await self._end_own_lease(version)
                 elif event.delete == LEADER:
                     return
 
-    async def _outlive(self, version: int) -> None:
+    async def _end_own_lease(self, version: int) -> None:
         """End the hold of a key with this controller's own name, under which it does not lead.
 
         A process begins when the one before it under its name is gone, so that one answers nobody
@@ -271,24 +274,24 @@
         watch = asyncio.ensure_future(
             self.state.watch(LEADER, revision, self.life * 2, Rank.LEASE)
         )
-        offered = asyncio.ensure_future(self._offered.wait())
+        transfer_arrives = asyncio.ensure_future(self._transfer_arrived.wait())
         try:
-            await asyncio.wait((watch, offered), return_when=asyncio.FIRST_COMPLETED)
-            return None if offered.done() else await watch
+            await asyncio.wait((watch, transfer_arrives), return_when=asyncio.FIRST_COMPLETED)
+            return None if transfer_arrives.done() else await watch
         finally:
-            offered.cancel()
+            transfer_arrives.cancel()
             watch.cancel()
 
     async def _accept(self, seen: int) -> None:
         """Stand in the place of a leader that has stopped, if its key is still as it says."""
-        offer = self._offer
-        if offer is None:
+        transfer = self._pending_transfer
+        if transfer is None:
             return
         try:
-            if offer.request.version == seen:
-                await self._stand(offer)
+            if transfer.request.version == seen:
+                await self._campaign(transfer)
         finally:
-            offer.settle(False)
+            transfer.resolve(False)
 
     def _learn(self, leader: LeaderRecord | None) -> None:
         if leader is not None:
@@ -297,43 +300,43 @@
             self.leader = leader
             self.on_change()
 
-    async def _may_stand(self) -> bool:
+    async def _may_campaign(self) -> bool:
         now = self.clock.now()
-        wait = max(self.witness.free_at(), self.avoid_until) - now
+        wait = max(self.votes.free_at(), self.avoid_until) - now
         if wait > ZERO:
             await asyncio.sleep(min(wait, timedelta(seconds=0.5)).total_seconds())
             return False
-        if not self._deferred:
-            self._deferred = True
-            wait = self.defer()
+        if not self._delayed:
+            self._delayed = True
+            wait = self.candidacy_delay()
             if wait > ZERO:
                 await asyncio.sleep(wait.total_seconds())
                 return False
         return True
 
-    async def _stand(self, offer: Offer | None = None) -> None:
+    async def _campaign(self, transfer: PendingTransfer | None = None) -> None:
         """Take the key, when there is none or in the place of the leader that offers it."""
         entry = await self.state.get(EPOCH, Rank.LEASE)
         epoch = (
             msgspec.json.decode(entry.value, type=EpochRecord).epoch if entry is not None else 0
         )
-        if offer is not None and offer.request.epoch != epoch:
+        if transfer is not None and transfer.request.epoch != epoch:
             return
-        if offer is None and await self.state.get(LEADER, Rank.LEASE) is not None:
+        if transfer is None and await self.state.get(LEADER, Rank.LEASE) is not None:
             return  # taken between the look and the epoch: nobody may be asked to stand against it
         lease = await self.state.open_lease(self.life)
         # Whoever offers its place and knew that it alone could answer is the only one that can
         # have answered anybody; its key stands, so whom this controller has promised has lapsed.
-        if offer is not None and offer.request.clear:
+        if transfer is not None and transfer.request.clear:
             clear: timedelta | None = self.clock.now()
         else:
-            clear = await self._whether_clear(epoch + 1)
-            if self.witness.free_at() > self.clock.now():
+            clear = await self._others_stopped(epoch + 1)
+            if self.votes.free_at() > self.clock.now():
                 await self._drop(lease)  # a promise was given while we were reading
                 return
-        self.witness.tried = epoch
+        self.votes.tried = epoch
         sent = self.clock.now()
-        replaced = offer.request.version if offer is not None else 0
+        replaced = transfer.request.version if transfer is not None else 0
         guards = [Guard(LEADER, replaced), Guard(EPOCH, entry.version if entry is not None else 0)]
         changes = [
             Put(LEADER, raw(LeaderRecord(self.member, epoch + 1)), lease),
@@ -352,7 +355,7 @@
             raise
         # The lease was opened before the transaction, so only a renewal tells how long it lasts.
         term = Term(epoch + 1, version, lease, self.clock.now())
-        term.clear_at = clear
+        term.others_stopped_at = clear
         try:
             await self._renew(term)
         except StateError:
@@ -366,12 +369,12 @@
         self.term = term
         self._learn(LeaderRecord(self.member, term.epoch))
         self.on_change()
-        if offer is not None:
-            self.moves = [
-                self.clock.now() - timedelta(milliseconds=m) for m in offer.request.moves_ms
+        if transfer is not None:
+            self.transfers = [
+                self.clock.now() - timedelta(milliseconds=m) for m in transfer.request.moves_ms
             ]
-            offer.settle(True)
-        clearing = asyncio.ensure_future(self._find_clear(term))
+            transfer.resolve(True)
+        clearing = asyncio.ensure_future(self._learn_others_stopped(term))
         try:
             await self._keep(term)
         finally:
@@ -384,10 +387,10 @@
             log.warning("no longer leading with epoch %d", term.epoch)
         if term.successor is not None:
             now = self.clock.now()
-            moves = [int((now - at).total_seconds() * 1e3) for at in self.moves]
-            clear = term.clear_at is not None
-            request = HandOver(self.member, term.epoch, version, [*moves, 0], clear)
-            leads = await self.give(term.successor, request, GIVING)
+            transfers = [int((now - at).total_seconds() * 1e3) for at in self.transfers]
+            clear = term.others_stopped_at is not None
+            request = TransferLeadership(self.member, term.epoch, version, [*transfers, 0], clear)
+            leads = await self.send_transfer(term.successor, request, TRANSFER_TIME)
             log.info("%s %s", term.successor, "leads" if leads else "does not lead, standing down")
         await self._drop(lease)
 
@@ -402,32 +405,32 @@
         await self.state.renew_lease(term.lease, self.life / 3)
         term.valid_until = max(term.valid_until, sent + shorter(self.life) - MARGIN)
         term.renewed_at = max(term.renewed_at, sent)
-        self.untold.over()
+        self.incomplete_confirmations.over()
 
-    async def _whether_clear(self, epoch: int) -> timedelta | None:
+    async def _others_stopped(self, epoch: int) -> timedelta | None:
         """The moment from which no former leader can go on for promises, by the word of a
         majority; None when that many could not tell, or did not say so.
 
         A peer that does not know the question shows that only the promise of *all* counts, and
         this controller has given none that stands.
         """
-        if not self.witness.standing(epoch, self.clock.now(), False).free:
+        if not self.votes.pre_vote(epoch, self.clock.now(), False).free:
             return None
-        answers = await self.ask_standing(Standing(self.member, epoch), STANDING)
+        answers = await self.ask_pre_vote(PreVote(self.member, epoch), PRE_VOTE_TIME)
         if answers.old or majority(answers.yes, answers.asked):
             return self.clock.now()
         return None
 
-    async def _find_clear(self, term: Term) -> None:
+    async def _learn_others_stopped(self, term: Term) -> None:
         """Ask on until it is known, or until every promise must have lapsed all the same."""
-        at_last = term.began + longer(self.alone_most + PROMISE)
-        while term.clear_at is None:
+        at_last = term.began + longer(self.max_alone + PROMISE)
+        while term.others_stopped_at is None:
             if self.clock.now() >= at_last:
-                term.clear_at = at_last
+                term.others_stopped_at = at_last
                 return
-            await asyncio.sleep(CLEAR_PAUSE.total_seconds())
-            term.clear_at = await self._whether_clear(term.epoch)
-            if term.clear_at is not None:
+            await asyncio.sleep(OTHERS_STOPPED_PAUSE.total_seconds())
+            term.others_stopped_at = await self._others_stopped(term.epoch)
+            if term.others_stopped_at is not None:
                 log.info("no former leader answers any more, by the word of a majority")
 
     async def _keep(self, term: Term) -> None:
@@ -447,7 +450,7 @@
                 await self._ask(term)
                 pause = self.life / 12
             if self.holding() is None:
-                self._say_why(term)
+                self._log_why(term)
                 return
             with_jitter = pause * self.rng.uniform(0.9, 1.1)
             try:
@@ -456,7 +459,7 @@
             except TimeoutError:
                 pass
 
-    def _say_why(self, term: Term) -> None:
+    def _log_why(self, term: Term) -> None:
         now = self.clock.now()
         if now >= self._known_until(term):
             log.warning(
@@ -483,7 +486,7 @@
 
     async def _ask(self, term: Term) -> None:
         sent = self.clock.now()
-        back = ZERO if term.known_at is None else sent - term.known_at + TOLD_MORE
+        back = ZERO if term.known_at is None else sent - term.known_at + WINDOW_MARGIN
         request = PromiseRequest(
             self.member,
             term.epoch,
@@ -495,27 +498,29 @@
         # promise.
         if self.holding() is None:
             return
-        if self._attested(term, sent, answers.told):
-            self.untold.over()
+        if self._apply_confirmed(term, sent, answers.confirmed):
+            self.incomplete_confirmations.over()
         elif majority(answers.yes, answers.asked):
-            self.untold.seen(f"complete for {answers.told.span.total_seconds():.0f} s")
+            self.incomplete_confirmations.seen(
+                f"complete for {answers.confirmed.span.total_seconds():.0f} s"
+            )
         until = sent + shorter(PROMISE) - MARGIN
         if answers.yes == answers.asked:
             term.promised_until = until
         elif majority(answers.strong, answers.asked) and self.all_ask():
-            until = min(until, term.renewed_at + shorter(self.alone_most))
+            until = min(until, term.renewed_at + shorter(self.max_alone))
             term.promised_until = max(term.promised_until, until)
 
-    def _attested(self, term: Term, asked: timedelta, by_peers: Attested) -> bool:
+    def _apply_confirmed(self, term: Term, asked: timedelta, by_peers: CancellationWindow) -> bool:
         """Take on what all controllers have told users, if that is complete since all was known
         the last time. Only then: one that is silent, began since, or is of an older version may
         have told anything."""
         now = self.clock.now()
         if term.known_at is None:
             return False
-        own = self.told(now - term.known_at + TOLD_MORE)
+        own = self.confirmed(now - term.known_at + WINDOW_MARGIN)
         whole = own.covers(term.known_at, now) and by_peers.covers(term.known_at, now)
-        if not (whole and self.on_told(own.cancelled | by_peers.cancelled)):
+        if not (whole and self.on_confirmed(own.cancelled | by_peers.cancelled)):
             return False
         term.knows(asked)
         return True
@@ -524,16 +529,16 @@
         """Answer a leader that can't reach the state service, and which this controller can't
         reach either."""
         leads, now = self.term is not None, self.clock.now()
-        reply = self.witness.promise(request, now, leads, self.epoch)
-        told = self.told(timedelta(milliseconds=request.told_ms))
-        reply.cancelled = sorted(told.cancelled)
-        reply.told_ms = int(told.span.total_seconds() * 1000)
+        reply = self.votes.promise(request, now, leads, self.epoch)
+        confirmed = self.confirmed(timedelta(milliseconds=request.told_ms))
+        reply.cancelled = sorted(confirmed.cancelled)
+        reply.told_ms = int(confirmed.span.total_seconds() * 1000)
         return reply
 
-    def standing(self, question: Standing) -> StandingReply:
+    def pre_vote(self, question: PreVote) -> PreVoteReply:
         """Answer a candidate."""
         leads = self.term is not None and self.term.epoch != question.epoch
-        return self.witness.standing(question.epoch, self.clock.now(), leads)
+        return self.votes.pre_vote(question.epoch, self.clock.now(), leads)
 
     async def _drop(self, lease: int) -> None:
         try:
--- a/dappledrum/leadership/messages.py
+++ b/dappledrum/leadership/messages.py
@@ -29,7 +29,8 @@
     member: str
     epoch: int
     for_ms: int
-    #: How far back it should be told which cancellations users were told of; see jobs/told.py.
+    #: How far back it should be told which cancellations users were told of; see
+    #: jobs/confirmed_cancellations.py.
     told_ms: Age = 0
 
 
@@ -48,8 +49,8 @@
     told_ms: Age = 0
 
 
-class Standing(msgspec.Struct, tag="standing", tag_field="kind"):
-    """Pre-vote: a candidate for this epoch asks whether a peer holds to a promise; see witness.py.
+class PreVote(msgspec.Struct, tag="standing", tag_field="kind"):
+    """Pre-vote: a candidate for this epoch asks whether a peer holds to a promise; see votes.py.
     Supported from 0.5.0 on. A peer of an older version refuses it, and then a leader needs the
     promises of all peers."""
 
@@ -57,13 +58,13 @@
     epoch: Count
 
 
-class StandingReply(msgspec.Struct):
+class PreVoteReply(msgspec.Struct):
     """Whether the peer holds to no promise, and will promise nothing to a lower epoch."""
 
     free: bool
 
 
-class HandOver(msgspec.Struct, tag="hand_over", tag_field="kind"):
+class TransferLeadership(msgspec.Struct, tag="hand_over", tag_field="kind"):
     """Leadership transfer: a leader that has stopped for good names its successor, which may
     replace the key `leader` of this version and raise the epoch from this one.
 
@@ -78,7 +79,7 @@
     clear: bool = False
 
 
-class HandOverReply(msgspec.Struct):
+class TransferLeadershipReply(msgspec.Struct):
     """Whether the successor leads now."""
 
     leads: bool
--- a/dappledrum/leadership/questions.py
+++ b/dappledrum/leadership/questions.py
@@ -4,8 +4,8 @@
 from datetime import timedelta
 from typing import NamedTuple
 
-from dappledrum.jobs.told import Attested
-from dappledrum.leadership.messages import HandOver, PromiseRequest, Standing
+from dappledrum.jobs.confirmed_cancellations import CancellationWindow
+from dappledrum.leadership.messages import PreVote, PromiseRequest, TransferLeadership
 from dappledrum.timing.clock import ZERO
 
 #: The span of a deployment of a single controller: no other one answers users.
@@ -19,7 +19,7 @@
     asked: int
     strong: int = 0  # promises that count where only a majority promises
     old: bool = False  # the version of some peer does not support the question
-    told: Attested = Attested(
+    confirmed: CancellationWindow = CancellationWindow(
         frozenset(), ZERO
     )  # by all of them; the span is zero if one did not say
 
@@ -30,5 +30,5 @@
 
 
 Asker = Callable[[PromiseRequest, timedelta], Awaitable[Answers]]
-StandingAsker = Callable[[Standing, timedelta], Awaitable[Answers]]
-Giver = Callable[[str, HandOver, timedelta], Awaitable[bool]]
+PreVoteAsker = Callable[[PreVote, timedelta], Awaitable[Answers]]
+TransferCall = Callable[[str, TransferLeadership, timedelta], Awaitable[bool]]
--- a/dappledrum/leadership/terms.py
+++ b/dappledrum/leadership/terms.py
@@ -3,7 +3,7 @@
 import asyncio
 from datetime import timedelta
 
-from dappledrum.leadership.messages import HandOver
+from dappledrum.leadership.messages import TransferLeadership
 from dappledrum.state.messages import Guard
 from dappledrum.timing.clock import ZERO
 
@@ -24,7 +24,7 @@
         #: All cancellations confirmed to users until then are known; None: not read yet.
         self.known_at: timedelta | None = None
         #: From then on no other controller can have answered a worker; None: not known yet.
-        self.clear_at: timedelta | None = None
+        self.others_stopped_at: timedelta | None = None
         self.over = asyncio.Event()
         self.successor: str | None = None  # the controller that leadership is transferred to
 
@@ -44,14 +44,14 @@
         return Guard(LEADER, self.version)
 
 
-class Offer:
+class PendingTransfer:
     """A transfer from a leader that has stopped, until its outcome is known."""
 
-    def __init__(self, request: HandOver) -> None:
+    def __init__(self, request: TransferLeadership) -> None:
         self.request = request
         self.leads: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
 
-    def settle(self, leads: bool) -> None:
+    def resolve(self, leads: bool) -> None:
         """Tell the former leader whether this controller leads now."""
         if not self.leads.done():
             self.leads.set_result(leads)
--- a/dappledrum/leadership/test_told.py
+++ b/dappledrum/leadership/test_confirmed_cancellations.py
@@ -8,8 +8,13 @@
 import pytest
 
 from dappledrum.http.client import NoResponseError, Reply
-from dappledrum.jobs.told import KEPT, Attested, Told, together
-from dappledrum.leadership.elector import TOLD_MORE, Elector
+from dappledrum.jobs.confirmed_cancellations import (
+    KEPT,
+    CancellationWindow,
+    ConfirmedCancellations,
+    merge_windows,
+)
+from dappledrum.leadership.elector import WINDOW_MARGIN, Elector
 from dappledrum.leadership.messages import PromiseReply, PromiseRequest
 from dappledrum.leadership.questions import ALWAYS, Answers
 from dappledrum.leadership.terms import Term
@@ -19,14 +24,14 @@
 from dappledrum.timing.clock import ZERO, Clock
 
 LIFE = timedelta(seconds=3)
-NOBODY = Attested(frozenset(), ZERO)
+NOBODY = CancellationWindow(frozenset(), ZERO)
 
 
 def s(value):
     return timedelta(seconds=value)
 
 
-class Court:
+class ElectionModel:
     """A leader without the state service, at 100 s, that knew of all cancellations at 95 s."""
 
     def __init__(self, peers, known=95.0, takes=0.0):
@@ -34,7 +39,7 @@
         self.peers = peers  # what each says when it is asked for a span, at a moment
         self.takes = takes
         self.heard = []
-        self.own = Told(s(0))
+        self.own = ConfirmedCancellations(s(0))
         self.elector = Elector(
             "drummer-0",
             None,
@@ -47,8 +52,8 @@
             s(20),
             s(20),
         )
-        self.elector.told = lambda span: self.own.within(span, self.clock.now())
-        self.elector.on_told = lambda names: bool(self.heard.append(names)) or True
+        self.elector.confirmed = lambda span: self.own.within(span, self.clock.now())
+        self.elector.on_confirmed = lambda names: bool(self.heard.append(names)) or True
         self.term = self.elector.term = Term(1, 1, 1, s(90))
         self.term.valid_until = s(101)
         self.term.known_at = None if known is None else s(known)
@@ -57,8 +62,10 @@
         span = timedelta(milliseconds=request.told_ms)
         said = [peer(span, self.clock.now()) for peer in self.peers]
         await asyncio.sleep(self.takes)
-        said.append(Attested(frozenset(), ALWAYS))
-        return Answers(len(self.peers), len(self.peers), len(self.peers), told=together(said))
+        said.append(CancellationWindow(frozenset(), ALWAYS))
+        return Answers(
+            len(self.peers), len(self.peers), len(self.peers), confirmed=merge_windows(said)
+        )
 
     async def asked(self):
         await asyncio.sleep(100 - self.clock.now().total_seconds())
@@ -66,9 +73,9 @@
         return self.term.known_at
 
 
-def peer(born=0.0, *told):
-    memory = Told(s(born))
-    for job, at in told:
+def peer(born=0.0, *confirmed):
+    memory = ConfirmedCancellations(s(born))
+    for job, at in confirmed:
         memory.note(job, s(at))
     return memory.within
 
@@ -79,21 +86,21 @@
 
 def known(peers, **options):
     async def main():
-        court = Court(peers, **options)
-        return (await court.asked()), court
+        election = ElectionModel(peers, **options)
+        return (await election.asked()), election
 
     return run(main())
 
 
 def test_all_attest_from_what_was_known_to_the_question():
-    at, court = known([peer(0, ("j-1", 96)), peer(94.9, ("j-2", 99)), peer(0, ("j-3", 80))])
-    assert at == s(100) and court.heard == [frozenset({"j-1", "j-2"})]
+    at, election = known([peer(0, ("j-1", 96)), peer(94.9, ("j-2", 99)), peer(0, ("j-3", 80))])
+    assert at == s(100) and election.heard == [frozenset({"j-1", "j-2"})]
 
 
 @pytest.mark.parametrize("one", [silent, peer(95.1), peer(99), peer(100)])
 def test_one_that_does_not_cover_the_time_attests_nothing(one):
-    at, court = known([peer(), one, peer()])
-    assert at == s(95) and court.heard == []
+    at, election = known([peer(), one, peer()])
+    assert at == s(95) and election.heard == []
 
 
 def test_it_counts_from_the_question_not_from_the_answers():
@@ -104,17 +111,17 @@
 
 def test_an_answer_that_took_longer_than_what_was_asked_for_more_is_void():
     """From when to when it covers can't be told, but that it ended before now."""
-    over = (TOLD_MORE + s(0.1)).total_seconds()
+    over = (WINDOW_MARGIN + s(0.1)).total_seconds()
     assert known([peer()], takes=over)[0] == s(95)
 
 
 def test_a_leader_counts_what_it_has_told_itself():
     async def main():
-        court = Court([peer()])
-        court.own.note("j-9", s(97))
-        assert await court.asked() == s(100) and court.heard == [frozenset({"j-9"})]
-        young = Court([peer()])
-        young.own = Told(s(98))
+        election = ElectionModel([peer()])
+        election.own.note("j-9", s(97))
+        assert await election.asked() == s(100) and election.heard == [frozenset({"j-9"})]
+        young = ElectionModel([peer()])
+        young.own = ConfirmedCancellations(s(98))
         await young.elector._ask(young.term)
         assert young.term.known_at == s(95) and young.heard == []
 
@@ -125,52 +132,53 @@
     """It does not know the records, so names of jobs mean nothing to it."""
 
     async def main():
-        court = Court([peer()], known=None)
-        assert await court.asked() is None and court.heard == []
-        assert court.elector.holding() is court.term and court.elector.answering() is None
+        election = ElectionModel([peer()], known=None)
+        assert await election.asked() is None and election.heard == []
+        assert election.elector.holding() is election.term and election.elector.answering() is None
 
     run(main())
 
 
 def test_a_term_that_has_lapsed_is_not_taken_up_again_by_what_peers_tell():
     """Its right may be over, too, and others act on that."""
-    at, court = known([peer()], known=80.5, takes=0.7)  # known for 20 s: lapsed when they answer
-    assert at == s(80.5) and court.heard == [] and court.term.promised_until == ZERO
+    # known for 20 s: lapsed when they answer
+    at, election = known([peer()], known=80.5, takes=0.7)
+    assert at == s(80.5) and election.heard == [] and election.term.promised_until == ZERO
 
 
 def test_nobody_answers_longer_than_the_bound_however_the_term_is_held():
     async def main():
-        court = Court([])
-        term, elector = court.term, court.elector
+        election = ElectionModel([])
+        term, elector = election.term, election.elector
         for held in ("valid_until", "promised_until"):
             term.valid_until = term.promised_until = ZERO
             setattr(term, held, s(1000))
-            term.known_at = court.clock.now()
+            term.known_at = election.clock.now()
             await asyncio.sleep(19.9)
             assert elector.answering() is term
             await asyncio.sleep(0.2)
             assert elector.answering() is None and elector.holding() is None
-            term.known_at = court.clock.now()
+            term.known_at = election.clock.now()
             assert elector.answering() is term
 
     run(main())
 
 
 def test_what_was_dropped_is_not_covered():
-    told = Told(s(0))
+    confirmed = ConfirmedCancellations(s(0))
     for number in range(KEPT + 10):
-        told.note(f"j-{number}", s(10 + number / 1000))
+        confirmed.note(f"j-{number}", s(10 + number / 1000))
     now = s(12)
-    names, span = told.within(s(5), now)
+    names, span = confirmed.within(s(5), now)
     assert len(names) == KEPT and now - span > s(10)
-    assert told.within(s(0.5), now) == Attested(frozenset(), s(0.5))
+    assert confirmed.within(s(0.5), now) == CancellationWindow(frozenset(), s(0.5))
 
 
 def test_only_the_first_telling_counts():
-    told = Told(s(0))
-    told.note("j-1", s(1))
-    told.note("j-1", s(9))
-    assert told.within(s(5), s(10)).cancelled == frozenset()
+    confirmed = ConfirmedCancellations(s(0))
+    confirmed.note("j-1", s(1))
+    confirmed.note("j-1", s(9))
+    assert confirmed.within(s(5), s(10)).cancelled == frozenset()
 
 
 class Says:
@@ -203,6 +211,6 @@
     async def main():
         peers = Peers({f"p-{n}": Says(reply) for n, reply in enumerate(replies)})
         answers = await peers.promise(PromiseRequest("drummer-0", 1, 2000, 7000), s(1))
-        assert answers.told.span == s(span) and len(answers.told.cancelled) == names
+        assert answers.confirmed.span == s(span) and len(answers.confirmed.cancelled) == names
 
     run(main())
--- a/dappledrum/leadership/witness.py
+++ b/dappledrum/leadership/votes.py
@@ -12,29 +12,29 @@
 
 from datetime import timedelta
 
-from dappledrum.leadership.messages import PromiseReply, PromiseRequest, StandingReply
+from dappledrum.leadership.messages import PreVoteReply, PromiseReply, PromiseRequest
 from dappledrum.timing.clock import longer
 
 PROMISE = timedelta(seconds=2)
-PROMISE_MOST = timedelta(seconds=60)
+MAX_PROMISE = timedelta(seconds=60)
 
 
-class Witness:
+class VoteState:
     """The promises and pre-votes of one process; they are lost with it."""
 
     def __init__(self, now: timedelta) -> None:
         #: A process of this member before it may have promised something that this one does not
         #: know of, or may have told a candidate that it was free.
-        self.forgot_until = now + longer(PROMISE)
+        self.unremembered_until = now + longer(PROMISE)
         #: The same for standing: shortened when nobody can rely on such a promise any more.
-        self.unknown_until = self.forgot_until
-        self.stand_after = now  # what this process has promised
+        self.unknown_until = self.unremembered_until
+        self.no_candidacy_until = now  # what this process has promised
         self.tried: int | None = None  # the epoch against which it has stood
-        self.barred = 0  # no promise to a leader of a lower epoch than this
+        self.least_epoch = 0  # no promise to a leader of a lower epoch than this
 
     def free_at(self) -> timedelta:
         """The moment from which no promise prevents this controller from standing for leader."""
-        return max(self.stand_after, self.unknown_until)
+        return max(self.no_candidacy_until, self.unknown_until)
 
     def promise(
         self, request: PromiseRequest, now: timedelta, leads: bool, epoch: int
@@ -53,14 +53,16 @@
             return PromiseReply(False, "stood already")
         if epoch > request.epoch:
             return PromiseReply(False, "newer leader known")
-        until = now + longer(min(timedelta(milliseconds=request.for_ms), PROMISE_MOST))
-        self.stand_after = max(self.stand_after, until)
-        return PromiseReply(True, "", self.barred > request.epoch or now < self.forgot_until)
+        until = now + longer(min(timedelta(milliseconds=request.for_ms), MAX_PROMISE))
+        self.no_candidacy_until = max(self.no_candidacy_until, until)
+        return PromiseReply(
+            True, "", self.least_epoch > request.epoch or now < self.unremembered_until
+        )
 
-    def standing(self, epoch: int, now: timedelta, holds: bool) -> StandingReply:
+    def pre_vote(self, epoch: int, now: timedelta, holds: bool) -> PreVoteReply:
         """Answer the pre-vote of a candidate for this epoch: free only if no leader can rely on a
         promise of this controller, which will promise nothing to a lower epoch from now on."""
         if holds or now < self.free_at():
-            return StandingReply(False)
-        self.barred = max(self.barred, epoch)
-        return StandingReply(True)
+            return PreVoteReply(False)
+        self.least_epoch = max(self.least_epoch, epoch)
+        return PreVoteReply(True)
