--- a/dappledrum/leading/leader.py
+++ b/dappledrum/leading/leader.py
@@ -16,7 +16,7 @@
 from dappledrum.chains.resolver import Resolver
 from dappledrum.dispatch.dispatcher import Dispatcher
 from dappledrum.fleet.cloud import Cloud
-from dappledrum.fleet.keeper import Keeper
+from dappledrum.fleet.manager import FleetManager
 from dappledrum.fleet.memory import FLEET, FleetMemory
 from dappledrum.fleet.messages import FleetRecord, MachineType
 from dappledrum.jobs.messages import JobRecord, SpecPart
@@ -24,17 +24,17 @@
 from dappledrum.jobs.recorder import Recorder
 from dappledrum.leadership.terms import Term
 from dappledrum.leading.records import JOBS, StoredJobs
-from dappledrum.leading.worker_answers import IDLE_MOST, WorkerAnswers
+from dappledrum.leading.worker_answers import MAX_IDLE_WAIT, WorkerAnswers
 from dappledrum.learning.memory import LearnedMemory
 from dappledrum.learning.messages import LearnedRecord
-from dappledrum.recovery.picture import Picture
+from dappledrum.recovery.progress import RecoveryProgress
 from dappledrum.scheduling.estimates import Estimates
 from dappledrum.settings import Params, Tuning
 from dappledrum.state.budget import Rank
-from dappledrum.state.ceiling import Ceiling
 from dappledrum.state.client import CompactedError, State, StateError
 from dappledrum.state.hint import Hint
 from dappledrum.state.messages import Event
+from dappledrum.state.value_limit import ValueLimit
 from dappledrum.timing.clock import ZERO, Clock
 from dappledrum.workers.bookkeeping import Bookkeeper
 from dappledrum.workers.messages import Commands, Report
@@ -61,7 +61,7 @@
         term: Term,
         leading: Callable[[], bool],
         state: State,
-        ceiling: Ceiling,
+        value_limit: ValueLimit,
         cloud: Cloud,
         params: Params,
         clock: Clock,
@@ -82,7 +82,7 @@
         self.ledger = Ledger(self.roster, clock)
         self.served = Served()
         self.estimates = Estimates()
-        self.recorder = Recorder(state, term, params.state, ceiling, clock)
+        self.recorder = Recorder(state, term, params.state, value_limit, clock)
         self.recorder.on_ended = self._ended
         self.records = StoredJobs(state, self.jobs, self.recorder.garbage)
         self.graph = Graph(self.jobs, self.recorder.mark, self.wake)
@@ -98,10 +98,10 @@
             self.recorder.mark,
             self.wake,
             self.ledger,
-            lambda: term.clear_at,
+            lambda: term.others_stopped_at,
             awake_since,
         )
-        self.keeper = Keeper(
+        self.fleet_manager = FleetManager(
             cloud,
             self.roster,
             self.bookkeeper,
@@ -113,10 +113,10 @@
             self.wake,
             awake_since,
         )
-        self.picture = Picture(
-            self.roster, clock, params.workers.lease, lambda: self.keeper.listed
+        self.recovery = RecoveryProgress(
+            self.roster, clock, params.workers.lease, lambda: self.fleet_manager.listed
         )
-        self.bookkeeper.on_lost = self.picture.lost
+        self.bookkeeper.on_lost = self.recovery.lost
         most = params.state.value_bytes
         self.memory = FleetMemory(
             Hint(state, term.guard(), FLEET, FleetRecord, most, Rank.RECORD), self.roster, clock
@@ -124,7 +124,7 @@
         self.learned = LearnedMemory(
             Hint(state, term.guard(), LEARNED, LearnedRecord, most, Rank.POLL),
             self.estimates,
-            self.keeper.boots,
+            self.fleet_manager.boots,
             clock,
         )
         self.set_types(types)
@@ -132,14 +132,14 @@
             self.jobs,
             self.roster,
             self.estimates,
-            self.keeper,
+            self.fleet_manager,
             params,
             clock,
             tuning,
             self.recorder.mark,
             self.recorder.starts_waiting,
             # Pages of the version before may be larger than new ones, and are stored in parts.
-            min(ceiling.now, ceiling.least * (params.state.txn_ops - 2)),
+            min(value_limit.now, value_limit.least * (params.state.txn_ops - 2)),
         )
         self.incomplete: dict[str, None] = {}  # new jobs whose specification is in parts
         self.loaded = asyncio.Event()
@@ -161,17 +161,19 @@
 
     def set_types(self, types: list[MachineType]) -> None:
         """Take over a catalog."""
-        self.keeper.types = {t.name: t for t in types}
+        self.fleet_manager.types = {t.name: t for t in types}
         self.bookkeeper.cache_gb = {t.name: t.cache_gb for t in types}
 
-    def quiet_since(self, moment: timedelta) -> None:
+    def no_answers_since(self, moment: timedelta) -> None:
         """Note that no other controller has answered a worker since then."""
         term = self.term
         if moment < term.began:
             span = (term.began - moment).total_seconds()
             log.info("nobody has answered a worker for %.1f s before this term", span)
-            term.clear_at = moment if term.clear_at is None else min(term.clear_at, moment)
-            self.bookkeeper.quiet_since(moment)
+            term.others_stopped_at = (
+                moment if term.others_stopped_at is None else min(term.others_stopped_at, moment)
+            )
+            self.bookkeeper.no_answers_since(moment)
 
     def wake(self, why: str) -> None:
         """Trigger a planning round; `why` is for debugging."""
@@ -180,19 +182,19 @@
     async def run(self) -> None:
         """Lead until the term is over."""
         loops = [
-            self._guard(self._load_once),
-            self._guard(self._watch),
-            self._guard(self.recorder.run),
-            self._guard(self._plan),
-            self._guard(self._sweep),
-            self._guard(self._resolve),
-            self._guard(self._remember),
-            self._guard(self._hand_on),
-            self._guard(self._account),
-            self._guard(self.keeper.rent_loop),
-            self._guard(self.keeper.return_loop),
-            self._guard(self.keeper.list_loop),
-            self._guard(self.keeper.catalog_loop),
+            self._keep_running(self._load_once),
+            self._keep_running(self._watch),
+            self._keep_running(self.recorder.run),
+            self._keep_running(self._plan),
+            self._keep_running(self._sweep),
+            self._keep_running(self._resolve),
+            self._keep_running(self._store_fleet),
+            self._keep_running(self._store_learned),
+            self._keep_running(self._account),
+            self._keep_running(self.fleet_manager.rent_loop),
+            self._keep_running(self.fleet_manager.return_loop),
+            self._keep_running(self.fleet_manager.list_loop),
+            self._keep_running(self.fleet_manager.catalog_loop),
         ]
         tasks = [asyncio.get_running_loop().create_task(loop) for loop in loops]
         try:
@@ -202,7 +204,7 @@
                 task.cancel()
             await asyncio.gather(*tasks, return_exceptions=True)
 
-    async def _guard(self, loop: Callable[[], Awaitable[None]]) -> None:
+    async def _keep_running(self, loop: Callable[[], Awaitable[None]]) -> None:
         """Run a loop, and start it again when it fails; the others are not affected."""
         while not self.term.over.is_set():
             try:
@@ -224,7 +226,7 @@
         for job in self.jobs.values():
             self.bookkeeper.restore(job)
         await self.memory.recall()
-        await self.learned.recall({t.name: t.boot for t in self.keeper.types.values()})
+        await self.learned.recall({t.name: t.boot for t in self.fleet_manager.types.values()})
         for job in list(self.jobs.values()):
             self.graph.add(job)
             self.recorder.mark(job.page(0))
@@ -234,7 +236,7 @@
         took = (self.clock.now() - started).total_seconds() * 1e3
         placed = sum(job.on_machines() for job in self.jobs.values())
         log.info("read %d live jobs with %d placements in %.0f ms", len(self.jobs), placed, took)
-        self.picture.begin()
+        self.recovery.begin()
         self.wake("loaded")
 
     async def _watch(self) -> None:
@@ -292,7 +294,7 @@
             log.info("%s %s", job.id, why)
             self.graph.cancelled(job)
 
-    def hear_cancelled(self, names: frozenset[str]) -> None:
+    def apply_confirmed_cancellations(self, names: frozenset[str]) -> None:
         """Cancel jobs whose cancellation other controllers have confirmed to users, so that it is
         stored and final. Their tasks are stopped from now on, also while this leader only keeps
         its term by promises. A record that this leader writes without knowing the cancellation
@@ -356,7 +358,7 @@
                 pass
             self.woken.clear()
             pause = GATHER
-            if self.leading() and self.keeper.types:
+            if self.leading() and self.fleet_manager.types:
                 started = self.clock.now()
                 plan = await self.dispatcher.run()
                 took = self.clock.now() - started
@@ -364,11 +366,11 @@
                 log.debug("plan in %.0f ms: %s", took.total_seconds() * 1e3, plan)
             await asyncio.sleep(pause.total_seconds())
 
-    async def _remember(self) -> None:
+    async def _store_fleet(self) -> None:
         await self.loaded.wait()
         await self.memory.run()
 
-    async def _hand_on(self) -> None:
+    async def _store_learned(self) -> None:
         await self.loaded.wait()
         await self.learned.run()
 
@@ -379,16 +381,16 @@
             while True:
                 await asyncio.sleep(STEP.total_seconds())
                 self.ledger.step(
-                    self.keeper.types,
+                    self.fleet_manager.types,
                     self.dispatcher.work.wants(),
                     self.dispatcher.machines.available(),
                 )
-                self._tell()
+                self._log_totals()
         finally:
-            self._tell(at_once=True)
+            self._log_totals(at_once=True)
 
-    def _tell(self, at_once: bool = False) -> None:
-        if self.ledger.tell(at_once):
+    def _log_totals(self, at_once: bool = False) -> None:
+        if self.ledger.log_totals(at_once):
             log.info("served in this term: %s", self.served.shown(self.jobs.values()))
 
     async def _resolve(self) -> None:
@@ -402,7 +404,7 @@
             # answered since: one took hundreds of tasks for lost, though it could store nothing.
             if self.leading():
                 self.bookkeeper.sweep()
-            self.picture.look()
+            self.recovery.look()
             self.recorder.shrink(self.jobs.values())
             await asyncio.sleep(0.5)
 
@@ -421,14 +423,14 @@
                 result.update(p.zone for p in islice(machine.placements.values(), 1))
         return result
 
-    async def settle(self, patience: timedelta) -> None:
+    async def settle(self, time_limit: timedelta) -> None:
         """Write pending records before another controller leads."""
-        until = self.clock.now() + patience
+        until = self.clock.now() + time_limit
         while self.recorder.dirty and self.clock.now() < until:
             await asyncio.sleep(0.02)
 
     async def report(
-        self, report: Report, holding: Callable[[], bool], most: timedelta = IDLE_MOST
+        self, report: Report, holding: Callable[[], bool], most: timedelta = MAX_IDLE_WAIT
     ) -> Commands | None:
         """The answer to a worker, which is held back for up to `most` while there is no work for
         it; None when this controller is not entitled to answer."""
--- a/dappledrum/leading/test_reading.py
+++ b/dappledrum/leading/test_reading.py
@@ -67,7 +67,7 @@
             return await scan(prefix, rank)
 
         world.nodes[victim].state.scan = nothing
-        world.nodes[stuck].elector.hand_over(victim, "a test")
+        world.nodes[stuck].elector.transfer_leadership(victim, "a test")
         await world.until(lambda: world.leader() == victim, most=10)
         await world.until(lambda: world.leader() not in (None, victim), most=120)
 
--- a/dappledrum/leading/worker_answers.py
+++ b/dappledrum/leading/worker_answers.py
@@ -23,7 +23,7 @@
 #: worker reports at the same rate all the same, and nearly always gets new work at once.
 IDLE_SHARE = 0.85
 #: Well within the 4 s after which a worker turns to another controller.
-IDLE_MOST = timedelta(seconds=2.6)
+MAX_IDLE_WAIT = timedelta(seconds=2.6)
 LOAD_TIME = timedelta(seconds=1.5)  # the longest that a report waits for the records to be read
 
 
@@ -86,7 +86,7 @@
         machine.last_answer = max(machine.last_answer, now)
         fresh = (machine.session, machine.sequence) == (report.session, report.sequence)
         if fresh:
-            machine.hearing.answered(now, self.limits.lease)
+            machine.reachability.answered(now, self.limits.lease)
         commands: list[Command] = []
         if fresh and self.leading():
             commands = self.bookkeeper.commands(machine, report)
@@ -104,14 +104,14 @@
         if not machine.up:
             return  # the next report shows whether it gets our answers; until then it gets nothing
         if not self.bookkeeper.pending(machine):
-            patience = ZERO
+            time_limit = ZERO
             if self.woken.is_set():
-                patience = PLAN_TIME
+                time_limit = PLAN_TIME
             hold = min(self.limits.report * IDLE_SHARE, most)
             if not machine.placements or self.machines.may_wait(machine, hold):
-                patience = hold
+                time_limit = hold
             machine.given.clear()
-            if patience <= ZERO or not await self._happens(machine.given.wait(), patience):
+            if time_limit <= ZERO or not await self._happens(machine.given.wait(), time_limit):
                 return
         until = self.clock.now() + HOLD
         while self.leading() and self.bookkeeper.pending(machine):
@@ -124,9 +124,9 @@
             return await self.recorder.saved.wait()
 
     @staticmethod
-    async def _happens(wait: Awaitable[bool], patience: timedelta) -> bool:
+    async def _happens(wait: Awaitable[bool], time_limit: timedelta) -> bool:
         try:
-            async with asyncio.timeout(patience.total_seconds()):
+            async with asyncio.timeout(time_limit.total_seconds()):
                 await wait
         except TimeoutError:
             return False
--- a/dappledrum/learning/memory.py
+++ b/dappledrum/learning/memory.py
@@ -12,7 +12,7 @@
 from dappledrum.fleet.boots import SHORTEST, Boot, Boots
 from dappledrum.learning.messages import BootRow, ClassRow, LearnedRecord
 from dappledrum.scheduling.estimates import Estimates, Sample
-from dappledrum.scheduling.lanes import Kind
+from dappledrum.scheduling.timeline import Kind
 from dappledrum.state.hint import Hint
 from dappledrum.timing.clock import ZERO, Clock
 
@@ -39,18 +39,18 @@
     def record(self) -> LearnedRecord:
         """The values worth keeping, rounded so that small changes cause no write."""
         now, today = self.clock.now(), self.clock.today()
-        room = max(1, self.hint.value_bytes // ROW_BYTES)
+        capacity = max(1, self.hint.value_bytes // ROW_BYTES)
         classes = sorted(self.estimates.classes.items(), key=lambda row: -row[1].count)
         rows = [
             ClassRow(name, round(seen.count), round(seen.mean, 2), round(seen.square, 1))
-            for name, seen in classes[: min(CLASSES, room // 2)]
+            for name, seen in classes[: min(CLASSES, capacity // 2)]
         ]
         boots = [
             BootRow(
                 *(*boot.kind, round((boot.up_at - boot.asked_at).total_seconds(), 1) or 0.1),
                 int((today - (now - boot.up_at)).timestamp()) * 1000,
             )
-            for boot in list(self.boots.seen)[-min(BOOTS, room // 2) :]
+            for boot in list(self.boots.seen)[-min(BOOTS, capacity // 2) :]
             if now - boot.up_at < KEPT
         ]
         return LearnedRecord(sorted(rows, key=lambda row: row.job_class), boots)
--- a/dappledrum/learning/test_learning.py
+++ b/dappledrum/learning/test_learning.py
@@ -7,7 +7,7 @@
 from dappledrum.learning.memory import LearnedMemory
 from dappledrum.learning.messages import LearnedRecord
 from dappledrum.scheduling.estimates import Estimates
-from dappledrum.scheduling.lanes import Kind
+from dappledrum.scheduling.timeline import Kind
 from dappledrum.standins.time import run
 from dappledrum.standins.world import World, job
 from dappledrum.timing.clock import seconds
@@ -67,10 +67,12 @@
         await world.wait(2)
         leader = world.nodes[world.leader()].leader
         assert leader.estimates.ratio("plain") < 0.7
-        assert leader.keeper.boots.seen
-        for boot in leader.keeper.boots.seen:
+        assert leader.fleet_manager.boots.seen
+        for boot in leader.fleet_manager.boots.seen:
             took = boot.up_at - boot.asked_at
-            assert abs(took / boot.ratio / leader.keeper.types[boot.kind.type].boot - 1) < 0.01
+            assert (
+                abs(took / boot.ratio / leader.fleet_manager.types[boot.kind.type].boot - 1) < 0.01
+            )
         for damaged in ({"classes": 7}, {"classes": [["x", -1, 0, 0]]}, [], "x", None):
             world.state.keys["learned"] = (damaged, *world.state.keys["learned"][1:])
             await world.restart(world.leader())
--- a/dappledrum/model/admissible.py
+++ b/dappledrum/model/admissible.py
@@ -11,7 +11,7 @@
 FLAGS = ("oneZone", "spread", "loaners")
 FORMS = ("batch", "service", "ensemble")
 PRIORITIES = ("prod", "high", "standard", "best_effort")
-MOST_TASKS = 100_000
+MAX_TASKS = 100_000
 JOB_ID = re.compile(r"j-[0-9]+")
 
 
@@ -39,7 +39,7 @@
         and spec["form"] in FORMS
         and spec["urgency"] in PRIORITIES
         and type(spec.get("beats")) is int
-        and 1 <= spec["beats"] <= MOST_TASKS
+        and 1 <= spec["beats"] <= MAX_TASKS
         and JOB_ID.fullmatch(spec["id"]) is not None
         and all(_names(spec.get(name)) for name in ("builds", "waitsOn"))
         and isinstance(spec.get("hall"), str | None)
--- a/dappledrum/model/dds.py
+++ b/dappledrum/model/dds.py
@@ -34,7 +34,7 @@
         """CPUs that are taken at one moment."""
         return sum(cpus for start, finish, cpus in self.reserved if start <= at < finish)
 
-    def room(self, cpus: float, run: float) -> tuple[float, float] | None:
+    def gap(self, cpus: float, run: float) -> tuple[float, float] | None:
         """Earliest start and the finish of a task."""
         moments = sorted(
             {self.ready} | {t for s, f, _ in self.reserved for t in (s, f) if t >= self.ready}
@@ -94,18 +94,18 @@
     while len(placed) < count:
         options = []
         for index, machine in enumerate(machines):
-            room = machine.room(cpus, run)
+            gap = machine.gap(cpus, run)
             paid_until = machine.rented + machine.intervals(machine.committed(), length) * length
-            if room is None:
+            if gap is None:
                 continue
             again = waited if machine.ready <= now else 0.0
-            if room[0] > now and room[1] + again > due:
+            if gap[0] > now and gap[1] + again > due:
                 continue
-            if cheap and (not machine.spot or room[0] > now or room[1] > due):
+            if cheap and (not machine.spot or gap[0] > now or gap[1] > due):
                 continue
-            if room[1] <= paid_until + 1e-9:
+            if gap[1] <= paid_until + 1e-9:
                 options.append(
-                    (room[1], machine.hourly / machine.cpus, -machine.committed(), index, room[0])
+                    (gap[1], machine.hourly / machine.cpus, -machine.committed(), index, gap[0])
                 )
         if not options and not cheap:
             break
@@ -142,15 +142,15 @@
                 candidates.append(copied(blank[0]))
             scored = []
             for index, machine in enumerate(candidates):
-                room = machine.room(cpus, run)
-                if room is None:
+                gap = machine.gap(cpus, run)
+                if gap is None:
                     continue
                 new = index >= len(mine)
-                again = waited if room[0] > now >= machine.ready else 0.0
-                likely = room[1] + again
-                added = machine.cost(room[1], length)
+                again = waited if gap[0] > now >= machine.ready else 0.0
+                likely = gap[1] + again
+                added = machine.cost(gap[1], length)
                 key = (0, added, machine.rented) if likely <= due else (1, likely, added)
-                scored.append((key, new, index, room))
+                scored.append((key, new, index, gap))
             if not scored:
                 break
             _, new, index, (start, finish) = min(scored)
--- a/dappledrum/model/history.py
+++ b/dappledrum/model/history.py
@@ -122,7 +122,7 @@
 
     facts: Facts
     report: Callable[[Clause, float, str], None]
-    quiet_at: float | None = None  # all troubles are over since then; None: they are not
+    faults_over_at: float | None = None  # all troubles are over since then; None: they are not
     longest_s: float = 0.0  # that no question about a job was answered, after that
     jobs: dict[str, _Job] = field(default_factory=dict)
     _open: dict[int, tuple[Question, _Known]] = field(default_factory=dict)
@@ -187,9 +187,9 @@
             return
         if job.unanswered_since is None:
             job.unanswered_since = question.at
-        if self.quiet_at is None:
+        if self.faults_over_at is None:
             return
-        span = question.at - max(job.unanswered_since, self.quiet_at)
+        span = question.at - max(job.unanswered_since, self.faults_over_at)
         self.longest_s = max(self.longest_s, span)
         if span > UNANSWERED_S:
             self.report(Clause.UNANSWERED, question.at, f"{question.job} for {span:.0f} s")
--- a/dappledrum/model/promises.py
+++ b/dappledrum/model/promises.py
@@ -1,12 +1,13 @@
 """Leaders that go on for promises, and candidates that ask before silence is a proof to them.
 
-The peers' part is the real `Witness`; leader and candidate are the plainest that follow the rules
-of docs/reach.md. A schedule is drawn from a seed: messages come late, in any order, or never,
-processes end and begin again without memory, at any moment and at once, transactions are executed
-late, also when the process that sent them has ended, and the state service serves whom it likes.
-Users cancel jobs at whoever is served, and are told so there, or later by another. After each
-event: once a leader takes silence for a proof, nobody of a lower epoch answers workers; and nobody
-answers workers who does not know of a cancellation that is too old for the lease that this renews.
+The peers' part is the real `VoteState`; leader and candidate are the plainest that follow the
+rules of docs/reach.md. A schedule is drawn from a seed: messages come late, in any order, or
+never, processes end and begin again without memory, at any moment and at once, transactions are
+executed late, also when the process that sent them has ended, and the state service serves whom it
+likes. Users cancel jobs at whoever is served, and are told so there, or later by another. After
+each event: once a leader takes silence for a proof, nobody of a lower epoch answers workers; and
+nobody answers workers who does not know of a cancellation that is too old for the lease that this
+renews.
 
 `without` leaves out one of the conditions that the argument needs, to see that it does.
 """
@@ -17,23 +18,27 @@
 from dataclasses import dataclass, field
 from datetime import timedelta
 
-from dappledrum.jobs.told import Attested, Told, together
+from dappledrum.jobs.confirmed_cancellations import (
+    CancellationWindow,
+    ConfirmedCancellations,
+    merge_windows,
+)
 from dappledrum.leadership.messages import PromiseRequest
-from dappledrum.leadership.witness import PROMISE, Witness
+from dappledrum.leadership.votes import PROMISE, VoteState
 
 LIFE = 3.0
 MARGIN = 0.1
 ASKING = 0.75
 PAUSE = 0.25
 WAITING = LIFE / 2  # for the answer to the transaction of an election
-STANDING = 1.5  # longer than in the program, so that more fits in between
+PRE_VOTE_TIME = 1.5  # longer than in the program, so that more fits in between
 ALONE = 6.0  # how long a leader goes on for the promises of a majority that is not all
 PROMISED = PROMISE.total_seconds()
 LEASE = 4.0  # of workers
 CANCEL = 11.0  # what runs must be gone so long after a user was told
 KNOWN = CANCEL - LEASE - MARGIN  # how long a leader answers after it knew of all cancellations
 READING = 2.5  # how long a reading of all records takes at most
-TOLD_MORE = 1.5  # more than the time since all was known, that peers are asked for
+WINDOW_MARGIN = 1.5  # more than the time since all was known, that peers are asked for
 
 GUARDS = (
     "candidates ask a majority",
@@ -83,10 +88,10 @@
     free: bool = True  # whether the asker itself holds to no promise
     answers: dict[int, tuple[bool, bool]] = field(default_factory=dict)
     span: float = 0.0  # how far back the peers are asked for what they have told
-    told: dict[int, Attested] = field(default_factory=dict)
+    confirmed: dict[int, CancellationWindow] = field(default_factory=dict)
 
 
-class Court:
+class ElectionModel:
     """Some controllers, the key `leader`, and time."""
 
     def __init__(self, members: int, rng: random.Random, without: str | None = None) -> None:
@@ -95,13 +100,13 @@
         self.without = without
         self.now = 10.0
         self.events: list[tuple[float, int, Callable[[], None]]] = []
-        self.witness = [Witness(timedelta(0)) for _ in self.members]
+        self.votes = [VoteState(timedelta(0)) for _ in self.members]
         self.process = [0] * members
         # Who is served changes rarely; the first leader is not, and the others mostly not.
         self.served = [False] + [rng.random() < 0.3 for _ in self.members[1:]]
         self.terms: dict[int, Term] = {0: Term(1, self.now + LIFE - MARGIN, self.now, self.now)}
         self.terms[0].known = self.now
-        self.told = [Told(timedelta(0)) for _ in self.members]
+        self.confirmed = [ConfirmedCancellations(timedelta(0)) for _ in self.members]
         self.stored: list[int] = []  # jobs that are cancelled
         self.users: dict[int, float] = {}  # when a user was first told of each
         for _ in range(rng.choice((0, 4, 20))):
@@ -123,7 +128,7 @@
             for turn in range(20):
                 self._after(began + turn * rng.uniform(0.1, 0.4), lambda: self._restart(looping))
         for _ in range(rng.choice((0, 12))):
-            self._after(rng.uniform(0, 15), self._hand_over)
+            self._after(rng.uniform(0, 15), self._transfer_leadership)
         for _ in range(rng.choice((1, 4, 15))):
             self._after(rng.uniform(0, 12), self._serve)
 
@@ -157,12 +162,12 @@
         if former is not None and self.served[member] and former.epoch == self.key:
             self._after(self.rng.uniform(0, 1), lambda: self._end_hold(former.epoch))
         if self._has("a process attests only its own time"):
-            self.told[member] = Told(self._clock())
+            self.confirmed[member] = ConfirmedCancellations(self._clock())
         else:  # it says that it is complete, though it has forgotten all
-            self.told[member] = Told(timedelta(0))
-        witness = self.witness[member] = Witness(self._clock())
+            self.confirmed[member] = ConfirmedCancellations(timedelta(0))
+        votes = self.votes[member] = VoteState(self._clock())
         if not self._has("one that has just begun promises weakly"):
-            witness.forgot_until = timedelta(0)
+            votes.unremembered_until = timedelta(0)
 
     def _end_hold(self, epoch: int) -> None:
         """The next process of a member ends the hold that the former one had."""
@@ -177,7 +182,7 @@
         bound = self._has("answers end with what is known") and term.known is not None
         return not bound or self.now < (term.known or 0.0) + KNOWN
 
-    def _hand_over(self) -> None:
+    def _transfer_leadership(self) -> None:
         """The leader whose key stands stops, and names a successor that the service serves."""
         leaders = [m for m, term in self.terms.items() if term.epoch == self.key]
         able = [m for m in self.members if self.served[m] and m not in self.terms]
@@ -186,17 +191,17 @@
         before = self.terms.pop(leaders[0])
         member = self.rng.choice(able)
         known = before.clear is not None
-        if not known and not self._may_stand(member):
+        if not known and not self._may_campaign(member):
             return
-        told = known or not self._has("a successor is told whether it is clear")
-        self.witness[member].tried = self.epoch
-        self._lead(member, self.epoch + 1, told)
+        confirmed = known or not self._has("a successor is told whether it is clear")
+        self.votes[member].tried = self.epoch
+        self._lead(member, self.epoch + 1, confirmed)
 
     def _send(self, one: Round) -> None:
         """The transaction of an election is on its way: executed at once, or a while later."""
         if self._has("who has stood does not promise"):
-            self.witness[one.asker].tried = self.epoch
-        clear, sent = self._told(one), self.now
+            self.votes[one.asker].tried = self.epoch
+        clear, sent = self._all_confirm(one), self.now
         wait = self.rng.choice((0.0, 0.0, self.rng.uniform(0, LIFE)))
         self._after(wait, lambda: self._apply(one, sent, clear))
 
@@ -239,7 +244,7 @@
             self._tell(self.rng.choice(able), job)
 
     def _tell(self, member: int, job: int) -> None:
-        self.told[member].note(str(job), self._clock())
+        self.confirmed[member].note(str(job), self._clock())
         self.users.setdefault(job, self.now)
 
     def _read(self, member: int, term: Term) -> None:
@@ -268,8 +273,8 @@
         self._after(PAUSE, lambda: self._loop(member))
         term = self.terms.get(member)
         if term is None:
-            if self.key is None and self.served[member] and self._may_stand(member):
-                self._ask(member, "standing", self.epoch + 1, STANDING)
+            if self.key is None and self.served[member] and self._may_campaign(member):
+                self._ask(member, "standing", self.epoch + 1, PRE_VOTE_TIME)
         elif not self.holding(member) and self._has("a lapsed term is not taken up again"):
             del self.terms[member]
         elif self.served[member] and self.key == term.epoch:
@@ -285,19 +290,19 @@
             if self.now >= term.began + ALONE + PROMISED:
                 term.clear = self.now
             else:
-                self._ask(member, "clear", term.epoch, STANDING)
+                self._ask(member, "clear", term.epoch, PRE_VOTE_TIME)
 
-    def _may_stand(self, member: int) -> bool:
-        free = self.witness[member].free_at() <= self._clock()
+    def _may_campaign(self, member: int) -> bool:
+        free = self.votes[member].free_at() <= self._clock()
         return free or not self._has("who has promised does not stand")
 
     def _ask(self, member: int, kind: str, epoch: int, limit: float) -> None:
         one = Round(member, self.process[member], kind, epoch, self.now)
         term = self.terms.get(member)
         if term is not None and term.known is not None:
-            one.span = self.now - term.known + TOLD_MORE
+            one.span = self.now - term.known + WINDOW_MARGIN
         if kind != "promise":
-            free = self.witness[member].standing(epoch, self._clock(), False).free
+            free = self.votes[member].pre_vote(epoch, self._clock(), False).free
             one.free = free or not self._has("who has promised does not stand")
         for peer in self.members:
             if peer != member and self.rng.random() >= self.lost:
@@ -307,23 +312,25 @@
     # what becomes of it
 
     def _arrive(self, one: Round, peer: int) -> None:
-        witness = self.witness[peer]
+        votes = self.votes[peer]
         if frozenset((one.asker, peer)) in self.cut:
             return
         if one.kind == "promise":
             if self.served[peer]:
                 return
             request = PromiseRequest(str(one.asker), one.epoch, int(PROMISED * 1000))
-            reply = witness.promise(request, self._clock(), peer in self.terms, 0)
+            reply = votes.promise(request, self._clock(), peer in self.terms, 0)
             one.answers[peer] = (reply.granted, reply.granted and not reply.weak)
-            one.told[peer] = self.told[peer].within(timedelta(seconds=one.span), self._clock())
+            one.confirmed[peer] = self.confirmed[peer].within(
+                timedelta(seconds=one.span), self._clock()
+            )
         elif not self._has("a promise is told to candidates"):
             one.answers[peer] = (True, True)
         else:
-            barred = witness.barred
-            free = witness.standing(one.epoch, self._clock(), self.holding(peer)).free
+            least_epoch = votes.least_epoch
+            free = votes.pre_vote(one.epoch, self._clock(), self.holding(peer)).free
             if not self._has("free leaves a bar"):
-                witness.barred = barred
+                votes.least_epoch = least_epoch
             one.answers[peer] = (free, free)
 
     def _gather(self, one: Round) -> None:
@@ -337,7 +344,7 @@
         if not self.holding(one.asker) and self._has("a lapsed term is not taken up again"):
             return
         others = len(self.members) - 1
-        self._gather_told(one, term)
+        self._gather_confirmed(one, term)
         until = one.sent + PROMISED - MARGIN
         yes = sum(granted for granted, _ in one.answers.values())
         strong = sum(strong for _, strong in one.answers.values())
@@ -349,28 +356,28 @@
                 until = min(until, term.renewed + ALONE)
             term.promised = max(term.promised, until)
 
-    def _gather_told(self, one: Round, term: Term) -> None:
+    def _gather_confirmed(self, one: Round, term: Term) -> None:
         """What all have told, if that is complete since all was known the last time."""
         if term.known is None:
             return
         now, since = self._clock(), timedelta(seconds=term.known)
-        said = list(one.told.values())
+        said = list(one.confirmed.values())
         if len(said) < len(self.members) - 1 and self._has("all attest, not those that answer"):
             return
         if self._has("a leader attests for itself"):
-            span = timedelta(seconds=self.now - term.known + TOLD_MORE)
-            said.append(self.told[one.asker].within(span, now))
+            span = timedelta(seconds=self.now - term.known + WINDOW_MARGIN)
+            said.append(self.confirmed[one.asker].within(span, now))
         if not said:
             return
-        all_told = together(said)
-        reaches = all_told.covers(since, now)
+        all_confirmed = merge_windows(said)
+        reaches = all_confirmed.covers(since, now)
         if not reaches and self._has("an attestation reaches back to what was known"):
             return
-        term.jobs.update(int(job) for job in all_told.cancelled)
+        term.jobs.update(int(job) for job in all_confirmed.cancelled)
         at = one.sent if self._has("an attestation counts from the question") else self.now
         term.known = max(term.known, at)
 
-    def _told(self, one: Round) -> bool:
+    def _all_confirm(self, one: Round) -> bool:
         free = sum(free for free, _ in one.answers.values())
         free += one.free
         return free * 2 > len(self.members) or not self._has("candidates ask a majority")
@@ -378,13 +385,13 @@
     def _gather_standing(self, one: Round) -> None:
         if self.key is not None or self.epoch + 1 != one.epoch or not self.served[one.asker]:
             return
-        if not self._may_stand(one.asker):
+        if not self._may_campaign(one.asker):
             return
         self._send(one)
 
     def _gather_clear(self, one: Round) -> None:
         term = self.terms.get(one.asker)
-        if term is not None and term.epoch == one.epoch and self._told(one):
+        if term is not None and term.epoch == one.epoch and self._all_confirm(one):
             term.clear = term.clear or self.now
 
     # the rule
@@ -414,11 +421,11 @@
 def search(members: int, schedules: int, seconds: float, without: str | None = None) -> str | None:
     """The first schedule found on which the rule is broken."""
     for seed in range(schedules):
-        court = Court(members, random.Random(seed), without)
-        end = court.now + seconds
-        while court.now < end:
-            court.step()
-            broken = court.broken()
+        election = ElectionModel(members, random.Random(seed), without)
+        end = election.now + seconds
+        while election.now < end:
+            election.step()
+            broken = election.broken()
             if broken is not None:
                 return f"seed {seed}: {broken}"
     return None
--- a/dappledrum/model/rules.py
+++ b/dappledrum/model/rules.py
@@ -18,7 +18,7 @@
     Question,
     UserRequest,
 )
-from dappledrum.model.waiting import Amount, Room, Waiting, WaitingJob
+from dappledrum.model.waiting import Amount, FreeMachine, Waiting, WaitingJob
 
 
 class JobEvent(Enum):
@@ -37,7 +37,7 @@
     spec: dict[str, Any]
     accepted: bool = False
     accepted_at: float | None = None
-    told: str | None = None  # final state that a user has been told
+    reported: str | None = None  # final state that a user has been told
     cancelled_at: float | None = None
     submitted_at: float | None = None
     begun_at: float | None = None  # its first task has started
@@ -91,13 +91,13 @@
     # what users ask and are told
 
     @property
-    def quiet_at(self) -> float | None:
+    def faults_over_at(self) -> float | None:
         """All troubles are over since then; None: they are not."""
-        return self.history.quiet_at
+        return self.history.faults_over_at
 
-    @quiet_at.setter
-    def quiet_at(self, at: float | None) -> None:
-        self.history.quiet_at = at
+    @faults_over_at.setter
+    def faults_over_at(self, at: float | None) -> None:
+        self.history.faults_over_at = at
 
     @property
     def longest_s(self) -> float:
@@ -163,8 +163,8 @@
                 facts.accepted_at = at
                 self._tell(question.job, JobEvent.ACCEPTED)
         if answer.state in FINAL:
-            first = facts.told is None
-            facts.told = answer.state
+            first = facts.reported is None
+            facts.reported = answer.state
             if answer.state == CANCELLED and facts.cancelled_at is None:
                 facts.cancelled_at = at
             if first:
@@ -183,7 +183,7 @@
         """Of each class, the largest tenth by tasks and by CPUs of a task, at least one each."""
         classes: dict[str, list[JobFacts]] = {}
         for facts in self.jobs.values():
-            if facts.accepted and facts.told != CANCELLED and not self.called_off(facts):
+            if facts.accepted and facts.reported != CANCELLED and not self.called_off(facts):
                 classes.setdefault(facts.spec["pattern"], []).append(facts)
         result = {}
         for name, of in classes.items():
@@ -250,7 +250,7 @@
             self._break("ran_cancelled", at, f"{job}/{task} started")
         for need in facts.spec.get("waitsOn") or ():
             before = self.jobs[need]
-            if len(before.done) < before.spec["beats"] or before.told == CANCELLED:
+            if len(before.done) < before.spec["beats"] or before.reported == CANCELLED:
                 self._break("too_early", at, f"{job}/{task} before {need} is done")
 
     def ended(self, machine: str, job: str, task: int, completed: bool) -> None:
@@ -327,7 +327,7 @@
                 left = left.less(Amount(spec["vcpus"], spec["accelerators"], 0.0))
             used[spec["crew"]] = left
         for job, facts in self.jobs.items():
-            over = facts.told is not None or self.called_off(facts)
+            over = facts.reported is not None or self.called_off(facts)
             if not facts.accepted or over or not all(map(self._is_done, self.needs(job))):
                 continue
             here = placed.get(job, [])
@@ -346,12 +346,12 @@
         most = Amount(most_cpus or math.inf, most_gpus or math.inf, math.inf)
         return Amount(most.cpus + less_used.cpus, most.gpus + less_used.gpus, most.memory_gb)
 
-    def check_waiting(self, at: float, rooms: Callable[[], list[Room]]) -> None:
+    def check_waiting(self, at: float, free_machines: Callable[[], list[FreeMachine]]) -> None:
         """Once the troubles are over, nobody waits for long beside a machine that has room."""
-        if self.quiet_at is None or at < self.quiet_at:
+        if self.faults_over_at is None or at < self.faults_over_at:
             self.waiting.since.clear()
         elif self.waiting.due(at):
-            for what in self.waiting.look(at, self._waiting_jobs(), rooms()):
+            for what in self.waiting.look(at, self._waiting_jobs(), free_machines()):
                 self._break("left_waiting", at, what)
 
     def tick(self, at: float) -> None:
--- a/dappledrum/model/test_history.py
+++ b/dappledrum/model/test_history.py
@@ -119,8 +119,8 @@
         request, node, at, effect, delay, heard = requests[number]
         events.append((at, Question(number, at, request, JOB, node)))
         end = at + effect + delay
-        told = Answer(number, end, status, state, done) if heard else Answer(number, end, None)
-        events.append((end, told))
+        reported = Answer(number, end, status, state, done) if heard else Answer(number, end, None)
+        events.append((end, reported))
     return merged(events)
 
 
@@ -202,8 +202,8 @@
     first = asked(UserRequest.CANCELLATION, 200, DONE, job=JOB, at=40.0)
     follower = asked(UserRequest.SUBMISSION, 201, PENDING, job=FOLLOWER, at=50.0)
     submitted = asked(UserRequest.SUBMISSION, 201, PENDING, at=0.0)
-    told = asked(UserRequest.QUESTION, 200, CANCELLED, job=FOLLOWER)
-    return [*submitted, *done, *first, *follower, *told]
+    reported = asked(UserRequest.QUESTION, 200, CANCELLED, job=FOLLOWER)
+    return [*submitted, *done, *first, *follower, *reported]
 
 
 def not_confirmed(events, rng):
@@ -339,7 +339,7 @@
         ask(UserRequest.QUESTION, at, None)
         at += every
     assert not broken
-    history.quiet_at = quiet
+    history.faults_over_at = quiet
     while at <= quiet + UNANSWERED_S:
         ask(UserRequest.CANCELLATION, at, 503)
         at += every
--- a/dappledrum/model/test_promises.py
+++ b/dappledrum/model/test_promises.py
@@ -5,14 +5,15 @@
 import pytest
 
 from dappledrum.leadership.messages import PromiseRequest
-from dappledrum.leadership.witness import Witness
+from dappledrum.leadership.votes import VoteState
 from dappledrum.model.promises import GUARDS, search
 
 RARE = (
     "free leaves a bar",
     "one that has just begun promises weakly",
     "who has stood does not promise",
-    # In leadership/test_told.py and controller/test_gap.py, with the code that has them:
+    # In leadership/test_confirmed_cancellations.py and controller/test_gap.py, with the code that
+    # has them:
     "a reading counts from its sending",
     "an attestation counts from the question",
     "a leader attests for itself",
@@ -42,16 +43,16 @@
     def promise(peer, seconds):
         return peer.promise(PromiseRequest("leader", 1, 2000), at(seconds), False, 1)
 
-    a, b, d = (Witness(at(-10)) for _ in range(3))
+    a, b, d = (VoteState(at(-10)) for _ in range(3))
     assert not promise(a, 0.0).weak and not promise(d, 0.0).weak  # the leader goes on until 1.9
-    assert b.standing(2, at(1.70), False).free
+    assert b.pre_vote(2, at(1.70), False).free
     if restarted:
-        b = Witness(at(1.74))
+        b = VoteState(at(1.74))
     if not guarded:
-        b.barred, b.forgot_until = 0, at(0)
+        b.least_epoch, b.unremembered_until = 0, at(0)
     assert not promise(d, 1.80).weak
     strong = not promise(b, 1.80).weak  # with it, the leader goes on until 3.7
-    assert a.standing(2, at(2.05), False).free  # and the candidate has a majority
+    assert a.pre_vote(2, at(2.05), False).free  # and the candidate has a majority
     assert strong is not guarded
 
 
@@ -60,10 +61,10 @@
     """All four peers promise, three of them weakly, while the transaction of one is on its way: it
     would lead, and be clear. When its process has ended nobody leads by that transaction, and the
     next process may promise."""
-    peer = Witness(timedelta(seconds=-10))
-    assert peer.standing(2, timedelta(0), False).free
+    peer = VoteState(timedelta(seconds=-10))
+    assert peer.pre_vote(2, timedelta(0), False).free
     peer.tried = 1
     if ended:
-        peer = Witness(timedelta(0))
+        peer = VoteState(timedelta(0))
     reply = peer.promise(PromiseRequest("leader", 1, 2000), timedelta(seconds=0.1), False, 1)
     assert reply.granted is ended and (reply.weak or not ended)
--- a/dappledrum/model/test_rules.py
+++ b/dappledrum/model/test_rules.py
@@ -187,7 +187,7 @@
     rules.not_answered(10.0, "j-000001")
     rules.not_answered(200.0, "j-000001")
     assert not rules.broken, "while troubles last nothing counts"
-    rules.quiet_at = 210.0
+    rules.faults_over_at = 210.0
     rules.not_answered(284.0, "j-000001")
     assert not rules.broken
     rules.poll_answer(284.5, "j-000001", 200, "pending")
@@ -237,7 +237,7 @@
 SUBMISSION, QUESTION = UserRequest.SUBMISSION, UserRequest.QUESTION
 
 
-def told(state, *answers):
+def reported(state, *answers):
     """Rules of a job that runs to its end in 1 s and is cancelled, too; of which a user was told
     this state at 2 s, and then these answers."""
     rules = Rules(30.0, {})
@@ -253,11 +253,11 @@
 
 @pytest.mark.parametrize("state", ["done", "cancelled"])
 def test_answers_to_questions_on_their_way_at_the_same_time_arrive_in_any_order(state):
-    assert not told(state, (2.1, 200, "running", 1.99), (2.2, 200, state, 2.1))
+    assert not reported(state, (2.1, 200, "running", 1.99), (2.2, 200, state, 2.1))
     for asked in (2.0, 2.01):  # from the moment on at which the user was told
-        assert "went_back" in told(state, (2.1, 200, "running", asked))[0]
+        assert "went_back" in reported(state, (2.1, 200, "running", asked))[0]
     other = "cancelled" if state == "done" else "done"
-    assert "went_back" in told(state, (2.1, 200, other, 1.5))[0], "both can't be true"
+    assert "went_back" in reported(state, (2.1, 200, other, 1.5))[0], "both can't be true"
 
 
 def test_a_job_is_unknown_only_to_questions_from_before_its_acceptance():
@@ -283,8 +283,8 @@
 
 def test_listeners_are_told_each_event_once():
     rules = Rules(30.0, {})
-    told = []
-    rules.listeners.append(lambda *event: told.append(event))
+    reported = []
+    rules.listeners.append(lambda *event: reported.append(event))
     for number in (1, 2):
         name = f"j-{number:06d}"
         rules.submitted(job(number, beats=2))
@@ -297,7 +297,7 @@
         for _ in range(2):
             rules.poll_answer(2.0, name, 200, "done" if number == 1 else "cancelled")
     assert not rules.broken
-    seen = {name: [event for job_id, event in told if job_id == name] for name, _ in told}
+    seen = {name: [event for job_id, event in reported if job_id == name] for name, _ in reported}
     begun = [JobEvent.ACCEPTED, JobEvent.COMPLETED]
     assert seen["j-000001"] == [*begun, JobEvent.DONE]
     assert seen["j-000002"] == [*begun, JobEvent.CANCELLED]
--- a/dappledrum/model/test_waiting.py
+++ b/dappledrum/model/test_waiting.py
@@ -5,15 +5,15 @@
 from dappledrum.model.admissible import fault
 from dappledrum.model.history import Fault
 from dappledrum.model.rules import Rules
-from dappledrum.model.waiting import WAITING_S, Amount, Room
+from dappledrum.model.waiting import WAITING_S, Amount, FreeMachine
 from dappledrum.standins.world import TYPES, job
 
 QUIET = 100.0
 LATE = QUIET + WAITING_S + 2.0
 
 
-def room(zone="a", cpus=4.0, spot=True, name="m-1"):
-    return Room(name, ("small", zone, spot), Amount(cpus, 0.0, 16.0))
+def free_machine(zone="a", cpus=4.0, spot=True, name="m-1"):
+    return FreeMachine(name, ("small", zone, spot), Amount(cpus, 0.0, 16.0))
 
 
 def rules(*specs, limits=None):
@@ -21,15 +21,15 @@
     for spec in specs:
         checker.submitted(spec)
         checker.submit_answer(0.0, spec["id"], 201, "pending")
-    checker.quiet_at = QUIET
+    checker.faults_over_at = QUIET
     return checker
 
 
-def look(checker, *rooms, start=QUIET, end=LATE):
+def look(checker, *free_machines, start=QUIET, end=LATE):
     """Look once a second, and say who was left waiting."""
     at = start
     while at <= end:
-        checker.check_waiting(at, lambda: list(rooms))
+        checker.check_waiting(at, lambda: list(free_machines))
         at += 1.0
     return checker.broken
 
@@ -45,21 +45,21 @@
 
 
 LEFT = [
-    (job(1), room(), None),
-    (job(1, form="ensemble", beats=2), room(), None),
-    (job(1, loaners=False), room(spot=False), None),
-    (job(1, crew="red"), room(), None),
-    (job(1, spread=True), room(), None),
+    (job(1), free_machine(), None),
+    (job(1, form="ensemble", beats=2), free_machine(), None),
+    (job(1, loaners=False), free_machine(spot=False), None),
+    (job(1, crew="red"), free_machine(), None),
+    (job(1, spread=True), free_machine(), None),
 ]
 FINE = [
-    (job(1), room(cpus=1.0), None),  # it is full
-    (job(1, builds=["large"]), room(), None),
-    (job(1, hall="b"), room(), None),
-    (job(1, loaners=False), room(), None),
-    (job(1, form="ensemble", beats=3), room(), None),  # two of three would fit
-    (job(1, crew="red"), room(), running_red),  # the team is at its limit
-    (job(1, beats=1), room(), done_and_waited_for),
-    (job(1, waitsOn=["j-000002"], vcpus=1.0), room(cpus=1.5), None),
+    (job(1), free_machine(cpus=1.0), None),  # it is full
+    (job(1, builds=["large"]), free_machine(), None),
+    (job(1, hall="b"), free_machine(), None),
+    (job(1, loaners=False), free_machine(), None),
+    (job(1, form="ensemble", beats=3), free_machine(), None),  # two of three would fit
+    (job(1, crew="red"), free_machine(), running_red),  # the team is at its limit
+    (job(1, beats=1), free_machine(), done_and_waited_for),
+    (job(1, waitsOn=["j-000002"], vcpus=1.0), free_machine(cpus=1.5), None),
 ]
 
 
@@ -80,18 +80,18 @@
 
 def test_a_job_of_which_tasks_start_is_not_left_waiting():
     checker = rules(job(1))
-    assert not look(checker, room(), end=QUIET + WAITING_S - 5)
+    assert not look(checker, free_machine(), end=QUIET + WAITING_S - 5)
     checker.started(QUIET + WAITING_S - 4, "m-1", ("small", "a", True), "j-000001", 0)
-    assert not look(checker, room(), start=QUIET + WAITING_S - 4)
+    assert not look(checker, free_machine(), start=QUIET + WAITING_S - 4)
 
 
 def test_neither_is_one_while_troubles_last_or_that_is_called_off():
     checker = rules(job(1))
-    checker.quiet_at = None
-    assert not look(checker, room())
+    checker.faults_over_at = None
+    assert not look(checker, free_machine())
     checker = rules(job(1))
     checker.cancel_asked("j-000001")
-    assert not look(checker, room())
+    assert not look(checker, free_machine())
 
 
 LIMITS = {"blue": (0.0, 0.0), "red": (8.0, 0.0)}
--- a/dappledrum/model/waiting.py
+++ b/dappledrum/model/waiting.py
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True)
-class Room:
+class FreeMachine:
     """A machine that is up and well, and what is free on it."""
 
     machine: str
@@ -66,12 +66,14 @@
         """One of its tasks starts: it is not left waiting."""
         self.since.pop(job, None)
 
-    def look(self, at: float, jobs: Iterable[WaitingJob], rooms: list[Room]) -> list[str]:
+    def look(
+        self, at: float, jobs: Iterable[WaitingJob], free_machines: list[FreeMachine]
+    ) -> list[str]:
         """The jobs that have waited for too long, with the machines that had room for them."""
         self.looked_at = at
         waiting, left = set(), []
         for job in jobs:
-            machine = _room_for(job, rooms)
+            machine = _machine_for(job, free_machines)
             if machine is None:
                 continue
             name = job.spec["id"]
@@ -82,30 +84,38 @@
         return left
 
 
-def _room_for(job: WaitingJob, rooms: list[Room]) -> str | None:
+def _machine_for(job: WaitingJob, free_machines: list[FreeMachine]) -> str | None:
     """A machine on which a task of the job could start now; of a gang, all that are missing."""
     spec = job.spec
     task = Amount(spec["vcpus"], spec["accelerators"], spec["memGb"])
     at_once = job.missing if spec["form"] == "ensemble" else 1
-    zones = sorted({room.kind[1] for room in rooms}) if spec["oneZone"] else [None]
+    zones = (
+        sorted({free_machine.kind[1] for free_machine in free_machines})
+        if spec["oneZone"]
+        else [None]
+    )
     for zone in zones:
-        machine = _place(job, task, at_once, [r for r in rooms if zone in (None, r.kind[1])])
+        machine = _place(
+            job, task, at_once, [r for r in free_machines if zone in (None, r.kind[1])]
+        )
         if machine is not None:
             return machine
     return None
 
 
-def _place(job: WaitingJob, task: Amount, at_once: int, rooms: list[Room]) -> str | None:
+def _place(
+    job: WaitingJob, task: Amount, at_once: int, free_machines: list[FreeMachine]
+) -> str | None:
     zones, left, last = list(job.zones), job.team_left, None
-    rooms = list(rooms)
+    free_machines = list(free_machines)
     for _ in range(at_once):
         if not left.holds(task):
             return None
-        for index, room in enumerate(rooms):
-            if room.free.holds(task) and _allowed(job.spec, room.kind, zones):
-                rooms[index] = replace(room, free=room.free.less(task))
-                zones.append(room.kind[1])
-                left, last = left.less(task), room.machine
+        for index, free_machine in enumerate(free_machines):
+            if free_machine.free.holds(task) and _allowed(job.spec, free_machine.kind, zones):
+                free_machines[index] = replace(free_machine, free=free_machine.free.less(task))
+                zones.append(free_machine.kind[1])
+                left, last = left.less(task), free_machine.machine
                 break
         else:
             return None
--- a/dappledrum/peers/client.py
+++ b/dappledrum/peers/client.py
@@ -6,32 +6,37 @@
 from typing import Any
 
 from dappledrum.http.client import Caller, NoResponseError
-from dappledrum.jobs.told import Attested, together
+from dappledrum.jobs.confirmed_cancellations import CancellationWindow, merge_windows
 from dappledrum.leadership.messages import (
-    HandOver,
-    HandOverReply,
+    PreVote,
+    PreVoteReply,
     PromiseReply,
     PromiseRequest,
-    Standing,
-    StandingReply,
+    TransferLeadership,
+    TransferLeadershipReply,
 )
 from dappledrum.leadership.questions import ALWAYS, Answers, majority
 from dappledrum.peers.messages import (
     HoldingQuestion,
     HoldingReply,
-    Knocks,
-    KnocksReply,
     MalformedError,
     Promise,
     Question,
     Relay,
     RelayReply,
+    ReportAttemptsQuestion,
+    ReportAttemptsReply,
     VersionQuestion,
     VersionReply,
     decode,
     encode,
 )
-from dappledrum.reach.messages import Passed, PassedReply, Words, WordsReply
+from dappledrum.reach.messages import (
+    ForwardedReports,
+    ForwardedReportsReply,
+    Heartbeats,
+    HeartbeatsReply,
+)
 from dappledrum.timing.clock import ZERO, shorter
 
 log = logging.getLogger(__name__)
@@ -68,20 +73,22 @@
             self.refusals[member] = why
         granted = [reply for reply in replies if reply is not None and reply.granted]
         strong = sum(not reply.weak for reply in granted)
-        told = [
-            Attested(frozenset(), ZERO)
+        confirmed = [
+            CancellationWindow(frozenset(), ZERO)
             if reply is None
-            else Attested(frozenset(reply.cancelled), timedelta(milliseconds=reply.told_ms))
+            else CancellationWindow(
+                frozenset(reply.cancelled), timedelta(milliseconds=reply.told_ms)
+            )
             for reply in replies
         ]
-        told.append(Attested(frozenset(), ALWAYS))
-        return Answers(len(granted), len(replies), strong, told=together(told))
+        confirmed.append(CancellationWindow(frozenset(), ALWAYS))
+        return Answers(len(granted), len(replies), strong, confirmed=merge_windows(confirmed))
 
-    async def standing(self, question: Standing, timeout: timedelta) -> Answers:
+    async def pre_vote(self, question: PreVote, timeout: timedelta) -> Answers:
         """How many of the other controllers hold to no promise (pre-vote). Returns as soon as a
         majority has answered so."""
         asked = [
-            asyncio.ensure_future(self._standing(member, question, timeout))
+            asyncio.ensure_future(self._pre_vote(member, question, timeout))
             for member in self.callers
         ]
         yes, old = 0, False
@@ -96,23 +103,23 @@
                 task.cancel()
         return Answers(yes, len(asked), old=old)
 
-    async def _standing(self, member: str, question: Standing, timeout: timedelta) -> bool | None:
+    async def _pre_vote(self, member: str, question: PreVote, timeout: timedelta) -> bool | None:
         """Whether a peer holds to no promise; None if it does not support the question."""
         try:
             reply = await self.callers[member].request("POST", "/peer", encode(question), timeout)
             if reply.status == 400:
                 return None
-            return bool(reply.status == 200 and decode(reply.body, StandingReply).free)
+            return bool(reply.status == 200 and decode(reply.body, PreVoteReply).free)
         except (NoResponseError, MalformedError) as error:
             log.debug("peer %s does not say whether it is free: %s", member, error)
             return False
 
-    async def knocks(self, within: timedelta, timeout: timedelta) -> dict[str, int]:
+    async def report_attempts(self, within: timedelta, timeout: timedelta) -> dict[str, int]:
         """Machines that have tried to report to another controller, and how often each came to the
         same one."""
-        question = Knocks(int(within.total_seconds() * 1000))
+        question = ReportAttemptsQuestion(int(within.total_seconds() * 1000))
         replies = await asyncio.gather(
-            *(self._ask(m, question, KnocksReply, timeout) for m in self.callers)
+            *(self._ask(m, question, ReportAttemptsReply, timeout) for m in self.callers)
         )
         result: dict[str, int] = {}
         for reply in replies:
@@ -120,11 +127,11 @@
                 result[name] = max(result.get(name, 0), count)
         return result
 
-    async def nobody_holds(self, timeout: timedelta) -> bool:
+    async def no_term_held(self, timeout: timedelta) -> bool:
         """Whether every other controller answers that it holds no term."""
         return all(r is not None and not r.holds for r in await self._holders(timeout))
 
-    async def quiet(self, timeout: timedelta) -> timedelta | None:
+    async def no_answers_for(self, timeout: timedelta) -> timedelta | None:
         """For how long none of the others has answered a worker in a term of its own; None if one
         of them does not say."""
         spans = []
@@ -148,19 +155,25 @@
         reply: RelayReply | None = await self._ask(member, request, RelayReply, timeout)
         return reply
 
-    async def words(self, member: str, words: Words, timeout: timedelta) -> WordsReply | None:
+    async def heartbeats(
+        self, member: str, heartbeats: Heartbeats, timeout: timedelta
+    ) -> HeartbeatsReply | None:
         """Exchange heartbeats with a peer."""
-        reply: WordsReply | None = await self._ask(member, words, WordsReply, timeout)
+        reply: HeartbeatsReply | None = await self._ask(
+            member, heartbeats, HeartbeatsReply, timeout
+        )
         return reply
 
-    async def passed(
+    async def forward_reports(
         self, member: str, reports: list[bytes], timeout: timedelta
     ) -> list[bytes | None] | None:
         """Let the leader answer reports of workers that do not reach it."""
-        reply = await self._ask(member, Passed(reports), PassedReply, timeout)
+        reply = await self._ask(member, ForwardedReports(reports), ForwardedReportsReply, timeout)
         return None if reply is None else reply.answers
 
-    async def hand_over(self, member: str, request: HandOver, timeout: timedelta) -> bool:
+    async def transfer_leadership(
+        self, member: str, request: TransferLeadership, timeout: timedelta
+    ) -> bool:
         """Transfer leadership to a peer; returns whether it leads now."""
-        reply = await self._ask(member, request, HandOverReply, timeout)
+        reply = await self._ask(member, request, TransferLeadershipReply, timeout)
         return reply is not None and reply.leads
--- a/dappledrum/peers/messages.py
+++ b/dappledrum/peers/messages.py
@@ -10,14 +10,19 @@
 
 from dappledrum.leadership.messages import (
     Age,
-    HandOver,
-    HandOverReply,
+    PreVote,
+    PreVoteReply,
     PromiseReply,
     PromiseRequest,
-    Standing,
-    StandingReply,
+    TransferLeadership,
+    TransferLeadershipReply,
+)
+from dappledrum.reach.messages import (
+    ForwardedReports,
+    ForwardedReportsReply,
+    Heartbeats,
+    HeartbeatsReply,
 )
-from dappledrum.reach.messages import Passed, PassedReply, Words, WordsReply
 
 
 class Relay(msgspec.Struct, tag="relay", tag_field="kind"):
@@ -36,13 +41,13 @@
     retry_after: int | None = None
 
 
-class Knocks(msgspec.Struct, tag="knocks", tag_field="kind"):
+class ReportAttemptsQuestion(msgspec.Struct, tag="knocks", tag_field="kind"):
     """Asked by a leader that gets no reports: whether workers report elsewhere."""
 
     within_ms: int
 
 
-class KnocksReply(msgspec.Struct):
+class ReportAttemptsReply(msgspec.Struct):
     """How often each machine tried to report here within that time."""
 
     machines: dict[str, int]
@@ -73,8 +78,8 @@
     """Whether the controller holds a term, by its lease or by promises.
 
     `quiet_ms` is for how long it has certainly answered no worker in a term of its own: since its
-    last term ended, or since its process began, up to QUIET_MOST. Versions before 0.6.0 leave it
-    out.
+    last term ended, or since its process began, up to MAX_NO_ANSWERS. Versions before 0.6.0 leave
+    it out.
     """
 
     holds: bool
@@ -83,25 +88,25 @@
 
 Question = (
     Relay
-    | Knocks
+    | ReportAttemptsQuestion
     | Promise
     | VersionQuestion
     | HoldingQuestion
-    | Words
-    | Passed
-    | HandOver
-    | Standing
+    | Heartbeats
+    | ForwardedReports
+    | TransferLeadership
+    | PreVote
 )
 Reply = (
     RelayReply
-    | KnocksReply
+    | ReportAttemptsReply
     | PromiseReply
     | VersionReply
     | HoldingReply
-    | WordsReply
-    | PassedReply
-    | HandOverReply
-    | StandingReply
+    | HeartbeatsReply
+    | ForwardedReportsReply
+    | TransferLeadershipReply
+    | PreVoteReply
 )
 
 
--- a/dappledrum/reach/choose.py
+++ b/dappledrum/reach/choose.py
@@ -9,19 +9,19 @@
 from datetime import timedelta
 from typing import NamedTuple
 
-from dappledrum.reach.messages import Word
+from dappledrum.reach.messages import Heartbeat
 from dappledrum.reach.table import Known, Table, reached_at, span
 from dappledrum.timing.clock import ZERO
 
 #: A difference between two links that is worth a move: what moving costs (docs/reach.md).
-WORTH = timedelta(seconds=1)
+MIN_GAIN = timedelta(seconds=1)
 #: A controller that was served this lately knows by its own watch whether the key stands.
 SERVED = timedelta(seconds=2)
 #: The cloud is asked rarely, and machines that are there go on without it.
-CLOUD_WORTH = timedelta(seconds=20)
-DEFER = timedelta(milliseconds=400)
-AWAKE = timedelta(seconds=2)
-HEARD = timedelta(seconds=3)
+CLOUD_MIN_GAIN = timedelta(seconds=20)
+CANDIDACY_DELAY = timedelta(milliseconds=400)
+MIN_AWAKE = timedelta(seconds=2)
+RECENTLY_HEARD = timedelta(seconds=3)
 
 
 class Claim(NamedTuple):
@@ -37,25 +37,25 @@
     """All claims, our own knowledge included."""
     result = [] if own is None else [own]
     for one in known:
-        word = one.word
-        served = word.served_ms is not None and span(word.served_ms) <= SERVED
+        heartbeat = one.heartbeat
+        served = heartbeat.served_ms is not None and span(heartbeat.served_ms) <= SERVED
         result.append(
             Claim(
-                word.epoch,
-                word.member if word.holds else word.leader,
+                heartbeat.epoch,
+                heartbeat.member if heartbeat.holds else heartbeat.leader,
                 one.at,
-                word.holds or (served and not late(word)),
+                heartbeat.holds or (served and not late(heartbeat)),
             )
         )
     return result
 
 
-def late(word: Word) -> bool:
+def late(heartbeat: Heartbeat) -> bool:
     """Whether the state service answers a controller more slowly than a transfer would take."""
-    return word.state_ms is None or span(word.state_ms) > WORTH
+    return heartbeat.state_ms is None or span(heartbeat.state_ms) > MIN_GAIN
 
 
-def who_leads(claimed: Iterable[Claim], words: Mapping[str, Word]) -> str | None:
+def who_leads(claimed: Iterable[Claim], heartbeats: Mapping[str, Heartbeat]) -> str | None:
     """The controller to which workers are redirected; None: not known.
 
     Never one of a lower epoch than the highest known, and never one that says it does not lead.
@@ -71,8 +71,8 @@
     if not pool:
         return None
     member = max(pool, key=lambda claim: claim.at).member
-    word = words.get(member) if member is not None else None
-    if word is not None and (not word.holds or word.epoch < epoch):
+    heartbeat = heartbeats.get(member) if member is not None else None
+    if heartbeat is not None and (not heartbeat.holds or heartbeat.epoch < epoch):
         return None
     return member
 
@@ -87,12 +87,14 @@
     cloud_since: timedelta | None
     # Zones of which it hears nothing any more, and since when: those that its own probes do not
     # reach either, and those that they do, but whose workers had the time to come.
-    apart: Mapping[str, timedelta]
-    mute: Mapping[str, timedelta]
+    unreachable_zones: Mapping[str, timedelta]
+    not_reporting: Mapping[str, timedelta]
     heard: frozenset[str]  # zones whose workers it hears
 
 
-def successor(ours: Situation, table: Table, speaking: Iterable[str]) -> tuple[str, str] | None:
+def successor(
+    ours: Situation, table: Table, heartbeat_peers: Iterable[str]
+) -> tuple[str, str] | None:
     """A controller that would clearly be a better leader, and why; None: the leader stays.
 
     The state service counts first, then workers, then the cloud. Only a controller qualifies that
@@ -101,36 +103,38 @@
     one left.
     """
     able: list[Known] = []
-    for member in sorted(speaking):
+    for member in sorted(heartbeat_peers):
         known = table.known.get(member)
         if (
             known is not None
-            and table.talks(member, ours.now)
-            and table.word(member, ours.now) is not None
-            and span(known.word.awake_ms) >= AWAKE
+            and table.is_connected(member, ours.now)
+            and table.heartbeat(member, ours.now) is not None
+            and span(known.heartbeat.awake_ms) >= MIN_AWAKE
         ):
             able.append(known)
-    if ours.state_since is not None and ours.state > WORTH:
-        served = [one for one in able if _since(one, one.word.served_ms, ours.state_since)]
-        served = [one for one in served if not late(one.word)]
+    if ours.state_since is not None and ours.state > MIN_GAIN:
+        served = [one for one in able if _since(one, one.heartbeat.served_ms, ours.state_since)]
+        served = [one for one in served if not late(one.heartbeat)]
         if served:
-            best = min(served, key=lambda one: (len(one.word.lost), one.word.state_ms or 0))
-            return best.word.member, "the state service serves it, and not this controller"
+            best = min(
+                served, key=lambda one: (len(one.heartbeat.lost), one.heartbeat.state_ms or 0)
+            )
+            return best.heartbeat.member, "the state service serves it, and not this controller"
         return None
-    able = [one for one in able if not late(one.word)]
-    if ours.apart or ours.mute:
+    able = [one for one in able if not late(one.heartbeat)]
+    if ours.unreachable_zones or ours.not_reporting:
         best_of = max(able, key=lambda one: len(_reached(one, ours)), default=None)
         if best_of is not None and len(_reached(best_of, ours)) > len(ours.heard):
-            return best_of.word.member, (
+            return best_of.heartbeat.member, (
                 f"workers of {', '.join(sorted(_reached(best_of, ours)))} reach it,"
                 f" here only {', '.join(sorted(ours.heard)) or 'none'}"
             )
         return None
-    if ours.cloud_since is not None and ours.cloud > CLOUD_WORTH:
+    if ours.cloud_since is not None and ours.cloud > CLOUD_MIN_GAIN:
         for one in able:
-            cost = one.word.cloud_ms
-            if cost is not None and span(cost) < WORTH and not one.word.lost:
-                return one.word.member, "the cloud answers it, and not this controller"
+            cost = one.heartbeat.cloud_ms
+            if cost is not None and span(cost) < MIN_GAIN and not one.heartbeat.lost:
+                return one.heartbeat.member, "the cloud answers it, and not this controller"
     return None
 
 
@@ -147,25 +151,27 @@
     that had just begun, and that workers had not found yet, once transferred leadership for
     nothing.
     """
-    word = known.word
+    heartbeat = known.heartbeat
     back = set()
-    for zone, since in {**ours.apart, **ours.mute}.items():
-        after = max(since, ours.now - HEARD)
-        probed = zone in ours.apart and _since(known, word.probed_ms.get(zone), after)
-        if probed or _since(known, word.heard_ms.get(zone), after):
+    for zone, since in {**ours.unreachable_zones, **ours.not_reporting}.items():
+        after = max(since, ours.now - RECENTLY_HEARD)
+        probed = zone in ours.unreachable_zones and _since(
+            known, heartbeat.probed_ms.get(zone), after
+        )
+        if probed or _since(known, heartbeat.heard_ms.get(zone), after):
             back.add(zone)
-    return back | {zone for zone in ours.heard if zone not in word.lost}
+    return back | {zone for zone in ours.heard if zone not in heartbeat.lost}
 
 
-def deference(own: Word, others: Iterable[Word]) -> timedelta:
+def candidacy_delay(own: Heartbeat, others: Iterable[Heartbeat]) -> timedelta:
     """How long to let a better candidate stand for leader first; zero among equals."""
     mine = _rank(own)
-    return DEFER if any(_rank(word) < mine for word in others) else ZERO
+    return CANDIDACY_DELAY if any(_rank(heartbeat) < mine for heartbeat in others) else ZERO
 
 
-def _rank(word: Word) -> tuple[bool, int, bool]:
+def _rank(heartbeat: Heartbeat) -> tuple[bool, int, bool]:
     return (
-        late(word),
-        len(word.lost),
-        word.cloud_ms is not None and span(word.cloud_ms) > (CLOUD_WORTH),
+        late(heartbeat),
+        len(heartbeat.lost),
+        heartbeat.cloud_ms is not None and span(heartbeat.cloud_ms) > (CLOUD_MIN_GAIN),
     )
--- a/dappledrum/reach/passing.py
+++ b/dappledrum/reach/forwarding.py
@@ -13,17 +13,17 @@
 from dappledrum.timing.clock import Clock
 
 GATHER = timedelta(milliseconds=40)  # reports that come together go together
-MOST_BYTES = 48 * 1024  # of a message; the peer takes 64 KiB
+MAX_BYTES = 48 * 1024  # of a message; the peer takes 64 KiB
 #: For how long a worker is served this way before it is sent to the leader again; doubled each
 #: time that it comes back.
 SERVED = timedelta(seconds=20)
-SERVED_MOST = timedelta(seconds=120)
-MOST_WORKERS = 5_000
+MAX_SERVED_TIME = timedelta(seconds=120)
+MAX_WORKERS = 5_000
 
 Send = Callable[[str, list[bytes]], Awaitable[list[bytes | None] | None]]
 
 
-class Detour:
+class ForwardedWorker:
     """A worker that came here while another controller leads, for one epoch of that leader."""
 
     def __init__(self, epoch: int) -> None:
@@ -34,12 +34,12 @@
         self.period = SERVED
 
 
-class Detours:
+class ForwardedWorkers:
     """The workers that were redirected to the leader, and those that came back."""
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
-        self.workers: OrderedDict[str, Detour] = OrderedDict()
+        self.workers: OrderedDict[str, ForwardedWorker] = OrderedDict()
 
     def needed(self, machine: str, token: int, epoch: int, lost: bool, late: bool) -> bool:
         """Whether a report must be forwarded to the leader of this epoch; if not, the worker is
@@ -53,31 +53,31 @@
         report of it is forwarded first. A worker that was never answered has no tasks to lose.
         """
         now = self.clock.now()
-        detour = self.workers.get(machine)
-        if detour is None or detour.epoch != epoch:
-            detour = self.workers[machine] = Detour(epoch)
+        worker = self.workers.get(machine)
+        if worker is None or worker.epoch != epoch:
+            worker = self.workers[machine] = ForwardedWorker(epoch)
         self.workers.move_to_end(machine)
-        while len(self.workers) > MOST_WORKERS:
+        while len(self.workers) > MAX_WORKERS:
             self.workers.popitem(last=False)
-        if detour.served_until is not None:
-            if now < detour.served_until:
+        if worker.served_until is not None:
+            if now < worker.served_until:
                 return True
-            detour.served_until = None
-        elif detour.helped:
-            detour.helped = False
-        elif detour.sent or token == epoch:
-            detour.sent = False
-            detour.served_until = now + detour.period
-            detour.period = min(detour.period * 2, SERVED_MOST)
+            worker.served_until = None
+        elif worker.helped:
+            worker.helped = False
+        elif worker.sent or token == epoch:
+            worker.sent = False
+            worker.served_until = now + worker.period
+            worker.period = min(worker.period * 2, MAX_SERVED_TIME)
             return True
         elif late and 0 < token < epoch:
-            detour.helped = True
+            worker.helped = True
             return True
-        detour.sent = not lost
+        worker.sent = not lost
         return lost
 
 
-class Passing:
+class ReportForwarder:
     """Sends reports to the leader in batches, and returns each answer to its report."""
 
     def __init__(self, send: Send) -> None:
@@ -87,7 +87,7 @@
 
     async def ask(self, leader: str, report: bytes) -> bytes | None:
         """The leader's answer to a report; None: it gave none."""
-        if len(report) > MOST_BYTES:
+        if len(report) > MAX_BYTES:
             return None
         answer: asyncio.Future[bytes | None] = asyncio.get_running_loop().create_future()
         batch = self.waiting.get(leader)
@@ -113,7 +113,7 @@
         size = 0
         for item in batch:
             size += len(item[0]) + 8
-            if size > MOST_BYTES and parts[-1]:
+            if size > MAX_BYTES and parts[-1]:
                 parts.append([])
                 size = len(item[0])
             parts[-1].append(item)
--- a/dappledrum/reach/links.py
+++ b/dappledrum/reach/links.py
@@ -47,7 +47,7 @@
             return self.usual if self.served_at is not None else None
         return max(self.usual, self.clock.now() - self.waiting_since)
 
-    def quiet_for(self, span: timedelta) -> bool:
+    def idle_for(self, span: timedelta) -> bool:
         """Whether there was no answer for so long that the link must be probed."""
         return self.served_at is None or self.clock.now() - self.served_at > span
 
@@ -85,7 +85,7 @@
             self.failed_at = sent
             self.unanswered += 1
 
-    def apart_since(self, silent: timedelta) -> bool:
+    def unreachable_since(self, silent: timedelta) -> bool:
         """Whether a probe sent since then failed, and none was answered after it."""
         failed, reached = self.failed_at, self.reached_at
         return failed is not None and failed >= silent and (reached is None or reached < failed)
--- a/dappledrum/reach/messages.py
+++ b/dappledrum/reach/messages.py
@@ -18,7 +18,7 @@
 Text = Annotated[str, Meta(min_length=1, max_length=200)]
 
 
-class Word(msgspec.Struct, omit_defaults=True):
+class Heartbeat(msgspec.Struct, omit_defaults=True):
     """What one controller knew about its own links at one moment.
 
     `age_ms` is how long ago that moment was, as far as the sender knows; all other ages count from
@@ -54,27 +54,27 @@
     samples: dict[Text, list[Address]] = {}
 
 
-class Words(msgspec.Struct, tag="reach", tag_field="kind"):
+class Heartbeats(msgspec.Struct, tag="reach", tag_field="kind"):
     """A controller's own heartbeat, and those that it has received directly from others."""
 
-    own: Word
-    heard: list[Word] = []
+    own: Heartbeat
+    heard: list[Heartbeat] = []
 
 
-class WordsReply(msgspec.Struct):
+class HeartbeatsReply(msgspec.Struct):
     """The same from the controller that was asked."""
 
-    own: Word
-    heard: list[Word] = []
+    own: Heartbeat
+    heard: list[Heartbeat] = []
 
 
-class Passed(msgspec.Struct, tag="passed", tag_field="kind"):
+class ForwardedReports(msgspec.Struct, tag="passed", tag_field="kind"):
     """Reports of workers that do not reach the leader, unchanged, for the leader to answer."""
 
     reports: list[bytes]
 
 
-class PassedReply(msgspec.Struct):
+class ForwardedReportsReply(msgspec.Struct):
     """The bodies of the leader's answers, in the same order; None: it gives no answer."""
 
     answers: list[bytes | None]
--- a/dappledrum/reach/service.py
+++ b/dappledrum/reach/service.py
@@ -14,30 +14,30 @@
 from dappledrum.leadership.elector import Elector
 from dappledrum.peers.client import Peers
 from dappledrum.reach.choose import (
-    WORTH,
+    MIN_GAIN,
     Claim,
     Situation,
+    candidacy_delay,
     claims,
-    deference,
     late,
     successor,
     who_leads,
 )
+from dappledrum.reach.forwarding import ForwardedWorkers, ReportForwarder
 from dappledrum.reach.links import Link, Zone
-from dappledrum.reach.messages import Word, Words, WordsReply
-from dappledrum.reach.passing import Detours, Passing
+from dappledrum.reach.messages import Heartbeat, Heartbeats, HeartbeatsReply
 from dappledrum.reach.table import Table, ms, span
 from dappledrum.settings import WorkerLimits
 from dappledrum.timing.clock import ZERO, Clock
-from dappledrum.timing.patience import Pulse
+from dappledrum.timing.timeouts import PauseDetector
 from dappledrum.workers.messages import Report
 
 log = logging.getLogger(__name__)
 
 EVERY = timedelta(seconds=1)
-QUIET = timedelta(milliseconds=850)  # a peer whose heartbeat is newer is not asked
+RECENT = timedelta(milliseconds=850)  # a peer whose heartbeat is newer is not asked
 ASK_TIME = timedelta(milliseconds=900)
-PASS_TIME = timedelta(seconds=3.2)  # the worker gives up after 4 s
+FORWARD_TIME = timedelta(seconds=3.2)  # the worker gives up after 4 s
 LOOK = timedelta(milliseconds=250)
 COUNT_EVERY = timedelta(seconds=2)
 PROBE_TIME = timedelta(seconds=1)
@@ -45,17 +45,17 @@
 PROBE_SOON = timedelta(milliseconds=700)  # while the leader hears nothing from a zone
 CLOUD_EVERY = timedelta(seconds=5)
 SLACK = timedelta(milliseconds=750)
-SILENCE_LEAST = timedelta(seconds=1.5)
+MIN_SILENCE = timedelta(seconds=1.5)
 #: A worker gives a controller up after 4 s, and turns to the next a second later.
 SEARCH = timedelta(seconds=6)
 #: Longer than another controller takes to become leader once the key is gone.
 ASIDE = timedelta(seconds=2)
 #: A worker that a leader has not answered for so long in its term has been searching.
-FOUND = timedelta(seconds=3)
+SETTLED_TERM = timedelta(seconds=3)
 #: No clock is further ahead of ours; a heartbeat that claims so is not genuine.
 CLOCKS_APART = timedelta(hours=1)
 SAMPLES = 2
-MOST_ZONES = 16
+MAX_ZONES = 16
 
 Probe = Callable[[str, timedelta], Awaitable[bool]]
 
@@ -71,14 +71,14 @@
         peers: Peers,
         elector: Elector,
         limits: WorkerLimits,
-        pulse: Pulse,
+        pause_detector: PauseDetector,
         state: Link,
         cloud: Link,
         reporting: Callable[[], Mapping[str, int]],
         probe: Probe,
         ask_state: Callable[[], Awaitable[None]],
         ask_cloud: Callable[[], Awaitable[None]],
-        hand_over: Callable[[str, str], Awaitable[None]],
+        transfer_leadership: Callable[[str, str], Awaitable[None]],
     ) -> None:
         self.member = member
         self.clock = clock
@@ -86,19 +86,19 @@
         self.peers = peers
         self.elector = elector
         self.limits = limits
-        self.pulse = pulse
+        self.pause_detector = pause_detector
         self.state = state
         self.cloud = cloud
-        self.speaks: set[str] = set()  # peers whose version supports heartbeats
+        self.heartbeat_peers: set[str] = set()  # peers whose version supports heartbeats
         self.reporting = reporting  # machines that should report, by zone
         self.probe = probe
         self.ask_state = ask_state
         self.ask_cloud = ask_cloud
-        self.hand_over = hand_over
+        self.transfer_leadership = transfer_leadership
         self.table = Table(member, peers.callers)
         self.zones: dict[str, Zone] = {}
-        self.detours = Detours(clock)
-        self.passing = Passing(self._pass)
+        self.forwarded_workers = ForwardedWorkers(clock)
+        self.forwarder = ReportForwarder(self._send_reports)
         self.began = clock.now()
         self.born = int(clock.today().timestamp() * 1000)
         self.silent: dict[str, timedelta] = {}
@@ -109,14 +109,17 @@
     async def run(self) -> None:
         """Run all background tasks."""
         await asyncio.gather(
-            *(self._guard(lambda peer=peer: self._talk(peer)) for peer in self.peers.callers),
-            self._guard(self._look),
-            self._guard(self._probe_state),
-            self._guard(self._probe_workers),
-            self._guard(self._probe_cloud),
+            *(
+                self._keep_running(lambda peer=peer: self._exchange_heartbeats(peer))
+                for peer in self.peers.callers
+            ),
+            self._keep_running(self._look),
+            self._keep_running(self._probe_state),
+            self._keep_running(self._probe_workers),
+            self._keep_running(self._probe_cloud),
         )
 
-    async def _guard(self, loop: Callable[[], Awaitable[None]]) -> None:
+    async def _keep_running(self, loop: Callable[[], Awaitable[None]]) -> None:
         while True:
             try:
                 await loop()
@@ -127,25 +130,25 @@
     def zone(self, name: str) -> Zone:
         """The state of a zone, created if necessary."""
         if name not in self.zones:
-            while len(self.zones) >= MOST_ZONES:
+            while len(self.zones) >= MAX_ZONES:
                 self.zones.pop(next(iter(self.zones)))
             self.zones[name] = Zone()
         return self.zones[name]
 
     # words
 
-    def own(self) -> Word:
+    def own(self) -> Heartbeat:
         """This controller's own heartbeat."""
         now = self.clock.now()
         term = self.elector.holding()
         leader = self.elector.leader
         state, cloud = self.state.cost(), self.cloud.cost()
-        word = Word(
+        heartbeat = Heartbeat(
             self.member,
             self.born,
             ms(now - self.began),
             0,
-            ms(now - self.pulse.awake_since()),
+            ms(now - self.pause_detector.awake_since()),
             epoch=self.elector.epoch,
             leader=leader.member if leader is not None else None,
             holds=term is not None,
@@ -155,33 +158,35 @@
             cloud_ms=None if cloud is None else ms(cloud),
             heard_ms={n: ms(now - at) for n, z in self.zones.items() if (at := z.heard_at)},
             probed_ms={n: ms(now - at) for n, z in self.zones.items() if (at := z.reached_at)},
-            lost=sorted(self._apart() if term is not None else self._unreached()),
+            lost=sorted(
+                self._unreachable_zones() if term is not None else self._unanswered_zones()
+            ),
         )
         if term is not None:
-            word.samples = {
+            heartbeat.samples = {
                 name: self.rng.sample(list(zone.addresses), min(SAMPLES, len(zone.addresses)))
                 for name, zone in self.zones.items()
             }
-        return word
+        return heartbeat
 
-    def _unreached(self) -> list[str]:
+    def _unanswered_zones(self) -> list[str]:
         return [name for name, zone in self.zones.items() if zone.lost()]
 
-    def _apart(self) -> dict[str, timedelta]:
+    def _unreachable_zones(self) -> dict[str, timedelta]:
         """Zones without reports whose workers do not answer probes either."""
-        return {n: at for n, at in self.silent.items() if self.zone(n).apart_since(at)}
+        return {n: at for n, at in self.silent.items() if self.zone(n).unreachable_since(at)}
 
-    def hear(self, words: Words | WordsReply) -> None:
+    def receive(self, heartbeats: Heartbeats | HeartbeatsReply) -> None:
         """Take over the heartbeats of a peer."""
         now = self.clock.now()
         self.heard_at = now
-        self.table.note(words.own, now, direct=True)
-        for word in words.heard[: len(self.table.members)]:
-            if word.member == self.member:
-                self._outlive(word)
-            self.table.note(word, now, direct=False)
+        self.table.note(heartbeats.own, now, direct=True)
+        for heartbeat in heartbeats.heard[: len(self.table.members)]:
+            if heartbeat.member == self.member:
+                self._supersede_former_process(heartbeat)
+            self.table.note(heartbeat, now, direct=False)
 
-    def _outlive(self, word: Word) -> None:
+    def _supersede_former_process(self, heartbeat: Heartbeat) -> None:
         """Make sure that this process counts as newer than a former process of this controller.
 
         Clocks are not exact: of two processes that begin a moment apart, the later one may have
@@ -190,46 +195,46 @@
         """
         now = ms(self.clock.now() - self.began)
         newest = int((self.clock.today() + CLOCKS_APART).timestamp() * 1000)
-        if (self.born, now) < (word.born, word.tick) and word.born <= newest:
+        if (self.born, now) < (heartbeat.born, heartbeat.tick) and heartbeat.born <= newest:
             log.info("words of a process before this one look newer, beginning after them")
-            self.born = word.born + 1
-            self.tell()
+            self.born = heartbeat.born + 1
+            self.announce()
 
-    def answer(self, words: Words) -> WordsReply:
+    def answer(self, heartbeats: Heartbeats) -> HeartbeatsReply:
         """Answer a peer's heartbeats with ours. A peer that sends heartbeats supports them,
         whatever its version was before."""
-        if words.own.member in self.table.members:
-            self.speaks.add(words.own.member)
-        self.hear(words)
-        return WordsReply(self.own(), self.table.to_hand_on(self.clock.now()))
+        if heartbeats.own.member in self.table.members:
+            self.heartbeat_peers.add(heartbeats.own.member)
+        self.receive(heartbeats)
+        return HeartbeatsReply(self.own(), self.table.to_forward(self.clock.now()))
 
-    def tell(self) -> None:
+    def announce(self) -> None:
         """Send heartbeats at once, since something has changed that others should know."""
         for event in self._news.values():
             event.set()
 
-    async def _talk(self, peer: str) -> None:
+    async def _exchange_heartbeats(self, peer: str) -> None:
         while True:
             try:
                 async with asyncio.timeout(EVERY.total_seconds() * self.rng.uniform(0.9, 1.1)):
                     await self._news[peer].wait()
             except TimeoutError:
-                if self.table.talks(peer, self.clock.now(), QUIET):
+                if self.table.is_connected(peer, self.clock.now(), RECENT):
                     continue
             self._news[peer].clear()
-            if peer not in self.speaks:
+            if peer not in self.heartbeat_peers:
                 continue
-            words = Words(self.own(), self.table.to_hand_on(self.clock.now()))
-            reply = await self.peers.words(peer, words, ASK_TIME)
+            heartbeats = Heartbeats(self.own(), self.table.to_forward(self.clock.now()))
+            reply = await self.peers.heartbeats(peer, heartbeats, ASK_TIME)
             if reply is not None:
-                self.hear(reply)
+                self.receive(reply)
 
     # probes, where nothing flows
 
     async def _probe_state(self) -> None:
         while True:
             await asyncio.sleep(EVERY.total_seconds() * self.rng.uniform(0.9, 1.1))
-            if self.state.quiet_for(EVERY):
+            if self.state.idle_for(EVERY):
                 await self.ask_state()
 
     async def _probe_workers(self) -> None:
@@ -242,14 +247,14 @@
         last = ZERO
         while True:
             await asyncio.sleep(PROBE_SOON.total_seconds() * self.rng.uniform(0.9, 1.1))
-            words = self._words()
-            hurried = bool(self.silent) or any(w.holds and w.lost for w in words)
+            heartbeats = self._recent_heartbeats()
+            hurried = bool(self.silent) or any(w.holds and w.lost for w in heartbeats)
             now = self.clock.now()
             if not hurried and now - last < PROBE_EVERY:
                 continue
             last = now
-            for word in words:
-                for name, addresses in word.samples.items() if word.holds else ():
+            for heartbeat in heartbeats:
+                for name, addresses in heartbeat.samples.items() if heartbeat.holds else ():
                     known = self.zone(name).addresses
                     known.extend(a for a in addresses if a not in known)
             asked = self._to_ask(self.elector.holding() is not None)
@@ -265,7 +270,7 @@
             and (name in self.silent or not leads)
             and (zone.last is None or now - zone.last > PROBE_SOON / 2)
         ]
-        return sorted(names, key=lambda name: self.zones[name].probed_at or ZERO)[:MOST_ZONES]
+        return sorted(names, key=lambda name: self.zones[name].probed_at or ZERO)[:MAX_ZONES]
 
     async def _ask(self, name: str) -> None:
         zone = self.zones[name]
@@ -278,15 +283,17 @@
         uses none of them then."""
         while True:
             await asyncio.sleep(CLOUD_EVERY.total_seconds() * self.rng.uniform(0.9, 1.1))
-            if any(w.holds and span(w.cloud_ms or 0) > CLOUD_EVERY for w in self._words()):
+            if any(
+                w.holds and span(w.cloud_ms or 0) > CLOUD_EVERY for w in self._recent_heartbeats()
+            ):
                 await self.ask_cloud()
 
     # conclusions
 
-    def _words(self) -> list[Word]:
+    def _recent_heartbeats(self) -> list[Heartbeat]:
         return self.table.fresh(self.clock.now())
 
-    def conductor(self) -> str | None:
+    def redirect_target(self) -> str | None:
         """The controller to which workers should be redirected; None: not known."""
         now = self.clock.now()
         leader = self.elector.leader
@@ -295,87 +302,96 @@
             self.elector.epoch,
             leader.member if leader is not None else None,
             now,
-            cost is not None and cost <= WORTH,
+            cost is not None and cost <= MIN_GAIN,
         )
-        words = {word.member: word for word in self._words()}
-        return who_leads(claims((self.table.known[name] for name in words), own), words)
+        heartbeats = {heartbeat.member: heartbeat for heartbeat in self._recent_heartbeats()}
+        return who_leads(claims((self.table.known[name] for name in heartbeats), own), heartbeats)
 
-    def talks(self) -> bool:
+    def is_connected(self) -> bool:
         """Whether any peer has sent a heartbeat lately."""
         now = self.clock.now()
-        return any(self.table.talks(peer, now) for peer in self.speaks)
+        return any(self.table.is_connected(peer, now) for peer in self.heartbeat_peers)
 
     def served_peers(self) -> list[str]:
         """Peers that reach the state service, the quickest first."""
         now = self.clock.now()
-        able = [w for w in self._words() if not late(w) and self.table.talks(w.member, now)]
-        return [word.member for word in sorted(able, key=lambda w: w.state_ms or 0)]
+        able = [
+            w
+            for w in self._recent_heartbeats()
+            if not late(w) and self.table.is_connected(w.member, now)
+        ]
+        return [heartbeat.member for heartbeat in sorted(able, key=lambda w: w.state_ms or 0)]
 
-    def deference(self) -> timedelta:
+    def candidacy_delay(self) -> timedelta:
         """How long to let better candidates stand for leader first."""
         now = self.clock.now()
-        return deference(self.own(), [w for w in self._words() if self.table.talks(w.member, now)])
+        return candidacy_delay(
+            self.own(),
+            [w for w in self._recent_heartbeats() if self.table.is_connected(w.member, now)],
+        )
 
-    async def pass_on(self, report: Report, leader: str, body: bytes) -> bytes | None:
+    async def forward_report(self, report: Report, leader: str, body: bytes) -> bytes | None:
         """The leader's answer to a worker that does not reach it; None: the worker should go there
         itself, or the leader gives no answer."""
         now = self.clock.now()
-        word = self.table.word(leader, now)
-        if word is None or not self.table.talks(leader, now):
+        heartbeat = self.table.heartbeat(leader, now)
+        if heartbeat is None or not self.table.is_connected(leader, now):
             return None
-        term = now - self.table.at(leader) + span(word.term_ms)
-        lost, long = report.zone in word.lost, term > FOUND
-        if not self.detours.needed(report.machine, report.token, word.epoch, lost, long):
+        term = now - self.table.at(leader) + span(heartbeat.term_ms)
+        lost, long = report.zone in heartbeat.lost, term > SETTLED_TERM
+        if not self.forwarded_workers.needed(
+            report.machine, report.token, heartbeat.epoch, lost, long
+        ):
             return None
-        return await self.passing.ask(leader, body)
+        return await self.forwarder.ask(leader, body)
 
-    async def _pass(self, leader: str, reports: list[bytes]) -> list[bytes | None] | None:
-        return await self.peers.passed(leader, reports, PASS_TIME)
+    async def _send_reports(self, leader: str, reports: list[bytes]) -> list[bytes | None] | None:
+        return await self.peers.forward_reports(leader, reports, FORWARD_TIME)
 
     async def _look(self) -> None:
         """As leader: find zones without reports, and transfer leadership if another controller is
         better connected."""
-        told: set[str] = set()
+        announced: set[str] = set()
         while True:
             await asyncio.sleep(LOOK.total_seconds())
             term = self.elector.holding()
             if term is None:
                 self.silent = {}
-                told = set()
+                announced = set()
                 continue
-            self.silent = self._fallen_silent(term.began)
-            apart = set(self._apart())
-            if apart != told:
-                if apart - told:
-                    log.warning("cut off from workers of %s", ", ".join(sorted(apart)))
-                told = apart
-                self.tell()
-            if not self.elector.may_move():
+            self.silent = self._silent_zones(term.began)
+            unreachable_zones = set(self._unreachable_zones())
+            if unreachable_zones != announced:
+                if unreachable_zones - announced:
+                    log.warning("cut off from workers of %s", ", ".join(sorted(unreachable_zones)))
+                announced = unreachable_zones
+                self.announce()
+            if not self.elector.may_transfer():
                 continue
             situation = self._situation()
-            target = successor(situation, self.table, self.speaks)
+            target = successor(situation, self.table, self.heartbeat_peers)
             if target is not None:
-                await self.hand_over(*target)
-            elif self._useless(situation):
+                await self.transfer_leadership(*target)
+            elif self._serves_nobody(situation):
                 self.elector.resign("neither workers nor peers reach this controller", ASIDE)
 
-    def _useless(self, ours: Situation) -> bool:
+    def _serves_nobody(self, ours: Situation) -> bool:
         """Whether this leader reaches no worker and no peer that could lead instead. It then steps
         aside for a moment, and leads again if no other controller does."""
-        if ours.heard or not ours.apart or self.talks():
+        if ours.heard or not ours.unreachable_zones or self.is_connected():
             return False
-        return all(ours.now - at > SEARCH for at in ours.apart.values())
+        return all(ours.now - at > SEARCH for at in ours.unreachable_zones.values())
 
-    def _fallen_silent(self, began: timedelta) -> dict[str, timedelta]:
+    def _silent_zones(self, began: timedelta) -> dict[str, timedelta]:
         """Zones with machines that should report, but from which nothing has come for longer than
         any of them may take. Time in which this controller itself was paused does not count."""
         now = self.clock.now()
-        since = max(began, self.pulse.awake_since())
-        if now - since <= SILENCE_LEAST:
+        since = max(began, self.pause_detector.awake_since())
+        if now - since <= MIN_SILENCE:
             return {}
         # To count all machines four times a second costs more than to hear them. While every zone
         # is heard of, it only tells of zones that are new.
-        least = min(self.limits.report * 1.25 + SLACK, SILENCE_LEAST)
+        least = min(self.limits.report * 1.25 + SLACK, MIN_SILENCE)
         heard = all(now - max(z.heard_at or ZERO, since) <= least for z in self.zones.values())
         if heard and now - self.counted_at < COUNT_EVERY:
             return {}
@@ -383,22 +399,26 @@
         result = {}
         for name, machines in self.reporting().items():
             at = max(self.zone(name).heard_at or ZERO, since)
-            if now - at > self._gap(machines):
+            if now - at > self._longest_silence(machines):
                 result[name] = at
         return result
 
-    def _gap(self, machines: int) -> timedelta:
+    def _longest_silence(self, machines: int) -> timedelta:
         """The longest time without a report from this many machines. No machine is ever later than
         a quarter of the usual interval, and of many machines with random offsets some report much
         sooner: all of them are later than this with probability e^-12."""
         many = self.limits.report * 12 / machines
-        return min(self.limits.report * 1.25 + SLACK, max(many, SILENCE_LEAST))
+        return min(self.limits.report * 1.25 + SLACK, max(many, MIN_SILENCE))
 
     def _situation(self) -> Situation:
         now = self.clock.now()
         search = self.limits.report * 1.25 + SLACK + SEARCH
-        apart = self._apart()
-        mute = {n: at for n, at in self.silent.items() if n not in apart and now - at > search}
+        unreachable_zones = self._unreachable_zones()
+        not_reporting = {
+            n: at
+            for n, at in self.silent.items()
+            if n not in unreachable_zones and now - at > search
+        }
         heard = frozenset(
             name
             for name, zone in self.zones.items()
@@ -412,7 +432,7 @@
             self.state.waiting_since,
             self.cloud.cost() or ZERO,
             self.cloud.waiting_since,
-            apart,
-            mute,
+            unreachable_zones,
+            not_reporting,
             heard,
         )
--- a/dappledrum/reach/test_cuts.py
+++ b/dappledrum/reach/test_cuts.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from dappledrum.leadership.messages import HandOver
+from dappledrum.leadership.messages import TransferLeadership
 from dappledrum.standins.cuts import after
 from dappledrum.standins.pairs import FIVE
 from dappledrum.standins.scenario import busy_world, nothing_lost, sessions
@@ -166,7 +166,7 @@
     world = await busy_world(seed=5)
     leader = world.leader()
     successor = after(leader, 1)
-    world.nodes[leader].elector.hand_over(successor, "a test")
+    world.nodes[leader].elector.transfer_leadership(successor, "a test")
     await asyncio.sleep(when)
     gone = leader if who == "leader" else successor
     world.isolate(gone)
@@ -180,12 +180,12 @@
     world = await busy_world(seed=6)
     leader = world.leader()
     term = world.nodes[leader].elector.term
-    offer = HandOver(leader, term.epoch, term.version, [], True)
+    offer = TransferLeadership(leader, term.epoch, term.version, [], True)
     await world.restart(leader)
     await world.until_led()
     now = world.leader()
     for member in world.others(now):
-        assert not await world.nodes[member].elector.take_over(offer)
+        assert not await world.nodes[member].elector.accept_leadership(offer)
     assert world.leader() == now
 
 
--- a/dappledrum/reach/test_words.py
+++ b/dappledrum/reach/test_heartbeats.py
@@ -11,14 +11,14 @@
 from dappledrum.reach.choose import (
     Claim,
     Situation,
+    candidacy_delay,
     claims,
-    deference,
     successor,
     who_leads,
 )
+from dappledrum.reach.forwarding import SERVED, ForwardedWorkers
 from dappledrum.reach.links import Link, Zone
-from dappledrum.reach.messages import Word, Words
-from dappledrum.reach.passing import SERVED, Detours
+from dappledrum.reach.messages import Heartbeat, Heartbeats
 from dappledrum.reach.table import Known, Table
 from dappledrum.standins.time import SkewedClock, run
 
@@ -27,38 +27,38 @@
     return timedelta(seconds=seconds)
 
 
-def word(member="b", tick=0, age=0, **changes):
+def heartbeat(member="b", tick=0, age=0, **changes):
     fields = {"awake_ms": 60_000, "state_ms": 5, "served_ms": 100} | changes
-    return Word(member, fields.pop("born", 1), tick, age, **fields)
+    return Heartbeat(member, fields.pop("born", 1), tick, age, **fields)
 
 
 def test_a_word_that_was_held_back_is_neither_new_nor_fresh():
     """A cut that heals delivers what was held back for half a minute, and all of it says that it
     is of now."""
     table = Table("a", ["b", "c"])
-    table.note(word(tick=0), at(100), direct=True)
-    table.note(word(tick=40_000, epoch=7), at(140), direct=True)
-    table.note(word(tick=10_000, epoch=6), at(141), direct=True)  # 31 s late, and older
-    assert table.word("b", at(141)).epoch == 7
-    table.note(word(tick=42_000, epoch=7), at(172), direct=True)  # 30 s late, and the newest
-    assert table.word("b", at(172)) is None and not table.talks("b", at(172))
-    table.note(word(tick=1, born=2, epoch=8), at(173), direct=True)  # a new process
-    assert table.word("b", at(173)).epoch == 8
+    table.note(heartbeat(tick=0), at(100), direct=True)
+    table.note(heartbeat(tick=40_000, epoch=7), at(140), direct=True)
+    table.note(heartbeat(tick=10_000, epoch=6), at(141), direct=True)  # 31 s late, and older
+    assert table.heartbeat("b", at(141)).epoch == 7
+    table.note(heartbeat(tick=42_000, epoch=7), at(172), direct=True)  # 30 s late, and the newest
+    assert table.heartbeat("b", at(172)) is None and not table.is_connected("b", at(172))
+    table.note(heartbeat(tick=1, born=2, epoch=8), at(173), direct=True)  # a new process
+    assert table.heartbeat("b", at(173)).epoch == 8
 
 
 def test_words_go_on_once_and_strangers_have_none():
     table = Table("a", ["b", "c"])
-    table.note(word("b", 1), at(1), direct=True)
-    table.note(word("c", 1, age=500), at(1), direct=False)
-    table.note(word("a", 1), at(1), direct=True)
-    table.note(word("x", 1), at(1), direct=True)
+    table.note(heartbeat("b", 1), at(1), direct=True)
+    table.note(heartbeat("c", 1, age=500), at(1), direct=False)
+    table.note(heartbeat("a", 1), at(1), direct=True)
+    table.note(heartbeat("x", 1), at(1), direct=True)
     assert set(table.known) == {"b", "c"}
-    assert [one.member for one in table.to_hand_on(at(2))] == ["b"]
-    assert table.to_hand_on(at(2))[0].age_ms == 1000
-    assert not table.talks("c", at(1)) and table.word("c", at(1)) is not None
+    assert [one.member for one in table.to_forward(at(2))] == ["b"]
+    assert table.to_forward(at(2))[0].age_ms == 1000
+    assert not table.is_connected("c", at(1)) and table.heartbeat("c", at(1)) is not None
 
 
-def plain_who_leads(claimed, words):
+def plain_who_leads(claimed, heartbeats):
     """The same, as slowly as it is said: whom the newest strong claim of the highest epoch names,
     or any other claim where there is none, and who does not deny it."""
     epoch = max((claim.epoch for claim in claimed), default=0)
@@ -77,7 +77,7 @@
             break
     if best is None or best.member is None:
         return None
-    told = words.get(best.member)
+    told = heartbeats.get(best.member)
     return None if told is not None and not (told.holds and told.epoch >= epoch) else best.member
 
 
@@ -85,8 +85,8 @@
     rng = random.Random(5)
     seen = set()
     for _ in range(5000):
-        words = {
-            name: word(
+        heartbeats = {
+            name: heartbeat(
                 name,
                 epoch=rng.randint(0, 3),
                 leader=rng.choice([None, "a", "b", "c"]),
@@ -96,11 +96,11 @@
             )
             for name in rng.sample("bcd", rng.randint(0, 3))
         }
-        known = [Known(one, at(rng.random() * 9), True) for one in words.values()]
+        known = [Known(one, at(rng.random() * 9), True) for one in heartbeats.values()]
         own = Claim(rng.randint(0, 3), rng.choice([None, "a", "c"]), at(9.5), rng.random() < 0.5)
         claimed = claims(known, own)
-        result = who_leads(claimed, words)
-        assert result == plain_who_leads(claimed, words)
+        result = who_leads(claimed, heartbeats)
+        assert result == plain_who_leads(claimed, heartbeats)
         seen.add(result)
     assert seen == {None, "a", "b", "c", "d"}
 
@@ -110,15 +110,15 @@
     return base._replace(**changes)
 
 
-def known_to(words, now=100.0):
-    table = Table("a", [one.member for one in words])
-    for one in words:
+def known_to(heartbeats, now=100.0):
+    table = Table("a", [one.member for one in heartbeats])
+    for one in heartbeats:
         table.note(one, at(now), direct=True)
-    return table, [one.member for one in words]
+    return table, [one.member for one in heartbeats]
 
 
 STUCK = {"state": at(2), "state_since": at(98)}
-APART = {"apart": {"x": at(97)}, "heard": frozenset({"y"})}
+APART = {"unreachable_zones": {"x": at(97)}, "heard": frozenset({"y"})}
 
 
 @pytest.mark.parametrize(
@@ -133,24 +133,24 @@
         (APART, {"probed_ms": {"x": 3500}}, False),
         (APART, {"heard_ms": {"x": 500}, "lost": ["y"]}, False),  # one zone for another
         (APART, {"probed_ms": {"x": 500}, "state_ms": 4000}, False),
-        ({"mute": {"x": at(90)}, "heard": frozenset()}, {"probed_ms": {"x": 500}}, False),
-        ({"mute": {"x": at(90)}, "heard": frozenset()}, {"heard_ms": {"x": 500}}, True),
+        ({"not_reporting": {"x": at(90)}, "heard": frozenset()}, {"probed_ms": {"x": 500}}, False),
+        ({"not_reporting": {"x": at(90)}, "heard": frozenset()}, {"heard_ms": {"x": 500}}, True),
         ({"cloud": at(30), "cloud_since": at(70)}, {"cloud_ms": 200}, True),
         ({"cloud": at(30), "cloud_since": at(70)}, {}, False),  # it has not asked
         ({"cloud": at(10), "cloud_since": at(90)}, {"cloud_ms": 200}, False),
     ],
 )
 def test_who_had_better_lead(ours, theirs, moves):
-    table, speaking = known_to([word("b", 1, **theirs)])
-    target = successor(situation(**ours), table, speaking)
+    table, heartbeat_peers = known_to([heartbeat("b", 1, **theirs)])
+    target = successor(situation(**ours), table, heartbeat_peers)
     assert (target is not None and target[0] == "b") is moves
     assert successor(situation(**ours), table, []) is None  # of a version that tells nothing
 
 
 def test_a_better_candidate_goes_first_and_equals_do_not_wait():
-    good, bad = word("b", 1), word("c", 1, lost=["x"])
-    assert deference(bad, [good]) > at(0)
-    assert deference(good, [bad]) == deference(good, [good]) == at(0)
+    good, bad = heartbeat("b", 1), heartbeat("c", 1, lost=["x"])
+    assert candidacy_delay(bad, [good]) > at(0)
+    assert candidacy_delay(good, [bad]) == candidacy_delay(good, [good]) == at(0)
 
 
 def test_a_link_counts_by_what_it_delays():
@@ -174,20 +174,20 @@
 def test_a_zone_is_apart_only_by_a_probe_that_began_after_the_silence():
     zone = Zone()
     zone.probed(at(5), at(6), False)
-    assert not zone.apart_since(at(7)) and not zone.lost()
+    assert not zone.unreachable_since(at(7)) and not zone.lost()
     zone.probed(at(8), at(9), False)
-    assert zone.apart_since(at(7)) and zone.lost()
+    assert zone.unreachable_since(at(7)) and zone.lost()
     zone.probed(at(9.5), at(9.6), True)
-    assert not zone.apart_since(at(7)) and not zone.lost()
+    assert not zone.unreachable_since(at(7)) and not zone.lost()
 
 
 def test_nobody_goes_in_a_ring():
     async def main():
 
-        detours = Detours(SkewedClock())
+        forwarded_workers = ForwardedWorkers(SkewedClock())
 
         def needed(token, epoch=5, lost=False, late=False):
-            return detours.needed("m", token, epoch, lost, late)
+            return forwarded_workers.needed("m", token, epoch, lost, late)
 
         assert not needed(4)  # sent to the leader
         await asyncio.sleep(40)
@@ -199,11 +199,13 @@
         await asyncio.sleep(SERVED.total_seconds() + 1)
         assert needed(5)  # tried more rarely
         assert not needed(5, epoch=6)  # another leader
-        assert not detours.needed("new", 0, 6, False, True)  # never answered: nothing to lose
-        assert detours.needed("lost", 0, 6, True, False)
-        assert detours.needed("searching", 5, 6, False, True)  # once, and then it is sent
-        assert not detours.needed("searching", 6, 6, False, True)
-        assert detours.needed("searching", 6, 6, False, True)
+        # never answered: nothing to lose
+        assert not forwarded_workers.needed("new", 0, 6, False, True)
+        assert forwarded_workers.needed("lost", 0, 6, True, False)
+        # once, and then it is sent
+        assert forwarded_workers.needed("searching", 5, 6, False, True)
+        assert not forwarded_workers.needed("searching", 6, 6, False, True)
+        assert forwarded_workers.needed("searching", 6, 6, False, True)
 
     run(main())
 
@@ -213,5 +215,5 @@
     assert asyncio.run(_worker_answers("127.0.0.1:99999", at(1))) is False
     for bad in ({"samples": {"x": ["nowhere"]}}, {"heard_ms": {"x": -1}}, {"epoch": -1}):
         with pytest.raises(MalformedError):
-            decode(encode(Words(word(**bad))), Words)
-    assert decode(encode(Words(word(epoch=3))), Words).own.epoch == 3
+            decode(encode(Heartbeats(heartbeat(**bad))), Heartbeats)
+    assert decode(encode(Heartbeats(heartbeat(epoch=3))), Heartbeats).own.epoch == 3
--- a/dappledrum/reach/test_outages.py
+++ b/dappledrum/reach/test_outages.py
@@ -58,7 +58,7 @@
 
 def clear(world):
     leader = world.leader()
-    return leader is not None and world.nodes[leader].elector.term.clear_at is not None
+    return leader is not None and world.nodes[leader].elector.term.others_stopped_at is not None
 
 
 def two_sides(world):
@@ -87,7 +87,7 @@
         while world.nodes[leader].elector.holding() is not None:
             # The former leader still answers: nothing may be given up meanwhile, whoever leads.
             second = world.leader()
-            assert second is None or world.nodes[second].elector.term.clear_at is None
+            assert second is None or world.nodes[second].elector.term.others_stopped_at is None
             await world.wait(0.25)
             seen += 0.25
         assert seen > 2
@@ -131,8 +131,8 @@
             await world.restart(leader, 5.0)
             await world.wait(3)
             for member in FIVE:
-                witness = world.nodes[member].elector.witness
+                votes = world.nodes[member].elector.votes
                 epoch = world.nodes[world.leader()].elector.term.epoch
-                assert witness.barred <= epoch and (witness.tried or 0) < epoch
+                assert votes.least_epoch <= epoch and (votes.tried or 0) < epoch
 
     run(main())
--- a/dappledrum/recovery/picture.py
+++ b/dappledrum/recovery/progress.py
@@ -14,7 +14,7 @@
 LEASES = 2  # by then everything that could be proven is, and what is missing stays so
 
 
-class Picture:
+class RecoveryProgress:
     """Watches the recovery of one term; it changes nothing."""
 
     def __init__(
@@ -59,5 +59,5 @@
         self.began = None
 
     def _awaited(self, machine: Machine) -> bool:
-        known = machine.expected_back or (machine.name in self.placed and not machine.up)
+        known = machine.awaiting_report or (machine.name in self.placed and not machine.up)
         return known and not machine.returning and not machine.failed
--- a/dappledrum/recovery/back.py
+++ b/dappledrum/recovery/return_times.py
@@ -19,7 +19,7 @@
 DOUBT = 1.5  # how much further away it is, for each second past the usual
 
 
-def back_in(waited: timedelta, report: timedelta) -> timedelta:
+def expected_report_in(waited: timedelta, report: timedelta) -> timedelta:
     """How much longer a machine will take to report that was first heard of `waited` ago."""
     late = waited - (report * 1.25 + SEARCH)
     return -late if late < ZERO else SEARCH / 2 + late * DOUBT
--- a/dappledrum/recovery/test_squaring.py
+++ b/dappledrum/recovery/test_reconciliation.py
@@ -38,7 +38,7 @@
 
     placed: bool  # it still counts as on the machine
     done: bool
-    told: str | None
+    instruction: str | None
 
 
 def plainly(case: Case) -> Outcome:
@@ -60,18 +60,36 @@
     if placed and unwanted and not mine and not case.held_back and recorded_in == case.session:
         placed = False  # never begun there, or gone
         unstored = True
-    told = None
+    instruction = None
     if case.shown is not None and ended:
-        told = None if placed and mine or unstored else "forget"
+        instruction = None if placed and mine or unstored else "forget"
     elif case.shown is not None:
-        told = None if placed and mine and not unwanted else "stop"
-    if told is None and placed and not mine and not unwanted and recorded_in == case.session:
-        told = "start"  # as recorded; repeated, it changes nothing
-    if told == "stop" and placed and not mine and not unwanted and recorded_in == case.session:
-        told = "stop, start"  # the other goes first; until then the worker refuses this one
-    if told == "forget" and placed and not mine and not unwanted and recorded_in == case.session:
-        told = "forget, start"
-    return Outcome(placed, done, told)
+        instruction = None if placed and mine and not unwanted else "stop"
+    if (
+        instruction is None
+        and placed
+        and not mine
+        and not unwanted
+        and recorded_in == case.session
+    ):
+        instruction = "start"  # as recorded; repeated, it changes nothing
+    if (
+        instruction == "stop"
+        and placed
+        and not mine
+        and not unwanted
+        and recorded_in == case.session
+    ):
+        instruction = "stop, start"  # the other goes first; until then the worker refuses this one
+    if (
+        instruction == "forget"
+        and placed
+        and not mine
+        and not unwanted
+        and recorded_in == case.session
+    ):
+        instruction = "forget, start"
+    return Outcome(placed, done, instruction)
 
 
 def really(case: Case) -> Outcome:
@@ -103,8 +121,8 @@
         report = Report("m", "10.1.0.1:1", "small", "a", True, case.session, 7, token, None, tasks)
         machine = books.take(report)
         assert machine is not None
-        told = ", ".join(command.op for command in books.commands(machine, report))
-        return Outcome(0 in page.places, page.is_done(0), told or None)
+        instruction = ", ".join(command.op for command in books.commands(machine, report))
+        return Outcome(0 in page.places, page.is_done(0), instruction or None)
 
     return run(main())
 
@@ -148,8 +166,8 @@
     """Whatever the table says: a start is for what is recorded here, in this session, and not
     done or cancelled; a forget is for what is stored."""
     outcome = really(case)
-    if outcome.told is not None and "start" in outcome.told:
+    if outcome.instruction is not None and "start" in outcome.instruction:
         assert outcome.placed and not outcome.done and not case.cancelled
         assert case.recorded is not None and case.recorded[1] == case.session
-    if outcome.told is not None and "forget" in outcome.told:
+    if outcome.instruction is not None and "forget" in outcome.instruction:
         assert outcome.done == case.done
--- a/dappledrum/recovery/test_back.py
+++ b/dappledrum/recovery/test_return_times.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from dappledrum.recovery.back import back_in
+from dappledrum.recovery.return_times import expected_report_in
 from dappledrum.standins.time import run
 from dappledrum.standins.world import World, job
 
@@ -13,9 +13,11 @@
 
 def test_a_machine_is_the_further_away_the_longer_it_is_missing():
     report = timedelta(seconds=3)
-    usual = [back_in(timedelta(seconds=s), report).total_seconds() for s in range(6)]
+    usual = [expected_report_in(timedelta(seconds=s), report).total_seconds() for s in range(6)]
     assert usual == sorted(usual, reverse=True) and 0 < usual[-1] < 1 < usual[0] < 7
-    missing = [back_in(timedelta(seconds=s), report).total_seconds() for s in range(6, 60)]
+    missing = [
+        expected_report_in(timedelta(seconds=s), report).total_seconds() for s in range(6, 60)
+    ]
     assert missing == sorted(missing) and missing[0] < 2 and missing[-1] > 60
 
 
--- a/dappledrum/scale/__main__.py
+++ b/dappledrum/scale/__main__.py
@@ -18,8 +18,8 @@
   python3 -m dappledrum.scale --workers 1000 --hosts 4 --controllers 5 --report report.json
       a thousand workers on four processes
 """
-MOST_WORKERS = 10_000
-MOST_PROCESSES = 200
+MAX_WORKERS = 10_000
+MAX_PROCESSES = 200
 
 
 def parser() -> argparse.ArgumentParser:
@@ -59,9 +59,9 @@
     if unknown or not phases:
         cli.error(f"--phases: unknown: {', '.join(unknown) or 'none given'}")
     for name, least, most in (
-        ("workers", 1, MOST_WORKERS),
+        ("workers", 1, MAX_WORKERS),
         ("controllers", 1, 33),
-        ("hosts", 1, MOST_PROCESSES // 2),
+        ("hosts", 1, MAX_PROCESSES // 2),
         ("tasks", 1, 1000),
         ("tasks_per_job", 1, 100_000),
         ("run_s", 1, 3600),
--- a/dappledrum/scale/capacity.py
+++ b/dappledrum/scale/capacity.py
@@ -18,7 +18,7 @@
 DIRECTORY = Path(__file__).parents[2] / "docs" / "capacity"
 PHASE = "steady"
 TARGET_WORKERS = 10_000
-LEAST_SIZES = 4
+MIN_SIZES = 4
 
 
 class Hardware(NamedTuple):
--- a/dappledrum/scale/run.py
+++ b/dappledrum/scale/run.py
@@ -152,7 +152,7 @@
         return round(CPUS / self.options.tasks_per_worker - 0.005, 2)
 
     @property
-    def room(self) -> int:
+    def capacity(self) -> int:
         """Tasks that fit on the fleet."""
         return self.options.workers * self.options.tasks_per_worker
 
@@ -196,9 +196,9 @@
     async def _submit(self) -> None:
         """Work for most of the fleet at once, then as much as ends, evenly."""
         options = self.options
-        for _ in range(int(self.room * BUSY / options.tasks_per_job)):
+        for _ in range(int(self.capacity * BUSY / options.tasks_per_job)):
             self.users.begin(options.tasks_per_job, self.task_cpus, options.run_s)
-        pause = options.run_s * options.tasks_per_job / (self.room * BUSY)
+        pause = options.run_s * options.tasks_per_job / (self.capacity * BUSY)
         while True:
             cancels = self.rng.random() < options.cancelled
             self.users.begin(options.tasks_per_job, self.task_cpus, options.run_s, cancels)
@@ -242,7 +242,7 @@
 
     async def _peak(self) -> None:
         """A tenth of the fleet's room in small jobs at once."""
-        for _ in range(max(1, self.room // 100)):
+        for _ in range(max(1, self.capacity // 100)):
             self.users.begin(10, self.task_cpus, self.options.run_s)
 
     async def _loss(self) -> None:
--- a/dappledrum/scale/sockets.py
+++ b/dappledrum/scale/sockets.py
@@ -12,7 +12,7 @@
 from dappledrum.settings import split_address
 from dappledrum.standins.network import Service
 
-MOST_CONNECTIONS = 20_000
+MAX_CONNECTIONS = 20_000
 HEAD_BYTES = 90  # of a request or answer, beside its path and body
 REPORTS = "/hello"
 
@@ -24,7 +24,7 @@
         reply = await service(source, request.method, request.path, request.body)
         return Response(reply.status, reply.body)
 
-    return Server(handle, MOST_CONNECTIONS)
+    return Server(handle, MAX_CONNECTIONS)
 
 
 class SocketLink:
--- a/dappledrum/scale/users.py
+++ b/dappledrum/scale/users.py
@@ -22,17 +22,17 @@
 TRIES = 60
 FINAL = ("done", "cancelled")
 URGENCIES = ("prod", "high", "standard")
-MOST_MS = 600_000
+MAX_MS = 600_000
 
 
 def histogram() -> HdrHistogram:
     """Of milliseconds, to three digits."""
-    return HdrHistogram(1, MOST_MS, 3)
+    return HdrHistogram(1, MAX_MS, 3)
 
 
 def milliseconds(seconds: float) -> int:
     """As a histogram takes it."""
-    return min(MOST_MS, max(1, round(seconds * 1000)))
+    return min(MAX_MS, max(1, round(seconds * 1000)))
 
 
 @dataclass
--- a/dappledrum/scheduling/bags.py
+++ b/dappledrum/scheduling/bags.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 from datetime import timedelta
 
-from dappledrum.scheduling.lanes import Kind, Size
+from dappledrum.scheduling.timeline import Kind, Size
 from dappledrum.timing.clock import ZERO
 
 
@@ -24,28 +24,28 @@
     allowed: Callable[[Kind], bool]
     rank: tuple[float, ...] = ()  # smaller goes first; decides before the order of the paper
     one_zone: bool = False
-    zone_room: dict[str, int] | None = None  # spread: how many more tasks each zone may take
+    zone_capacity: dict[str, int] | None = None  # spread: how many more tasks each zone may take
     team: str = ""
     held: bool = False  # uses free capacity only, nothing is rented for it
     waited: timedelta = ZERO  # since its tasks could start
-    beside: int = 0  # ready tasks of the other jobs of its stage
-    thrifty: bool = False  # late in any case: only the cheaper kind of machine is rented
+    ready_siblings: int = 0  # ready tasks of the other jobs of its stage
+    cheap_only: bool = False  # late in any case: only the cheaper kind of machine is rented
     idle: bool = False  # without any deadline, so it is never late
     gang: bool = False  # its tasks run all at once or not at all
     #: It has waited for so long that room which is there now is used, whatever the machine's
     #: billed interval: queued behind other work it may wait for an interval's length.
-    room_now: bool = False
+    use_free_capacity: bool = False
 
 
-class TeamRoom:
+class TeamCapacity:
     """How many more resources each team may use at this moment; None: no limit."""
 
-    def __init__(self, room: dict[str, Size | None]) -> None:
-        self.room = room
+    def __init__(self, capacity: dict[str, Size | None]) -> None:
+        self.capacity = capacity
 
     def count(self, bag: Bag) -> int:
         """Tasks of the bag that may still start."""
-        left = self.room.get(bag.team)
+        left = self.capacity.get(bag.team)
         return (
             bag.ready
             if left is None
@@ -54,6 +54,6 @@
 
     def take(self, bag: Bag, count: int) -> None:
         """Count `count` tasks of the bag as started."""
-        left = self.room.get(bag.team)
+        left = self.capacity.get(bag.team)
         if left is not None:
-            self.room[bag.team] = left.minus(Size(bag.size.cpus, bag.size.gpus, 0.0), count)
+            self.capacity[bag.team] = left.minus(Size(bag.size.cpus, bag.size.gpus, 0.0), count)
--- a/dappledrum/scheduling/rooms.py
+++ b/dappledrum/scheduling/capacity.py
@@ -9,28 +9,28 @@
 from collections.abc import Iterable, Sequence
 from datetime import timedelta
 
-from dappledrum.scheduling.lanes import Gap, Kind, Lanes, Size
+from dappledrum.scheduling.timeline import Gap, Kind, MachineTimeline, Size
 
 Row = tuple[timedelta, int]  # first moment with free capacity, index of the machine
 
 
-class Rooms:
+class CapacityIndex:
     """The machines of a plan, including those that the plan rents."""
 
-    def __init__(self, lanes: Iterable[Lanes]) -> None:
-        self.lanes: list[Lanes] = []
+    def __init__(self, timelines: Iterable[MachineTimeline]) -> None:
+        self.timelines: list[MachineTimeline] = []
         self.by_kind: dict[Kind, list[int]] = {}
         self._orders: dict[Kind, dict[Size, list[Row]]] = {}
-        for one in lanes:
+        for one in timelines:
             self.add(one)
 
-    def add(self, lanes: Lanes) -> None:
+    def add(self, timeline: MachineTimeline) -> None:
         """Add a machine."""
-        lanes.index = len(self.lanes)
-        self.lanes.append(lanes)
-        self.by_kind.setdefault(lanes.kind, []).append(lanes.index)
-        for size, rows in self._orders.get(lanes.kind, {}).items():
-            insort(rows, (lanes.first(size), lanes.index))
+        timeline.index = len(self.timelines)
+        self.timelines.append(timeline)
+        self.by_kind.setdefault(timeline.kind, []).append(timeline.index)
+        for size, rows in self._orders.get(timeline.kind, {}).items():
+            insort(rows, (timeline.first(size), timeline.index))
 
     def order(self, kind: Kind, size: Size) -> Sequence[Row]:
         """Machines of a kind, ordered by the first moment at which a task of this size fits;
@@ -39,17 +39,17 @@
         rows = orders.get(size)
         if rows is None:
             rows = orders[size] = sorted(
-                (self.lanes[index].first(size), index) for index in self.by_kind.get(kind, ())
+                (self.timelines[index].first(size), index) for index in self.by_kind.get(kind, ())
             )
         return rows
 
-    def reserve(self, lanes: Lanes, gap: Gap, size: Size, count: int) -> None:
+    def reserve(self, timeline: MachineTimeline, gap: Gap, size: Size, count: int) -> None:
         """Reserve a gap of a machine for some tasks, and keep the order up to date."""
-        orders = self._orders.get(lanes.kind, {})
-        before = [lanes.first(asked) for asked in orders]
-        lanes.reserve(gap.start, gap.finish, size, count)
+        orders = self._orders.get(timeline.kind, {})
+        before = [timeline.first(asked) for asked in orders]
+        timeline.reserve(gap.start, gap.finish, size, count)
         for (asked, rows), old in zip(orders.items(), before, strict=True):
-            new = lanes.first(asked)
+            new = timeline.first(asked)
             if new != old:
-                del rows[bisect_left(rows, (old, lanes.index))]
-                insort(rows, (new, lanes.index))
+                del rows[bisect_left(rows, (old, timeline.index))]
+                insort(rows, (new, timeline.index))
--- a/dappledrum/scheduling/chains.py
+++ b/dappledrum/scheduling/chains.py
@@ -101,11 +101,11 @@
         name: _Group(1, links[name].run, links[name].ready, links[name].tasks) for name in order
     }
     for name in order:
-        beside: dict[int, list[str]] = {}
+        siblings: dict[int, list[str]] = {}
         for need in links[name].needs:
             if need in result:
-                beside.setdefault(links[need].depth, []).append(need)
-        for members in beside.values():
+                siblings.setdefault(links[need].depth, []).append(need)
+        for members in siblings.values():
             group = _Group(
                 len(members),
                 max(links[member].run for member in members),
--- a/dappledrum/scheduling/draft.py
+++ b/dappledrum/scheduling/draft.py
@@ -5,8 +5,8 @@
 from datetime import timedelta
 
 from dappledrum.scheduling.bags import Bag
-from dappledrum.scheduling.lanes import Gap, Kind, Lanes, Offer
-from dappledrum.scheduling.rooms import Rooms
+from dappledrum.scheduling.capacity import CapacityIndex
+from dappledrum.scheduling.timeline import Gap, Kind, MachineTimeline, Offer
 
 
 @dataclass
@@ -26,10 +26,12 @@
 class Draft:
     """The plan so far, and the machines and offers that are left for the rest of it."""
 
-    def __init__(self, now: timedelta, lanes: Iterable[Lanes], offers: Sequence[Offer]) -> None:
+    def __init__(
+        self, now: timedelta, timelines: Iterable[MachineTimeline], offers: Sequence[Offer]
+    ) -> None:
         self.now = now
-        self.rooms = Rooms(lanes)
-        self.lanes = self.rooms.lanes
+        self.capacity_index = CapacityIndex(timelines)
+        self.timelines = self.capacity_index.timelines
         self.offers = list(offers)
         self.plan = Plan()
         self.examined = 0  # machines looked at closely: what a plan costs
@@ -41,29 +43,29 @@
 
     def zone_limit(self, bag: Bag, zone: str, count: int) -> int:
         """How many of so many tasks of a bag may go into a zone."""
-        return count if bag.zone_room is None else min(count, bag.zone_room.get(zone, 0))
+        return count if bag.zone_capacity is None else min(count, bag.zone_capacity.get(zone, 0))
 
-    def take_zone_room(self, bag: Bag, zone: str, count: int) -> None:
+    def take_zone_capacity(self, bag: Bag, zone: str, count: int) -> None:
         """Some tasks of a bag go into a zone."""
-        if bag.zone_room is not None:
-            bag.zone_room[zone] = bag.zone_room.get(zone, 0) - count
+        if bag.zone_capacity is not None:
+            bag.zone_capacity[zone] = bag.zone_capacity.get(zone, 0) - count
 
-    def reserve(self, bag: Bag, lanes: Lanes, gap: Gap, count: int) -> None:
+    def reserve(self, bag: Bag, timeline: MachineTimeline, gap: Gap, count: int) -> None:
         """Give a gap to some tasks of a bag."""
-        self.rooms.reserve(lanes, gap, bag.size, count)
-        lanes.expect(bag.image, bag.image_gb, gap.start)
-        lanes.planned += count
-        self.take_zone_room(bag, lanes.kind.zone, count)
+        self.capacity_index.reserve(timeline, gap, bag.size, count)
+        timeline.expect(bag.image, bag.image_gb, gap.start)
+        timeline.planned += count
+        self.take_zone_capacity(bag, timeline.kind.zone, count)
 
-    def commit(self, bag: Bag, lanes: Lanes, gap: Gap, count: int) -> None:
+    def commit(self, bag: Bag, timeline: MachineTimeline, gap: Gap, count: int) -> None:
         """Give a gap on a machine at hand to some tasks, which start if it begins now."""
-        self.reserve(bag, lanes, gap, count)
+        self.reserve(bag, timeline, gap, count)
         if not bag.idle:
-            self.plan.needed.add(lanes.machine)
-        if gap.start <= self.now and not lanes.booting:
-            self.plan.starts.append((bag.id, lanes.machine, count))
+            self.plan.needed.add(timeline.machine)
+        if gap.start <= self.now and not timeline.booting:
+            self.plan.starts.append((bag.id, timeline.machine, count))
 
-    def likely_finish(self, bag: Bag, lanes: Lanes, gap: Gap) -> timedelta:
+    def likely_finish(self, bag: Bag, timeline: MachineTimeline, gap: Gap) -> timedelta:
         """When a task that is planned in a gap will probably finish.
 
         In the paper a task keeps its place in the queue of a machine. Here more urgent tasks that
@@ -72,13 +74,13 @@
         So a task that has waited for some time is expected to wait for the same time again, unless
         the gap begins now or the machine is still booting.
         """
-        if gap.start <= self.now or lanes.booting:
+        if gap.start <= self.now or timeline.booting:
             return gap.finish
         return gap.finish + bag.waited
 
-    def blank(self, offer: Offer) -> Lanes:
+    def blank(self, offer: Offer) -> MachineTimeline:
         """A machine that would be rented now; its billed intervals include the boot."""
-        return Lanes(
+        return MachineTimeline(
             "",
             offer.kind,
             offer.capacity,
@@ -90,8 +92,8 @@
             booting=True,
         )
 
-    def add_rented(self, lanes: Lanes) -> None:
+    def add_rented(self, timeline: MachineTimeline) -> None:
         """Take in a machine that is to be rented, under a name of its own in this plan."""
-        lanes.machine = f"+{self._rented}"
+        timeline.machine = f"+{self._rented}"
         self._rented += 1
-        self.rooms.add(lanes)
+        self.capacity_index.add(timeline)
--- a/dappledrum/scheduling/gang_placement.py
+++ b/dappledrum/scheduling/gang_placement.py
@@ -1,9 +1,9 @@
 """Places gangs in a plan: all tasks now, all tasks at one later moment, or none."""
 
-from dappledrum.gangs.together import Gang, Room, Search
+from dappledrum.gangs.search import Gang, GangSlot, Search
 from dappledrum.scheduling.bags import Bag
 from dappledrum.scheduling.draft import Draft
-from dappledrum.scheduling.lanes import Gap, Kind
+from dappledrum.scheduling.timeline import Gap, Kind
 
 GANGS_SOUGHT = 4  # gangs for which one plan searches more than the free capacity of now
 
@@ -20,28 +20,28 @@
         one, or do nothing."""
         if count < bag.ready:
             return  # the team's limit does not allow all of it yet; what it allows is kept free
-        room = self._search(bag, count)
-        if room is None or room.finish > bag.due:
+        slot = self._search(bag, count)
+        if slot is None or slot.finish > bag.due:
             self.draft.plan.late[bag.id] = count
-        if room is None:
+        if slot is None:
             return
-        for index, number in room.shares:
-            gap = Gap(room.start, number, room.finish)
-            self.draft.commit(bag, self.draft.lanes[index], gap, number)
-        for kind, (machines, tasks) in room.rented.items():
-            self._rent(bag, room, kind, machines, tasks)
+        for index, number in slot.shares:
+            gap = Gap(slot.start, number, slot.finish)
+            self.draft.commit(bag, self.draft.timelines[index], gap, number)
+        for kind, (machines, tasks) in slot.rented.items():
+            self._rent(bag, slot, kind, machines, tasks)
 
-    def _search(self, bag: Bag, count: int) -> Room | None:
+    def _search(self, bag: Bag, count: int) -> GangSlot | None:
         gang = Gang(
             *(bag.size, count, bag.run, bag.due, bag.image, bag.image_gb, bag.allowed),
-            bag.zone_room,
+            bag.zone_capacity,
         )
-        search = Search(gang, self.draft.lanes, self.draft.offers, self.draft.now)
+        search = Search(gang, self.draft.timelines, self.draft.offers, self.draft.now)
         self._sought += 1
         closely = self._sought <= GANGS_SOUGHT
         return search.best(rent=not bag.held) if closely else search.at_once()
 
-    def _rent(self, bag: Bag, room: Room, kind: Kind, machines: int, tasks: int) -> None:
+    def _rent(self, bag: Bag, slot: GangSlot, kind: Kind, machines: int, tasks: int) -> None:
         """Rent machines of one kind, and reserve room on them for some tasks of the gang."""
         offer = self.draft.offer_of(kind)
         assert offer is not None
@@ -50,8 +50,8 @@
         rentals[kind] = rentals.get(kind, 0) + machines
         each = offer.capacity.times(bag.size)
         for _ in range(machines):
-            lanes = self.draft.blank(offer)
-            self.draft.add_rented(lanes)
+            timeline = self.draft.blank(offer)
+            self.draft.add_rented(timeline)
             part = min(each, tasks)
             tasks -= part
-            self.draft.reserve(bag, lanes, Gap(room.start, part, room.finish), part)
+            self.draft.reserve(bag, timeline, Gap(slot.start, part, slot.finish), part)
--- a/dappledrum/scheduling/paid_time.py
+++ b/dappledrum/scheduling/paid_time.py
@@ -5,9 +5,9 @@
 from heapq import heapify, heappop, heappush, heapreplace
 
 from dappledrum.scheduling.bags import Bag
+from dappledrum.scheduling.capacity import Row
 from dappledrum.scheduling.draft import Draft
-from dappledrum.scheduling.lanes import FetchTimes, Gap, Lanes
-from dappledrum.scheduling.rooms import Row
+from dappledrum.scheduling.timeline import FetchTimes, Gap, MachineTimeline
 from dappledrum.timing.clock import ZERO
 
 #: Order of the candidates: finish, price, committed time (negated), index, gap. Without a gap it
@@ -48,19 +48,21 @@
                     rest[-1 - index] = (rows, at)
                     heappush(heap, (rows[at][0] + bag.run, -1.0, ZERO, index, None))
                 continue
-            lanes = self.draft.lanes[index]
+            timeline = self.draft.timelines[index]
             if gap is not None:
                 most = min(gap.count, count - placed)
-                take = self.draft.zone_limit(bag, lanes.kind.zone, most)
+                take = self.draft.zone_limit(bag, timeline.kind.zone, most)
                 if take <= 0:
                     heappop(heap)
                     continue
-                self.draft.commit(bag, lanes, gap, take)
+                self.draft.commit(bag, timeline, gap, take)
                 placed += take
-            gap = lanes.earliest(bag.size, bag.run, bag.image, bag.image_gb)
+            gap = timeline.earliest(bag.size, bag.run, bag.image, bag.image_gb)
             self.draft.examined += 1
-            if gap is not None and self._fits(bag, lanes, gap, cheap):
-                heapreplace(heap, (gap.finish, lanes.hourly_cpu, -lanes.committed, index, gap))
+            if gap is not None and self._fits(bag, timeline, gap, cheap):
+                heapreplace(
+                    heap, (gap.finish, timeline.hourly_cpu, -timeline.committed, index, gap)
+                )
             else:
                 heappop(heap)
         return placed
@@ -70,10 +72,10 @@
     ) -> list[tuple[Sequence[Row], int]]:
         """The machines of each kind that the bag may use, and the index of the first one to look
         at."""
-        rooms = self.draft.rooms
+        capacity_index = self.draft.capacity_index
         return [
-            (tuple(rooms.order(kind, bag.size)), 0)
-            for kind in rooms.by_kind
+            (tuple(capacity_index.order(kind, bag.size)), 0)
+            for kind in capacity_index.by_kind
             if (kind.spot or not cheap)
             and bag.allowed(kind)
             and (zones is None or kind.zone in zones)
@@ -96,7 +98,7 @@
         """
         now, run, due, image = self.draft.now, bag.run, bag.due, bag.image
         waited = ZERO if cheap else bag.waited
-        lanes_of = self.draft.lanes
+        timelines = self.draft.timelines
         last = now if cheap else max(now, due - run)  # what starts later is late
         first = heap[0][0] if heap else None
         rate, fetching = -1.0, ZERO
@@ -106,28 +108,28 @@
                 return len(rows)
             if first is not None and first < start + run:
                 return index
-            lanes = lanes_of[number]
-            there = lanes.images.get(image)
+            timeline = timelines[number]
+            there = timeline.images.get(image)
             if there is None:
-                if lanes.fetch_gb_per_s != rate:
-                    rate = lanes.fetch_gb_per_s
+                if timeline.fetch_gb_per_s != rate:
+                    rate = timeline.fetch_gb_per_s
                     fetching = fetch.time(rate)
                 finish = start + run + fetching
             else:
                 finish = run + (start if there <= start else there)
-            if finish > lanes.billed_until() and not (bag.room_now and start <= now):
+            if finish > timeline.billed_until() and not (bag.use_free_capacity and start <= now):
                 continue
             if cheap:
                 if finish > due:
                     continue
-            elif start > now and (finish if lanes.booting else finish + waited) > due:
+            elif start > now and (finish if timeline.booting else finish + waited) > due:
                 continue
-            heappush(heap, (finish, lanes.hourly_cpu, -lanes.committed, number, None))
+            heappush(heap, (finish, timeline.hourly_cpu, -timeline.committed, number, None))
             if first is None or finish < first:
                 first = finish
         return len(rows)
 
-    def _fits(self, bag: Bag, lanes: Lanes, gap: Gap, cheap: bool) -> bool:
+    def _fits(self, bag: Bag, timeline: MachineTimeline, gap: Gap, cheap: bool) -> bool:
         """Whether Algorithm 1 may use this gap.
 
         The rule of the paper ignores deadlines and would queue a task on a paid machine until long
@@ -137,8 +139,8 @@
         now = self.draft.now
         if cheap and (gap.start > now or gap.finish > bag.due):
             return False
-        if bag.room_now and gap.start <= now:
+        if bag.use_free_capacity and gap.start <= now:
             return True
-        likely = self.draft.likely_finish(bag, lanes, gap)
+        likely = self.draft.likely_finish(bag, timeline, gap)
         in_time = gap.start <= now or likely <= bag.due
-        return in_time and gap.finish <= lanes.billed_until()
+        return in_time and gap.finish <= timeline.billed_until()
--- a/dappledrum/scheduling/plan.py
+++ b/dappledrum/scheduling/plan.py
@@ -9,12 +9,12 @@
 from collections.abc import Collection, Iterator, Sequence
 from datetime import timedelta
 
-from dappledrum.scheduling.bags import Bag, TeamRoom
+from dappledrum.scheduling.bags import Bag, TeamCapacity
 from dappledrum.scheduling.draft import Draft, Plan
 from dappledrum.scheduling.gang_placement import GangPlacement
-from dappledrum.scheduling.lanes import Lanes, Offer
 from dappledrum.scheduling.paid_time import PaidTime
 from dappledrum.scheduling.renting import Renting
+from dappledrum.scheduling.timeline import MachineTimeline, Offer
 
 
 class Planner:
@@ -23,15 +23,15 @@
     def __init__(
         self,
         now: timedelta,
-        lanes: Sequence[Lanes],
+        timelines: Sequence[MachineTimeline],
         offers: Sequence[Offer],
         ready_share: float,
-        team_room: TeamRoom,
+        team_capacity: TeamCapacity,
     ) -> None:
-        self.draft = Draft(now, lanes, offers)
+        self.draft = Draft(now, timelines, offers)
         self.plan = self.draft.plan
         self.ready_share = ready_share
-        self.team_room = team_room
+        self.team_capacity = team_capacity
         self.left: list[tuple[Bag, int]] = []  # bags for which nothing was found yet, how many
         self._gangs = GangPlacement(self.draft)
         self._paid_time = PaidTime(self.draft)
@@ -57,11 +57,11 @@
         """First half: place tasks in time that is paid for anyway; bags with tasks that remain go
         to `left`."""
         for bag in sorted(bags, key=lambda b: (b.rank, -b.run, b.id)):
-            count = self.team_room.count(bag)
+            count = self.team_capacity.count(bag)
             if count <= 0:
                 continue
             # Tasks that only wait are counted, too, so that no other bag uses their share.
-            self.team_room.take(bag, count)
+            self.team_capacity.take(bag, count)
             zones = self._zones(bag, count)
             if bag.gang:
                 self._gangs.place(bag, count)
@@ -88,7 +88,7 @@
 
     def _passes(self, bag: Bag) -> bool:
         """The delay rule: rent once enough of the stage is ready, or all that remains of it."""
-        ready = bag.ready + bag.beside
+        ready = bag.ready + bag.ready_siblings
         return bag.unready == 0 or ready / max(1, bag.total) > self.ready_share
 
     def _zones(self, bag: Bag, count: int) -> set[str] | None:
@@ -97,23 +97,23 @@
             return None
         # Nothing of the job is on a machine yet (else `allowed` fixes the zone): take the zone
         # with the most room.
-        room = self._room_by_zone(bag)
-        if not room:
+        capacity = self._capacity_by_zone(bag)
+        if not capacity:
             return set()
-        best = max(sorted(room), key=lambda zone: min(room[zone], count))
+        best = max(sorted(capacity), key=lambda zone: min(capacity[zone], count))
         allowed = bag.allowed
         bag.allowed = lambda kind: kind.zone == best and allowed(kind)
         return {best}
 
-    def _room_by_zone(self, bag: Bag) -> dict[str, int]:
+    def _capacity_by_zone(self, bag: Bag) -> dict[str, int]:
         """How many tasks of a bag each zone could run, on machines at hand and rented ones."""
-        room: dict[str, int] = {}
-        for lanes in self.draft.lanes:
-            if bag.allowed(lanes.kind):
-                free = lanes.free[-1].times(bag.size)
-                room[lanes.kind.zone] = room.get(lanes.kind.zone, 0) + free
+        capacity: dict[str, int] = {}
+        for timeline in self.draft.timelines:
+            if bag.allowed(timeline.kind):
+                free = timeline.free[-1].times(bag.size)
+                capacity[timeline.kind.zone] = capacity.get(timeline.kind.zone, 0) + free
         for offer in self.draft.offers:
             if bag.allowed(offer.kind):
                 more = offer.capacity.times(bag.size) * offer.most
-                room[offer.kind.zone] = room.get(offer.kind.zone, 0) + more
-        return room
+                capacity[offer.kind.zone] = capacity.get(offer.kind.zone, 0) + more
+        return capacity
--- a/dappledrum/scheduling/preempt.py
+++ b/dappledrum/scheduling/preempt.py
@@ -8,7 +8,7 @@
 from datetime import timedelta
 from typing import NamedTuple
 
-from dappledrum.scheduling.lanes import Size
+from dappledrum.scheduling.timeline import Size
 
 
 class Victim(NamedTuple):
--- a/dappledrum/scheduling/renting.py
+++ b/dappledrum/scheduling/renting.py
@@ -8,9 +8,9 @@
 from typing import NamedTuple
 
 from dappledrum.scheduling.bags import Bag
+from dappledrum.scheduling.capacity import Row
 from dappledrum.scheduling.draft import Draft
-from dappledrum.scheduling.lanes import SLACK, FetchTimes, Gap, Kind, Lanes, Offer
-from dappledrum.scheduling.rooms import Row
+from dappledrum.scheduling.timeline import SLACK, FetchTimes, Gap, Kind, MachineTimeline, Offer
 from dappledrum.timing.clock import ZERO
 
 # tasks of one bag that one plan distributes; the others wait for the next plan
@@ -19,7 +19,7 @@
 
 #: Order of the machines; the last item is unique, so nothing behind it is compared.
 _Score = tuple[int, float, float, bool, int]
-_Candidate = tuple[_Score, Lanes, Gap | None]  # without a gap the score is a bound
+_Candidate = tuple[_Score, MachineTimeline, Gap | None]  # without a gap the score is a bound
 #: What kinds are compared by: tasks left over, worst overrun, added cost, order of kinds.
 _Outcome = tuple[int, timedelta, float, int]
 
@@ -47,7 +47,7 @@
     def _best_trial(self, bag: Bag, tried: int) -> "KindTrial | None":
         offers = self.draft.offers
         kinds = sorted(
-            {kind for kind in self.draft.rooms.by_kind if bag.allowed(kind)}
+            {kind for kind in self.draft.capacity_index.by_kind if bag.allowed(kind)}
             | {offer.kind for offer in offers if bag.allowed(offer.kind)}
         )
         rates = {offer.kind: offer.hourly / max(offer.capacity.cpus, 1e-3) for offer in offers}
@@ -63,12 +63,12 @@
                 best, result = outcome, trial
         return result
 
-    def _order(self, rented: Sequence[Lanes]) -> None:
+    def _order(self, rented: Sequence[MachineTimeline]) -> None:
         """Add machines that a trial has rented to the plan."""
         rentals = self.draft.plan.rentals
-        for lanes in rented:
-            self.draft.add_rented(lanes)
-            rentals[lanes.kind] = rentals.get(lanes.kind, 0) + 1
+        for timeline in rented:
+            self.draft.add_rented(timeline)
+            rentals[timeline.kind] = rentals.get(timeline.kind, 0) + 1
         if rented:
             offer = self.draft.offer_of(rented[0].kind)
             assert offer is not None
@@ -78,15 +78,15 @@
         """Apply the steps of a trial; tasks on machines that it rents are reserved already."""
         for step in trial.steps:
             if step.rented:
-                self.draft.take_zone_room(bag, step.lanes.kind.zone, step.count)
+                self.draft.take_zone_capacity(bag, step.timeline.kind.zone, step.count)
             else:
-                self.draft.commit(bag, step.lanes, step.gap, step.count)
+                self.draft.commit(bag, step.timeline, step.gap, step.count)
 
 
 class Step(NamedTuple):
     """Some tasks of a bag in one gap of a machine."""
 
-    lanes: Lanes
+    timeline: MachineTimeline
     gap: Gap
     count: int
     rented: bool  # the machine is rented in the same trial
@@ -95,8 +95,8 @@
 class _Choice(NamedTuple):
     """The machine that a trial uses next."""
 
-    lanes: Lanes  # the trial's own copy
-    target: Lanes  # the machine of the draft; the same for one rented in the trial
+    timeline: MachineTimeline  # the trial's own copy
+    target: MachineTimeline  # the machine of the draft; the same for one rented in the trial
     gap: Gap
     index: int
     rented: bool
@@ -114,16 +114,17 @@
         self.order = order
         self.best = best  # outcome of the best kind so far
         self.steps: list[Step] = []
-        self.rented: list[Lanes] = []
+        self.rented: list[MachineTimeline] = []
         self.placed = 0
         self._cost = 0.0
         self._overrun = timedelta(days=-10_000)
         self._heap: list[_Candidate] = []
-        self._copies: dict[int, Lanes] = {}
+        self._copies: dict[int, MachineTimeline] = {}
         self._rows: Sequence[Row] = ()
         self._next_row = 0
         self._fetch = FetchTimes(bag.image_gb)
-        self._following = len(draft.lanes)  # machines rented in this trial come after all others
+        # machines rented in this trial come after all others
+        self._following = len(draft.timelines)
         self._offer: Offer | None = None
         self._rentable = 0
         self._blank_gap: Gap | None = None  # room on a machine rented now
@@ -140,8 +141,8 @@
             return False
         self._list_machines()
         self._look_at_offer()
-        room = self.draft.zone_limit(self.bag, self.kind.zone, count)
-        while self.placed < room:
+        capacity = self.draft.zone_limit(self.bag, self.kind.zone, count)
+        while self.placed < capacity:
             self._take_up_machines()
             if self._renting_is_best():
                 choice = self._rent_one()
@@ -152,10 +153,10 @@
                 choice = first
             else:
                 break
-            self._place(choice, min(choice.gap.count, room - self.placed))
+            self._place(choice, min(choice.gap.count, capacity - self.placed))
             if self.best is not None and self.outcome(0) > self.best:
                 return False
-            self._replace_first(choice.lanes, choice.target, choice.index)
+            self._replace_first(choice.timeline, choice.target, choice.index)
         return True
 
     def outcome(self, left_over: int) -> _Outcome:
@@ -169,13 +170,13 @@
         return sum(
             step.count
             for step in self.steps
-            if self.draft.likely_finish(self.bag, step.lanes, step.gap) > self.bag.due
+            if self.draft.likely_finish(self.bag, step.timeline, step.gap) > self.bag.due
         )
 
     def _list_machines(self) -> None:
         """Among machines that meet the deadline any may be the cheapest; of the others the first
         with free capacity comes first."""
-        self._rows = self.draft.rooms.order(self.kind, self.bag.size)
+        self._rows = self.draft.capacity_index.order(self.kind, self.bag.size)
         self._next_row = bisect_right(self._rows, self.bag.due - self.bag.run, key=_moment)
         self._heap = self._bounds(self._rows[: self._next_row])
         heapify(self._heap)
@@ -183,7 +184,7 @@
     def _look_at_offer(self) -> None:
         """Work out the score of a machine that is rented now."""
         bag, kind = self.bag, self.kind
-        if bag.thrifty and not kind.spot and bag.allowed(kind._replace(spot=True)):
+        if bag.cheap_only and not kind.spot and bag.allowed(kind._replace(spot=True)):
             return
         self._offer = self.draft.offer_of(kind)
         if self._offer is None:
@@ -215,14 +216,14 @@
         assert self._offer is not None
         assert self._blank_gap is not None
         assert self._blank_score is not None
-        lanes, gap = self.draft.blank(self._offer), self._blank_gap
+        timeline, gap = self.draft.blank(self._offer), self._blank_gap
         index = self._following + len(self.rented)
-        self.rented.append(lanes)
-        self._copies[index] = lanes
+        self.rented.append(timeline)
+        self._copies[index] = timeline
         self._rentable -= 1
-        self._cost += lanes.added_cost(gap.finish, fresh=True)
-        heappush(self._heap, (self._blank_score, lanes, gap))
-        return _Choice(lanes, lanes, gap, index, True)
+        self._cost += timeline.added_cost(gap.finish, fresh=True)
+        heappush(self._heap, (self._blank_score, timeline, gap))
+        return _Choice(timeline, timeline, gap, index, True)
 
     def _first_choice(self) -> _Choice | None:
         """The best candidate. None if only its bound was known; its real gap then replaces the
@@ -230,25 +231,25 @@
         score, target, gap = self._heap[0]
         index = score[-1]
         rented = index >= self._following
-        lanes = self._copies.get(index, target)
+        timeline = self._copies.get(index, target)
         if gap is None:
-            self._replace_first(lanes, target, index)
+            self._replace_first(timeline, target, index)
             return None
         if not rented and index not in self._copies:
-            lanes = self._copies[index] = target.copy()
-        self._cost += lanes.added_cost(gap.finish, fresh=False)
-        return _Choice(lanes, target, gap, index, rented)
+            timeline = self._copies[index] = target.copy()
+        self._cost += timeline.added_cost(gap.finish, fresh=False)
+        return _Choice(timeline, target, gap, index, rented)
 
     def _place(self, choice: _Choice, number: int) -> None:
         """Reserve a gap for some tasks, and add them to the outcome."""
-        lanes, gap, bag = choice.lanes, choice.gap, self.bag
-        overrun = self.draft.likely_finish(bag, lanes, gap) - bag.due
+        timeline, gap, bag = choice.timeline, choice.gap, self.bag
+        overrun = self.draft.likely_finish(bag, timeline, gap) - bag.due
         self._overrun = max(self._overrun, overrun)
         self.steps.append(Step(choice.target, gap, number, choice.rented))
         self.placed += number
-        lanes.reserve(gap.start, gap.finish, bag.size, number)
-        lanes.expect(bag.image, bag.image_gb, gap.start)
-        lanes.planned += number
+        timeline.reserve(gap.start, gap.finish, bag.size, number)
+        timeline.expect(bag.image, bag.image_gb, gap.start)
+        timeline.planned += number
 
     def _bounds(self, rows: Sequence[Row]) -> list[_Candidate]:
         """Machines with a bound on their score, computed from a start and a finish that no task of
@@ -259,50 +260,58 @@
         """
         bag, now, fetch = self.bag, self.draft.now, self._fetch
         run, due, image, waited = bag.run, bag.due, bag.image, bag.waited
-        lanes_of = self.draft.lanes
+        timelines = self.draft.timelines
         rate, fetching = -1.0, ZERO
         result: list[_Candidate] = []
         for start, index in rows:
-            lanes = lanes_of[index]
-            there = lanes.images.get(image)
+            timeline = timelines[index]
+            there = timeline.images.get(image)
             if there is None:
-                if lanes.fetch_gb_per_s != rate:
-                    rate = lanes.fetch_gb_per_s
+                if timeline.fetch_gb_per_s != rate:
+                    rate = timeline.fetch_gb_per_s
                     fetching = fetch.time(rate)
                 finish = start + run + fetching
             else:
                 finish = run + (start if there <= start else there)
-            cost = lanes.added_cost(finish, fresh=False) if finish > lanes.billed_until() else 0.0
-            likely = finish if start <= now or lanes.booting else finish + waited
+            cost = (
+                timeline.added_cost(finish, fresh=False)
+                if finish > timeline.billed_until()
+                else 0.0
+            )
+            likely = finish if start <= now or timeline.booting else finish + waited
             score: _Score
             if likely <= due:
-                score = (0, cost, lanes.rented_s, False, index)
+                score = (0, cost, timeline.rented_s, False, index)
             else:
                 score = (1, likely.total_seconds(), cost, False, index)
-            result.append((score, lanes, None))
+            result.append((score, timeline, None))
         return result
 
-    def _replace_first(self, lanes: Lanes, target: Lanes, index: int) -> None:
+    def _replace_first(
+        self, timeline: MachineTimeline, target: MachineTimeline, index: int
+    ) -> None:
         """Replace the machine on top of the heap by its next gap."""
         bag = self.bag
-        gap = lanes.earliest(bag.size, bag.run, bag.image, bag.image_gb)
+        gap = timeline.earliest(bag.size, bag.run, bag.image, bag.image_gb)
         self.draft.examined += 1
         if gap is None:
             heappop(self._heap)
         else:
-            heapreplace(self._heap, (self._score(lanes, gap, index), target, gap))
+            heapreplace(self._heap, (self._score(timeline, gap, index), target, gap))
 
-    def _score(self, lanes: Lanes, gap: Gap, index: int, unrented: bool = False) -> _Score:
+    def _score(
+        self, timeline: MachineTimeline, gap: Gap, index: int, unrented: bool = False
+    ) -> _Score:
         """Order of a gap among the candidates: if the deadline is met, by cost, then age of the
         rental; if not, by finish, then cost.
 
         A later finish never gives a better score, so a bound on the finish gives a bound on the
         score.
         """
-        cost = lanes.added_cost(gap.finish, fresh=unrented)
-        likely = self.draft.likely_finish(self.bag, lanes, gap)
+        cost = timeline.added_cost(gap.finish, fresh=unrented)
+        likely = self.draft.likely_finish(self.bag, timeline, gap)
         if likely <= self.bag.due:
-            return 0, cost, lanes.rented_s, unrented, index
+            return 0, cost, timeline.rented_s, unrented, index
         return 1, likely.total_seconds(), cost, unrented, index
 
 
--- a/dappledrum/scheduling/test_plan.py
+++ b/dappledrum/scheduling/test_plan.py
@@ -10,8 +10,8 @@
 from dappledrum.model.dds import PlainMachine, fill, no_overuse, rent
 from dappledrum.scheduling.deadlines import closing_deadlines, next_deadline, stage_deadlines
 from dappledrum.scheduling.estimates import Estimates, Sample
-from dappledrum.scheduling.lanes import Kind, Lanes, Offer, Size
-from dappledrum.scheduling.plan import Bag, Planner, TeamRoom
+from dappledrum.scheduling.plan import Bag, Planner, TeamCapacity
+from dappledrum.scheduling.timeline import Kind, MachineTimeline, Offer, Size
 from dappledrum.settings import Objective
 from dappledrum.timing.clock import seconds
 
@@ -50,7 +50,7 @@
             *(f"m{index}", kind, cpus, at, NOW - age, hourly, 10.0, at if image else None),
             spot=SPOT[kind],
         )
-        lanes = Lanes(
+        timeline = MachineTimeline(
             f"m{index}",
             Kind(kind, "z", SPOT[kind]),
             Size(cpus, 0, 100),
@@ -62,14 +62,14 @@
             booting=ready > 0,
         )
         if image:
-            lanes.images["i"] = seconds(at)
+            timeline.images["i"] = seconds(at)
         if ready == 0:
             for taken, left in running:
                 if machine.used(NOW) + taken <= cpus:
                     machine.reserved.append((NOW, NOW + left, taken))
-                    lanes.reserve(seconds(NOW), seconds(NOW + left), Size(taken, 0, 1))
+                    timeline.reserve(seconds(NOW), seconds(NOW + left), Size(taken, 0, 1))
         plain.append(machine)
-        real.append(lanes)
+        real.append(timeline)
     return plain, real
 
 
@@ -109,8 +109,8 @@
     return [(blank, most) for blank in blanks], offers
 
 
-def planner(lanes, offers=(), share=0.3, room=None):
-    return Planner(seconds(NOW), lanes, offers, share, TeamRoom(room or {}))
+def planner(timelines, offers=(), share=0.3, capacity=None):
+    return Planner(seconds(NOW), timelines, offers, share, TeamCapacity(capacity or {}))
 
 
 @settings(max_examples=250, derandomize=True, deadline=None)
@@ -139,7 +139,7 @@
     starts = Counter()
     for _, name, number in plan.starts:
         starts[name] += number
-    assert sum(lanes.planned for lanes in real) == len(expected)
+    assert sum(timelines.planned for timelines in real) == len(expected)
     assert starts == Counter(name for name, start in expected if start <= NOW)
     assert plan.needed == {name for name, _ in expected}
     assert all(no_overuse(machine) for machine in plain)
@@ -187,8 +187,8 @@
     plan took ten seconds, in which no worker was answered and no lease renewed."""
     looked = {}
     for machines in (175, 700):
-        lanes, drawn = large(machines, 40)
-        made = planner(lanes, offers_of(50)[1])
+        timelines, drawn = large(machines, 40)
+        made = planner(timelines, offers_of(50)[1])
         made.run(drawn)
         looked[machines] = made.examined
     assert looked[700] < 2 * looked[175]
@@ -196,8 +196,8 @@
 
 
 def test_a_plan_is_made_in_steps():
-    lanes, drawn = large(50, 10)
-    assert sum(1 for _ in planner(lanes, offers_of(50)[1]).steps(drawn)) >= 10
+    timelines, drawn = large(50, 10)
+    assert sum(1 for _ in planner(timelines, offers_of(50)[1]).steps(drawn)) >= 10
 
 
 def test_a_stage_waits_until_enough_of_it_is_ready():
@@ -208,16 +208,16 @@
 
 
 def test_urgency_goes_before_the_papers_order():
-    _, lanes = build([("p", 5, 0, True, [])])
+    _, timelines = build([("p", 5, 0, True, [])])
     low = bag_of(4, 50, 1, 300, id="low", rank=(1, 3), held=True)
     high = bag_of(4, 20, 1, 300, id="high", rank=(1, 1), held=True)
-    assert [start[0] for start in planner(lanes).run([low, high]).starts] == ["high"]
+    assert [start[0] for start in planner(timelines).run([low, high]).starts] == ["high"]
 
 
 def test_team_limit_spread_and_one_zone():
-    def four(room=None, **changes):
-        lanes = [
-            Lanes(
+    def four(capacity=None, **changes):
+        timelines = [
+            MachineTimeline(
                 f"m{i}",
                 Kind("p", zone, True),
                 Size(4, 0, 100),
@@ -229,12 +229,14 @@
             )
             for i, zone in enumerate("aabb")
         ]
-        plan = planner(lanes, room=room).run([bag_of(4, 20, 4, 300, team="t", **changes)])
-        return [lanes[int(name[1:])].kind.zone for _, name, _ in plan.starts]
+        plan = planner(timelines, capacity=capacity).run(
+            [bag_of(4, 20, 4, 300, team="t", **changes)]
+        )
+        return [timelines[int(name[1:])].kind.zone for _, name, _ in plan.starts]
 
     assert len(four()) == 4
-    assert len(four(room={"t": Size(8, 1e9, 1e9)})) == 2
-    assert sorted(four(zone_room={"a": 2, "b": 1})) == ["a", "a", "b"]
+    assert len(four(capacity={"t": Size(8, 1e9, 1e9)})) == 2
+    assert sorted(four(zone_capacity={"a": 2, "b": 1})) == ["a", "a", "b"]
     assert len(set(four(one_zone=True))) == 1
 
 
--- a/dappledrum/scheduling/lanes.py
+++ b/dappledrum/scheduling/timeline.py
@@ -13,7 +13,7 @@
 
 EPSILON = 1e-6
 SLACK = timedelta(milliseconds=500)  # overruns that differ by less count as equal
-MOST_FIT = 1_000  # limit for tasks that need no resources
+MAX_FIT = 1_000  # limit for tasks that need no resources
 
 
 class Size(NamedTuple):
@@ -28,7 +28,7 @@
         thousands of times."""
         have_cpus, have_gpus, have_gb = self
         cpus, gpus, gb = other
-        result = MOST_FIT
+        result = MAX_FIT
         if cpus > EPSILON:
             if (fit := (have_cpus + EPSILON) / cpus) < 1.0:
                 return 0
@@ -105,7 +105,7 @@
         return found
 
 
-class Lanes:
+class MachineTimeline:
     """The free resources of one machine over time."""
 
     def __init__(
@@ -144,9 +144,9 @@
         self._billed: timedelta | None = None
         self._paid = 0  # number of billed intervals until `_billed`
 
-    def copy(self) -> "Lanes":
+    def copy(self) -> "MachineTimeline":
         """An independent copy to try things on."""
-        other = Lanes.__new__(Lanes)
+        other = MachineTimeline.__new__(MachineTimeline)
         other.__dict__.update(self.__dict__)
         other.times = self.times.copy()
         other.free = self.free.copy()
--- a/dappledrum/standins/busy.py
+++ b/dappledrum/standins/busy.py
@@ -16,7 +16,7 @@
 from dappledrum.standins.fleet import Worker
 from dappledrum.standins.network import Copies
 from dappledrum.standins.pairs import FIVE
-from dappledrum.standins.scenario import LEASE_S, end_troubles, later, now
+from dappledrum.standins.scenario import LEASE_S, end_faults, later, now
 from dappledrum.standins.time import run
 from dappledrum.standins.world import World, job
 
@@ -57,7 +57,7 @@
     def _look(self, leader: Leader) -> None:
         time = leader.clock.now()
         began = now() - (time - leader.began).total_seconds()
-        planned = {view.machine for view in leader.dispatcher.machines.lanes(time)}
+        planned = {view.machine for view in leader.dispatcher.machines.timelines(time)}
         for machine in leader.roster:
             gone = self.gone_at.get(machine.name)
             if gone is None or gone > began - CLOCKS_OFF.total_seconds():
@@ -125,7 +125,7 @@
 
     async def finish(self, most: float) -> float:
         """All troubles but late copies are over: the jobs end in time; how long it took."""
-        self.world.rules.quiet_at = now()
+        self.world.rules.faults_over_at = now()
         return await self.world.finish(self.names, most)
 
 
@@ -143,7 +143,7 @@
         await world.until(lambda: len(world.rules.running) == 3 * jobs)
         await world.wait(4)
         await act(work)
-        end_troubles(world)
+        end_faults(world)
         await world.wait(20)
         for number in range(jobs):
             if number in work.cancelled:
--- a/dappledrum/standins/days.py
+++ b/dappledrum/standins/days.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from dappledrum.standins.troubles import TroubleError, convert
-from dappledrum.standins.troubles.base import Trouble
+from dappledrum.standins.troubles.base import FaultLog
 
 
 class DayError(Exception):
@@ -22,7 +22,7 @@
     """A day, as far as the stand-ins can play it."""
 
     name: str
-    faults: list[Trouble] = []
+    faults: list[FaultLog] = []
     seed: int = 1
 
 
--- a/dappledrum/standins/ends.py
+++ b/dappledrum/standins/ends.py
@@ -18,7 +18,7 @@
 from dappledrum.standins.world import World, job, led_world
 
 BACK = (0.0, 0.01, 0.1, 0.3, 1.0)
-LATE_MOST = 5.0
+MAX_LATENESS = 5.0
 
 
 class Step(NamedTuple):
@@ -99,7 +99,7 @@
         self._end(member)
         if self.step.answering:
             return None  # nobody is there, or the next process
-        return self.rng.uniform(0.0, LATE_MOST) if fate == "late" else 3600.0
+        return self.rng.uniform(0.0, MAX_LATENESS) if fate == "late" else 3600.0
 
     def _end(self, member: str) -> None:
         if self.world.alive(member):
--- a/dappledrum/standins/experiment.py
+++ b/dappledrum/standins/experiment.py
@@ -21,7 +21,7 @@
 
 from dappledrum.standins.days import Day, DayError, load
 from dappledrum.standins.time import run
-from dappledrum.standins.troubles.base import Trouble
+from dappledrum.standins.troubles.base import FaultLog
 from dappledrum.standins.world import World, job
 
 FIVE = tuple(f"drummer-{index}" for index in range(5))
@@ -74,7 +74,7 @@
     def __init__(self, world: World, day: Day, back: float) -> None:
         self.world = world
         self.back = back
-        self.left: list[Trouble] = sorted(day.faults, key=lambda fault: fault.at_s)
+        self.left: list[FaultLog] = sorted(day.faults, key=lambda fault: fault.at_s)
         self.after: list[tuple[After, float, int]] = []
         self.no_leader = 0.0
         self.gaps: dict[str, float] = {}
@@ -112,8 +112,8 @@
     for _ in range(machines):
         world.cloud.add(("small", "a", True))
     await world.until(lambda: world.leader() is not None)
-    room = machines * 4.0 / CPUS
-    pause = TASKS * RUN_S / (room * BUSY)
+    capacity = machines * 4.0 / CPUS
+    pause = TASKS * RUN_S / (capacity * BUSY)
     watch = _Watch(world, day, back)
     users: list[asyncio.Task[int | None]] = []
     names: list[str] = []
@@ -141,7 +141,7 @@
     taken = await asyncio.gather(*users)
     starts = world.rules.starts
     accepted = [name for name, status in zip(names, taken, strict=True) if status is not None]
-    world.rules.quiet_at = asyncio.get_running_loop().time()
+    world.rules.faults_over_at = asyncio.get_running_loop().time()
     await world.finish(accepted, most=600)
     waits = [
         (facts.begun_at or 0.0) - (facts.submitted_at or 0.0)
--- a/dappledrum/standins/failures.py
+++ b/dappledrum/standins/failures.py
@@ -5,15 +5,15 @@
 
 from dappledrum.standins.world import World, job
 
-Trouble = Callable[[World], Awaitable[None]]
+FaultLog = Callable[[World], Awaitable[None]]
 
 
-def in_turn(*troubles: Trouble) -> Trouble:
+def in_turn(*troubles: FaultLog) -> FaultLog:
     """Some troubles, one after the other."""
 
     async def all_of_them(world: World) -> None:
-        for trouble in troubles:
-            await trouble(world)
+        for fault in troubles:
+            await fault(world)
 
     return all_of_them
 
@@ -50,10 +50,10 @@
         await world.until_led()
 
 
-def pausing(which: str, seconds: float) -> Trouble:
+def pausing(which: str, seconds: float) -> FaultLog:
     """Some controllers ("leader", "follower" or "all") stand still while their clocks go on."""
 
-    async def trouble(world: World) -> None:
+    async def fault(world: World) -> None:
         leader = world.leader()
         paused = {
             "leader": [leader],
@@ -67,22 +67,22 @@
             world.thaw(member)
         await world.wait(3)
 
-    trouble.__name__ = f"{which}_for_{seconds}_s"
-    return trouble
+    fault.__name__ = f"{which}_for_{seconds}_s"
+    return fault
 
 
 # the state service
 
 
-def outage(seconds: float) -> Trouble:
+def outage(seconds: float) -> FaultLog:
     """The state service answers nobody."""
 
-    async def trouble(world: World) -> None:
+    async def fault(world: World) -> None:
         world.state.out = True
         await world.wait(seconds)
         world.state.end_outage()
 
-    return trouble
+    return fault
 
 
 async def short_outage(world: World) -> None:
@@ -150,7 +150,7 @@
 
 async def answers_lost(world: World) -> None:
     """The state service does what the leader asks, and its answers are lost."""
-    world.network.deaf.add(frozenset((world.leader(), "state")))
+    world.network.answers_dropped.add(frozenset((world.leader(), "state")))
     await world.wait(8)
 
 
--- a/dappledrum/standins/fleet.py
+++ b/dappledrum/standins/fleet.py
@@ -10,7 +10,7 @@
 
 from dappledrum.http.client import NoResponseError, Reply
 from dappledrum.model.rules import Rules
-from dappledrum.model.waiting import Amount, Room
+from dappledrum.model.waiting import Amount, FreeMachine
 from dappledrum.standins.network import Network
 from dappledrum.standins.state_service import reply
 
@@ -502,10 +502,10 @@
         """Workers that are up."""
         return [m.worker for m in self.machines.values() if m.worker is not None]
 
-    def rooms(self) -> list[Room]:
+    def free_machines(self) -> list[FreeMachine]:
         """Machines that are up and well, with what is free on them."""
         return [
-            Room(worker.name, worker.kind, worker.free())
+            FreeMachine(worker.name, worker.kind, worker.free())
             for worker in self.workers()
             if not worker.hung
             and worker.recall_at is None
--- a/dappledrum/standins/network.py
+++ b/dappledrum/standins/network.py
@@ -9,7 +9,7 @@
 from typing import Any, NamedTuple
 
 from dappledrum.http.client import NoResponseError, NotSentError, Reply
-from dappledrum.timing.patience import Patience
+from dappledrum.timing.timeouts import PauseTolerantTimeout
 
 Service = Callable[
     [str, str, str, bytes], Coroutine[Any, Any, Reply]
@@ -72,7 +72,7 @@
         self.services: dict[str, Service] = {}
         self.addresses: dict[str, str] = {}  # hosts that are asked by address
         self.cuts: set[frozenset[str]] = set()
-        self.deaf: set[frozenset[str]] = set()  # requests arrive, answers are lost
+        self.answers_dropped: set[frozenset[str]] = set()  # requests arrive, answers are lost
         self.refusing: set[frozenset[str]] = set()  # connections are refused or reset
         self.blocked: set[tuple[str, str]] = set()  # one way: from one host to another
         #: From a host that can't open connections to the other; the other may open them to it.
@@ -97,7 +97,7 @@
     def heal(self) -> None:
         """End all cuts; what was held back arrives now."""
         self.cuts.clear()
-        self.deaf.clear()
+        self.answers_dropped.clear()
         self.refusing.clear()
         self.blocked.clear()
         self.muted.clear()
@@ -180,7 +180,7 @@
     ) -> Reply:
         """As the real client: an answer, or NoResponseError."""
         try:
-            async with Patience(timeout):
+            async with PauseTolerantTimeout(timeout):
                 return await self._request(method, path, body or b"")
         except TimeoutError as error:
             raise NoResponseError("no answer") from error
@@ -233,7 +233,7 @@
         if path == "/hello" and reply.status == 200:
             network._answered(self.target, reply.body)
         await asyncio.sleep(network.rng.uniform(0.0005, 0.004) + network.slow.get(back, 0.0))
-        if pair in network.cuts or pair in network.deaf or back in network.blocked:
+        if pair in network.cuts or pair in network.answers_dropped or back in network.blocked:
             await asyncio.sleep(3600)
         if self.ended:
             await asyncio.sleep(3600)
--- a/dappledrum/standins/pairs.py
+++ b/dappledrum/standins/pairs.py
@@ -19,13 +19,13 @@
 
 from dappledrum.standins.time import run
 from dappledrum.standins.troubles import KINDS, convert, end_all
-from dappledrum.standins.troubles.base import Trouble
+from dappledrum.standins.troubles.base import FaultLog
 from dappledrum.standins.world import World, job
 
 FIVE = tuple(f"drummer-{index}" for index in range(5))
 MACHINES = 10
 USERS = 14
-TROUBLED = (15.0, 50.0)  # the first trouble begins, the second at the latest
+FAULTS_BEGIN = (15.0, 50.0)  # the first trouble begins, the second at the latest
 SPANS = (0.3, 2.0, 5.0, 12.0, 25.0, 45.0)  # the last one is longer than `cancel_s`
 BACK = (0.0, 0.1, 0.3, 1.0, 5.0)
 #: What is drawn of unless kinds are named.
@@ -35,7 +35,7 @@
 CHANGE_SPANS = (5.0, 12.0)  # longer than a leader's lease
 
 
-def draw(name: str, at: float, rng: random.Random) -> Trouble:
+def draw(name: str, at: float, rng: random.Random) -> FaultLog:
     """One trouble of a kind, or of one with an option that is always set ("KIND:OPTION")."""
     kind, _, variant = name.partition(":")
     drawn: dict[str, Any] = {"for_s": rng.choice(SPANS)}
@@ -81,7 +81,7 @@
     return left | {by: zone if zone is not None else drawn[by]}
 
 
-def draw_change_of_leader(kind: str, at: float, rng: random.Random) -> Trouble:
+def draw_change_of_leader(kind: str, at: float, rng: random.Random) -> FaultLog:
     """One trouble after which, most likely, another controller leads."""
     options: dict[str, Any] = {"kind": kind, "at_s": at}
     if kind != "leader_transfer":
@@ -121,7 +121,7 @@
 async def user(world: World, spec: dict[str, object], rng: random.Random) -> str | None:
     """Submits a job, asks about it at any controller, and may cancel it; its name if accepted."""
     name = str(spec["id"])
-    await asyncio.sleep(rng.uniform(0, TROUBLED[1]))
+    await asyncio.sleep(rng.uniform(0, FAULTS_BEGIN[1]))
     status = await world.submit(spec, 60)
     if status not in (200, 201):
         return None
@@ -138,16 +138,16 @@
     return name
 
 
-def draw_troubles(kinds: tuple[str, ...], triple: bool, rng: random.Random) -> list[Trouble]:
+def draw_troubles(kinds: tuple[str, ...], triple: bool, rng: random.Random) -> list[FaultLog]:
     """Two troubles of these kinds that overlap or follow each other closely, and for a triple a
     change of leader beside them; in the order of their beginnings."""
-    first = draw(kinds[0], rng.uniform(*TROUBLED) - 5, rng)
+    first = draw(kinds[0], rng.uniform(*FAULTS_BEGIN) - 5, rng)
     near = (first.at_s, first.at_s + first.lasts_s + 2)
     troubles = [first, draw(kinds[1], rng.uniform(*near), rng)]
     if triple:
         kind = rng.choice(CHANGES_OF_LEADER)
         troubles.append(draw_change_of_leader(kind, rng.uniform(*near), rng))
-    return sorted(troubles, key=lambda trouble: trouble.at_s)
+    return sorted(troubles, key=lambda fault: fault.at_s)
 
 
 async def play(
@@ -162,7 +162,7 @@
     for _ in range(MACHINES):
         world.cloud.add(("small", rng.choice(("a", "b")), rng.random() < 0.8))
     troubles = draw_troubles(chosen, triple, rng)
-    said = "; ".join(str(trouble) for trouble in troubles)
+    said = "; ".join(str(fault) for fault in troubles)
     back = rng.choice(BACK)
     await world.until(lambda: world.leader() is not None)
     users = []
@@ -183,10 +183,10 @@
     return said
 
 
-async def _bring_about(world: World, troubles: list[Trouble], back: float) -> None:
+async def _bring_about(world: World, troubles: list[FaultLog], back: float) -> None:
     """Let troubles begin at their times, and wait until they are over."""
     left = list(troubles)
-    end = max(trouble.at_s + trouble.lasts_s for trouble in troubles) + back + 8
+    end = max(fault.at_s + fault.lasts_s for fault in troubles) + back + 8
     while world.now() < end:
         while left and left[0].at_s <= world.now():
             left.pop(0).begin(world, back)
--- a/dappledrum/standins/scenario.py
+++ b/dappledrum/standins/scenario.py
@@ -69,7 +69,7 @@
         await self.world.until(lambda: self.world.leader() not in (None, *besides), most=60)
 
 
-def end_troubles(world: World) -> None:
+def end_faults(world: World) -> None:
     """End everything that a test may have left broken; the rules' quiet time begins."""
     end_all(world)
 
@@ -97,7 +97,7 @@
         scenario = Scenario(world, rng)
         await world.wait(10)
         await act(scenario)
-        end_troubles(world)
+        end_faults(world)
         while world.acting or not all(one.done() for one in asking):
             await world.wait(1)
         accepted = [name for one in asking if (name := one.result()) is not None]
@@ -113,7 +113,7 @@
 
 async def day(
     world: World,
-    trouble: Callable[[World], Awaitable[None]],
+    fault: Callable[[World], Awaitable[None]],
     jobs: int = 6,
     **changes: Any,  # noqa: ANN401 - any field of the jobs
 ) -> None:
@@ -121,7 +121,7 @@
     await world.until_led()
     names = await world.accept_jobs(jobs, **changes)
     await world.until(lambda: world.rules.starts >= 4)
-    await trouble(world)
+    await fault(world)
     world.network.heal()
     late = job(900)
     assert await world.submit(late) in (200, 201)
--- a/dappledrum/standins/test_costs.py
+++ b/dappledrum/standins/test_costs.py
@@ -4,8 +4,8 @@
 from datetime import timedelta
 
 from dappledrum.scheduling.estimates import Estimates
-from dappledrum.scheduling.lanes import Kind, Lanes, Offer, Size
-from dappledrum.scheduling.plan import Bag, Planner, TeamRoom
+from dappledrum.scheduling.plan import Bag, Planner, TeamCapacity
+from dappledrum.scheduling.timeline import Kind, MachineTimeline, Offer, Size
 from dappledrum.settings import WorkerLimits
 from dappledrum.standins.costs import calls, main
 from dappledrum.standins.time import run
@@ -25,9 +25,9 @@
 
 def plan(free, busy, tasks, due, offers=()):
     """A plan for one bag, and its calls; the busy machines are so until 100 s later."""
-    lanes = []
+    timelines = []
     for index in range(free + busy):
-        one = Lanes(
+        one = MachineTimeline(
             f"m{index}",
             SPOT if index % 2 else ORDINARY,
             Size(4.0, 0.0, 16.0),
@@ -39,9 +39,9 @@
         )
         if index >= free:
             one.reserve(seconds(1000), seconds(1100), SIZE, 4)
-        lanes.append(one)
+        timelines.append(one)
     bag = Bag("j-1", SIZE, tasks, 0, tasks, seconds(9), seconds(due), "i", 0.1, lambda kind: True)
-    planner = Planner(seconds(1000), lanes, offers, 0.3, TeamRoom({}))
+    planner = Planner(seconds(1000), timelines, offers, 0.3, TeamCapacity({}))
     return planner.plan, calls(lambda: planner.run([bag]))
 
 
--- a/dappledrum/standins/test_days.py
+++ b/dappledrum/standins/test_days.py
@@ -39,9 +39,9 @@
 
 def begin(world, kind, **options):
     """Let a trouble begin now."""
-    trouble = convert({"kind": kind, "at_s": 0.0} | options)
-    trouble.begin(world, BACK_S)
-    return trouble
+    fault = convert({"kind": kind, "at_s": 0.0} | options)
+    fault.begin(world, BACK_S)
+    return fault
 
 
 async def answered(world, source, target, method="GET", path="/inspect", body=None):
@@ -196,7 +196,7 @@
 @pytest.mark.parametrize("kind", ["machine_deaf", "machine_mute"])
 def test_machines_that_are_reached_one_way_only(kind, chosen, count):
     async def check(world):
-        trouble = begin(world, kind, for_s=9.0, **chosen)
+        fault = begin(world, kind, for_s=9.0, **chosen)
         to_worker = {
             w.name: await answered(world, "drummer-0", w.name) for w in world.cloud.workers()
         }
@@ -208,8 +208,8 @@
         assert len(lost) == (count if kind == "machine_deaf" else 0)
         for name in heard:
             assert await answered(world, name, "drummer-0", path="/ready") is None
-            if trouble.zone is not None:
-                assert world.cloud.machines[name].kind[1] == trouble.zone
+            if fault.zone is not None:
+                assert world.cloud.machines[name].kind[1] == fault.zone
         await world.wait(9)
         assert not world.network.muted and not world.network.blocked
 
@@ -223,8 +223,8 @@
         world.network.watcher = lambda sent: (
             reports.append(sent) if sent.path == "/hello" else None
         )
-        deaf = begin(world, "machine_deaf", count=1, for_s=4.0)
-        await world.wait(deaf.for_s)
+        unreachable = begin(world, "machine_deaf", count=1, for_s=4.0)
+        await world.wait(unreachable.for_s)
         assert {sent.source for sent in reports} == set(names)
         await world.wait(4)
         begin(world, "machine_mute", count=1, for_s=4.0)
@@ -298,12 +298,12 @@
         await world.submit(job(2, beats=1, vcpus=0.5, runS=4.0))  # is over soon
         await world.submit(job(3, beats=1, vcpus=0.5, runS=60.0))
         await world.until(lambda: {"j-000002", "j-000003"} <= running(world))
-        trouble = begin(world, "cancel_now", count=5, hang_s=hang_s)
+        fault = begin(world, "cancel_now", count=5, hang_s=hang_s)
         hung = [worker for worker in world.cloud.workers() if worker.hung]
         assert bool(hung) is (hang_s > 0)
         await world.wait(0.25)
         assert cancelled(world) == {"j-000001", "j-000003"}
-        await world.wait(trouble.lasts_s)
+        await world.wait(fault.lasts_s)
         assert not any(worker.hung for worker in world.cloud.workers())
         await world.finish(["j-000001", "j-000002", "j-000003"])
 
--- a/dappledrum/standins/test_pairs.py
+++ b/dappledrum/standins/test_pairs.py
@@ -43,7 +43,7 @@
 def test_triples_have_all_changes_of_leader():
     changes = set()
     for seed, kinds in TRIPLES:
-        drawn = [trouble.kind for trouble in draw_troubles(kinds, True, random.Random(seed))]
+        drawn = [fault.kind for fault in draw_troubles(kinds, True, random.Random(seed))]
         for kind in kinds:
             drawn.remove(kind.partition(":")[0])
         changes.update(drawn)
--- a/dappledrum/standins/test_recording.py
+++ b/dappledrum/standins/test_recording.py
@@ -84,7 +84,7 @@
         world = await world_with_a_job()
         world.rules.submitted(job(2, vcpus=1.0))  # the service knows nothing of it
         world.rules.submit_answer(world.now(), "j-000002", 201, "pending")
-        world.rules.quiet_at = world.now() + 5
+        world.rules.faults_over_at = world.now() + 5
         await world.wait(94)
         with pytest.raises(AssertionError, match="left_waiting"):
             await world.wait(4)
@@ -97,13 +97,13 @@
     async def main():
         world = await world_with_a_job()
         worker = world.cloud.workers()[0]
-        assert [(room.machine, room.free.cpus) for room in world.cloud.rooms()] == [
-            (worker.name, 2.0)
-        ]
+        assert [
+            (capacity.machine, capacity.free.cpus) for capacity in world.cloud.free_machines()
+        ] == [(worker.name, 2.0)]
         worker.hung = unwell == "hung"
         worker.recall_at = 500.0 if unwell == "to be taken" else None
         if unwell == "faulty":
             world.timing.faulty.add(worker.name)
-        assert not world.cloud.rooms()
+        assert not world.cloud.free_machines()
 
     run(main())
--- a/dappledrum/standins/troubles/__init__.py
+++ b/dappledrum/standins/troubles/__init__.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from dappledrum.standins.troubles import controllers, machines, state_service, users
-from dappledrum.standins.troubles.base import Trouble
+from dappledrum.standins.troubles.base import FaultLog
 from dappledrum.standins.world import World
 
 
@@ -19,7 +19,7 @@
 
 
 #: By the name that a day's file gives it.
-KINDS: dict[str, type[Trouble]] = {
+KINDS: dict[str, type[FaultLog]] = {
     str(kind.__struct_config__.tag): kind
     for kind in (
         controllers.NodeCrash,
@@ -45,7 +45,7 @@
 }
 
 
-def convert(options: dict[str, Any]) -> Trouble:
+def convert(options: dict[str, Any]) -> FaultLog:
     """The trouble that these options describe, or TroubleError."""
     kind = options.get("kind")
     if not isinstance(kind, str):
@@ -79,4 +79,4 @@
     world.rules.listeners.clear()
     for task in world.odd_users:
         task.cancel()
-    world.rules.quiet_at = world.now()
+    world.rules.faults_over_at = world.now()
--- a/dappledrum/standins/troubles/base.py
+++ b/dappledrum/standins/troubles/base.py
@@ -14,7 +14,7 @@
 Count = Annotated[int, Meta(ge=1, le=100_000)]
 
 
-class Trouble(msgspec.Struct, kw_only=True, forbid_unknown_fields=True, tag_field="kind"):
+class FaultLog(msgspec.Struct, kw_only=True, forbid_unknown_fields=True, tag_field="kind"):
     """Something that goes wrong at some time of a day."""
 
     at_s: Seconds
@@ -35,7 +35,7 @@
         raise NotImplementedError
 
 
-class LastingTrouble(Trouble):
+class LastingTrouble(FaultLog):
     """A trouble that lasts for a given time."""
 
     for_s: Seconds
--- a/dappledrum/standins/troubles/controllers.py
+++ b/dappledrum/standins/troubles/controllers.py
@@ -2,7 +2,7 @@
 
 from typing import Literal
 
-from dappledrum.standins.troubles.base import Count, LastingTrouble, Seconds, Trouble, later
+from dappledrum.standins.troubles.base import Count, FaultLog, LastingTrouble, Seconds, later
 from dappledrum.standins.world import World
 
 
@@ -26,7 +26,7 @@
         world.kill(member)
 
 
-class NodeCrash(Trouble, tag="node_crash"):
+class NodeCrash(FaultLog, tag="node_crash"):
     """Controllers end, and are there again a little later."""
 
     for_s: Seconds = 0.0
@@ -49,7 +49,7 @@
     for_s: Seconds  # type: ignore[misc]
 
 
-class NodeRoll(Trouble, tag="node_roll"):
+class NodeRoll(FaultLog, tag="node_roll"):
     """All controllers are restarted, one after the other."""
 
     every_s: Seconds
@@ -121,11 +121,13 @@
         return targets
 
 
-class LeaderTransfer(Trouble, tag="leader_transfer"):
+class LeaderTransfer(FaultLog, tag="leader_transfer"):
     """The leader hands over to another controller. Known over the stand-ins only."""
 
     def begin(self, world: World, back: float) -> None:
         leader = world.leader()
         others = [m for m in world.members if world.alive(m) and m != leader]
         if leader is not None and others:
-            world.nodes[leader].elector.hand_over(world.rng.choice(others), "a drawn trouble")
+            world.nodes[leader].elector.transfer_leadership(
+                world.rng.choice(others), "a drawn trouble"
+            )
--- a/dappledrum/standins/troubles/machines.py
+++ b/dappledrum/standins/troubles/machines.py
@@ -3,7 +3,7 @@
 
 from dappledrum.standins.fleet import Worker
 from dappledrum.standins.network import Copies, LateCommands
-from dappledrum.standins.troubles.base import Count, LastingTrouble, Share, Trouble, later
+from dappledrum.standins.troubles.base import Count, FaultLog, LastingTrouble, Share, later
 from dappledrum.standins.world import World
 
 LISTED_S = 30.0  # for how long the cloud lists a machine that has failed
@@ -11,7 +11,7 @@
 LATE_COMMANDS = (2.0, 16.0)  # seconds, as the bench has it
 
 
-class MachineDie(Trouble, tag="machine_die"):
+class MachineDie(FaultLog, tag="machine_die"):
     """Machines fail, and the cloud goes on listing them for a while."""
 
     count: Count = 1
@@ -72,7 +72,7 @@
     """Their reports arrive; answers and direct commands to them are lost."""
 
     def begin(self, world: World, back: float) -> None:
-        pairs = world.deafen(self.chosen(world))
+        pairs = world.drop_answers(self.chosen(world))
         later(self.for_s, world.network.blocked.difference_update, pairs)
 
 
@@ -80,7 +80,7 @@
     """They reach no controller, while direct commands reach them."""
 
     def begin(self, world: World, back: float) -> None:
-        pairs = world.mute(self.chosen(world))
+        pairs = world.drop_reports(self.chosen(world))
         later(self.for_s, world.network.muted.difference_update, pairs)
 
 
--- a/dappledrum/standins/troubles/users.py
+++ b/dappledrum/standins/troubles/users.py
@@ -9,13 +9,20 @@
 
 from dappledrum.model.rules import JobEvent
 from dappledrum.standins.fleet import Worker
-from dappledrum.standins.troubles.base import Count, LastingTrouble, Seconds, Share, Trouble, later
+from dappledrum.standins.troubles.base import (
+    Count,
+    FaultLog,
+    LastingTrouble,
+    Seconds,
+    Share,
+    later,
+)
 from dappledrum.standins.troubles.machines import hang
 from dappledrum.standins.world import World, job
 
 CANCEL_WITHIN_S = 0.2
 LONG_TO_GO_S = 10.0
-MOST_HUNG = 8
+MAX_HUNG = 8
 #: Until the end of a last task is reported, recorded and told, a cancellation may meet it.
 AT_END_S = 1.0
 LOOK_WITHIN_S = 0.005
@@ -28,7 +35,7 @@
 OPTIONAL = ("id", "builds", "hall", "dueS", "waitsOn", "runS", "broken")  # or chosen by the test
 
 
-class CancelNow(Trouble, tag="cancel_now"):
+class CancelNow(FaultLog, tag="cancel_now"):
     """Users call off jobs that have long to go, all at once; machines of theirs may hang."""
 
     count: Count
@@ -43,7 +50,7 @@
         chosen = world.rng.sample(jobs, min(self.count, len(jobs)))
         if self.hang_s > 0:
             workers = [w for w in world.cloud.workers() if any(_runs(w, name) for name in chosen)]
-            hang(world.rng.sample(workers, min(MOST_HUNG, len(workers))), self.hang_s)
+            hang(world.rng.sample(workers, min(MAX_HUNG, len(workers))), self.hang_s)
         for name in chosen:
             after = world.rng.uniform(0, CANCEL_WITHIN_S)
             world.act(_cancel(world, name, after))
@@ -149,13 +156,13 @@
 
 async def _repeat_submission(world: World) -> None:
     facts = world.rules.jobs
-    names = [name for name in facts if facts[name].accepted and facts[name].told is None]
+    names = [name for name in facts if facts[name].accepted and facts[name].confirmed is None]
     if names:
         await world.submit(facts[world.rng.choice(names)].spec, ODD_TRIES)
 
 
 async def _cancel_done(world: World) -> None:
-    names = [name for name, facts in world.rules.jobs.items() if facts.told == "done"]
+    names = [name for name, facts in world.rules.jobs.items() if facts.confirmed == "done"]
     if names:
         await world.cancel(world.rng.choice(names), ODD_TRIES)
 
--- a/dappledrum/standins/truth.py
+++ b/dappledrum/standins/truth.py
@@ -51,7 +51,7 @@
 
     def check_never_begun(self, machine: Machine, lost_before: set[Placement]) -> None:
         """A machine may have been taken for deaf, and what it has not shown for never begun."""
-        if not machine.hearing.deaf:
+        if not machine.reachability.unreachable:
             return
         for placement in machine.placements.values():
             if placement.seen or not placement.lost or placement in lost_before:
--- a/dappledrum/standins/users.py
+++ b/dappledrum/standins/users.py
@@ -15,7 +15,7 @@
 from dappledrum.http.client import NoResponseError, Reply
 from dappledrum.standins.world import World, job
 
-PATIENCE = timedelta(seconds=2)
+REQUEST_TIMEOUT = timedelta(seconds=2)
 UNKNOWN, ACCEPTED, FINAL = range(3)
 FINAL_STATES = ("done", "cancelled")
 OK, CREATED, BAD_REQUEST, NOT_FOUND, UNPROCESSABLE = 200, 201, 400, 404, 422
@@ -84,7 +84,7 @@
         asked = _now()
         try:
             caller = self.world.network.caller("user", member)
-            reply = await caller.request(method, path, body, PATIENCE)
+            reply = await caller.request(method, path, body, REQUEST_TIMEOUT)
         except NoResponseError:
             return None
         self._check(reply, asked, member, submitted=path == "/submissions")
--- a/dappledrum/standins/world.py
+++ b/dappledrum/standins/world.py
@@ -341,14 +341,14 @@
         others = self.others(member)
         self.cut_off(member, *others, *("back-" + other for other in others))
 
-    def deafen(self, names: list[str]) -> set[tuple[str, str]]:
+    def drop_answers(self, names: list[str]) -> set[tuple[str, str]]:
         """Reports of these machines arrive, answers and commands don't reach them; returns what is
         blocked for it."""
         pairs = {(member, name) for name in names for member in self.members}
         self.network.blocked |= pairs
         return pairs
 
-    def mute(self, names: list[str]) -> set[tuple[str, str]]:
+    def drop_reports(self, names: list[str]) -> set[tuple[str, str]]:
         """These machines open no connection to any controller, while controllers reach them;
         returns what is in `network.muted` for it."""
         pairs = {(name, member) for name in names for member in self.members}
@@ -368,7 +368,7 @@
         while (now := asyncio.get_running_loop().time()) < end:
             await asyncio.sleep(min(0.25, end - now))
             self.rules.tick(self.now())
-            self.rules.check_waiting(self.now(), self.cloud.rooms)
+            self.rules.check_waiting(self.now(), self.cloud.free_machines)
             self.leader()
             assert not self.rules.broken, self.rules.broken
 
