--- a/dappledrum/state/client.py
+++ b/dappledrum/state/client.py
@@ -33,15 +33,15 @@
     Transaction,
 )
 from dappledrum.timing.clock import ZERO, Clock
-from dappledrum.timing.troubles import Trouble
+from dappledrum.timing.fault_log import FaultLog
 
 log = logging.getLogger(__name__)
 
 T = TypeVar("T")
-PATIENCE = timedelta(seconds=1.5)
+REQUEST_TIMEOUT = timedelta(seconds=1.5)
 TXN_BYTES = 60 * 1024
 CHAIN = 8.0  # changes that may go out at once: users submit the jobs of a chain within a moment
-TROUBLE = timedelta(milliseconds=400)
+FAILING_AFTER = timedelta(milliseconds=400)
 
 
 class StateError(Exception):
@@ -94,11 +94,14 @@
         self.last_hung = False
         self.reached = False  # served at least once
         self.link = Link(clock)
-        self.trouble = Trouble(log, clock, "the state service does not serve this controller")
+        self.fault = FaultLog(log, clock, "the state service does not serve this controller")
 
-    def troubled(self) -> bool:
+    def is_failing(self) -> bool:
         """Requests have failed for a while, and none was served since."""
-        return self.failing_since is not None and self.clock.now() - self.failing_since > TROUBLE
+        return (
+            self.failing_since is not None
+            and self.clock.now() - self.failing_since > FAILING_AFTER
+        )
 
     def failing_for(self) -> timedelta | None:
         """How long no request has been served, although some were tried; None: the newest was."""
@@ -133,7 +136,7 @@
         path: str,
         body: bytes | None,
         rank: Rank,
-        timeout: timedelta = PATIENCE,
+        timeout: timedelta = REQUEST_TIMEOUT,
         writes: int = 0,
     ) -> Reply:
         wait = self.busy_for(rank, writes)
@@ -172,12 +175,12 @@
             self.backoff = ZERO
             self.failing_since = None
             self.reached = True
-            self.trouble.over()
+            self.fault.over()
         return reply
 
     def _failed(self, hung: bool, why: str) -> None:
         self.last_hung = hung
-        self.trouble.seen(why)
+        self.fault.seen(why)
         if self.failing_since is None:
             self.failing_since = self.clock.now()
 
@@ -193,7 +196,9 @@
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
             raise UnknownError(f"unusable answer: {error}") from error
 
-    async def get(self, key: str, rank: Rank, timeout: timedelta = PATIENCE) -> Entry | None:
+    async def get(
+        self, key: str, rank: Rank, timeout: timedelta = REQUEST_TIMEOUT
+    ) -> Entry | None:
         """Read one key; None when it does not exist."""
         reply = await self._call("GET", f"/keys/{key}", None, rank, timeout)
         if reply.status == 404:
@@ -226,7 +231,7 @@
         guards: Sequence[Guard],
         changes: Sequence[Put | Delete],
         rank: Rank,
-        timeout: timedelta = PATIENCE,
+        timeout: timedelta = REQUEST_TIMEOUT,
     ) -> int:
         """Run a transaction and return its revision."""
         body = msgspec.json.encode(Transaction(list(guards), list(changes)))
@@ -268,7 +273,7 @@
     ) -> tuple[list[Event], int]:
         """Changes after a revision; an empty list when nothing changed in time."""
         path = f"/watch?prefix={prefix}&from={after}&waitMs={int(wait.total_seconds() * 1000)}"
-        reply = await self._call("GET", path, None, rank, wait + PATIENCE)
+        reply = await self._call("GET", path, None, rank, wait + REQUEST_TIMEOUT)
         if reply.status == 410:
             raise CompactedError(prefix)
         if reply.status != 200:
--- a/dappledrum/state/hedge.py
+++ b/dappledrum/state/hedge.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from dappledrum.state.budget import Rank
-from dappledrum.state.client import PATIENCE, ConflictError, State, StateError
+from dappledrum.state.client import REQUEST_TIMEOUT, ConflictError, State, StateError
 from dappledrum.state.messages import Delete, Entry, Guard, Put
 from dappledrum.timing.clock import ZERO
 
@@ -23,7 +23,7 @@
 
 T = TypeVar("T")
 
-LEAST_DELAY = timedelta(milliseconds=50)
+MIN_DELAY = timedelta(milliseconds=50)
 DELAY_FACTOR = 4  # round trips after which an answer counts as late
 READS = 3  # for one transaction
 BACKOFF = 3  # each read waits so many times as long as the one before
@@ -50,7 +50,7 @@
     changes: Sequence[Put | Delete],
     rank: Rank,
     find: Callable[[], Awaitable[T | None]],
-    timeout: timedelta = PATIENCE,
+    timeout: timedelta = REQUEST_TIMEOUT,
 ) -> int | T:
     """Run a transaction and return its revision, or what `find` has read of its outcome.
 
@@ -85,7 +85,7 @@
     guards: Sequence[Guard],
     changes: Sequence[Put | Delete],
     rank: Rank,
-    timeout: timedelta = PATIENCE,
+    timeout: timedelta = REQUEST_TIMEOUT,
 ) -> int:
     """Run a transaction that may be carried out twice, and once more while its answer is late:
     one that only compares, or only removes. Either answer will do."""
@@ -110,13 +110,13 @@
     timeout: timedelta,
 ) -> T | None:
     """Read until something is proven; None when it is not worth while any more."""
-    delay = max(LEAST_DELAY, state.link.usual * DELAY_FACTOR)
+    delay = max(MIN_DELAY, state.link.usual * DELAY_FACTOR)
     await asyncio.sleep(queued.total_seconds())
     for _ in range(READS):
         if delay > timeout / 2:
             return None  # the answer would not be back sooner than that of the transaction
         await asyncio.sleep(delay.total_seconds())
-        if not state.troubled() and state.busy_for(rank) == ZERO:
+        if not state.is_failing() and state.busy_for(rank) == ZERO:
             try:
                 found = await find()
             except StateError as error:
--- a/dappledrum/state/test_hedge.py
+++ b/dappledrum/state/test_hedge.py
@@ -19,10 +19,10 @@
 from dappledrum.standins.time import run
 from dappledrum.standins.world import job
 from dappledrum.state.budget import Rank
-from dappledrum.state.ceiling import Ceiling
 from dappledrum.state.client import ConflictError, State, UnknownError, raw
 from dappledrum.state.hedge import READS, commit_idempotent, commit_or_find
 from dappledrum.state.messages import Guard, Put
+from dappledrum.state.value_limit import ValueLimit
 from dappledrum.timing.clock import ZERO, Clock, seconds
 
 LIMITS = StateLimits(200.0, 100.0, 8.0, 24)
@@ -171,7 +171,7 @@
         super().__init__()
         self.term = Term(1, self.write("leader", {"member": "node", "epoch": 1}), 1)
         self.term.valid_until = self.clock.now() + timedelta(seconds=lease_s)
-        self.recorder = Recorder(self.client, self.term, LIMITS, Ceiling(LIMITS), self.clock)
+        self.recorder = Recorder(self.client, self.term, LIMITS, ValueLimit(LIMITS), self.clock)
         self.recorder.on_saved = self.check
         self.saved = 0
         self.wrong = []
@@ -411,7 +411,7 @@
     async def main():
         store = Store()
 
-        async def standing(_question, _timeout):
+        async def pre_vote(_question, _timeout):
             return Answers(1, 1)
 
         elector = Elector(
@@ -421,13 +421,13 @@
             store.rng,
             timedelta(seconds=3),
             None,
-            standing,
+            pre_vote,
             None,
             timedelta(seconds=20),
             timedelta(seconds=20),
         )
-        elector.witness.unknown_until = ZERO
-        standing_for = asyncio.ensure_future(elector._stand())
+        elector.votes.unknown_until = ZERO
+        standing_for = asyncio.ensure_future(elector._campaign())
         if own:
             store.delay(0.0)
             await asyncio.sleep(0.2)
--- a/dappledrum/state/test_state.py
+++ b/dappledrum/state/test_state.py
@@ -103,12 +103,12 @@
             with pytest.raises(RefusedError):
                 await state.get("x", Rank.RECORD)
             await asyncio.sleep(0.4)
-        assert state.troubled()
+        assert state.is_failing()
         caller.answer = Reply(200, b'{"tally":1,"events":[]}')
         await state.watch("x", 1, timedelta(seconds=1), Rank.RECORD)
-        assert state.troubled()  # an open watch may end in an outage, too
+        assert state.is_failing()  # an open watch may end in an outage, too
         caller.answer = Reply(404, b'{"tally":1}')
         await state.get("x", Rank.RECORD)
-        assert not state.troubled()
+        assert not state.is_failing()
 
     run(main())
--- a/dappledrum/state/ceiling.py
+++ b/dappledrum/state/value_limit.py
@@ -14,7 +14,7 @@
 log = logging.getLogger(__name__)
 
 
-class Ceiling:
+class ValueLimit:
     """The limit of one controller."""
 
     def __init__(self, limits: StateLimits) -> None:
--- a/dappledrum/timing/troubles.py
+++ b/dappledrum/timing/fault_log.py
@@ -6,7 +6,7 @@
 from dappledrum.timing.clock import Clock
 
 
-class Trouble:
+class FaultLog:
     """The state of one service or condition that may fail for a while."""
 
     def __init__(self, log: logging.Logger, clock: Clock, what: str) -> None:
--- a/dappledrum/timing/patience.py
+++ b/dappledrum/timing/timeouts.py
@@ -3,8 +3,8 @@
 A controller may be suspended for seconds while its clocks run on. When it continues, every timeout
 that passed meanwhile is due at once, while answers still lie unread in the sockets. A timeout that
 fires late is therefore extended a little, so that arrived data is read before anybody is taken for
-silent. Code that judges machines by their silence asks `Pulse` since when this process has been
-running without a pause.
+silent. Code that judges machines by their silence asks `PauseDetector` since when this process has
+been running without a pause.
 """
 
 import asyncio
@@ -18,11 +18,11 @@
 
 LATE = timedelta(milliseconds=250)  # a limit this late is a sign of a pause
 GRACE = timedelta(milliseconds=150)
-BEAT = timedelta(milliseconds=500)
+BEAT_INTERVAL = timedelta(milliseconds=500)
 PAUSE = timedelta(seconds=1)  # a beat this late was a pause
 
 
-class Patience:
+class PauseTolerantTimeout:
     """Like `asyncio.timeout`, for waits after which another machine is considered silent."""
 
     def __init__(self, span: timedelta) -> None:
@@ -31,7 +31,7 @@
         self._timer: asyncio.TimerHandle | None = None
         self._due = 0.0
 
-    async def __aenter__(self) -> "Patience":
+    async def __aenter__(self) -> "PauseTolerantTimeout":
         await self._timeout.__aenter__()
         self._set(max(self.span, ZERO))
         return self
@@ -59,20 +59,20 @@
             self._timeout.reschedule(now)
 
 
-class Pulse:
+class PauseDetector:
     """Detects pauses of this process."""
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
-        self.beat = clock.now()
-        self.since = self.beat
+        self.last_beat = clock.now()
+        self.since = self.last_beat
 
     def awake_since(self) -> timedelta:
         """Since when this process has been running without a pause."""
         now = self.clock.now()
-        gap = now - self.beat
-        self.beat = now
-        if gap > BEAT + PAUSE:
+        gap = now - self.last_beat
+        self.last_beat = now
+        if gap > BEAT_INTERVAL + PAUSE:
             self.since = now
             log.warning(
                 "stood still for about %.1f s, nobody is blamed for it", gap.total_seconds()
@@ -83,4 +83,4 @@
         """Check for pauses periodically, for ever."""
         while True:
             self.awake_since()
-            await asyncio.sleep(BEAT.total_seconds())
+            await asyncio.sleep(BEAT_INTERVAL.total_seconds())
--- a/dappledrum/workers/bookkeeping.py
+++ b/dappledrum/workers/bookkeeping.py
@@ -21,11 +21,11 @@
 
 from dappledrum.accounts.entries import Entry
 from dappledrum.accounts.ledger import Ledger
-from dappledrum.gangs.whole import keep_whole
+from dappledrum.gangs.all_or_nothing import stop_broken_gangs
 from dappledrum.jobs.messages import Form
 from dappledrum.jobs.record import Job, Page, Placement
 from dappledrum.scheduling.estimates import Estimates
-from dappledrum.scheduling.lanes import Kind
+from dappledrum.scheduling.timeline import Kind
 from dappledrum.settings import WorkerLimits
 from dappledrum.timing.clock import ZERO, Clock, longer
 from dappledrum.workers.failures import Verdict, failed, judge, suspected
@@ -34,10 +34,10 @@
 
 log = logging.getLogger(__name__)
 
-MOST_COMMANDS = 400
+MAX_COMMANDS = 400
 RETRY = timedelta(seconds=2)
 DOUBT = timedelta(seconds=5)  # a machine is left out while its failures are tried elsewhere
-RETRY_MOST = timedelta(seconds=60)
+MAX_RETRY_PAUSE = timedelta(seconds=60)
 
 
 class Bookkeeper:
@@ -54,11 +54,12 @@
         mark: Callable[[Page], None],
         wake: Callable[[str], None],
         ledger: Ledger | None = None,
-        clear_at: Callable[[], timedelta | None] = lambda: ZERO,
+        others_stopped_at: Callable[[], timedelta | None] = lambda: ZERO,
         awake_since: Callable[[], timedelta] = lambda: ZERO,
     ) -> None:
         self.awake_since = awake_since
-        self.clear_at = clear_at  # nobody else has answered since; None: not known
+        # nobody else has answered since; None: not known
+        self.others_stopped_at = others_stopped_at
         self.ledger = ledger or Ledger(roster, clock)
         self.jobs = jobs
         self.roster = roster
@@ -70,7 +71,8 @@
         self.wake = wake
         self.cache_gb: dict[str, float] = {}
         self.on_lost: Callable[[str], None] = lambda why: None  # told of each placement given up
-        self.quiet: timedelta | None = None  # nobody else has answered since; None: not told
+        # nobody else has answered since; None: not told
+        self.last_foreign_answer: timedelta | None = None
 
     # reports
 
@@ -88,13 +90,13 @@
             report.machine, Kind(report.type, report.zone, report.spot), now
         )
         if vague:
-            machine.rumour = report.token != self.token
+            machine.unconfirmed = report.token != self.token
         if self._copied(machine, report, now):
             return None
         if report.session > machine.session and machine.up:
             machine.images.clear()
             log.info("%s is in session %d now", machine.name, report.session)
-        self._listen(machine, report, now)
+        self._update_reachability(machine, report, now)
         machine.session, machine.sequence, machine.token = (
             report.session,
             report.sequence,
@@ -104,7 +106,7 @@
         certain = report.token == self.token or machine.asked_at is not None
         if certain and not machine.up:
             machine.up_at = now
-            machine.rumour = False
+            machine.unconfirmed = False
             log.info("%s is up (%s in %s)", machine.name, report.type, report.zone)
             self.wake("machine up")
         if report.notice_s is not None:
@@ -131,31 +133,31 @@
             return True
         if report.token >= self.token:
             return False
-        clear = self.clear_at()
+        clear = self.others_stopped_at()
         if report.session > machine.session or clear is None:
             return False
-        return machine.hearing.lasts(now, self.limits.lease) and now > (
+        return machine.reachability.outlasts_lease(now, self.limits.lease) and now > (
             clear + longer(self.limits.lease) + GONE_MARGIN
         )
 
-    def _listen(self, machine: Machine, report: Report, now: timedelta) -> None:
+    def _update_reachability(self, machine: Machine, report: Report, now: timedelta) -> None:
         """Whether the machine hears this controller."""
-        hearing, lease = machine.hearing, self.limits.lease
+        reachability, lease = machine.reachability, self.limits.lease
         heard = False
-        if report.token == self.token and not hearing.token_shown:
-            heard = hearing.token_shown = True
+        if report.token == self.token and not reachability.token_shown:
+            heard = reachability.token_shown = True
         if report.session > machine.session:
-            if hearing.new_session(now, lease, self.awake_since()):
+            if reachability.new_session(now, lease, self.awake_since()):
                 log.warning("%s lost its session though it was answered", machine.name)
-        elif report.token == self.token and hearing.lasts(now, lease):
-            heard = hearing.deaf
-        elif report.token < self.token and hearing.answered_at is not None:
-            self._vain(machine, "does not take this term's token on")
-        if heard and hearing.heard():
+        elif report.token == self.token and reachability.outlasts_lease(now, lease):
+            heard = reachability.unreachable
+        elif report.token < self.token and reachability.answered_at is not None:
+            self._note_missed_answer(machine, "does not take this term's token on")
+        if heard and reachability.confirm_reachable():
             log.info("%s hears again", machine.name)
 
-    def _vain(self, machine: Machine, why: str) -> None:
-        if machine.hearing.in_vain():
+    def _note_missed_answer(self, machine: Machine, why: str) -> None:
+        if machine.reachability.note_missed_answer():
             log.warning("%s %s: its reports come, but no answer reaches it", machine.name, why)
 
     def _leave_in_time(self, machine: Machine, left: timedelta, now: timedelta) -> None:
@@ -189,10 +191,10 @@
             job = self.jobs.get(name)
             if job is not None and int(number) < job.spec.tasks:
                 self._item(machine, job, int(number), item, now)
-        vain = False
+        missed = False
         for placement in list(machine.placements.values()):
             job_id = placement.page.job.id
-            vain |= (
+            missed |= (
                 0 <= placement.offered_tick < report.sequence
                 and not placement.seen
                 and not placement.lost
@@ -212,11 +214,11 @@
                 and (placement.seen or placement.lost or not self._wanted(placement))
             ):
                 self._lost(machine, placement, "no longer there", Entry.LOST_STOPPED)
-        if vain:
-            self._vain(machine, "does not begin what it is given")
+        if missed:
+            self._note_missed_answer(machine, "does not begin what it is given")
         # Only once it has shown this term's token: before, old copies look like reports that show
         # neither the token nor what a predecessor has started since, and stopped what was running.
-        if machine.hearing.deaf and machine.up:
+        if machine.reachability.unreachable and machine.up:
             for placement in machine.placements.values():
                 # Not offered any more, so the next report without it proves that it is not there.
                 placement.lost |= not placement.seen
@@ -231,7 +233,11 @@
         if item.state == TaskState.ENDED:
             self._ended(machine, job, page, task, placement, item, now)
         elif placement is not None:
-            if not placement.seen and placement.offered_tick >= 0 and machine.hearing.heard():
+            if (
+                not placement.seen
+                and placement.offered_tick >= 0
+                and machine.reachability.confirm_reachable()
+            ):
                 log.info("%s hears again", machine.name)
             placement.seen = True
             placement.gathering = item.state == TaskState.WAITING
@@ -297,7 +303,7 @@
         if suspected(job):
             # Machines that others are content with: it is the job. Try again, ever more rarely.
             tries = sum(job.errors.values())
-            job.retry_at = now + min(RETRY * 2 ** min(tries // 3, 6), RETRY_MOST)
+            job.retry_at = now + min(RETRY * 2 ** min(tries // 3, 6), MAX_RETRY_PAUSE)
             if not before:
                 log.warning(
                     "%s fails on %d machines, tried rarely from now on", job.id, len(job.errors)
@@ -368,7 +374,7 @@
             if job is None or not job.cancelled or item.state == TaskState.ENDED:
                 continue
             command = self._for_item(machine, item)
-            if command is not None and len(result) < MOST_COMMANDS:
+            if command is not None and len(result) < MAX_COMMANDS:
                 result.append(command)
         return result
 
@@ -377,7 +383,7 @@
         result: list[Command] = []
         active: set[tuple[str, int]] = set()
         for item in report.tasks:
-            command = self._for_item(machine, item) if len(result) < MOST_COMMANDS else None
+            command = self._for_item(machine, item) if len(result) < MAX_COMMANDS else None
             if command is not None:
                 result.append(command)
             active.add((item.task, item.attempt))
@@ -385,7 +391,7 @@
             task = f"{placement.page.job.id}/{placement.task}"
             if (task, placement.attempt) in active or placement.session != report.session:
                 continue
-            if len(result) >= MOST_COMMANDS:
+            if len(result) >= MAX_COMMANDS:
                 break  # no line of an answer may be longer than 64 KiB; the rest comes next time
             # Write ahead: the worker hears of an attempt only when its record is stored.
             if self._wanted(placement) and placement.page.saved >= placement.revision:
@@ -428,8 +434,8 @@
         """Give up what was on machines whose workers have certainly ended their session, and what
         is left of gangs that have lost a part."""
         now = self.clock.now()
-        keep_whole(self.jobs.values())
-        clear = self.clear_at()
+        stop_broken_gangs(self.jobs.values())
+        clear = self.others_stopped_at()
         if clear is None or now <= clear + longer(self.limits.lease) + GONE_MARGIN:
             return
         for machine in self.roster:
@@ -448,9 +454,9 @@
         """Have a task stopped; it counts as on its machine until that is proven otherwise."""
         placement.lost = True
 
-    def quiet_since(self, moment: timedelta) -> None:
+    def no_answers_since(self, moment: timedelta) -> None:
         """No predecessor has answered any worker after this."""
-        self.quiet = moment
+        self.last_foreign_answer = moment
         for machine in self.roster:
             if machine.last_report is None:
                 machine.last_answer = min(machine.last_answer, moment)
@@ -461,7 +467,9 @@
         now = self.clock.now()
         for placement in job.placements():
             machine = self.roster.ensure(placement.machine, None, now)
-            machine.last_answer = now if self.quiet is None else min(now, self.quiet)
+            machine.last_answer = (
+                now if self.last_foreign_answer is None else min(now, self.last_foreign_answer)
+            )
             machine.placements[(job.id, placement.task)] = placement
             age = self.clock.today() - placement.placed_at
             placement.running_at = now - max(age, ZERO)
--- a/dappledrum/workers/hearing.py
+++ b/dappledrum/workers/reachability.py
@@ -5,8 +5,8 @@
 there. It is recognised by what only an answer can have caused:
 
 - A start that was sent in an answer is shown by the next report, at least as `fetching`. A worker
-  that has lost the answer does not show it. After `VAIN` reports in a row the machine counts as
-  unreachable.
+  that has lost the answer does not show it. After `MAX_MISSED_ANSWERS` reports in a row the
+  machine counts as unreachable.
 - A session ends only when no answer has arrived for a lease. If its reports were answered all
   along, the machine is unreachable. This does not hold if the reports had stopped: then the
   machine hung, or was cut off in both directions, and held back reports may arrive together
@@ -25,7 +25,7 @@
 
 #: Reports in a row that do not show what they must if the answers before them were heard. One is
 #: an answer that was lost or took more than the worker's patience.
-VAIN = 2
+MAX_MISSED_ANSWERS = 2
 #: Share of a lease in which reports may pause and still count as answered all along. A worker
 #: that gets no answer reports to one controller after the other, 5 s apart; one that was cut off
 #: both ways for so long that its session ended has not been heard for nearly a lease.
@@ -33,18 +33,25 @@
 GONE_MARGIN = timedelta(milliseconds=500)
 
 
-class Hearing:
+class Reachability:
     """What is known about the answers to one machine in one term."""
 
-    __slots__ = ("deaf", "session_at", "answered_at", "steady_at", "token_shown", "vain")
+    __slots__ = (
+        "unreachable",
+        "session_at",
+        "answered_at",
+        "steady_at",
+        "token_shown",
+        "missed_answers",
+    )
 
     def __init__(self) -> None:
-        self.deaf = False
+        self.unreachable = False
         self.session_at: timedelta | None = None  # its present session was first heard of
         self.answered_at: timedelta | None = None  # the newest answer to a report in order
         self.steady_at: timedelta | None = None  # since then its reports were answered in order
         self.token_shown = False  # a report has carried this term's token
-        self.vain = 0
+        self.missed_answers = 0
 
     def answered(self, now: timedelta, lease: timedelta) -> None:
         """Note that a report was answered with this term's token."""
@@ -52,21 +59,21 @@
             self.steady_at = now
         self.answered_at = now
 
-    def in_vain(self) -> bool:
+    def note_missed_answer(self) -> bool:
         """Note a report that does not show what an earlier answer carried; True: the machine
         counts as unreachable from now on."""
-        self.vain += 1
-        if self.deaf or self.vain < VAIN:
+        self.missed_answers += 1
+        if self.unreachable or self.missed_answers < MAX_MISSED_ANSWERS:
             return False
-        self.deaf = True
+        self.unreachable = True
         return True
 
-    def heard(self) -> bool:
+    def confirm_reachable(self) -> bool:
         """Note a report that shows what only an answer can have caused; True: the machine counted
         as unreachable until now."""
-        was = self.deaf
-        self.deaf = False
-        self.vain = 0
+        was = self.unreachable
+        self.unreachable = False
+        self.missed_answers = 0
         return was
 
     def new_session(self, now: timedelta, lease: timedelta, awake_since: timedelta) -> bool:
@@ -78,14 +85,14 @@
         """
         answered, steady = self.answered_at, self.steady_at
         self.session_at = now
-        if answered is None or steady is None or self.deaf:
+        if answered is None or steady is None or self.unreachable:
             return False
         if now - answered > lease * STEADY or answered - max(steady, awake_since) < lease * STEADY:
             return False
-        self.deaf = True
+        self.unreachable = True
         return True
 
-    def lasts(self, now: timedelta, lease: timedelta) -> bool:
+    def outlasts_lease(self, now: timedelta, lease: timedelta) -> bool:
         """Whether the session is older than one can be that has got no answer since it began, or
         since it was first heard of."""
         return self.session_at is not None and now > self.session_at + longer(lease) + GONE_MARGIN
--- a/dappledrum/workers/knocks.py
+++ b/dappledrum/workers/report_attempts.py
@@ -11,14 +11,14 @@
 from dappledrum.workers.roster import Roster
 
 KEPT = timedelta(seconds=60)
-MOST = 2_000
+MAX_KEPT = 2_000
 
 
-class Knocks:
+class ReportAttempts:
     """Recent attempts to report, oldest first."""
 
     def __init__(self) -> None:
-        self.recent: deque[tuple[timedelta, str]] = deque(maxlen=MOST)
+        self.recent: deque[tuple[timedelta, str]] = deque(maxlen=MAX_KEPT)
 
     def note(self, machine: str, now: timedelta) -> None:
         """Note a report."""
@@ -41,7 +41,7 @@
         return result
 
 
-def shunned(elsewhere: dict[str, int], roster: Roster) -> list[str]:
+def reporting_elsewhere(elsewhere: dict[str, int], roster: Roster) -> list[str]:
     """Machines that the leader should have had reports from by now.
 
     These are machines that have reported to this leader before, or that came to the same peer
--- a/dappledrum/workers/roster.py
+++ b/dappledrum/workers/roster.py
@@ -6,9 +6,9 @@
 from datetime import timedelta
 
 from dappledrum.jobs.record import Placement
-from dappledrum.scheduling.lanes import Kind
+from dappledrum.scheduling.timeline import Kind
 from dappledrum.timing.clock import longer
-from dappledrum.workers.hearing import GONE_MARGIN, Hearing
+from dappledrum.workers.reachability import GONE_MARGIN, Reachability
 
 KEPT_NAMES = 2_000
 
@@ -44,10 +44,10 @@
         self.listed_at: timedelta | None = None
         self.listed_up = False  # the cloud's list has shown it as running
         self.given = asyncio.Event()  # something was placed there
-        self.hearing = Hearing()
+        self.reachability = Reachability()
         #: Only a report that may be a late copy speaks of it: no room to plan on, and nothing to
         #: remember. Records, the cloud's list, a rental or this term's token say more.
-        self.rumour = False
+        self.unconfirmed = False
 
     @property
     def up(self) -> bool:
@@ -57,7 +57,7 @@
         return self.up_at is not None
 
     @property
-    def expected_back(self) -> bool:
+    def awaiting_report(self) -> bool:
         """It was up before this term, and has not reported in it yet."""
         return self.listed_up and not self.up and self.asked_at is None
 
@@ -117,11 +117,11 @@
             machine.kind = kind
         return machine
 
-    def one_sided(self) -> bool:
+    def mostly_unreachable(self) -> bool:
         """Whether most machines that are up seem to get no answers: then the fault is on this
         side, and no machine is to blame."""
         up = [machine for machine in self.machines.values() if machine.up]
-        return sum(machine.hearing.deaf for machine in up) * 2 > len(up)
+        return sum(machine.reachability.unreachable for machine in up) * 2 > len(up)
 
     def drop(self, name: str) -> None:
         """Remove a machine that is gone; late reports of it must not bring it back."""
--- a/dappledrum/workers/test_bookkeeping.py
+++ b/dappledrum/workers/test_bookkeeping.py
@@ -13,8 +13,8 @@
 from dappledrum.standins.world import job
 from dappledrum.timing.clock import Clock
 from dappledrum.workers.bookkeeping import Bookkeeper
-from dappledrum.workers.knocks import shunned
 from dappledrum.workers.messages import Report, TaskReport
+from dappledrum.workers.report_attempts import reporting_elsewhere
 from dappledrum.workers.roster import Roster
 
 TOKEN = 5
@@ -210,9 +210,9 @@
     """A first knock elsewhere of a machine that has just come up made leaders resign for
     nothing."""
     desk = Desk()
-    assert shunned({"new": 1}, desk.roster) == []
-    assert shunned({"new": 2}, desk.roster) == ["new"]
-    assert shunned({"m": 1}, desk.roster) == ["m"]
+    assert reporting_elsewhere({"new": 1}, desk.roster) == []
+    assert reporting_elsewhere({"new": 2}, desk.roster) == ["new"]
+    assert reporting_elsewhere({"m": 1}, desk.roster) == ["m"]
 
 
 async def test_a_machine_that_boots_for_longer_than_a_lease_is_not_silent():
@@ -251,7 +251,7 @@
     desk = stored_desk()
     for tick in (2, 3):
         assert desk.report(tick) == [("start", 1)]
-    assert desk.report(4) == [] and desk.roster.get("m").hearing.deaf
+    assert desk.report(4) == [] and desk.roster.get("m").reachability.unreachable
     assert not desk.gone, "the answer to report 3 may have been heard"
     desk.report(5)
     assert desk.gone
--- a/dappledrum/workers/test_failures.py
+++ b/dappledrum/workers/test_failures.py
@@ -4,7 +4,7 @@
 
 from dappledrum.jobs.messages import JobRecord, PageRecord, Spec
 from dappledrum.jobs.record import Job
-from dappledrum.scheduling.lanes import Kind
+from dappledrum.scheduling.timeline import Kind
 from dappledrum.standins.world import job
 from dappledrum.timing.clock import ZERO
 from dappledrum.workers.failures import Verdict, failed, judge, suspected
--- a/dappledrum/workers/test_hearing.py
+++ b/dappledrum/workers/test_reachability.py
@@ -10,8 +10,8 @@
 from dappledrum.standins.time import run
 from dappledrum.timing.clock import Clock
 from dappledrum.workers.bookkeeping import Bookkeeper
-from dappledrum.workers.hearing import Hearing
 from dappledrum.workers.messages import Report
+from dappledrum.workers.reachability import Reachability
 from dappledrum.workers.roster import Roster
 
 LEASE = timedelta(seconds=10)
@@ -22,10 +22,10 @@
 
 
 def answered(*moments):
-    hearing = Hearing()
+    reachability = Reachability()
     for moment in moments:
-        hearing.answered(seconds(moment), LEASE)
-    return hearing
+        reachability.answered(seconds(moment), LEASE)
+    return reachability
 
 
 def test_a_session_that_ends_in_spite_of_answers_shows_a_deaf_machine():
@@ -38,14 +38,22 @@
     held = answered(*range(10), 20.9, 20.95, 21)
     assert not held.new_session(seconds(21.1), LEASE, seconds(0)), "held back until now"
     assert not answered(*range(20)).new_session(seconds(21), LEASE, seconds(19)), "we hung"
-    assert not Hearing().new_session(seconds(21), LEASE, seconds(0)), "never answered"
+    assert not Reachability().new_session(seconds(21), LEASE, seconds(0)), "never answered"
 
 
 def test_it_serves_again_when_it_shows_that_it_hears():
-    hearing = answered(1)
-    assert not hearing.in_vain() and hearing.in_vain() and hearing.deaf
-    assert not hearing.in_vain(), "said once"
-    assert hearing.heard() and not hearing.deaf and not hearing.in_vain()
+    reachability = answered(1)
+    assert (
+        not reachability.note_missed_answer()
+        and reachability.note_missed_answer()
+        and reachability.unreachable
+    )
+    assert not reachability.note_missed_answer(), "said once"
+    assert (
+        reachability.confirm_reachable()
+        and not reachability.unreachable
+        and not reachability.note_missed_answer()
+    )
 
 
 def desk(roster, clock):
@@ -61,7 +69,7 @@
         5,
         lambda page: None,
         lambda why: None,
-        clear_at=lambda: began,
+        others_stopped_at=lambda: began,
     )
 
 
@@ -102,11 +110,11 @@
         for tick in range(40):
             report = Report("m", "10.1.0.1:1", "small", "a", True, 1, tick, 4)
             if books.take(report) is not None:
-                roster.get("m").hearing.answered(clock.now(), LEASE)
+                roster.get("m").reachability.answered(clock.now(), LEASE)
                 roster.get("m").last_answer = clock.now()
             await asyncio.sleep(1)
         machine = roster.get("m")
-        assert not machine.up and machine.rumour
+        assert not machine.up and machine.unconfirmed
         assert seconds(9) < machine.last_report - began < seconds(12)
         assert machine.expired(clock.now(), LEASE)
         back = Report("m", "10.1.0.1:1", "small", "a", True, 2, 41, 4)
@@ -138,7 +146,7 @@
             if machine is None:
                 return
             taken.append((now, report, copy))
-            machine.hearing.answered(clock.now(), LEASE)
+            machine.reachability.answered(clock.now(), LEASE)
             if not copy and rng.random() < hears:
                 worker.answer(report)
 
@@ -150,7 +158,7 @@
             for report in rng.sample(worker.sent, min(len(worker.sent), rng.randint(0, 3))):
                 comes(report, True)
             machine = books.roster.get("m")
-            shown |= machine is not None and machine.hearing.token_shown
+            shown |= machine is not None and machine.reachability.token_shown
             assert machine is None or machine.up == shown, "no copy of a former term's is life"
             assert shown <= (worker.token == 5)
             await asyncio.sleep(1)
@@ -172,7 +180,7 @@
     for number in range(5):
         machine = roster.ensure(f"m{number}", None, seconds(0))
         machine.up_at = seconds(1) if number < 4 else None
-        machine.hearing.deaf = number < 2
-    assert not roster.one_sided()
-    roster.get("m2").hearing.deaf = True
-    assert roster.one_sided()
+        machine.reachability.unreachable = number < 2
+    assert not roster.mostly_unreachable()
+    roster.get("m2").reachability.unreachable = True
+    assert roster.mostly_unreachable()
