--- a/dappledrum/standins/troubles/machines.py
+++ b/dappledrum/standins/troubles/machines.py
@@ -45,8 +45,8 @@
 
 
 class _ChosenMachines(LastingTrouble):
-    """A trouble of a number of the machines, of a share of all or of those of a zone, or of all of a
-    zone; of one machine if nothing is given."""
+    """A trouble of a number of the machines, of a share of all or of those of a zone, or of all of
+    a zone; of one machine if nothing is given."""
 
     count: Count | None = None
     share: Share | None = None
