--- a/dappledrum/scale/hollow.py
+++ b/dappledrum/scale/hollow.py
@@ -30,6 +30,8 @@
 from dappledrum.scale.sockets import SocketNetwork
 from dappledrum.standins.fleet import Timing, Worker
 
+LEASE_STEP_S = 0.5  # hundreds of workers look at their leases in one process
+
 
 class HollowSettings(msgspec.Struct):
     """What the workers of a process are told at its start."""
@@ -77,6 +79,7 @@
             settings.report_s,
             settings.lease_s,
             step_s=settings.step_s,
+            lease_step_s=LEASE_STEP_S,
             subnet=settings.subnet,
         )
         self.rng = random.Random(settings.seed)
--- a/dappledrum/standins/fleet.py
+++ b/dappledrum/standins/fleet.py
@@ -15,7 +15,6 @@
 from dappledrum.standins.state_service import reply
 
 LIST_LAGS = 2  # the list is older than its usual age by so much at the most
-LEASE_STEP_S = 0.05  # how late the end of a lease may be seen
 
 
 @dataclass
@@ -57,6 +56,7 @@
     gang_wait_s: float = 30.0
     gang_peer_s: float = 6.0
     step_s: float = 0.5  # in which a task's progress grows; longer ones cost less to play
+    lease_step_s: float = 0.05  # how late the end of a lease may be seen
     subnet: str = "10.1"  # of the workers' addresses
     # Members of each gang that have their image and are on some machine, wherever it is.
     gangs: dict[str, dict[int, "Attempt"]] = field(default_factory=dict)
@@ -166,8 +166,7 @@
 
     async def _lease_loop(self) -> None:
         while True:
-            left = self.renewed + self.timing.lease_s - self.now()
-            await asyncio.sleep(max(LEASE_STEP_S, left))
+            await asyncio.sleep(self.timing.lease_step_s)
             # Also while it hangs: it may go on at any moment within its lease, not after it.
             if self.now() > self.renewed + self.timing.lease_s:
                 self._kill_all()
--- a/dappledrum/standins/test_users.py
+++ b/dappledrum/standins/test_users.py
@@ -25,7 +25,7 @@
 
     async def main():
         world = World()
-        world._ask = ask
+        world._request = ask
 
         def begin():
             asked = world.poll(NAME) if question == "poll" else world.submit(job(1))
--- a/dappledrum/standins/troubles/users.py
+++ b/dappledrum/standins/troubles/users.py
@@ -156,13 +156,13 @@
 
 async def _repeat_submission(world: World) -> None:
     facts = world.rules.jobs
-    names = [name for name in facts if facts[name].accepted and facts[name].told is None]
+    names = [name for name in facts if facts[name].accepted and facts[name].reported is None]
     if names:
         await world.submit(facts[world.rng.choice(names)].spec, ODD_TRIES)
 
 
 async def _cancel_done(world: World) -> None:
-    names = [name for name, facts in world.rules.jobs.items() if facts.told == "done"]
+    names = [name for name, facts in world.rules.jobs.items() if facts.reported == "done"]
     if names:
         await world.cancel(world.rng.choice(names), ODD_TRIES)
 
--- a/dappledrum/standins/users.py
+++ b/dappledrum/standins/users.py
@@ -13,6 +13,7 @@
 from typing import Any, NamedTuple
 
 from dappledrum.http.client import NoResponseError, Reply
+from dappledrum.standins import recording
 from dappledrum.standins.world import World, job
 
 REQUEST_TIMEOUT = timedelta(seconds=2)
@@ -81,32 +82,31 @@
         return [m for m in self.world.members if m in self.world.network.services]
 
     async def _request(self, method: str, path: str, body: bytes, member: str) -> Reply | None:
-        asked = _now()
+        """Ask one controller; the history is told when the question began and what came of it."""
+        history = self.world.rules.history
+        asked, number = _now(), history.next_number()
+        question = recording.question(number, asked, path, body, member, self.world.cloud)
+        assert question is not None
+        self.world.rules.record(question)
         try:
             caller = self.world.network.caller("user", member)
             reply = await caller.request(method, path, body, REQUEST_TIMEOUT)
         except NoResponseError:
+            self.world.rules.record(recording.answer(number, _now(), None))
             return None
-        self._check(reply, asked, member, submitted=path == "/submissions")
+        self.world.rules.record(recording.answer(number, _now(), reply))
+        self._note(reply, asked, member)
         return reply
 
-    def _check(self, reply: Reply, asked: float, member: str, submitted: bool) -> None:
-        """Note an answer; the rules hear only of what is not overtaken by newer answers."""
-        rules = self.world.rules
+    def _note(self, reply: Reply, asked: float, member: str) -> None:
+        """Note an answer for the order of all of them."""
         level, state = UNKNOWN, None
         if reply.status in (OK, CREATED):
             state = json.loads(reply.body)["stance"]
             level = FINAL if state in FINAL_STATES else ACCEPTED
         elif reply.status not in (BAD_REQUEST, NOT_FOUND, UNPROCESSABLE):
             return
-        newest = self.order.level(self.name)
         self.order.note(self.name, Answer(asked, _now(), member, level, state))
-        if level < newest:
-            return  # overlaps with newer ones, or is in the order's list of broken rules
-        if submitted:
-            rules.submit_answer(_now(), self.name, reply.status, state)
-        else:
-            rules.poll_answer(_now(), self.name, reply.status, state)
 
     async def poll(self, member: str) -> Reply | None:
         """Ask one controller."""
