--- a/dappledrum/scale/capacity.py
+++ b/dappledrum/scale/capacity.py
@@ -19,6 +19,8 @@
 PHASE = "steady"
 TARGET_WORKERS = 10_000
 MIN_SIZES = 4
+PAGE_START = "<!-- computed: python3 -m dappledrum.scale.capacity -->"
+PAGE_END = "<!-- end of what is computed -->"
 
 
 class Hardware(NamedTuple):
@@ -178,7 +180,7 @@
         line = fit(points)
         readings = ", ".join(_number(value) for _, value in points)
         limit = need.limit(hardware)
-        if need.per_worker:
+        if need.per_worker or line.slope <= 0:  # does not grow with the fleet
             value = max(y for _, y in points)
             slope, wall = "none", "none" if value <= limit else "any"
         else:
@@ -193,7 +195,7 @@
     return result
 
 
-def table(reports: list[ScaleReport], hardware: Hardware | None = None) -> str:
+def table(reports: list[ScaleReport], hardware: Hardware) -> str:
     """The table as it stands in docs/CAPACITY.md."""
     sizes = ", ".join(f"{_phase(report).workers:,}" for report in reports)
     head = [
@@ -201,16 +203,22 @@
         f" at {TARGET_WORKERS:,} | limit | reached at workers | mechanism |",
         "| --- | --- | --- | --- | --- | --- | --- | --- | --- |",
     ]
-    return "\n".join(head + rows(reports, hardware or Hardware()))
+    return "\n".join(head + rows(reports, hardware))
+
+
+def page_tables(reports: list[ScaleReport]) -> str:
+    """The tables for the assumed hardware, and for half and twice that."""
+    parts = []
+    for factor in (1.0, 0.5, 2.0):
+        hardware = Hardware().scaled(factor)
+        parts.append(f"**{factor:g} times the assumed hardware**\n\n{table(reports, hardware)}")
+    return "\n\n".join(parts)
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Print the table for the assumed hardware, and for half and twice that."""
+    """Print the tables of the page."""
     arguments = sys.argv[1:] if argv is None else argv
-    reports = load(Path(arguments[0]) if arguments else DIRECTORY)
-    for factor in (1.0, 0.5, 2.0):
-        print(f"\n{factor:g} times the assumed hardware:\n")
-        print(table(reports, Hardware().scaled(factor)))
+    print(page_tables(load(Path(arguments[0]) if arguments else DIRECTORY)))
     return 0
 
 
