--- a/dappledrum/controller/test_limit_meetings.py
+++ b/dappledrum/controller/test_limit_meetings.py
@@ -339,7 +339,9 @@
 
 
 @SEEDS
-@pytest.mark.parametrize("bound", [{"accelerators": 1.0}, {"builds": ["large"]}])
+@pytest.mark.parametrize(
+    "bound", [{"accelerators": 1.0}, {"builds": ["large"]}, {"builds": ["large"], "dueS": 900.0}]
+)
 def test_a_job_that_only_a_machine_about_to_go_can_take_is_not_left_waiting(seed, bound):
     """An ordinary machine gets no new work while spot machines have room to spare; a job bound to
     its type begins there all the same when no other machine can be had."""
@@ -357,7 +359,8 @@
         leader = world.nodes[world.leader()].leader
         assert any(machine.retiring for machine in leader.roster)
         world.rules.quiet_at = now()  # from here on no job may be left waiting beside room
-        await scenario.submit_long(21, beats=1, runS=10.0, expectedS=10.0, dueS=60.0, **bound)
+        changes = {"runS": 10.0, "expectedS": 10.0, "dueS": 60.0} | bound
+        await scenario.submit_long(21, beats=1, **changes)
         await world.wait(100)
 
     play(seed, act, users=0)
--- a/dappledrum/dispatch/savings.py
+++ b/dappledrum/dispatch/savings.py
@@ -97,7 +97,7 @@
             return
         started = {bag_id for bag_id, _, _ in plan.starts}
         for bag in bags:
-            waits = bag.id not in started and (bag.id in plan.late or bag.room_now)
+            waits = bag.id not in started and (bag.id in plan.late or bag.use_free_capacity)
             if not waits or any(self._can_start(bag, view) for view in timelines):
                 continue
             for machine in retiring:
