--- a/dappledrum/standins/experiment.py
+++ b/dappledrum/standins/experiment.py
@@ -1,7 +1,7 @@
 """A day's file over the stand-ins, and what it costs, in virtual time.
 
     python3 -m dappledrum.standins.experiment DAY.toml [--machines 60] [--seeds 3] [--back 0.3]
-                                              [--until S] [--report FILE]
+                                              [--until S] [--report FILE] [--trace FILE]
 
 Five whole controllers, a fleet that is kept busy, rules checked after each step. The report (JSON)
 tells what the bench does not: seconds in which nobody may give commands, the longest time in which
@@ -21,6 +21,7 @@
 
 from dappledrum.standins.days import Day, DayError, load
 from dappledrum.standins.time import run
+from dappledrum.standins.trace import MessageTrace
 from dappledrum.standins.troubles.base import FaultLog
 from dappledrum.standins.world import World, job
 
@@ -105,9 +106,19 @@
                 one.back_s = round(now - began, 2)
 
 
-async def play(day: Day, seed: int, machines: int, back: float, until: float) -> Report:
-    """One day; ends with an assertion when a rule is broken."""
+async def play(
+    day: Day,
+    seed: int,
+    machines: int,
+    back: float,
+    until: float,
+    trace: MessageTrace | None = None,
+) -> Report:
+    """One day; ends with an assertion when a rule is broken. The trace records all messages."""
     world = World(seed=seed, members=FIVE, lease_s=15.0)
+    if trace is not None:
+        trace.resume()
+        world.network.trace = trace  # before any controller has run
     world.cloud.most = machines
     for _ in range(machines):
         world.cloud.add(("small", "a", True))
@@ -143,6 +154,8 @@
     accepted = [name for name, status in zip(names, taken, strict=True) if status is not None]
     world.rules.faults_over_at = asyncio.get_running_loop().time()
     await world.finish(accepted, most=600)
+    if trace is not None:
+        trace.stop()
     waits = [
         (facts.begun_at or 0.0) - (facts.submitted_at or 0.0)
         for facts in world.rules.jobs.values()
@@ -182,6 +195,7 @@
     parser.add_argument("--back", type=float, default=0.3, metavar="S", help="default 0.3")
     parser.add_argument("--until", type=float, metavar="S", help="default: the last trouble + 60")
     parser.add_argument("--report", type=Path, metavar="FILE", help="JSON, one play a line")
+    parser.add_argument("--trace", type=Path, metavar="FILE", help="all messages, one a line")
     options = parser.parse_args(argv)
     if not 1 <= options.machines <= 5_000 or not 1 <= options.seeds <= 1_000:
         parser.error("--machines must be 1 to 5000, --seeds 1 to 1000")
@@ -192,9 +206,10 @@
     last = max((fault.at_s + fault.lasts_s for fault in day.faults), default=120.0)
     until = options.until if options.until is not None else last + 60.0
     logging.disable(logging.CRITICAL)
+    trace = None if options.trace is None else MessageTrace(options.trace.open("wb"))
     lines = []
     for seed in range(day.seed, day.seed + options.seeds):
-        report = run(play(day, seed, options.machines, options.back, until))
+        report = run(play(day, seed, options.machines, options.back, until, trace))
         lines.append(msgspec.json.encode(report).decode())
         print(
             f"{report.day} seed {seed}, {report.machines} machines, {report.accepted} of"
@@ -211,6 +226,9 @@
                 f"  {one.at_s:6.1f} s {one.kind}: {one.running_before} ran, nine tenths {back};"
                 f" {one.rented} machines rented in 10 s"
             )
+    if trace is not None:
+        trace.close()
+        print(f"trace: {trace.lines} lines, sha256 {trace.sha256}")
     if options.report is not None:
         options.report.write_text("\n".join(lines) + "\n", encoding="utf-8")
     return 0
--- a/dappledrum/standins/network.py
+++ b/dappledrum/standins/network.py
@@ -9,6 +9,7 @@
 from typing import Any, NamedTuple
 
 from dappledrum.http.client import NoResponseError, NotSentError, Reply
+from dappledrum.standins.trace import MessageTrace, Request
 from dappledrum.timing.timeouts import PauseTolerantTimeout
 
 Service = Callable[
@@ -89,6 +90,7 @@
         self.late_commands: LateCommands | None = None
         self.held: list[tuple[str, str, str, str, bytes]] = []
         self.late = 0
+        self.trace: MessageTrace | None = None  # records every message, if set
 
     def cut(self, a: str, b: str) -> None:
         """Hold back everything between two hosts."""
@@ -128,7 +130,12 @@
     ) -> None:
         await asyncio.sleep(after)
         if target in self.services:
-            await self.services[target](source, method, path, body)
+            await self._serve(self.services[target], Request(source, target, method, path, body))
+
+    def _serve(self, service: Service, request: Request) -> Coroutine[Any, Any, Reply]:
+        """Hand a request to a service, and record it and its response in the trace, if any."""
+        response = service(request.sender, request.method, request.path, request.body)
+        return response if self.trace is None else self.trace.serve(request, response)
 
     def _copy(self, source: str, target: str, method: str, path: str, body: bytes) -> None:
         """Draw whether a request comes again, when and where."""
@@ -179,6 +186,16 @@
         self, method: str, path: str, body: bytes | None, timeout: timedelta
     ) -> Reply:
         """As the real client: an answer, or NoResponseError."""
+        response = self._request_in_time(method, path, body, timeout)
+        trace = self.network.trace
+        if trace is None:
+            return await response
+        request = Request(self.source, self.target, method, path, body or b"")
+        return await trace.exchange(request, response)
+
+    async def _request_in_time(
+        self, method: str, path: str, body: bytes | None, timeout: timedelta
+    ) -> Reply:
         try:
             async with PauseTolerantTimeout(timeout):
                 return await self._request(method, path, body or b"")
@@ -227,7 +244,8 @@
         # In a context of its own: what a service does is no part of the process that asked, and
         # goes on when that stands still or gives up.
         served = asyncio.get_running_loop().create_task(
-            service(self.source, method, path, body), context=contextvars.Context()
+            network._serve(service, Request(self.source, self.target, method, path, body)),
+            context=contextvars.Context(),
         )
         reply = await asyncio.shield(served)
         if path == "/hello" and reply.status == 200:
--- /dev/null
+++ b/dappledrum/standins/trace_digests.py
@@ -0,0 +1,188 @@
+"""Compares the message traces of fixed days with committed digests.
+
+    PYTHONHASHSEED=0 python3 -m dappledrum.standins.trace_digests [--write] [--jobs N]
+                                                                  [--traces DIR] [--day NAME]...
+
+Each play runs in a process of its own. Every play that differs is printed, and the exit status is
+1 if any does. `--write` replaces the committed digests, `--traces` keeps the traces themselves, to
+find the first line that differs.
+"""
+
+import argparse
+import logging
+import multiprocessing
+import sys
+from collections.abc import Iterator
+from concurrent.futures import Future, ProcessPoolExecutor
+from pathlib import Path
+
+import msgspec
+
+from dappledrum.standins.days import load
+from dappledrum.standins.experiment import play
+from dappledrum.standins.time import run
+from dappledrum.standins.trace import MessageTrace
+
+FIXTURE = Path(__file__).with_name("trace_digests.json")
+DAYS = Path(__file__).parents[2] / "days"
+SEEDS = 3  # of each day, counted from its own
+RESTART_S = 0.3  # how long an ended controller stays away, as in the experiment command
+
+
+class Case(msgspec.Struct, frozen=True):
+    """A day at a fixed size."""
+
+    day: str  # name of its file
+    machines: int
+    until_s: float  # jobs are submitted until then
+
+
+#: All troubles of each day begin and end before `until_s`; the last case is the smallest.
+CASES = (
+    Case("storm", 6, 345.0),
+    Case("lost-answers", 6, 270.0),
+    Case("meet-users-ends", 6, 310.0),
+    Case("all-down", 6, 405.0),
+    Case("meet-mixed", 6, 315.0),
+    Case("one-task-jobs", 4, 20.0),
+)
+
+
+class Play(msgspec.Struct, frozen=True):
+    """A case with one of its seeds."""
+
+    case: Case
+    seed: int
+
+    def __str__(self) -> str:
+        return f"{self.case.day} seed {self.seed}"
+
+
+class Digest(msgspec.Struct, frozen=True):
+    """Digest of the trace of one play."""
+
+    day: str
+    seed: int
+    lines: int
+    sha256: str
+
+
+def plays(cases: tuple[Case, ...] = CASES) -> list[Play]:
+    """All plays of these cases."""
+    return [Play(case, seed) for case in cases for seed in _seeds(case)]
+
+
+def _seeds(case: Case) -> range:
+    first = load(DAYS / f"{case.day}.toml").seed
+    return range(first, first + SEEDS)
+
+
+def compute(one: Play, traces: Path | None = None) -> Digest:
+    """Run a play, and keep its trace in a directory if one is given."""
+    if traces is None:
+        return _compute(one, MessageTrace())
+    with (traces / f"{one.case.day}-{one.seed}.trace").open("wb") as file:
+        return _compute(one, MessageTrace(file))
+
+
+def _compute(one: Play, trace: MessageTrace) -> Digest:
+    case = one.case
+    day = load(DAYS / f"{case.day}.toml")
+    run(play(day, one.seed, case.machines, RESTART_S, case.until_s, trace))
+    return Digest(case.day, one.seed, trace.lines, trace.sha256)
+
+
+def committed() -> dict[tuple[str, int], Digest]:
+    """The committed digests, by day and seed."""
+    digests = msgspec.json.decode(FIXTURE.read_bytes(), type=list[Digest])
+    return {(digest.day, digest.seed): digest for digest in digests}
+
+
+def write(digests: list[Digest]) -> None:
+    """Replace the committed digests; one a line, so that a change shows which differ."""
+    lines = ",\n".join(msgspec.json.encode(digest).decode() for digest in digests)
+    FIXTURE.write_text(f"[\n{lines}\n]\n", encoding="utf-8")
+
+
+def difference(computed: Digest, expected: Digest | None) -> str | None:
+    """How a digest differs from the committed one; None if it does not."""
+    if expected is None:
+        return "no committed digest"
+    if computed == expected:
+        return None
+    return (
+        f"sha256 {computed.sha256} of {computed.lines} lines,"
+        f" committed {expected.sha256} of {expected.lines} lines"
+    )
+
+
+def _silence() -> None:
+    logging.disable(logging.CRITICAL)
+
+
+def compute_all(
+    wanted: list[Play], jobs: int, traces: Path | None
+) -> Iterator[tuple[Play, Future[Digest]]]:
+    """Run plays in processes of their own, so many at once; yields them finished, in order."""
+    context = multiprocessing.get_context("spawn")
+    with ProcessPoolExecutor(
+        jobs, mp_context=context, initializer=_silence, max_tasks_per_child=1
+    ) as pool:
+        futures = [(one, pool.submit(compute, one, traces)) for one in wanted]
+        for one, future in futures:
+            future.exception()  # waits
+            yield one, future
+
+
+def _options(argv: list[str] | None) -> argparse.Namespace:
+    parser = argparse.ArgumentParser(
+        prog="PYTHONHASHSEED=0 python3 -m dappledrum.standins.trace_digests",
+        description="Compare the message traces of fixed days with the committed digests.",
+    )
+    names = [case.day for case in CASES]
+    parser.add_argument("--write", action="store_true", help="replace the committed digests")
+    parser.add_argument("--jobs", type=int, default=4, metavar="N", help="processes, default 4")
+    parser.add_argument("--traces", type=Path, metavar="DIR", help="keep the traces there")
+    parser.add_argument(
+        "--day", action="append", choices=names, metavar="NAME", help="only this; may be repeated"
+    )
+    options = parser.parse_args(argv)
+    if options.jobs < 1:
+        parser.error("--jobs must be at least 1")
+    if options.write and options.day:
+        parser.error("--write replaces all digests, so it can't be limited by --day")
+    if sys.flags.hash_randomization:
+        parser.error("the order of sets decides what is drawn: start with PYTHONHASHSEED=0")
+    return options
+
+
+def main(argv: list[str] | None = None) -> int:
+    """Compare or replace the digests."""
+    options = _options(argv)
+    if options.traces is not None:
+        options.traces.mkdir(parents=True, exist_ok=True)
+    wanted = plays(tuple(case for case in CASES if not options.day or case.day in options.day))
+    expected = {} if options.write else committed()
+    digests: list[Digest] = []
+    failed = differing = 0
+    for one, future in compute_all(wanted, options.jobs, options.traces):
+        if (error := future.exception()) is not None:
+            failed += 1
+            print(f"{one}: failed: {error!r}", flush=True)
+            continue
+        digest = future.result()
+        digests.append(digest)
+        how = (
+            None if options.write else difference(digest, expected.get((digest.day, digest.seed)))
+        )
+        if how is not None:
+            differing += 1
+            print(f"{one}: {how}", flush=True)
+    if options.write and not failed:
+        write(digests)
+    print(f"{len(wanted)} plays, {differing} differ, {failed} failed")
+    return 1 if failed or differing else 0
+
+
+if __name__ == "__main__":
+    sys.exit(main())
