--- /dev/null
+++ b/dappledrum/golden/recorder.py
@@ -0,0 +1,32 @@
+"""A caller that records requests and gives prepared replies."""
+
+from collections.abc import Iterable
+from datetime import timedelta
+
+from dappledrum.golden.entries import GoldenEntry
+from dappledrum.http.client import Reply
+
+SentRequest = tuple[str, str, bytes | None]  # method, path, body
+
+
+class RecordingCaller:
+    """Stands for a connection to another component."""
+
+    def __init__(self, replies: Iterable[GoldenEntry]) -> None:
+        self.replies = list(replies)
+        self.sent: list[SentRequest] = []
+
+    async def request(
+        self, method: str, path: str, body: bytes | None, timeout: timedelta
+    ) -> Reply:
+        """Record the request and give the next reply."""
+        self.sent.append((method, path, body))
+        entry = self.replies.pop(0)
+        assert entry.status is not None
+        return Reply(entry.status, entry.data or b"")
+
+
+def as_sent(entry: GoldenEntry) -> SentRequest:
+    """The request that an entry describes."""
+    assert entry.method is not None and entry.path is not None
+    return entry.method, entry.path, entry.data
--- /dev/null
+++ b/dappledrum/golden/test_controllers.py
@@ -0,0 +1,195 @@
+"""Messages between controllers, in CBOR."""
+
+from datetime import timedelta
+from typing import get_args
+
+import pytest
+
+from dappledrum.golden.entries import load
+from dappledrum.golden.recorder import RecordingCaller, as_sent
+from dappledrum.leadership.messages import (
+    PreVote,
+    PreVoteReply,
+    PromiseReply,
+    PromiseRequest,
+    TransferLeadership,
+    TransferLeadershipReply,
+)
+from dappledrum.peers.client import Peers
+from dappledrum.peers.messages import (
+    HoldingQuestion,
+    HoldingReply,
+    Promise,
+    Question,
+    Relay,
+    RelayReply,
+    Reply,
+    ReportAttemptsQuestion,
+    ReportAttemptsReply,
+    VersionQuestion,
+    VersionReply,
+    decode,
+    encode,
+)
+from dappledrum.reach.messages import (
+    ForwardedReports,
+    ForwardedReportsReply,
+    Heartbeat,
+    Heartbeats,
+    HeartbeatsReply,
+)
+from dappledrum.standins.world import led_world
+
+GOLDEN = load("controllers")
+SECOND = timedelta(seconds=1)
+
+FULL_HEARTBEAT = Heartbeat(
+    member="drummer-0",
+    born=1764000000000,
+    tick=81234,
+    age_ms=12,
+    awake_ms=80000,
+    epoch=7,
+    leader="drummer-1",
+    holds=True,
+    term_ms=70000,
+    state_ms=15,
+    served_ms=16,
+    cloud_ms=17,
+    heard_ms={"a": 21, "b": 22},
+    probed_ms={"a": 31, "b": 32},
+    lost=["c"],
+    samples={"a": ["10.1.0.232:9000"]},
+)
+SHORT_HEARTBEAT = Heartbeat(member="drummer-2", born=1764000000001, tick=5, age_ms=6, awake_ms=4)
+
+QUESTIONS = {
+    "relay": Relay(method="POST", path="/submissions", body=b'{"id":"j-000007"}'),
+    "report-attempts": ReportAttemptsQuestion(within_ms=10000),
+    "promise": Promise(
+        request=PromiseRequest(member="drummer-1", epoch=7, for_ms=2000, told_ms=45000)
+    ),
+    "version": VersionQuestion(),
+    "holding": HoldingQuestion(),
+    "heartbeats": Heartbeats(own=FULL_HEARTBEAT, heard=[SHORT_HEARTBEAT]),
+    "heartbeats-none-heard": Heartbeats(own=SHORT_HEARTBEAT),
+    "forwarded-reports": ForwardedReports(reports=[b'{"drum":"host-000231"}', b"{}"]),
+    "transfer-leadership": TransferLeadership(
+        member="drummer-1", epoch=7, version=412, moves_ms=[1000, 60000], clear=True
+    ),
+    "pre-vote": PreVote(member="drummer-1", epoch=8),
+}
+REPLIES = {
+    "relay-reply": RelayReply(status=503, body=b'{"error":"try again"}', retry_after=2),
+    "relay-reply-at-once": RelayReply(status=200, body=b"{}"),
+    "report-attempts-reply": ReportAttemptsReply(machines={"host-000231": 2, "host-000232": 1}),
+    "promise-reply": PromiseReply(
+        granted=True,
+        reason="why",
+        weak=True,
+        cancelled=["j-000003", "j-000004"],
+        told_ms=45000,
+    ),
+    "promise-refused": PromiseReply(granted=False, reason="state service reached"),
+    "version-reply": VersionReply(version="0.7.0"),
+    "holding-reply": HoldingReply(holds=True, quiet_ms=0),
+    "holding-reply-unknown": HoldingReply(holds=False),
+    "heartbeats-reply": HeartbeatsReply(own=FULL_HEARTBEAT, heard=[SHORT_HEARTBEAT]),
+    "forwarded-reports-reply": ForwardedReportsReply(answers=[b'{"baton":7,"calls":[]}', None]),
+    "transfer-leadership-reply": TransferLeadershipReply(leads=True),
+    "pre-vote-reply": PreVoteReply(free=True),
+}
+#: What a controller calls to ask each question, the reply, and what the call returns.
+CALLS = {
+    "relay": (
+        lambda peers: peers.relay("drummer-1", QUESTIONS["relay"], SECOND),
+        "relay-reply",
+        REPLIES["relay-reply"],
+    ),
+    "report-attempts": (
+        lambda peers: peers.report_attempts(timedelta(seconds=10), SECOND),
+        "report-attempts-reply",
+        {"host-000231": 2, "host-000232": 1},
+    ),
+    "promise": (
+        lambda peers: peers.is_served("drummer-1", QUESTIONS["promise"].request, SECOND),
+        "promise-refused",
+        True,
+    ),
+    "version": (lambda peers: peers.version("drummer-1", SECOND), "version-reply", "0.7.0"),
+    "holding": (lambda peers: peers.no_term_held(SECOND), "holding-reply-unknown", True),
+    "heartbeats": (
+        lambda peers: peers.heartbeats("drummer-1", QUESTIONS["heartbeats"], SECOND),
+        "heartbeats-reply",
+        REPLIES["heartbeats-reply"],
+    ),
+    "forwarded-reports": (
+        lambda peers: peers.forward_reports(
+            "drummer-1", [b'{"drum":"host-000231"}', b"{}"], SECOND
+        ),
+        "forwarded-reports-reply",
+        [b'{"baton":7,"calls":[]}', None],
+    ),
+    "transfer-leadership": (
+        lambda peers: peers.transfer_leadership(
+            "drummer-1", QUESTIONS["transfer-leadership"], SECOND
+        ),
+        "transfer-leadership-reply",
+        True,
+    ),
+}
+
+
+def test_each_entry_is_checked():
+    assert set(GOLDEN) == {*QUESTIONS, *REPLIES}
+
+
+def test_each_kind_of_message_has_an_entry():
+    assert {type(message) for message in QUESTIONS.values()} == set(get_args(Question))
+    assert {type(message) for message in REPLIES.values()} == set(get_args(Reply))
+
+
+@pytest.mark.parametrize("name", QUESTIONS)
+def test_questions(name):
+    entry = GOLDEN[name]
+    assert encode(QUESTIONS[name]) == entry.data
+    assert decode(entry.data, Question) == QUESTIONS[name]
+
+
+@pytest.mark.parametrize("name", REPLIES)
+def test_replies(name):
+    entry = GOLDEN[name]
+    assert encode(REPLIES[name]) == entry.data
+    assert decode(entry.data, type(REPLIES[name])) == REPLIES[name]
+
+
+@pytest.mark.parametrize("name", CALLS)
+async def test_questions_are_sent(name):
+    call, reply, expected = CALLS[name]
+    caller = RecordingCaller([GOLDEN[reply]])
+    assert await call(Peers({"drummer-1": caller})) == expected
+    assert caller.sent == [as_sent(GOLDEN[name])]
+
+
+async def test_a_promise_counts_with_what_it_tells():
+    caller = RecordingCaller([GOLDEN["promise-reply"]])
+    answers = await Peers({"drummer-1": caller}).promise(QUESTIONS["promise"].request, SECOND)
+    assert caller.sent == [as_sent(GOLDEN["promise"])]
+    assert (answers.yes, answers.strong) == (1, 0)
+    assert answers.confirmed.cancelled == {"j-000003", "j-000004"}
+    assert answers.confirmed.span == timedelta(seconds=45)
+
+
+async def test_a_pre_vote_is_sent():
+    caller = RecordingCaller([GOLDEN["pre-vote-reply"]])
+    answers = await Peers({"drummer-1": caller}).pre_vote(QUESTIONS["pre-vote"], SECOND)
+    assert caller.sent == [as_sent(GOLDEN["pre-vote"])]
+    assert answers.yes == 1
+
+
+async def test_a_leader_answers_on_its_address_for_peers():
+    world = await led_world(1, members=("drummer-0",))
+    question, expected = GOLDEN["holding"], GOLDEN["holding-reply"]
+    serve = world.network.services["back-drummer-0"]
+    reply = await serve("drummer-1", *as_sent(question))
+    assert (reply.status, reply.body) == (expected.status, expected.data)
--- /dev/null
+++ b/dappledrum/golden/test_users.py
@@ -0,0 +1,143 @@
+"""Requests of users, and the responses to them."""
+
+import asyncio
+import json
+
+import msgspec
+import pytest
+
+from dappledrum.golden.entries import load
+from dappledrum.golden.recorder import as_sent
+from dappledrum.jobs.intake import answer, busy, refusal
+from dappledrum.jobs.messages import Answer, Form, Outcome, Priority, Spec
+from dappledrum.standins.world import led_world
+
+GOLDEN = load("users")
+
+#: Received only.
+SUBMISSIONS = {
+    "submission-all-fields": Spec(
+        id="j-000412",
+        job_class="train",
+        team="vision",
+        form=Form.GANG,
+        priority=Priority.HIGH,
+        tasks=16,
+        cpus=8.0,
+        gpus=1.0,
+        memory_gb=64.0,
+        image="img-07",
+        image_gb=6.2,
+        types=["g8"],
+        zone="a",
+        one_zone=True,
+        spread=False,
+        spot=True,
+        estimate_s=240.0,
+        checkpoint_s=30.0,
+        save_s=4.0,
+        deadline_s=900.0,
+        needs=["j-000410", "j-000411"],
+    ),
+    "submission-with-nulls": Spec(
+        id="j-000413",
+        job_class="web",
+        team="ads",
+        form=Form.SERVICE,
+        priority=Priority.PRODUCTION,
+        tasks=9,
+        cpus=2.0,
+        gpus=0.0,
+        memory_gb=4.0,
+        image="img-08",
+        image_gb=0.5,
+        one_zone=False,
+        spread=True,
+        spot=False,
+        estimate_s=0.0,
+        checkpoint_s=0.0,
+        save_s=0.0,
+    ),
+}
+#: Sent only.
+RESPONSES = {
+    "answer-running": answer(
+        200, Answer(id="j-000412", state=Outcome.RUNNING, done=3, running=13)
+    ),
+    "answer-pending": answer(201, Answer(id="j-000412", state=Outcome.QUEUED)),
+    "answer-done": answer(200, Answer(id="j-000412", state=Outcome.DONE, done=16, running=0)),
+    "answer-cancelled": answer(200, Answer(id="j-000412", state=Outcome.CANCELLED)),
+    "try-again": busy(2),
+    "refused": refusal(422, "unknown team nobody"),
+}
+WORDS = {
+    "forms": ([Form.ARRAY, Form.SERVICE, Form.GANG], Form),
+    "priorities": (
+        [Priority.PRODUCTION, Priority.HIGH, Priority.NORMAL, Priority.LOW],
+        Priority,
+    ),
+    "states": (
+        [Outcome.QUEUED, Outcome.RUNNING, Outcome.DONE, Outcome.CANCELLED],
+        Outcome,
+    ),
+}
+#: Requests to a controller and its responses, in this order, without time between them.
+AT_ONCE = [
+    ("ask-whether-ready", "ready"),
+    ("poll-first", "unknown-job"),
+    ("cancel-first", "unknown-job"),
+    ("submit-for-unknown-team", "refused"),
+    ("submit-with-wrong-method", "use-post"),
+    ("unknown-path", "no-such-path"),
+    ("submit-first", "first-accepted"),
+    ("submit-first", "first-known"),
+    ("poll-first", "first-known"),
+    ("cancel-first", "first-cancelled"),
+    ("cancel-first", "first-cancelled"),
+    ("submit-second", "second-accepted"),
+]
+#: Later, when the first job is gone and the second one is done.
+LATER = [
+    ("poll-first", "first-gone"),
+    ("submit-first", "first-gone"),
+    ("cancel-first", "first-cancelled"),
+    ("poll-second", "second-done"),
+    ("submit-second", "second-done"),
+    ("cancel-second", "second-stays-done"),
+]
+
+
+def test_each_entry_is_checked():
+    conversation = {name for exchange in (*AT_ONCE, *LATER) for name in exchange}
+    assert set(GOLDEN) == {*SUBMISSIONS, *RESPONSES, *WORDS, *conversation}
+
+
+@pytest.mark.parametrize("name", SUBMISSIONS)
+def test_submissions(name):
+    assert msgspec.json.decode(GOLDEN[name].data, type=Spec) == SUBMISSIONS[name]
+
+
+@pytest.mark.parametrize("name", RESPONSES)
+def test_responses(name):
+    response, entry = RESPONSES[name], GOLDEN[name]
+    assert (response.status, response.body) == (entry.status, entry.data)
+
+
+@pytest.mark.parametrize("name", WORDS)
+def test_words(name):
+    words, kind = WORDS[name]
+    assert words == list(kind)
+    assert msgspec.json.encode(words) == GOLDEN[name].data
+
+
+async def test_a_controller_serves_users():
+    world = await led_world(1, members=("drummer-0",))
+    serve = world.network.services["drummer-0"]
+    for name in ("submit-first", "submit-second"):
+        spec = json.loads(GOLDEN[name].data) | {"runS": 6.0}
+        world.rules.submitted(spec, asyncio.get_running_loop().time())
+    for exchanges in (AT_ONCE, LATER):
+        for request, expected in exchanges:
+            reply = await serve("user", *as_sent(GOLDEN[request]))
+            assert (reply.status, reply.body) == (GOLDEN[expected].status, GOLDEN[expected].data)
+        await world.wait(60)
--- /dev/null
+++ b/dappledrum/golden/test_workers.py
@@ -0,0 +1,143 @@
+"""Reports of workers, and the answers to them."""
+
+import asyncio
+
+import msgspec
+import pytest
+
+from dappledrum.controller import wiring
+from dappledrum.golden.entries import load
+from dappledrum.golden.recorder import RecordingCaller, as_sent
+from dappledrum.http import server
+from dappledrum.standins.world import led_world
+from dappledrum.timing.clock import seconds
+from dappledrum.workers.messages import (
+    Cause,
+    Command,
+    Commands,
+    Redirect,
+    Report,
+    TaskReport,
+    TaskState,
+)
+
+GOLDEN = load("workers")
+
+#: Received only.
+REPORTS = {
+    "report-all-fields": Report(
+        machine="host-000231",
+        address="10.1.0.232:9000",
+        type="g8",
+        zone="a",
+        spot=True,
+        session=1,
+        sequence=88,
+        token=41,
+        notice_s=29.5,
+        tasks=[
+            TaskReport(task="j-000412/3", attempt=2, state="running"),
+            TaskReport(task="j-000398/0", attempt=1, state="ended", cause="stopped", saved=True),
+        ],
+    ),
+    "report-of-an-empty-machine": Report(
+        machine="host-000232",
+        address="10.1.0.233:9000",
+        type="g8",
+        zone="b",
+        spot=False,
+        session=2,
+        sequence=1,
+        token=0,
+    ),
+}
+#: Sent only.
+ANSWERS = {
+    "commands": Commands(
+        token=41,
+        commands=[
+            Command(op="start", task="j-000412/4", attempt=2),
+            Command(op="stop", task="j-000377/1", attempt=1, grace_s=10.0),
+            Command(op="forget", task="j-000398/0", attempt=3),
+        ],
+    ),
+    "no-commands": Commands(token=41, commands=[]),
+    "redirect": Redirect(report_to="drummer-2"),
+    "redirect-anywhere": Redirect(),
+}
+WORDS = {
+    "task-states": (
+        [
+            TaskState.FETCHING,
+            TaskState.WAITING,
+            TaskState.RUNNING,
+            TaskState.SAVING,
+            TaskState.ENDED,
+        ],
+        TaskState,
+    ),
+    "causes": (
+        [
+            Cause.DONE,
+            Cause.STOPPED,
+            Cause.ERROR,
+            Cause.FULL,
+            Cause.BUSY,
+            Cause.UNKNOWN,
+            Cause.PEERS,
+            Cause.ALONE,
+        ],
+        Cause,
+    ),
+}
+OTHERS = {"inspect", "inspected", "report-of-an-unknown-task", "stop-an-unknown-task"}
+
+
+def test_each_entry_is_checked():
+    assert set(GOLDEN) == {*REPORTS, *ANSWERS, *WORDS, *OTHERS}
+
+
+@pytest.mark.parametrize("name", REPORTS)
+def test_reports(name):
+    entry = GOLDEN[name]
+    assert (entry.method, entry.path) == ("POST", server.WORKERS)
+    assert msgspec.json.decode(entry.data, type=Report) == REPORTS[name]
+
+
+@pytest.mark.parametrize("name", ANSWERS)
+def test_answers(name):
+    assert msgspec.json.encode(ANSWERS[name]) == GOLDEN[name].data
+
+
+@pytest.mark.parametrize("name", WORDS)
+def test_words(name):
+    words, kind = WORDS[name]
+    assert words == list(kind)
+    assert msgspec.json.encode(words) == GOLDEN[name].data
+
+
+async def test_a_leader_answers_a_report():
+    """The machine is unknown, and so is its task, which is therefore stopped."""
+    world = await led_world(1, members=("drummer-0",))
+    expected = GOLDEN["stop-an-unknown-task"]
+    serve = world.network.services["drummer-0"]
+    reply = await serve("worker", *as_sent(GOLDEN["report-of-an-unknown-task"]))
+    assert (reply.status, reply.body) == (expected.status, expected.data)
+
+
+async def test_a_follower_redirects_a_report():
+    world = await led_world(1, reach=False)
+    leader = world.leader()
+    follower = next(member for member in world.members if member != leader)
+    serve = world.network.services[follower]
+    reply = await serve("worker", *as_sent(GOLDEN["report-of-an-unknown-task"]))
+    expected = GOLDEN["redirect"]
+    assert reply.status == expected.status
+    assert reply.body == expected.data.replace(b"drummer-2", leader.encode())
+
+
+def test_a_worker_is_probed(monkeypatch):
+    caller = RecordingCaller([GOLDEN["inspected"]])
+    monkeypatch.setattr(wiring, "Client", lambda host, port, max_idle: caller)
+    assert asyncio.run(wiring._worker_answers("10.1.0.232:9000", seconds(1)))
+    assert caller.sent == [as_sent(GOLDEN["inspect"])]
