--- a/checks/logged_failures.py
+++ b/checks/logged_failures.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from dappledrum.standins.logged_failures import LoggedFailures
+from dappledrum.simulation.logged_failures import LoggedFailures
 
 MARK = "logs_failure"
 
--- a/checks/test_logged_failures.py
+++ b/checks/test_logged_failures.py
@@ -10,7 +10,7 @@
 LOGS_A_FAILURE = """
     import asyncio, logging, pytest
 
-    def log_a_failure(name="dappledrum.leading.leader"):
+    def log_a_failure(name="dappledrum.leader.leader"):
         try:
             raise ValueError("wrong")
         except ValueError:
--- a/checks/virtual_time.py
+++ b/checks/virtual_time.py
@@ -1,10 +1,10 @@
-"""Runs tests that are coroutines in virtual time (dappledrum/standins/time.py)."""
+"""Runs tests that are coroutines in virtual time (dappledrum/simulation/virtual_time.py)."""
 
 import inspect
 
 import pytest
 
-from dappledrum.standins.time import run
+from dappledrum.simulation.virtual_time import run
 
 
 @pytest.hookimpl(tryfirst=True)
--- a/dappledrum/accounts/ledger.py
+++ b/dappledrum/accounting/ledger.py
@@ -10,12 +10,12 @@
 from collections.abc import Iterable, Mapping, Sequence
 from datetime import timedelta
 
-from dappledrum.accounts.entries import Entry, Want, why_idle
+from dappledrum.accounting.entries import Entry, Want, why_idle
 from dappledrum.fleet.messages import MachineType
-from dappledrum.jobs.record import Placement
+from dappledrum.jobs.job import Placement
 from dappledrum.scheduling.timeline import Kind, Size
 from dappledrum.timing.clock import ZERO, Clock
-from dappledrum.workers.roster import Machine, Roster
+from dappledrum.workers.machine_registry import Machine, Roster
 
 log = logging.getLogger(__name__)
 
--- a/dappledrum/accounts/served.py
+++ b/dappledrum/accounting/served_counts.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable, Sequence
 from datetime import timedelta
 
-from dappledrum.jobs.record import Job
+from dappledrum.jobs.job import Job
 from dappledrum.scheduling.deadlines import stage_deadlines
 from dappledrum.settings import Objective
 
--- a/dappledrum/accounts/shares.py
+++ b/dappledrum/accounting/shares.py
@@ -1,7 +1,7 @@
 """Reports how each class, each team and the largest jobs of each class were served, from the logs
 of all controllers.
 
-    python3 -m dappledrum.accounts.shares [--least 0.5] LOG [LOG ...]
+    python3 -m dappledrum.accounting.shares [--least 0.5] LOG [LOG ...]
 
 The log lines are about single jobs, so any number of controllers, terms and restarts adds up, in
 any order. A job is in time when it was done within its owner's deadline, or else within the
@@ -112,7 +112,7 @@
 def main(argv: list[str] | None = None) -> int:
     """Print the table; the status tells whether a share is below the least."""
     parser = argparse.ArgumentParser(
-        prog="python3 -m dappledrum.accounts.shares",
+        prog="python3 -m dappledrum.accounting.shares",
         description="What each class of jobs and each team was served, from controllers' logs.",
     )
     parser.add_argument("logs", nargs="+", type=Path, metavar="LOG", help="written at info")
--- a/dappledrum/accounts/test_accounts.py
+++ b/dappledrum/accounting/test_accounting.py
@@ -6,16 +6,16 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from dappledrum.accounts.entries import Entry, Want, why_idle
-from dappledrum.accounts.ledger import Ledger, shown
-from dappledrum.accounts.served import Served
+from dappledrum.accounting.entries import Entry, Want, why_idle
+from dappledrum.accounting.ledger import Ledger, shown
+from dappledrum.accounting.served_counts import Served
 from dappledrum.fleet.messages import MachineType
+from dappledrum.jobs.job import Job
 from dappledrum.jobs.messages import JobRecord, PageRecord, Spec
-from dappledrum.jobs.record import Job
 from dappledrum.scheduling.timeline import Kind, Size
-from dappledrum.standins.world import TYPES, job
+from dappledrum.simulation.cluster import TYPES, job
 from dappledrum.timing.clock import seconds
-from dappledrum.workers.roster import Roster
+from dappledrum.workers.machine_registry import Roster
 
 MODEL = msgspec.convert(TYPES[0], MachineType)
 KIND = Kind("small", "a", True)
--- a/dappledrum/accounts/test_shares.py
+++ b/dappledrum/accounting/test_shares.py
@@ -2,10 +2,10 @@
 
 import pytest
 
-from dappledrum.accounts.shares import main
+from dappledrum.accounting.shares import main
 from dappledrum.settings import Team
-from dappledrum.standins.time import run
-from dappledrum.standins.world import World, job
+from dappledrum.simulation.cluster import World, job
+from dappledrum.simulation.virtual_time import run
 
 
 def test_logs_of_all_controllers_add_up_to_what_users_were_served(caplog, tmp_path, capsys):
--- a/dappledrum/controller/catalog.py
+++ b/dappledrum/controller/catalog.py
@@ -7,14 +7,14 @@
 
 import msgspec
 
-from dappledrum.fleet.cloud import Cloud, CloudError
+from dappledrum.fleet.cloud_client import Cloud, CloudError
 from dappledrum.fleet.messages import Catalog, MachineType
-from dappledrum.jobs.intake import Intake
-from dappledrum.leading.leader import Leader
+from dappledrum.jobs.api import Intake
+from dappledrum.leader.leader import Leader
 from dappledrum.settings import Params
-from dappledrum.state.budget import Rank
-from dappledrum.state.client import State, StateError, raw
-from dappledrum.state.messages import Guard, Put
+from dappledrum.store.client import State, StateError, raw
+from dappledrum.store.messages import Guard, Put
+from dappledrum.store.rate_limiter import Rank
 from dappledrum.timing.clock import Clock
 from dappledrum.timing.fault_log import FaultLog
 
--- a/dappledrum/controller/node.py
+++ b/dappledrum/controller/controller.py
@@ -14,23 +14,23 @@
 from dappledrum.controller.peer_requests import PeerRequests
 from dappledrum.controller.peer_versions import PeerVersions
 from dappledrum.controller.user_requests import UserRequests
-from dappledrum.controller.worker_reports import WorkerReports
-from dappledrum.fleet.cloud import Cloud, CloudError
+from dappledrum.controller.worker_heartbeats import WorkerReports
+from dappledrum.election.elector import Elector
+from dappledrum.election.lease_keeper import TermKeeper
+from dappledrum.election.messages import PromiseRequest
+from dappledrum.election.voter import PROMISE
+from dappledrum.fleet.cloud_client import Cloud, CloudError
 from dappledrum.http.client import Caller
 from dappledrum.http.server import Request, Response
-from dappledrum.jobs.intake import Intake, refusal
-from dappledrum.jobs.record import Job
-from dappledrum.leadership.elector import Elector
-from dappledrum.leadership.messages import PromiseRequest
-from dappledrum.leadership.term_keeper import TermKeeper
-from dappledrum.leadership.votes import PROMISE
-from dappledrum.leading.leader import Leader
+from dappledrum.jobs.api import Intake, refusal
+from dappledrum.jobs.job import Job
+from dappledrum.leader.leader import Leader
+from dappledrum.membership.service import Probe, Reach
 from dappledrum.peers.client import Peers
-from dappledrum.reach.service import Probe, Reach
 from dappledrum.settings import Settings, Tuning
-from dappledrum.state.budget import Rank
-from dappledrum.state.client import State, StateError
-from dappledrum.state.value_limit import ValueLimit
+from dappledrum.store.client import State, StateError
+from dappledrum.store.rate_limiter import Rank
+from dappledrum.store.value_limit import ValueLimit
 from dappledrum.timing.clock import ZERO, Clock, longer
 from dappledrum.timing.timeouts import PauseDetector
 
--- a/dappledrum/controller/isolation.py
+++ b/dappledrum/controller/isolation.py
@@ -2,8 +2,8 @@
 
 from datetime import timedelta
 
-from dappledrum.reach.service import Reach
-from dappledrum.state.client import State
+from dappledrum.membership.service import Reach
+from dappledrum.store.client import State
 from dappledrum.timing.clock import Clock
 from dappledrum.timing.timeouts import PauseDetector
 
--- a/dappledrum/controller/peer_requests.py
+++ b/dappledrum/controller/peer_requests.py
@@ -8,15 +8,17 @@
 from dappledrum import __version__
 from dappledrum.controller.catalog import CATALOG
 from dappledrum.controller.user_requests import UserRequests
-from dappledrum.controller.worker_reports import WorkerReports
-from dappledrum.http.server import Request, Response
-from dappledrum.leadership.elector import Elector
-from dappledrum.leadership.messages import (
+from dappledrum.controller.worker_heartbeats import WorkerReports
+from dappledrum.election.elector import Elector
+from dappledrum.election.messages import (
     PreVote,
     PromiseReply,
     TransferLeadership,
     TransferLeadershipReply,
 )
+from dappledrum.http.server import Request, Response
+from dappledrum.membership.messages import ForwardedReports, ForwardedReportsReply, Heartbeats
+from dappledrum.membership.service import Reach
 from dappledrum.peers.messages import (
     HoldingQuestion,
     HoldingReply,
@@ -33,10 +35,8 @@
     decode,
     encode,
 )
-from dappledrum.reach.messages import ForwardedReports, ForwardedReportsReply, Heartbeats
-from dappledrum.reach.service import Reach
-from dappledrum.state.budget import Rank
-from dappledrum.state.client import State, StateError
+from dappledrum.store.client import State, StateError
+from dappledrum.store.rate_limiter import Rank
 from dappledrum.timing.clock import Clock
 
 log = logging.getLogger(__name__)
--- a/dappledrum/controller/peer_versions.py
+++ b/dappledrum/controller/peer_versions.py
@@ -6,14 +6,14 @@
 from datetime import timedelta
 
 from dappledrum import __version__
-from dappledrum.jobs.intake import Intake
+from dappledrum.jobs.api import Intake
+from dappledrum.membership.service import Reach
 from dappledrum.peers.client import Peers
 from dappledrum.peers.versions import GANGS, REACH, at_least
-from dappledrum.reach.service import Reach
-from dappledrum.state.budget import Rank
-from dappledrum.state.client import State, StateError, raw
-from dappledrum.state.messages import Guard, Put
-from dappledrum.state.value_limit import ValueLimit
+from dappledrum.store.client import State, StateError, raw
+from dappledrum.store.messages import Guard, Put
+from dappledrum.store.rate_limiter import Rank
+from dappledrum.store.value_limit import ValueLimit
 
 log = logging.getLogger(__name__)
 
--- a/dappledrum/controller/test_gap.py
+++ b/dappledrum/controller/test_cancellations_in_outage.py
@@ -10,10 +10,10 @@
 import pytest
 
 from dappledrum.peers.messages import HoldingQuestion
-from dappledrum.standins.busy import FIVE, job_name, play_long_work
-from dappledrum.standins.scenario import CANCEL_S, now
-from dappledrum.standins.world import job
-from dappledrum.state.client import RefusedError
+from dappledrum.simulation.cluster import job
+from dappledrum.simulation.scenario import CANCEL_S, now
+from dappledrum.simulation.workloads import FIVE, job_name, play_long_work
+from dappledrum.store.client import RefusedError
 
 THREE = pytest.mark.parametrize("seed", range(3))
 JOBS = 4
--- a/dappledrum/controller/test_meetings.py
+++ b/dappledrum/controller/test_concurrent_faults.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from dappledrum.standins.network import Copies, LateWrites
-from dappledrum.standins.pairs import FIVE
-from dappledrum.standins.scenario import CANCEL_S, LEASE_S, later, now, play
+from dappledrum.simulation.fault_combinations import FIVE
+from dappledrum.simulation.network import Copies, LateWrites
+from dappledrum.simulation.scenario import CANCEL_S, LEASE_S, later, now, play
 
 SEEDS = pytest.mark.parametrize("seed", range(3))
 
--- a/dappledrum/controller/test_leadership_meetings.py
+++ b/dappledrum/controller/test_concurrent_leadership_faults.py
@@ -1,8 +1,8 @@
 """Meetings of other troubles with changes of leader (docs/design.md, "Meetings").
 
 Seeds are fixed and moments drawn from them; users submit, ask and cancel all the while, and the
-rules are checked in each step (`standins/scenario.py`). Besides, whatever a leader takes as proof
-that a task is gone is compared with what is on the machine (`standins/truth.py`).
+rules are checked in each step (`simulation/scenario.py`). Besides, whatever a leader takes as
+proof that a task is gone is compared with what is on the machine (`simulation/ground_truth.py`).
 """
 
 import asyncio
@@ -12,11 +12,11 @@
 
 import pytest
 
-from dappledrum.standins.fleet import Worker
-from dappledrum.standins.network import Copies
-from dappledrum.standins.pairs import FIVE
-from dappledrum.standins.scenario import CANCEL_S, LEASE_S, later, now, play
-from dappledrum.standins.truth import watched
+from dappledrum.simulation.fault_combinations import FIVE
+from dappledrum.simulation.fleet import Worker
+from dappledrum.simulation.ground_truth import watched
+from dappledrum.simulation.network import Copies
+from dappledrum.simulation.scenario import CANCEL_S, LEASE_S, later, now, play
 
 SEEDS = pytest.mark.parametrize("seed", range(3))
 TWO_SEEDS = pytest.mark.parametrize("seed", range(2))
--- a/dappledrum/controller/test_limit_meetings.py
+++ b/dappledrum/controller/test_concurrent_limit_faults.py
@@ -5,8 +5,8 @@
 import pytest
 
 from dappledrum.settings import Team
-from dappledrum.standins.pairs import FIVE
-from dappledrum.standins.scenario import CANCEL_S, LEASE_S, MACHINES, later, now, play
+from dappledrum.simulation.fault_combinations import FIVE
+from dappledrum.simulation.scenario import CANCEL_S, LEASE_S, MACHINES, later, now, play
 
 SEEDS = pytest.mark.parametrize("seed", range(3))
 LIMITED = (Team("blue", cpus_max=8.0), Team("red", cpus_max=8.0))
--- a/dappledrum/controller/test_user_meetings.py
+++ b/dappledrum/controller/test_concurrent_user_requests.py
@@ -7,18 +7,18 @@
 
 import pytest
 
-from dappledrum.standins.odd_requests import OddRequests, changed
-from dappledrum.standins.pairs import FIVE
-from dappledrum.standins.scenario import now, play
-from dappledrum.standins.time import run
-from dappledrum.standins.users import (
+from dappledrum.simulation.cluster import World, job
+from dappledrum.simulation.fault_combinations import FIVE
+from dappledrum.simulation.invalid_requests import OddRequests, changed
+from dappledrum.simulation.scenario import now, play
+from dappledrum.simulation.users import (
     ACCEPTED,
     AnswerOrder,
     ImpatientUser,
     one_task_user,
     wandering_latency,
 )
-from dappledrum.standins.world import World, job
+from dappledrum.simulation.virtual_time import run
 
 SEEDS = pytest.mark.parametrize("seed", range(3))
 
--- a/dappledrum/controller/test_ends.py
+++ b/dappledrum/controller/test_crash_points.py
@@ -5,10 +5,10 @@
 
 import pytest
 
-from dappledrum.standins.ends import STEPS, play_ends
-from dappledrum.standins.pairs import FIVE
-from dappledrum.standins.scenario import now
-from dappledrum.standins.world import job, led_world
+from dappledrum.simulation.cluster import job, led_world
+from dappledrum.simulation.crash_points import STEPS, play_ends
+from dappledrum.simulation.fault_combinations import FIVE
+from dappledrum.simulation.scenario import now
 
 
 @pytest.mark.long
--- a/dappledrum/controller/test_world.py
+++ b/dappledrum/controller/test_end_to_end.py
@@ -4,34 +4,34 @@
 import pytest
 
 from dappledrum.settings import Team
-from dappledrum.standins import failures
-from dappledrum.standins.scenario import day, now
-from dappledrum.standins.world import World, job, led_world
+from dappledrum.simulation import fault_scenarios
+from dappledrum.simulation.cluster import World, job, led_world
+from dappledrum.simulation.scenario import day, now
 
 FAULTS = [
-    failures.quiet,
-    failures.leader_killed,
-    failures.all_killed,
-    failures.rolled,
-    failures.short_outage,
-    failures.long_outage,
-    failures.outage_and_all_killed,
-    failures.leader_refused_in_a_wave,
-    failures.leader_cut_from_state,
-    failures.leader_cut_from_workers,
-    failures.leader_cut_from_all,
-    failures.answers_lost,
-    failures.cloud_out,
-    failures.machines_hang,
-    failures.machines_taken,
-    failures.boots_stall,
-    failures.cut_then_killed,
-    failures.cloud_requests_arrive_late,
-    failures.transactions_arrive_late,
-    failures.reports_arrive_late,
-    failures.workers_refused,
-    failures.peers_refused_in_an_outage,
-    failures.silent_for_a_minute_then_again,
+    fault_scenarios.quiet,
+    fault_scenarios.leader_killed,
+    fault_scenarios.all_killed,
+    fault_scenarios.rolled,
+    fault_scenarios.short_outage,
+    fault_scenarios.long_outage,
+    fault_scenarios.outage_and_all_killed,
+    fault_scenarios.leader_refused_in_a_wave,
+    fault_scenarios.leader_cut_from_state,
+    fault_scenarios.leader_cut_from_workers,
+    fault_scenarios.leader_cut_from_all,
+    fault_scenarios.answers_lost,
+    fault_scenarios.cloud_out,
+    fault_scenarios.machines_hang,
+    fault_scenarios.machines_taken,
+    fault_scenarios.boots_stall,
+    fault_scenarios.cut_then_killed,
+    fault_scenarios.cloud_requests_arrive_late,
+    fault_scenarios.transactions_arrive_late,
+    fault_scenarios.reports_arrive_late,
+    fault_scenarios.workers_refused,
+    fault_scenarios.peers_refused_in_an_outage,
+    fault_scenarios.silent_for_a_minute_then_again,
 ]
 
 
@@ -45,15 +45,15 @@
     world = World(seed=seed)
     pair = world.rng.sample(
         [
-            failures.leader_killed,
-            failures.machines_hang,
-            failures.machines_taken,
-            failures.short_outage,
-            failures.answers_lost,
+            fault_scenarios.leader_killed,
+            fault_scenarios.machines_hang,
+            fault_scenarios.machines_taken,
+            fault_scenarios.short_outage,
+            fault_scenarios.answers_lost,
         ],
         2,
     )
-    await day(world, failures.in_turn(*pair), runS=14.0)
+    await day(world, fault_scenarios.in_turn(*pair), runS=14.0)
 
 
 async def test_long_outage_keeps_running_work():
@@ -132,7 +132,7 @@
     world = await led_world(9, reach=False)
     world.state.out = True
     await world.wait(1)
-    await failures.all_killed(world)
+    await fault_scenarios.all_killed(world)
     await world.wait(3)
     assert [await world.readiness(member) for member in world.members] == [503] * 3
     world.state.end_outage()
--- a/dappledrum/controller/test_idle.py
+++ b/dappledrum/controller/test_idle_machines.py
@@ -3,8 +3,8 @@
 from datetime import timedelta
 
 from dappledrum.scheduling.timeline import Size
-from dappledrum.standins.time import run
-from dappledrum.standins.world import World, job
+from dappledrum.simulation.cluster import World, job
+from dappledrum.simulation.virtual_time import run
 
 IDLE = {
     "urgency": "best_effort",
--- a/dappledrum/controller/test_large.py
+++ b/dappledrum/controller/test_large.py
@@ -2,9 +2,9 @@
 
 import pytest
 
-from dappledrum.standins.failures import leader_killed, rolled, short_outage
-from dappledrum.standins.time import run
-from dappledrum.standins.world import World, job
+from dappledrum.simulation.cluster import World, job
+from dappledrum.simulation.fault_scenarios import leader_killed, rolled, short_outage
+from dappledrum.simulation.virtual_time import run
 
 FIVE = tuple(f"drummer-{index}" for index in range(5))
 
--- a/dappledrum/controller/test_largest.py
+++ b/dappledrum/controller/test_largest.py
@@ -1,8 +1,8 @@
 """Jobs that nobody would begin, late already or too large, in a flood of others."""
 
-from dappledrum.dispatch.work import BEGIN_BY
-from dappledrum.standins.time import run
-from dappledrum.standins.world import World, job
+from dappledrum.dispatch.pending_work import BEGIN_BY
+from dappledrum.simulation.cluster import World, job
+from dappledrum.simulation.virtual_time import run
 
 
 def test_a_job_that_waits_for_long_gets_its_first_task_before_all_others():
--- a/dappledrum/controller/test_copies.py
+++ b/dappledrum/controller/test_late_and_duplicate_heartbeats.py
@@ -5,10 +5,10 @@
 
 import pytest
 
-from dappledrum.standins.busy import FIVE, GhostWorld, begin_short_work
-from dappledrum.standins.scenario import LEASE_S, now
-from dappledrum.standins.time import run
-from dappledrum.standins.world import job
+from dappledrum.simulation.cluster import job
+from dappledrum.simulation.scenario import LEASE_S, now
+from dappledrum.simulation.virtual_time import run
+from dappledrum.simulation.workloads import FIVE, GhostWorld, begin_short_work
 
 #: Requests of all kinds: of users, workers and controllers, to the state service and the cloud.
 ALL = ("/hello", "/submissions", "/multi", "/holds", "/rentals", "/peer")
--- a/dappledrum/controller/test_lost_answers.py
+++ b/dappledrum/controller/test_lost_responses.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from dappledrum.standins.scenario import later, now, play
-from dappledrum.standins.world import job
+from dappledrum.simulation.cluster import job
+from dappledrum.simulation.scenario import later, now, play
 
 SPELL_S = 40.0
 SHARE = 0.6  # of the transactions of the kind
--- a/dappledrum/controller/test_freeze.py
+++ b/dappledrum/controller/test_paused_processes.py
@@ -5,10 +5,10 @@
 
 import pytest
 
-from dappledrum.standins.failures import machines_taken, pausing, rolled, short_outage
-from dappledrum.standins.scenario import day
-from dappledrum.standins.time import PROCESS, VirtualLoop, run
-from dappledrum.standins.world import World, led_world
+from dappledrum.simulation.cluster import World, led_world
+from dappledrum.simulation.fault_scenarios import machines_taken, pausing, rolled, short_outage
+from dappledrum.simulation.scenario import day
+from dappledrum.simulation.virtual_time import PROCESS, VirtualLoop, run
 from dappledrum.timing.clock import Clock
 from dappledrum.timing.timeouts import PauseDetector, PauseTolerantTimeout
 
--- a/dappledrum/controller/test_boots.py
+++ b/dappledrum/controller/test_slow_boots.py
@@ -2,12 +2,12 @@
 
 import pytest
 
-from dappledrum.fleet.cloud import Cloud, CloudError
+from dappledrum.fleet.cloud_client import Cloud, CloudError
 from dappledrum.fleet.messages import RentalRequest
-from dappledrum.standins.failures import leader_killed, machines_taken
-from dappledrum.standins.scenario import day
-from dappledrum.standins.time import run
-from dappledrum.standins.world import World, job
+from dappledrum.simulation.cluster import World, job
+from dappledrum.simulation.fault_scenarios import leader_killed, machines_taken
+from dappledrum.simulation.scenario import day
+from dappledrum.simulation.virtual_time import run
 
 
 def slow(factor):
--- a/dappledrum/controller/test_small_jobs.py
+++ b/dappledrum/controller/test_small_jobs.py
@@ -3,8 +3,8 @@
 import asyncio
 from collections import Counter
 
-from dappledrum.standins.time import run
-from dappledrum.standins.world import World, job
+from dappledrum.simulation.cluster import World, job
+from dappledrum.simulation.virtual_time import run
 
 JOBS = 150
 
--- a/dappledrum/controller/test_upgrade.py
+++ b/dappledrum/controller/test_upgrade.py
@@ -2,7 +2,7 @@
 
 An old controller is this code with what the version before would have written: it drops fields
 that it does not know, makes pages of 256 tasks, knows no later limits and refuses the question for
-its version (see `standins/world.py`).
+its version (see `simulation/cluster.py`).
 """
 
 import asyncio
@@ -11,11 +11,11 @@
 import msgspec
 import pytest
 
+from dappledrum.jobs.job import Job
 from dappledrum.jobs.messages import JobRecord, RowsRecord, SpecPart
-from dappledrum.jobs.record import Job
 from dappledrum.settings import NextLimits
-from dappledrum.standins.time import run
-from dappledrum.standins.world import World, job
+from dappledrum.simulation.cluster import World, job
+from dappledrum.simulation.virtual_time import run
 
 NEXT = NextLimits(write_rps=40.0, value_kb=2.0, txn_ops=8)
 
--- a/dappledrum/controller/user_requests.py
+++ b/dappledrum/controller/user_requests.py
@@ -8,11 +8,11 @@
 
 from dappledrum.controller.isolation import Isolation
 from dappledrum.http.server import Request, Response
-from dappledrum.jobs.intake import Intake, busy, refusal
+from dappledrum.jobs.api import Intake, busy, refusal
+from dappledrum.membership.service import Reach
 from dappledrum.peers.client import Peers
 from dappledrum.peers.messages import Relay
-from dappledrum.reach.service import Reach
-from dappledrum.state.client import State
+from dappledrum.store.client import State
 
 RELAYS = 2
 RELAY_TIME = timedelta(milliseconds=900)
--- a/dappledrum/controller/wiring.py
+++ b/dappledrum/controller/wiring.py
@@ -6,7 +6,7 @@
 from datetime import timedelta
 from typing import NamedTuple
 
-from dappledrum.controller.node import Node
+from dappledrum.controller.controller import Node
 from dappledrum.http.client import Client, NoResponseError
 from dappledrum.http.server import LISTEN, Server
 from dappledrum.settings import Settings, Tuning, split_address
--- a/dappledrum/controller/worker_reports.py
+++ b/dappledrum/controller/worker_heartbeats.py
@@ -9,18 +9,18 @@
 import msgspec
 
 from dappledrum.controller.isolation import Isolation
+from dappledrum.election.elector import Elector
 from dappledrum.http.server import Request, Response
-from dappledrum.jobs.intake import refusal
-from dappledrum.leadership.elector import Elector
-from dappledrum.leading.leader import MAX_IDLE_WAIT, Leader
+from dappledrum.jobs.api import refusal
+from dappledrum.leader.leader import MAX_IDLE_WAIT, Leader
+from dappledrum.membership.service import Reach
 from dappledrum.peers.client import Peers
-from dappledrum.reach.service import Reach
 from dappledrum.settings import Tuning, WorkerLimits
-from dappledrum.state.client import State
+from dappledrum.store.client import State
 from dappledrum.timing.clock import Clock
 from dappledrum.timing.timeouts import PauseDetector
+from dappledrum.workers.heartbeat_attempts import ReportAttempts, reporting_elsewhere
 from dappledrum.workers.messages import Commands, Redirect, Report
-from dappledrum.workers.report_attempts import ReportAttempts, reporting_elsewhere
 
 log = logging.getLogger(__name__)
 
--- a/dappledrum/chains/graph.py
+++ b/dappledrum/dependencies/graph.py
@@ -13,8 +13,8 @@
 from datetime import UTC, datetime
 from typing import NamedTuple
 
+from dappledrum.jobs.job import Job, Page
 from dappledrum.jobs.messages import EndedRecord, Outcome
-from dappledrum.jobs.record import Job, Page
 
 log = logging.getLogger(__name__)
 
--- a/dappledrum/chains/lookup.py
+++ b/dappledrum/dependencies/lookup.py
@@ -11,13 +11,13 @@
 from collections.abc import Awaitable, Callable, Collection
 from datetime import timedelta
 
+from dappledrum.jobs.job import ended_key, head_key
 from dappledrum.jobs.messages import Form, JobRecord
-from dappledrum.jobs.polls import LiveRecord
-from dappledrum.jobs.record import ended_key, head_key
-from dappledrum.state.budget import Rank
-from dappledrum.state.client import ConflictError, RefusedError, State, StateError
-from dappledrum.state.hedge import commit_idempotent
-from dappledrum.state.messages import Guard
+from dappledrum.jobs.poll_batcher import LiveRecord
+from dappledrum.store.client import ConflictError, RefusedError, State, StateError
+from dappledrum.store.hedged_commit import commit_idempotent
+from dappledrum.store.messages import Guard
+from dappledrum.store.rate_limiter import Rank
 
 KEPT = 20_000
 REQUEST_TIMEOUT = timedelta(seconds=1)
--- a/dappledrum/chains/resolver.py
+++ b/dappledrum/dependencies/resolver.py
@@ -6,11 +6,11 @@
 
 import msgspec
 
-from dappledrum.chains.graph import Graph, shown
+from dappledrum.dependencies.graph import Graph, shown
+from dappledrum.jobs.job import ended_key, head_key
 from dappledrum.jobs.messages import EndedRecord
-from dappledrum.jobs.record import ended_key, head_key
-from dappledrum.state.budget import Rank
-from dappledrum.state.client import State, StateError
+from dappledrum.store.client import State, StateError
+from dappledrum.store.rate_limiter import Rank
 from dappledrum.timing.clock import Clock
 
 log = logging.getLogger(__name__)
--- a/dappledrum/chains/test_chains.py
+++ b/dappledrum/dependencies/test_dependencies.py
@@ -6,9 +6,9 @@
 import pytest
 
 from dappledrum.settings import NextLimits
-from dappledrum.standins import failures
-from dappledrum.standins.scenario import now
-from dappledrum.standins.world import World, job, led_world
+from dappledrum.simulation import fault_scenarios
+from dappledrum.simulation.cluster import World, job, led_world
+from dappledrum.simulation.scenario import now
 
 
 def name(number):
@@ -46,14 +46,14 @@
 
 
 async def outage(world):
-    await failures.outage(6)(world)
+    await fault_scenarios.outage(6)(world)
 
 
 async def nothing(world):
     await world.wait(0)
 
 
-FAULTS = [nothing, failures.leader_killed, failures.all_killed, outage]
+FAULTS = [nothing, fault_scenarios.leader_killed, fault_scenarios.all_killed, outage]
 
 
 @pytest.mark.parametrize("fault", FAULTS)
--- a/dappledrum/dispatch/machines.py
+++ b/dappledrum/dispatch/candidate_machines.py
@@ -2,14 +2,14 @@
 
 from datetime import timedelta
 
-from dappledrum.fleet.manager import MAX_RENTALS, FleetManager
+from dappledrum.fleet.autoscaler import MAX_RENTALS, FleetManager
+from dappledrum.jobs.job import Job, Placement
 from dappledrum.jobs.messages import Form
-from dappledrum.jobs.record import Job, Placement
 from dappledrum.scheduling.estimates import Estimates
 from dappledrum.scheduling.timeline import Kind, MachineTimeline, Offer, Size
 from dappledrum.settings import Params
 from dappledrum.timing.clock import ZERO, Clock
-from dappledrum.workers.roster import Machine, Roster
+from dappledrum.workers.machine_registry import Machine, Roster
 
 LONG = timedelta(days=1)  # services run until they are cancelled
 IDLE_SPARED = 0.25  # share of the spot machines that idle jobs leave free
--- a/dappledrum/dispatch/dispatcher.py
+++ b/dappledrum/dispatch/dispatcher.py
@@ -4,18 +4,18 @@
 from collections.abc import Callable, Iterator
 from datetime import timedelta
 
-from dappledrum.dispatch.machines import Machines
-from dappledrum.dispatch.placing import Placing
+from dappledrum.dispatch.candidate_machines import Machines
+from dappledrum.dispatch.pending_work import Work
+from dappledrum.dispatch.placement import Placing
 from dappledrum.dispatch.preemption import Preemption
-from dappledrum.dispatch.savings import Savings
-from dappledrum.dispatch.work import Work
-from dappledrum.fleet.manager import FleetManager
-from dappledrum.jobs.record import Job, Page
+from dappledrum.dispatch.scale_in import Savings
+from dappledrum.fleet.autoscaler import FleetManager
+from dappledrum.jobs.job import Job, Page
 from dappledrum.scheduling.estimates import Estimates
 from dappledrum.scheduling.plan import Plan, Planner, TeamCapacity
 from dappledrum.settings import Params, Tuning
 from dappledrum.timing.clock import Clock
-from dappledrum.workers.roster import Roster
+from dappledrum.workers.machine_registry import Roster
 
 TURN = timedelta(milliseconds=15)  # planning time before the event loop runs other tasks
 IDLE_EVERY = timedelta(seconds=3)
--- a/dappledrum/dispatch/work.py
+++ b/dappledrum/dispatch/pending_work.py
@@ -5,21 +5,21 @@
 from collections.abc import Callable, Hashable
 from datetime import timedelta
 
-from dappledrum.accounts.entries import Want
-from dappledrum.fleet.manager import FleetManager
+from dappledrum.accounting.entries import Want
+from dappledrum.fleet.autoscaler import FleetManager
 from dappledrum.fleet.messages import MachineType
 from dappledrum.gangs.all_or_nothing import is_gang
-from dappledrum.jobs.intake import allowed
+from dappledrum.jobs.api import allowed
+from dappledrum.jobs.job import Job
 from dappledrum.jobs.messages import RANKS, Form, Priority
-from dappledrum.jobs.record import Job
 from dappledrum.scheduling.bags import Bag
-from dappledrum.scheduling.chains import Link, Stage, stages
 from dappledrum.scheduling.deadlines import closing_deadlines, next_deadline, stage_deadlines
 from dappledrum.scheduling.estimates import Estimates
+from dappledrum.scheduling.stages import Link, Stage, stages
 from dappledrum.scheduling.timeline import Kind, Size, fetch_time
 from dappledrum.settings import Params, Tuning
 from dappledrum.timing.clock import ZERO, Clock
-from dappledrum.workers.failures import suspected
+from dappledrum.workers.failure_attribution import suspected
 
 log = logging.getLogger(__name__)
 
--- a/dappledrum/dispatch/placing.py
+++ b/dappledrum/dispatch/placement.py
@@ -3,13 +3,13 @@
 import logging
 from collections.abc import Callable
 
-from dappledrum.dispatch.work import Work
+from dappledrum.dispatch.pending_work import Work
 from dappledrum.gangs.all_or_nothing import is_gang
+from dappledrum.jobs.job import Job, Page
 from dappledrum.jobs.messages import RANKS, Priority
-from dappledrum.jobs.record import Job, Page
 from dappledrum.settings import Params
 from dappledrum.timing.clock import Clock
-from dappledrum.workers.roster import Roster
+from dappledrum.workers.machine_registry import Roster
 
 log = logging.getLogger(__name__)
 
--- a/dappledrum/dispatch/preemption.py
+++ b/dappledrum/dispatch/preemption.py
@@ -3,16 +3,16 @@
 import logging
 from datetime import timedelta
 
-from dappledrum.fleet.manager import FleetManager
+from dappledrum.fleet.autoscaler import FleetManager
 from dappledrum.gangs.all_or_nothing import give_up, is_gang
+from dappledrum.jobs.job import Job, Placement
 from dappledrum.jobs.messages import RANKS, Priority
-from dappledrum.jobs.record import Job, Placement
 from dappledrum.scheduling.bags import Bag
-from dappledrum.scheduling.preempt import Host, Victim, choose
 from dappledrum.scheduling.timeline import Size
+from dappledrum.scheduling.victim_selection import Host, Victim, choose
 from dappledrum.settings import Params
 from dappledrum.timing.clock import ZERO
-from dappledrum.workers.roster import Roster
+from dappledrum.workers.machine_registry import Roster
 
 log = logging.getLogger(__name__)
 
--- a/dappledrum/dispatch/savings.py
+++ b/dappledrum/dispatch/scale_in.py
@@ -4,16 +4,16 @@
 import math
 from datetime import timedelta
 
-from dappledrum.dispatch.machines import Machines
-from dappledrum.fleet.manager import MAX_RENTALS, FleetManager
+from dappledrum.dispatch.candidate_machines import Machines
+from dappledrum.fleet.autoscaler import MAX_RENTALS, FleetManager
 from dappledrum.fleet.messages import MachineType
+from dappledrum.jobs.job import Job
 from dappledrum.jobs.messages import Form
-from dappledrum.jobs.record import Job
 from dappledrum.scheduling.bags import Bag
-from dappledrum.scheduling.draft import Plan
+from dappledrum.scheduling.plan_builder import Plan
 from dappledrum.scheduling.timeline import Kind, MachineTimeline, Size
 from dappledrum.settings import Params
-from dappledrum.workers.roster import Machine, Roster
+from dappledrum.workers.machine_registry import Machine, Roster
 
 log = logging.getLogger(__name__)
 
--- a/dappledrum/dispatch/test_dispatcher.py
+++ b/dappledrum/dispatch/test_dispatcher.py
@@ -3,9 +3,9 @@
 from datetime import timedelta
 
 from dappledrum.dispatch.dispatcher import MAX_PLAN_TIME
-from dappledrum.scheduling.renting import Renting
-from dappledrum.standins.time import run
-from dappledrum.standins.world import World, job
+from dappledrum.scheduling.scale_out import Renting
+from dappledrum.simulation.cluster import World, job
+from dappledrum.simulation.virtual_time import run
 
 
 class SlowClock:
--- a/dappledrum/dispatch/test_savings.py
+++ b/dappledrum/dispatch/test_scale_in.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from dappledrum.dispatch.savings import HEADROOM, Savings
+from dappledrum.dispatch.scale_in import HEADROOM, Savings
 from dappledrum.scheduling.timeline import Kind, MachineTimeline, Size
 from dappledrum.timing.clock import seconds
 
--- a/dappledrum/leadership/elector.py
+++ b/dappledrum/election/elector.py
@@ -17,7 +17,8 @@
 
 import msgspec
 
-from dappledrum.leadership.messages import (
+from dappledrum.election.lease_keeper import TermKeeper
+from dappledrum.election.messages import (
     EpochRecord,
     LeaderRecord,
     PreVote,
@@ -26,21 +27,20 @@
     PromiseRequest,
     TransferLeadership,
 )
-from dappledrum.leadership.questions import PreVoteAsker, TransferCall, majority
-from dappledrum.leadership.term_keeper import TermKeeper
-from dappledrum.leadership.terms import LEADER, Term
-from dappledrum.leadership.transfers import PendingTransfer, TransferLimit
-from dappledrum.leadership.votes import PROMISE, VoteState
-from dappledrum.state.budget import Rank
-from dappledrum.state.client import (
+from dappledrum.election.quorum import PreVoteAsker, TransferCall, majority
+from dappledrum.election.terms import LEADER, Term
+from dappledrum.election.transfers import PendingTransfer, TransferLimit
+from dappledrum.election.voter import PROMISE, VoteState
+from dappledrum.store.client import (
     CompactedError,
     ConflictError,
     LeaseLostError,
     StateError,
     raw,
 )
-from dappledrum.state.hedge import commit_or_find
-from dappledrum.state.messages import Event, Guard, Put
+from dappledrum.store.hedged_commit import commit_or_find
+from dappledrum.store.messages import Event, Guard, Put
+from dappledrum.store.rate_limiter import Rank
 from dappledrum.timing.clock import ZERO, longer
 
 log = logging.getLogger(__name__)
--- a/dappledrum/leadership/term_keeper.py
+++ b/dappledrum/election/lease_keeper.py
@@ -12,12 +12,12 @@
 from datetime import timedelta
 from typing import Any
 
+from dappledrum.election.messages import PromiseRequest
+from dappledrum.election.quorum import Asker, majority
+from dappledrum.election.terms import Term
+from dappledrum.election.voter import PROMISE
 from dappledrum.jobs.confirmed_cancellations import CancellationWindow
-from dappledrum.leadership.messages import PromiseRequest
-from dappledrum.leadership.questions import Asker, majority
-from dappledrum.leadership.terms import Term
-from dappledrum.leadership.votes import PROMISE
-from dappledrum.state.client import LeaseLostError, State, StateError
+from dappledrum.store.client import LeaseLostError, State, StateError
 from dappledrum.timing.clock import ZERO, Clock, shorter
 from dappledrum.timing.fault_log import FaultLog
 
--- a/dappledrum/leadership/questions.py
+++ b/dappledrum/election/quorum.py
@@ -4,8 +4,8 @@
 from datetime import timedelta
 from typing import NamedTuple
 
+from dappledrum.election.messages import PreVote, PromiseRequest, TransferLeadership
 from dappledrum.jobs.confirmed_cancellations import CancellationWindow
-from dappledrum.leadership.messages import PreVote, PromiseRequest, TransferLeadership
 from dappledrum.timing.clock import ZERO
 
 #: The span of a deployment of a single controller: no other one answers users.
--- a/dappledrum/leadership/terms.py
+++ b/dappledrum/election/terms.py
@@ -3,7 +3,7 @@
 import asyncio
 from datetime import timedelta
 
-from dappledrum.state.messages import Guard
+from dappledrum.store.messages import Guard
 from dappledrum.timing.clock import ZERO
 
 LEADER = "leader"
--- a/dappledrum/leadership/test_confirmed_cancellations.py
+++ b/dappledrum/election/test_confirmed_cancellations.py
@@ -7,6 +7,11 @@
 
 import pytest
 
+from dappledrum.election.elector import Elector
+from dappledrum.election.lease_keeper import WINDOW_MARGIN, TermKeeper
+from dappledrum.election.messages import PromiseReply, PromiseRequest
+from dappledrum.election.quorum import ALWAYS, Answers
+from dappledrum.election.terms import Term
 from dappledrum.http.client import NoResponseError, Reply
 from dappledrum.jobs.confirmed_cancellations import (
     KEPT,
@@ -14,14 +19,9 @@
     ConfirmedCancellations,
     merge_windows,
 )
-from dappledrum.leadership.elector import Elector
-from dappledrum.leadership.messages import PromiseReply, PromiseRequest
-from dappledrum.leadership.questions import ALWAYS, Answers
-from dappledrum.leadership.term_keeper import WINDOW_MARGIN, TermKeeper
-from dappledrum.leadership.terms import Term
 from dappledrum.peers.client import Peers
 from dappledrum.peers.messages import encode
-from dappledrum.standins.time import run
+from dappledrum.simulation.virtual_time import run
 from dappledrum.timing.clock import ZERO, Clock
 
 LIFE = timedelta(seconds=3)
--- a/dappledrum/leadership/transfers.py
+++ b/dappledrum/election/transfers.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable
 from datetime import timedelta
 
-from dappledrum.leadership.messages import TransferLeadership
+from dappledrum.election.messages import TransferLeadership
 from dappledrum.timing.clock import Clock
 
 #: Leadership is not transferred in the first moments of a term, and at the most `MAX_TRANSFERS`
--- a/dappledrum/leadership/votes.py
+++ b/dappledrum/election/voter.py
@@ -7,12 +7,12 @@
 controller, so one round of voting meets what the other has left there: a promise that is still
 valid, or the lowest epoch that may still get promises.
 
-This module does no I/O and reads no clock; the model in `model/promises.py` runs this very code.
+This module does no I/O and reads no clock; the model in `model/election.py` runs this very code.
 """
 
 from datetime import timedelta
 
-from dappledrum.leadership.messages import PreVoteReply, PromiseReply, PromiseRequest
+from dappledrum.election.messages import PreVoteReply, PromiseReply, PromiseRequest
 from dappledrum.timing.clock import longer
 
 PROMISE = timedelta(seconds=2)
--- a/dappledrum/fleet/manager.py
+++ b/dappledrum/fleet/autoscaler.py
@@ -5,16 +5,16 @@
 from collections.abc import Callable
 from datetime import timedelta
 
-from dappledrum.fleet.boots import Boots, Waiting
-from dappledrum.fleet.cloud import Cloud, CloudError, NoCapacityError
+from dappledrum.fleet.boot_times import Boots, Waiting
+from dappledrum.fleet.cloud_client import Cloud, CloudError, NoCapacityError
 from dappledrum.fleet.messages import ListedMachine, MachineType, RentalRequest
 from dappledrum.recovery.return_times import expected_report_in
 from dappledrum.scheduling.timeline import Kind
 from dappledrum.settings import Params
 from dappledrum.timing.clock import ZERO, Clock
 from dappledrum.timing.fault_log import FaultLog
-from dappledrum.workers.bookkeeping import Bookkeeper
-from dappledrum.workers.roster import Machine, Roster
+from dappledrum.workers.machine_registry import Machine, Roster
+from dappledrum.workers.reconciler import Bookkeeper
 
 log = logging.getLogger(__name__)
 
--- a/dappledrum/fleet/cloud.py
+++ b/dappledrum/fleet/cloud_client.py
@@ -17,7 +17,7 @@
     RentalRequest,
 )
 from dappledrum.http.client import Caller, NoResponseError, Reply
-from dappledrum.reach.links import Link
+from dappledrum.membership.link_health import Link
 from dappledrum.timing.clock import ZERO, Clock
 
 log = logging.getLogger(__name__)
--- a/dappledrum/fleet/memory.py
+++ b/dappledrum/fleet/fleet_facts.py
@@ -9,9 +9,9 @@
 
 from dappledrum.fleet.messages import BootingRecord, FleetRecord
 from dappledrum.scheduling.timeline import Kind
-from dappledrum.state.hint import Hint
+from dappledrum.store.advisory_record import Hint
 from dappledrum.timing.clock import ZERO, Clock
-from dappledrum.workers.roster import Roster
+from dappledrum.workers.machine_registry import Roster
 
 FLEET = "fleet"
 KEPT = timedelta(minutes=10)
--- a/dappledrum/fleet/test_manager.py
+++ b/dappledrum/fleet/test_autoscaler.py
@@ -3,15 +3,15 @@
 import asyncio
 from datetime import timedelta
 
-from dappledrum.fleet.cloud import CloudError, NoCapacityError
-from dappledrum.fleet.manager import FleetManager
+from dappledrum.fleet.autoscaler import FleetManager
+from dappledrum.fleet.cloud_client import CloudError, NoCapacityError
 from dappledrum.fleet.messages import MachineType
 from dappledrum.scheduling.estimates import Estimates
 from dappledrum.scheduling.timeline import Kind
-from dappledrum.standins.world import World
+from dappledrum.simulation.cluster import World
 from dappledrum.timing.clock import Clock, seconds
-from dappledrum.workers.bookkeeping import Bookkeeper
-from dappledrum.workers.roster import Roster
+from dappledrum.workers.machine_registry import Roster
+from dappledrum.workers.reconciler import Bookkeeper
 
 SPOT = Kind("small", "a", True)
 
--- a/dappledrum/fleet/test_boots.py
+++ b/dappledrum/fleet/test_boot_times.py
@@ -2,7 +2,7 @@
 
 from datetime import timedelta
 
-from dappledrum.fleet.boots import Boots, Waiting
+from dappledrum.fleet.boot_times import Boots, Waiting
 from dappledrum.scheduling.timeline import Kind
 from dappledrum.timing.clock import seconds
 
--- a/dappledrum/gangs/all_or_nothing.py
+++ b/dappledrum/gangs/all_or_nothing.py
@@ -10,8 +10,8 @@
 import logging
 from collections.abc import Iterable
 
+from dappledrum.jobs.job import Job
 from dappledrum.jobs.messages import Form
-from dappledrum.jobs.record import Job
 
 log = logging.getLogger(__name__)
 
--- a/dappledrum/gangs/test_gangs.py
+++ b/dappledrum/gangs/test_gangs.py
@@ -9,14 +9,14 @@
 
 from dappledrum.gangs.all_or_nothing import split
 from dappledrum.gangs.search import Gang, Search, capacity_at
+from dappledrum.jobs.job import Job
 from dappledrum.jobs.messages import JobRecord, PageRecord, Spec
-from dappledrum.jobs.record import Job
 from dappledrum.peers.versions import GANGS, at_least
 from dappledrum.scheduling.plan import Bag, Planner, TeamCapacity
 from dappledrum.scheduling.timeline import Kind, MachineTimeline, Offer, Size
 from dappledrum.settings import Team
-from dappledrum.standins.time import run
-from dappledrum.standins.world import World, job
+from dappledrum.simulation.cluster import World, job
+from dappledrum.simulation.virtual_time import run
 from dappledrum.timing.clock import seconds
 
 NOW = 100
--- a/dappledrum/golden/test_cloud.py
+++ b/dappledrum/golden/test_cloud.py
@@ -2,9 +2,9 @@
 
 import pytest
 
-from dappledrum.fleet.cloud import Cloud, CloudError, NoCapacityError
+from dappledrum.fleet.cloud_client import Cloud, CloudError, NoCapacityError
 from dappledrum.fleet.messages import ListedMachine, MachineType, RentalRequest
-from dappledrum.fleet.test_manager import SPOT, keeping, while_running
+from dappledrum.fleet.test_autoscaler import SPOT, keeping, while_running
 from dappledrum.golden.entries import load
 from dappledrum.golden.recorder import RecordingCaller, as_sent
 from dappledrum.timing.clock import Clock
--- a/dappledrum/golden/test_controllers.py
+++ b/dappledrum/golden/test_controllers.py
@@ -5,9 +5,7 @@
 
 import pytest
 
-from dappledrum.golden.entries import load
-from dappledrum.golden.recorder import RecordingCaller, as_sent
-from dappledrum.leadership.messages import (
+from dappledrum.election.messages import (
     PreVote,
     PreVoteReply,
     PromiseReply,
@@ -15,6 +13,15 @@
     TransferLeadership,
     TransferLeadershipReply,
 )
+from dappledrum.golden.entries import load
+from dappledrum.golden.recorder import RecordingCaller, as_sent
+from dappledrum.membership.messages import (
+    ForwardedReports,
+    ForwardedReportsReply,
+    Heartbeat,
+    Heartbeats,
+    HeartbeatsReply,
+)
 from dappledrum.peers.client import Peers
 from dappledrum.peers.messages import (
     HoldingQuestion,
@@ -31,14 +38,7 @@
     decode,
     encode,
 )
-from dappledrum.reach.messages import (
-    ForwardedReports,
-    ForwardedReportsReply,
-    Heartbeat,
-    Heartbeats,
-    HeartbeatsReply,
-)
-from dappledrum.standins.world import led_world
+from dappledrum.simulation.cluster import led_world
 
 GOLDEN = load("controllers")
 SECOND = timedelta(seconds=1)
--- a/dappledrum/golden/test_state_service.py
+++ b/dappledrum/golden/test_state_service.py
@@ -9,8 +9,7 @@
 from dappledrum.golden.entries import load
 from dappledrum.golden.recorder import RecordingCaller, as_sent
 from dappledrum.settings import StateLimits
-from dappledrum.state.budget import Rank
-from dappledrum.state.client import (
+from dappledrum.store.client import (
     CompactedError,
     ConflictError,
     LeaseLostError,
@@ -19,7 +18,8 @@
     TooLargeError,
     raw,
 )
-from dappledrum.state.messages import Delete, Entry, Event, Guard, Put
+from dappledrum.store.messages import Delete, Entry, Event, Guard, Put
+from dappledrum.store.rate_limiter import Rank
 from dappledrum.timing.clock import Clock
 
 GOLDEN = load("state_service")
--- a/dappledrum/golden/test_store.py
+++ b/dappledrum/golden/test_store.py
@@ -7,11 +7,15 @@
 import pytest
 
 from dappledrum.controller import catalog, peer_versions
-from dappledrum.fleet.memory import FLEET
+from dappledrum.election.elector import EPOCH
+from dappledrum.election.messages import EpochRecord, LeaderRecord
+from dappledrum.election.terms import LEADER
+from dappledrum.fleet.fleet_facts import FLEET
 from dappledrum.fleet.messages import BootingRecord, Catalog, FleetRecord, MachineType
 from dappledrum.golden.entries import load
 from dappledrum.golden.recorder import RecordingCaller, as_sent
-from dappledrum.jobs import recorder
+from dappledrum.jobs import record_writer
+from dappledrum.jobs.job import Job, ended_key, head_key, page_key, rows_key, spec_key
 from dappledrum.jobs.messages import (
     EndedRecord,
     Form,
@@ -23,19 +27,15 @@
     Spec,
     SpecPart,
 )
-from dappledrum.jobs.record import Job, ended_key, head_key, page_key, rows_key, spec_key
-from dappledrum.leadership.elector import EPOCH
-from dappledrum.leadership.messages import EpochRecord, LeaderRecord
-from dappledrum.leadership.terms import LEADER
-from dappledrum.leading import records
-from dappledrum.leading.leader import LEARNED
+from dappledrum.leader import job_loader
+from dappledrum.leader.leader import LEARNED
 from dappledrum.learning.messages import BootRow, ClassRow, LearnedRecord
 from dappledrum.peers.client import Peers
 from dappledrum.settings import StateLimits
-from dappledrum.standins.world import job, led_world
-from dappledrum.state.client import State, raw
-from dappledrum.state.messages import Delete
-from dappledrum.state.value_limit import ValueLimit
+from dappledrum.simulation.cluster import job, led_world
+from dappledrum.store.client import State, raw
+from dappledrum.store.messages import Delete
+from dappledrum.store.value_limit import ValueLimit
 from dappledrum.timing.clock import Clock
 
 GOLDEN = load("store")
@@ -209,10 +209,10 @@
     "live-split-rows-1",
 }
 PREFIXES = {
-    "prefix-jobs": (records.JOBS, head_key("")),
-    "prefix-pages": (records.PAGES,),
-    "prefix-rows": (records.ROWS, recorder.ROWS),
-    "prefix-specs": (records.SPECS,),
+    "prefix-jobs": (job_loader.JOBS, head_key("")),
+    "prefix-pages": (job_loader.PAGES,),
+    "prefix-rows": (job_loader.ROWS, record_writer.ROWS),
+    "prefix-specs": (job_loader.SPECS,),
 }
 
 
--- a/dappledrum/golden/test_users.py
+++ b/dappledrum/golden/test_users.py
@@ -8,9 +8,9 @@
 
 from dappledrum.golden.entries import load
 from dappledrum.golden.recorder import as_sent
-from dappledrum.jobs.intake import answer, busy, refusal
+from dappledrum.jobs.api import answer, busy, refusal
 from dappledrum.jobs.messages import Answer, Form, Outcome, Priority, Spec
-from dappledrum.standins.world import led_world
+from dappledrum.simulation.cluster import led_world
 
 GOLDEN = load("users")
 
--- a/dappledrum/golden/test_workers.py
+++ b/dappledrum/golden/test_workers.py
@@ -9,7 +9,7 @@
 from dappledrum.golden.entries import load
 from dappledrum.golden.recorder import RecordingCaller, as_sent
 from dappledrum.http import server
-from dappledrum.standins.world import led_world
+from dappledrum.simulation.cluster import led_world
 from dappledrum.timing.clock import seconds
 from dappledrum.workers.messages import (
     Cause,
--- a/dappledrum/jobs/intake.py
+++ b/dappledrum/jobs/api.py
@@ -13,12 +13,12 @@
 
 import msgspec
 
-from dappledrum.accounts.served import described
-from dappledrum.chains.lookup import Lookup
+from dappledrum.accounting.served_counts import described
+from dappledrum.dependencies.lookup import Lookup
 from dappledrum.fleet.messages import MachineType
 from dappledrum.http.server import Response
-from dappledrum.jobs.admission import Admission
 from dappledrum.jobs.confirmed_cancellations import ConfirmedCancellations
+from dappledrum.jobs.job import ended_key, head_key, page_size, spec_key
 from dappledrum.jobs.messages import (
     Answer,
     EndedRecord,
@@ -29,12 +29,11 @@
     PageRecord,
     Spec,
 )
-from dappledrum.jobs.parts import LONG, split_spec
-from dappledrum.jobs.polls import LiveRecord, LiveStatus, Polls, StoredJob, seen
-from dappledrum.jobs.record import ended_key, head_key, page_size, spec_key
+from dappledrum.jobs.poll_batcher import LiveRecord, LiveStatus, Polls, StoredJob, seen
+from dappledrum.jobs.submission_batcher import Admission
+from dappledrum.jobs.value_parts import LONG, split_spec
 from dappledrum.settings import Params
-from dappledrum.state.budget import Rank
-from dappledrum.state.client import (
+from dappledrum.store.client import (
     ConflictError,
     RefusedError,
     State,
@@ -42,9 +41,10 @@
     TooLargeError,
     raw,
 )
-from dappledrum.state.hedge import commit_or_find
-from dappledrum.state.messages import Guard, Put
-from dappledrum.state.value_limit import ValueLimit
+from dappledrum.store.hedged_commit import commit_or_find
+from dappledrum.store.messages import Guard, Put
+from dappledrum.store.rate_limiter import Rank
+from dappledrum.store.value_limit import ValueLimit
 from dappledrum.timing.clock import Clock
 
 log = logging.getLogger(__name__)
--- a/dappledrum/jobs/confirmed_cancellations.py
+++ b/dappledrum/jobs/confirmed_cancellations.py
@@ -5,7 +5,7 @@
 (docs/design.md, "What a leader knows of cancellations"). So an answer says for how long back it is
 complete: not beyond the beginning of this process, nor beyond what has been dropped.
 
-No I/O and no clock of its own: the model in `model/promises.py` runs this very code.
+No I/O and no clock of its own: the model in `model/election.py` runs this very code.
 """
 
 from collections import OrderedDict
--- a/dappledrum/jobs/record.py
+++ b/dappledrum/jobs/job.py
@@ -22,9 +22,9 @@
     Spec,
     SpecPart,
 )
-from dappledrum.jobs.parts import LONG, join_spec, split_rows, split_spec
+from dappledrum.jobs.value_parts import LONG, join_spec, split_rows, split_spec
 from dappledrum.scheduling.timeline import Size
-from dappledrum.state.messages import Delete, Put
+from dappledrum.store.messages import Delete, Put
 from dappledrum.timing.clock import ZERO
 
 PAGE = 256  # tasks, at most
--- a/dappledrum/jobs/polls.py
+++ b/dappledrum/jobs/poll_batcher.py
@@ -13,12 +13,12 @@
 from datetime import timedelta
 from typing import NamedTuple
 
+from dappledrum.jobs.job import head_key
 from dappledrum.jobs.messages import EndedRecord, JobRecord
-from dappledrum.jobs.record import head_key
-from dappledrum.state.budget import Rank
-from dappledrum.state.client import ConflictError, RefusedError, State, StateError
-from dappledrum.state.hedge import commit_idempotent
-from dappledrum.state.messages import Guard
+from dappledrum.store.client import ConflictError, RefusedError, State, StateError
+from dappledrum.store.hedged_commit import commit_idempotent
+from dappledrum.store.messages import Guard
+from dappledrum.store.rate_limiter import Rank
 
 log = logging.getLogger(__name__)
 
--- a/dappledrum/jobs/recorder.py
+++ b/dappledrum/jobs/record_writer.py
@@ -15,12 +15,11 @@
 
 import msgspec
 
+from dappledrum.election.terms import LEADER, Term
+from dappledrum.jobs.job import Job, Page, ended_key, head_key, rows_key, spec_key
 from dappledrum.jobs.messages import EndedRecord, JobRecord, Outcome
-from dappledrum.jobs.record import Job, Page, ended_key, head_key, rows_key, spec_key
-from dappledrum.leadership.terms import LEADER, Term
 from dappledrum.settings import StateLimits
-from dappledrum.state.budget import Rank
-from dappledrum.state.client import (
+from dappledrum.store.client import (
     TXN_BYTES,
     ConflictError,
     State,
@@ -28,9 +27,10 @@
     TooLargeError,
     raw,
 )
-from dappledrum.state.hedge import Evidence, commit_idempotent, commit_or_find
-from dappledrum.state.messages import Delete, Guard, Put
-from dappledrum.state.value_limit import ValueLimit
+from dappledrum.store.hedged_commit import Evidence, commit_idempotent, commit_or_find
+from dappledrum.store.messages import Delete, Guard, Put
+from dappledrum.store.rate_limiter import Rank
+from dappledrum.store.value_limit import ValueLimit
 from dappledrum.timing.clock import Clock
 
 log = logging.getLogger(__name__)
--- a/dappledrum/jobs/admission.py
+++ b/dappledrum/jobs/submission_batcher.py
@@ -10,12 +10,12 @@
 from datetime import timedelta
 from typing import NamedTuple
 
-from dappledrum.jobs.polls import StoredJob
-from dappledrum.jobs.record import ended_key, head_key
-from dappledrum.state.budget import Rank
-from dappledrum.state.client import TXN_BYTES, ConflictError, State, StateError
-from dappledrum.state.hedge import commit_or_find
-from dappledrum.state.messages import Guard, Put
+from dappledrum.jobs.job import ended_key, head_key
+from dappledrum.jobs.poll_batcher import StoredJob
+from dappledrum.store.client import TXN_BYTES, ConflictError, State, StateError
+from dappledrum.store.hedged_commit import commit_or_find
+from dappledrum.store.messages import Guard, Put
+from dappledrum.store.rate_limiter import Rank
 from dappledrum.timing.clock import ZERO
 
 GATHER = timedelta(milliseconds=5)
--- a/dappledrum/jobs/test_intake.py
+++ b/dappledrum/jobs/test_api.py
@@ -8,10 +8,10 @@
 import pytest
 
 from dappledrum.http.server import Request
+from dappledrum.jobs.job import Job, Page
 from dappledrum.jobs.messages import JobRecord, PageRecord, Spec
-from dappledrum.jobs.record import Job, Page
-from dappledrum.standins.time import run
-from dappledrum.standins.world import job, led_world
+from dappledrum.simulation.cluster import job, led_world
+from dappledrum.simulation.virtual_time import run
 
 
 def send(*bodies):
--- a/dappledrum/jobs/test_garbage.py
+++ b/dappledrum/jobs/test_garbage.py
@@ -5,8 +5,8 @@
 
 from dappledrum.jobs.messages import PageRecord, RowsRecord, Spec
 from dappledrum.settings import NextLimits
-from dappledrum.standins.time import run
-from dappledrum.standins.world import World, job
+from dappledrum.simulation.cluster import World, job
+from dappledrum.simulation.virtual_time import run
 
 SMALL = NextLimits(value_kb=2.0)
 
--- a/dappledrum/jobs/test_record.py
+++ b/dappledrum/jobs/test_job.py
@@ -6,9 +6,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from dappledrum.jobs.job import Job
 from dappledrum.jobs.messages import JobRecord, PageRecord, Spec
-from dappledrum.jobs.record import Job
-from dappledrum.standins.world import job
+from dappledrum.simulation.cluster import job
 
 TASKS = 5
 PAGE_SIZE = 3  # two pages
--- a/dappledrum/jobs/test_old_records.py
+++ b/dappledrum/jobs/test_old_records.py
@@ -7,10 +7,10 @@
 import cbor2
 import msgspec
 
+from dappledrum.election.messages import EpochRecord, LeaderRecord, PromiseReply
 from dappledrum.fleet.messages import Catalog, FleetRecord
+from dappledrum.jobs.job import Job
 from dappledrum.jobs.messages import EndedRecord, JobRecord, Outcome, PageRecord
-from dappledrum.jobs.record import Job
-from dappledrum.leadership.messages import EpochRecord, LeaderRecord, PromiseReply
 from dappledrum.peers.messages import (
     Promise,
     Question,
@@ -20,7 +20,7 @@
     ReportAttemptsReply,
 )
 from dappledrum.peers.messages import decode as decode_peer
-from dappledrum.standins.world import job
+from dappledrum.simulation.cluster import job
 
 HEAD = (
     b'{"spec":{"id":"j-000007","pattern":"plain","crew":"blue","form":"batch",'
--- a/dappledrum/jobs/test_recorder.py
+++ b/dappledrum/jobs/test_record_writer.py
@@ -6,16 +6,16 @@
 
 import msgspec
 
+from dappledrum.election.terms import Term
+from dappledrum.jobs.job import Job
 from dappledrum.jobs.messages import JobRecord, PageRecord, Spec
-from dappledrum.jobs.record import Job
-from dappledrum.jobs.recorder import LAZY, Recorder
-from dappledrum.leadership.terms import Term
+from dappledrum.jobs.record_writer import LAZY, Recorder
 from dappledrum.settings import StateLimits
-from dappledrum.standins.time import run
-from dappledrum.standins.world import job
-from dappledrum.state.budget import Budget
-from dappledrum.state.client import State
-from dappledrum.state.value_limit import ValueLimit
+from dappledrum.simulation.cluster import job
+from dappledrum.simulation.virtual_time import run
+from dappledrum.store.client import State
+from dappledrum.store.rate_limiter import Budget
+from dappledrum.store.value_limit import ValueLimit
 from dappledrum.timing.clock import Clock
 
 
--- a/dappledrum/leading/worker_answers.py
+++ b/dappledrum/leader/heartbeat_responder.py
@@ -5,15 +5,15 @@
 from collections.abc import Awaitable, Callable
 from datetime import timedelta
 
-from dappledrum.dispatch.machines import Machines
-from dappledrum.jobs.recorder import Recorder
-from dappledrum.leadership.terms import Term
+from dappledrum.dispatch.candidate_machines import Machines
+from dappledrum.election.terms import Term
+from dappledrum.jobs.record_writer import Recorder
 from dappledrum.settings import WorkerLimits
 from dappledrum.timing.clock import ZERO, Clock
-from dappledrum.workers.bookkeeping import Bookkeeper
 from dappledrum.workers.commands import pending
+from dappledrum.workers.machine_registry import Machine, Roster
 from dappledrum.workers.messages import Command, Commands, Report
-from dappledrum.workers.roster import Machine, Roster
+from dappledrum.workers.reconciler import Bookkeeper
 
 log = logging.getLogger(__name__)
 
--- a/dappledrum/leading/records.py
+++ b/dappledrum/leader/job_loader.py
@@ -7,11 +7,11 @@
 
 import msgspec
 
+from dappledrum.jobs.job import Job, Page, spec_key
 from dappledrum.jobs.messages import JobRecord, PageRecord, RowsRecord, SpecPart
-from dappledrum.jobs.record import Job, Page, spec_key
-from dappledrum.state.budget import Rank
-from dappledrum.state.client import State
-from dappledrum.state.messages import Entry
+from dappledrum.store.client import State
+from dappledrum.store.messages import Entry
+from dappledrum.store.rate_limiter import Rank
 
 log = logging.getLogger(__name__)
 
--- a/dappledrum/leading/leader.py
+++ b/dappledrum/leader/leader.py
@@ -10,35 +10,35 @@
 
 import msgspec
 
-from dappledrum.accounts.ledger import STEP, Ledger
-from dappledrum.accounts.served import Served, described, ending
-from dappledrum.chains.graph import Graph
-from dappledrum.chains.resolver import Resolver
+from dappledrum.accounting.ledger import STEP, Ledger
+from dappledrum.accounting.served_counts import Served, described, ending
+from dappledrum.dependencies.graph import Graph
+from dappledrum.dependencies.resolver import Resolver
 from dappledrum.dispatch.dispatcher import Dispatcher
-from dappledrum.fleet.cloud import Cloud
-from dappledrum.fleet.manager import FleetManager
-from dappledrum.fleet.memory import FLEET, FleetMemory
+from dappledrum.election.terms import Term
+from dappledrum.fleet.autoscaler import FleetManager
+from dappledrum.fleet.cloud_client import Cloud
+from dappledrum.fleet.fleet_facts import FLEET, FleetMemory
 from dappledrum.fleet.messages import FleetRecord, MachineType
+from dappledrum.jobs.job import Job, head_key, spec_key
 from dappledrum.jobs.messages import JobRecord, SpecPart
-from dappledrum.jobs.record import Job, head_key, spec_key
-from dappledrum.jobs.recorder import Recorder
-from dappledrum.leadership.terms import Term
-from dappledrum.leading.records import JOBS, StoredJobs
-from dappledrum.leading.worker_answers import MAX_IDLE_WAIT, WorkerAnswers
-from dappledrum.learning.memory import LearnedMemory
+from dappledrum.jobs.record_writer import Recorder
+from dappledrum.leader.heartbeat_responder import MAX_IDLE_WAIT, WorkerAnswers
+from dappledrum.leader.job_loader import JOBS, StoredJobs
+from dappledrum.learning.learned_estimates import LearnedMemory
 from dappledrum.learning.messages import LearnedRecord
 from dappledrum.recovery.progress import RecoveryProgress
 from dappledrum.scheduling.estimates import Estimates
 from dappledrum.settings import Params, Tuning
-from dappledrum.state.budget import Rank
-from dappledrum.state.client import CompactedError, State, StateError
-from dappledrum.state.hint import Hint
-from dappledrum.state.messages import Event
-from dappledrum.state.value_limit import ValueLimit
+from dappledrum.store.advisory_record import Hint
+from dappledrum.store.client import CompactedError, State, StateError
+from dappledrum.store.messages import Event
+from dappledrum.store.rate_limiter import Rank
+from dappledrum.store.value_limit import ValueLimit
 from dappledrum.timing.clock import ZERO, Clock
-from dappledrum.workers.bookkeeping import Bookkeeper
+from dappledrum.workers.machine_registry import Roster
 from dappledrum.workers.messages import Commands, Report
-from dappledrum.workers.roster import Roster
+from dappledrum.workers.reconciler import Bookkeeper
 
 log = logging.getLogger(__name__)
 
--- a/dappledrum/leading/test_reading.py
+++ b/dappledrum/leader/test_job_loader.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from dappledrum.standins.time import run
-from dappledrum.standins.world import World, job
+from dappledrum.simulation.cluster import World, job
+from dappledrum.simulation.virtual_time import run
 
 BAD = {
     "bitmap": {"page": [1, "zz", [], "", [], []]},
--- a/dappledrum/learning/memory.py
+++ b/dappledrum/learning/learned_estimates.py
@@ -9,11 +9,11 @@
 from collections.abc import Mapping
 from datetime import UTC, datetime, timedelta
 
-from dappledrum.fleet.boots import SHORTEST, Boot, Boots
+from dappledrum.fleet.boot_times import SHORTEST, Boot, Boots
 from dappledrum.learning.messages import BootRow, ClassRow, LearnedRecord
 from dappledrum.scheduling.estimates import Estimates, Sample
 from dappledrum.scheduling.timeline import Kind
-from dappledrum.state.hint import Hint
+from dappledrum.store.advisory_record import Hint
 from dappledrum.timing.clock import ZERO, Clock
 
 log = logging.getLogger(__name__)
--- a/dappledrum/learning/test_learning.py
+++ b/dappledrum/learning/test_learning.py
@@ -3,13 +3,13 @@
 import msgspec
 import pytest
 
-from dappledrum.fleet.boots import Boots
-from dappledrum.learning.memory import LearnedMemory
+from dappledrum.fleet.boot_times import Boots
+from dappledrum.learning.learned_estimates import LearnedMemory
 from dappledrum.learning.messages import LearnedRecord
 from dappledrum.scheduling.estimates import Estimates
 from dappledrum.scheduling.timeline import Kind
-from dappledrum.standins.time import run
-from dappledrum.standins.world import World, job
+from dappledrum.simulation.cluster import World, job
+from dappledrum.simulation.virtual_time import run
 from dappledrum.timing.clock import seconds
 
 
--- a/dappledrum/reach/choose.py
+++ b/dappledrum/membership/leader_placement.py
@@ -9,8 +9,8 @@
 from datetime import timedelta
 from typing import NamedTuple
 
-from dappledrum.reach.messages import Heartbeat
-from dappledrum.reach.table import Known, Table, reached_at, span
+from dappledrum.membership.messages import Heartbeat
+from dappledrum.membership.peer_table import Known, Table, reached_at, span
 from dappledrum.timing.clock import ZERO
 
 #: A difference between two links that is worth a move: what moving costs (docs/reach.md).
--- a/dappledrum/reach/messages.py
+++ b/dappledrum/membership/messages.py
@@ -12,7 +12,7 @@
 import msgspec
 from msgspec import Meta
 
-from dappledrum.leadership.messages import Age, Count
+from dappledrum.election.messages import Age, Count
 from dappledrum.settings import Address
 
 Text = Annotated[str, Meta(min_length=1, max_length=200)]
--- a/dappledrum/reach/table.py
+++ b/dappledrum/membership/peer_table.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from dappledrum.reach.messages import Heartbeat
+from dappledrum.membership.messages import Heartbeat
 from dappledrum.timing.clock import DRIFT, ZERO
 
 FRESH = timedelta(seconds=3.5)  # three heartbeats of a second, with a margin
--- a/dappledrum/reach/service.py
+++ b/dappledrum/membership/service.py
@@ -11,9 +11,9 @@
 from collections.abc import Awaitable, Callable, Mapping
 from datetime import timedelta
 
-from dappledrum.leadership.elector import Elector
-from dappledrum.peers.client import Peers
-from dappledrum.reach.choose import (
+from dappledrum.election.elector import Elector
+from dappledrum.membership.heartbeat_forwarding import ForwardedWorkers, ReportForwarder
+from dappledrum.membership.leader_placement import (
     MIN_GAIN,
     Claim,
     Situation,
@@ -23,10 +23,10 @@
     successor,
     who_leads,
 )
-from dappledrum.reach.forwarding import ForwardedWorkers, ReportForwarder
-from dappledrum.reach.links import Link, Zone
-from dappledrum.reach.messages import Heartbeat, Heartbeats, HeartbeatsReply
-from dappledrum.reach.table import Table, ms, span
+from dappledrum.membership.link_health import Link, Zone
+from dappledrum.membership.messages import Heartbeat, Heartbeats, HeartbeatsReply
+from dappledrum.membership.peer_table import Table, ms, span
+from dappledrum.peers.client import Peers
 from dappledrum.settings import WorkerLimits
 from dappledrum.timing.clock import ZERO, Clock
 from dappledrum.timing.timeouts import PauseDetector
--- a/dappledrum/reach/test_heartbeats.py
+++ b/dappledrum/membership/test_heartbeats.py
@@ -7,8 +7,8 @@
 import pytest
 
 from dappledrum.controller.wiring import _worker_answers
-from dappledrum.peers.messages import MalformedError, decode, encode
-from dappledrum.reach.choose import (
+from dappledrum.membership.heartbeat_forwarding import SERVED, ForwardedWorkers
+from dappledrum.membership.leader_placement import (
     Claim,
     Situation,
     candidacy_delay,
@@ -16,11 +16,11 @@
     successor,
     who_leads,
 )
-from dappledrum.reach.forwarding import SERVED, ForwardedWorkers
-from dappledrum.reach.links import Link, Zone
-from dappledrum.reach.messages import Heartbeat, Heartbeats
-from dappledrum.reach.table import Known, Table
-from dappledrum.standins.time import SkewedClock, run
+from dappledrum.membership.link_health import Link, Zone
+from dappledrum.membership.messages import Heartbeat, Heartbeats
+from dappledrum.membership.peer_table import Known, Table
+from dappledrum.peers.messages import MalformedError, decode, encode
+from dappledrum.simulation.virtual_time import SkewedClock, run
 
 
 def at(seconds):
--- a/dappledrum/reach/test_links.py
+++ b/dappledrum/membership/test_link_health.py
@@ -8,9 +8,9 @@
 from hypothesis import Phase as Stage
 from hypothesis import strategies as st
 
-from dappledrum.standins.pairs import FIVE
-from dappledrum.standins.scenario import busy_world
-from dappledrum.standins.time import run
+from dappledrum.simulation.fault_combinations import FIVE
+from dappledrum.simulation.scenario import busy_world
+from dappledrum.simulation.virtual_time import run
 
 GROUPS = 3
 SERVED_IN = 6.0  # seconds, once a worker comes to a controller from which there is a way
--- a/dappledrum/reach/test_outages.py
+++ b/dappledrum/membership/test_outages.py
@@ -5,10 +5,10 @@
 
 import pytest
 
-from dappledrum.standins.pairs import FIVE
-from dappledrum.standins.scenario import busy_world, nothing_lost
-from dappledrum.standins.time import run
-from dappledrum.standins.world import World
+from dappledrum.simulation.cluster import World
+from dappledrum.simulation.fault_combinations import FIVE
+from dappledrum.simulation.scenario import busy_world, nothing_lost
+from dappledrum.simulation.virtual_time import run
 
 
 @pytest.mark.parametrize("how", ["killed", "frozen", "cut"])
--- a/dappledrum/reach/test_cuts.py
+++ b/dappledrum/membership/test_partitions.py
@@ -5,11 +5,11 @@
 
 import pytest
 
-from dappledrum.leadership.messages import TransferLeadership
-from dappledrum.standins.cuts import after
-from dappledrum.standins.pairs import FIVE
-from dappledrum.standins.scenario import busy_world, nothing_lost, sessions
-from dappledrum.standins.world import job, led_world
+from dappledrum.election.messages import TransferLeadership
+from dappledrum.simulation.cluster import job, led_world
+from dappledrum.simulation.fault_combinations import FIVE
+from dappledrum.simulation.network_partitions import after
+from dappledrum.simulation.scenario import busy_world, nothing_lost, sessions
 
 
 async def test_who_is_not_served_names_no_former_leader():
--- a/dappledrum/model/promises.py
+++ b/dappledrum/model/election.py
@@ -18,13 +18,13 @@
 from dataclasses import dataclass, field
 from datetime import timedelta
 
+from dappledrum.election.messages import PromiseRequest
+from dappledrum.election.voter import PROMISE, VoteState
 from dappledrum.jobs.confirmed_cancellations import (
     CancellationWindow,
     ConfirmedCancellations,
     merge_windows,
 )
-from dappledrum.leadership.messages import PromiseRequest
-from dappledrum.leadership.votes import PROMISE, VoteState
 
 LIFE = 3.0
 MARGIN = 0.1
--- a/dappledrum/model/rules.py
+++ b/dappledrum/model/invariants.py
@@ -18,7 +18,7 @@
     Question,
     UserRequest,
 )
-from dappledrum.model.waiting import Amount, FreeMachine, Waiting, WaitingJob
+from dappledrum.model.queueing import Amount, FreeMachine, Waiting, WaitingJob
 
 
 class JobEvent(Enum):
--- a/dappledrum/model/test_promises.py
+++ b/dappledrum/model/test_election.py
@@ -4,16 +4,16 @@
 
 import pytest
 
-from dappledrum.leadership.messages import PromiseRequest
-from dappledrum.leadership.votes import VoteState
-from dappledrum.model.promises import GUARDS, search
+from dappledrum.election.messages import PromiseRequest
+from dappledrum.election.voter import VoteState
+from dappledrum.model.election import GUARDS, search
 
 RARE = (
     "free leaves a bar",
     "one that has just begun promises weakly",
     "who has stood does not promise",
-    # In leadership/test_confirmed_cancellations.py and controller/test_gap.py, with the code that
-    # has them:
+    # In election/test_confirmed_cancellations.py and controller/test_cancellations_in_outage.py,
+    # with the code that has them:
     "a reading counts from its sending",
     "an attestation counts from the question",
     "a leader attests for itself",
--- a/dappledrum/model/test_rules.py
+++ b/dappledrum/model/test_invariants.py
@@ -3,8 +3,8 @@
 import pytest
 
 from dappledrum.model.history import Answer, Question, UserRequest
-from dappledrum.model.rules import JobEvent, Rules
-from dappledrum.standins.world import job
+from dappledrum.model.invariants import JobEvent, Rules
+from dappledrum.simulation.cluster import job
 
 HERE, THERE, ORDINARY = ("small", "a", True), ("small", "b", True), ("small", "a", False)
 
--- a/dappledrum/model/test_waiting.py
+++ b/dappledrum/model/test_queueing.py
@@ -4,9 +4,9 @@
 
 from dappledrum.model.admissible import fault
 from dappledrum.model.history import Fault
-from dappledrum.model.rules import Rules
-from dappledrum.model.waiting import WAITING_S, Amount, FreeMachine
-from dappledrum.standins.world import TYPES, job
+from dappledrum.model.invariants import Rules
+from dappledrum.model.queueing import WAITING_S, Amount, FreeMachine
+from dappledrum.simulation.cluster import TYPES, job
 
 QUIET = 100.0
 LATE = QUIET + WAITING_S + 2.0
--- a/dappledrum/peers/client.py
+++ b/dappledrum/peers/client.py
@@ -5,9 +5,7 @@
 from datetime import timedelta
 from typing import Any
 
-from dappledrum.http.client import Caller, NoResponseError
-from dappledrum.jobs.confirmed_cancellations import CancellationWindow, merge_windows
-from dappledrum.leadership.messages import (
+from dappledrum.election.messages import (
     PreVote,
     PreVoteReply,
     PromiseReply,
@@ -15,7 +13,15 @@
     TransferLeadership,
     TransferLeadershipReply,
 )
-from dappledrum.leadership.questions import ALWAYS, Answers, majority
+from dappledrum.election.quorum import ALWAYS, Answers, majority
+from dappledrum.http.client import Caller, NoResponseError
+from dappledrum.jobs.confirmed_cancellations import CancellationWindow, merge_windows
+from dappledrum.membership.messages import (
+    ForwardedReports,
+    ForwardedReportsReply,
+    Heartbeats,
+    HeartbeatsReply,
+)
 from dappledrum.peers.messages import (
     HoldingQuestion,
     HoldingReply,
@@ -31,12 +37,6 @@
     decode,
     encode,
 )
-from dappledrum.reach.messages import (
-    ForwardedReports,
-    ForwardedReportsReply,
-    Heartbeats,
-    HeartbeatsReply,
-)
 from dappledrum.timing.clock import ZERO, shorter
 
 log = logging.getLogger(__name__)
--- a/dappledrum/peers/messages.py
+++ b/dappledrum/peers/messages.py
@@ -8,7 +8,7 @@
 import cbor2
 import msgspec
 
-from dappledrum.leadership.messages import (
+from dappledrum.election.messages import (
     Age,
     PreVote,
     PreVoteReply,
@@ -17,7 +17,7 @@
     TransferLeadership,
     TransferLeadershipReply,
 )
-from dappledrum.reach.messages import (
+from dappledrum.membership.messages import (
     ForwardedReports,
     ForwardedReportsReply,
     Heartbeats,
@@ -54,7 +54,7 @@
 
 
 class Promise(msgspec.Struct, tag="promise", tag_field="kind"):
-    """A request not to stand for leader for a limited time; see `leadership/`."""
+    """A request not to stand for leader for a limited time; see `election/`."""
 
     request: PromiseRequest
 
--- a/dappledrum/recovery/progress.py
+++ b/dappledrum/recovery/progress.py
@@ -7,7 +7,7 @@
 from datetime import timedelta
 
 from dappledrum.timing.clock import Clock
-from dappledrum.workers.roster import Machine, Roster
+from dappledrum.workers.machine_registry import Machine, Roster
 
 log = logging.getLogger(__name__)
 
--- a/dappledrum/recovery/test_last_answers.py
+++ b/dappledrum/recovery/test_last_answers.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from dappledrum.reach.test_outages import two_sides
-from dappledrum.standins.time import run
-from dappledrum.standins.world import World, job
-from dappledrum.workers.bookkeeping import Bookkeeper
+from dappledrum.membership.test_outages import two_sides
+from dappledrum.simulation.cluster import World, job
+from dappledrum.simulation.virtual_time import run
+from dappledrum.workers.reconciler import Bookkeeper
 
 FIVE = tuple(f"drummer-{index}" for index in range(5))
 LEASE = 9.0
--- a/dappledrum/recovery/test_progress.py
+++ b/dappledrum/recovery/test_progress.py
@@ -1,7 +1,7 @@
 """What a new leader says of its start."""
 
-from dappledrum.standins.time import run
-from dappledrum.standins.world import World, job
+from dappledrum.simulation.cluster import World, job
+from dappledrum.simulation.virtual_time import run
 
 
 def said(caplog):
--- a/dappledrum/recovery/test_reconciliation.py
+++ b/dappledrum/recovery/test_reconciliation.py
@@ -8,16 +8,16 @@
 import msgspec
 import pytest
 
+from dappledrum.jobs.job import Job
 from dappledrum.jobs.messages import JobRecord, PageRecord, Spec
-from dappledrum.jobs.record import Job
 from dappledrum.scheduling.estimates import Estimates
 from dappledrum.settings import WorkerLimits
-from dappledrum.standins.time import run
-from dappledrum.standins.world import job
+from dappledrum.simulation.cluster import job
+from dappledrum.simulation.virtual_time import run
 from dappledrum.timing.clock import Clock
-from dappledrum.workers.bookkeeping import Bookkeeper
+from dappledrum.workers.machine_registry import Roster
 from dappledrum.workers.messages import Report, TaskReport
-from dappledrum.workers.roster import Roster
+from dappledrum.workers.reconciler import Bookkeeper
 
 TOKEN = 5
 
--- a/dappledrum/recovery/test_return_times.py
+++ b/dappledrum/recovery/test_return_times.py
@@ -5,8 +5,8 @@
 import pytest
 
 from dappledrum.recovery.return_times import expected_report_in
-from dappledrum.standins.time import run
-from dappledrum.standins.world import World, job
+from dappledrum.simulation.cluster import World, job
+from dappledrum.simulation.virtual_time import run
 
 FIVE = tuple(f"drummer-{index}" for index in range(5))
 
--- a/dappledrum/scale/fleet.py
+++ b/dappledrum/scale/fleet.py
@@ -3,11 +3,11 @@
 import random
 from typing import Any
 
-from dappledrum.model.rules import Rules
+from dappledrum.model.invariants import Rules
 from dappledrum.scale.messages import Boot, CutZone, Describe, Vanish
 from dappledrum.scale.processes import Companion
-from dappledrum.standins.fleet import CloudService, Timing, Worker
-from dappledrum.standins.network import Network
+from dappledrum.simulation.fleet import CloudService, Timing, Worker
+from dappledrum.simulation.network import Network
 
 
 class RemoteWorker:
--- a/dappledrum/scale/hollow.py
+++ b/dappledrum/scale/hollow.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from dappledrum.model.rules import JobFacts
+from dappledrum.model.invariants import JobFacts
 from dappledrum.scale.lines import Events, serve_commands
 from dappledrum.scale.messages import (
     Boot,
@@ -28,7 +28,7 @@
     Vanish,
 )
 from dappledrum.scale.sockets import SocketNetwork
-from dappledrum.standins.fleet import Timing, Worker
+from dappledrum.simulation.fleet import Timing, Worker
 
 LEASE_STEP_S = 0.5  # hundreds of workers look at their leases in one process
 
--- a/dappledrum/scale/measure.py
+++ b/dappledrum/scale/measure.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
+from dappledrum.election.messages import LeaderRecord
 from dappledrum.http.client import NoResponseError
-from dappledrum.leadership.messages import LeaderRecord
 from dappledrum.scale.controllers import Controllers
 from dappledrum.scale.messages import Counters, Report, StateCounters
 from dappledrum.scale.processes import Companion, Usage, usage
--- a/dappledrum/scale/order.py
+++ b/dappledrum/scale/order.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from functools import partial
 
-from dappledrum.model.rules import Rules
+from dappledrum.model.invariants import Rules
 from dappledrum.scale.messages import Ended, Event, Started
 
 WAIT_S = 2.0  # how late an event may come behind one of another process
--- a/dappledrum/scale/run.py
+++ b/dappledrum/scale/run.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from dappledrum import __version__
-from dappledrum.model.rules import Rules
+from dappledrum.model.invariants import Rules
 from dappledrum.scale.addresses import free_address
 from dappledrum.scale.controllers import Controllers
 from dappledrum.scale.fleet import RemoteCloud
@@ -24,7 +24,7 @@
 from dappledrum.scale.state_service import StateSettings
 from dappledrum.scale.users import URGENCIES, Users, histogram, milliseconds
 from dappledrum.settings import split_address
-from dappledrum.standins.fleet import Timing
+from dappledrum.simulation.fleet import Timing
 
 CPUS = 32.0  # of a machine
 BUSY = 0.9  # share of the room for tasks that the work fills
--- a/dappledrum/scale/sockets.py
+++ b/dappledrum/scale/sockets.py
@@ -1,6 +1,7 @@
 """The stand-ins' network over loopback TCP.
 
-Offers what the stand-ins use of `standins.network.Network`: `services`, `addresses` and `caller`.
+Offers what the stand-ins use of `simulation.network.Network`: `services`, `addresses` and
+`caller`.
 """
 
 import asyncio
@@ -10,7 +11,7 @@
 from dappledrum.http.server import Request, Response, Server
 from dappledrum.scale.messages import Traffic
 from dappledrum.settings import split_address
-from dappledrum.standins.network import Service
+from dappledrum.simulation.network import Service
 
 MAX_CONNECTIONS = 20_000
 HEAD_BYTES = 90  # of a request or answer, beside its path and body
--- a/dappledrum/scale/state_service.py
+++ b/dappledrum/scale/state_service.py
@@ -17,7 +17,7 @@
 from dappledrum.scale.messages import Command, Counters, StateCounters
 from dappledrum.scale.sockets import HEAD_BYTES, served
 from dappledrum.settings import split_address
-from dappledrum.standins.state_service import StateService
+from dappledrum.simulation.state_service import StateService
 
 
 class StateSettings(msgspec.Struct):
--- a/dappledrum/scale/test_scale.py
+++ b/dappledrum/scale/test_scale.py
@@ -11,13 +11,13 @@
 import psutil
 import pytest
 
-from dappledrum.model.rules import Rules
+from dappledrum.model.invariants import Rules
 from dappledrum.scale.__main__ import checked, parser
 from dappledrum.scale.messages import Ended, Started
 from dappledrum.scale.order import WAIT_S, OrderedEvents
 from dappledrum.scale.processes import ROOT
 from dappledrum.scale.run import Options, play
-from dappledrum.standins.world import job
+from dappledrum.simulation.cluster import job
 
 SMALL = Options(
     workers=30, tasks_per_worker=4, tasks_per_job=20, run_s=2.0, report_s=1.0, phase_s=4.0
--- a/dappledrum/scheduling/paid_time.py
+++ b/dappledrum/scheduling/backfill.py
@@ -6,7 +6,7 @@
 
 from dappledrum.scheduling.bags import Bag
 from dappledrum.scheduling.capacity import Row
-from dappledrum.scheduling.draft import Draft
+from dappledrum.scheduling.plan_builder import Draft
 from dappledrum.scheduling.timeline import FetchTimes, Gap, MachineTimeline
 from dappledrum.timing.clock import ZERO
 
--- a/dappledrum/scheduling/gang_placement.py
+++ b/dappledrum/scheduling/gang_placement.py
@@ -2,7 +2,7 @@
 
 from dappledrum.gangs.search import Gang, GangSlot, Search
 from dappledrum.scheduling.bags import Bag
-from dappledrum.scheduling.draft import Draft
+from dappledrum.scheduling.plan_builder import Draft
 from dappledrum.scheduling.timeline import Gap, Kind
 
 GANGS_SOUGHT = 4  # gangs for which one plan searches more than the free capacity of now
--- a/dappledrum/scheduling/plan.py
+++ b/dappledrum/scheduling/plan.py
@@ -9,11 +9,11 @@
 from collections.abc import Collection, Iterator, Sequence
 from datetime import timedelta
 
+from dappledrum.scheduling.backfill import PaidTime
 from dappledrum.scheduling.bags import Bag, TeamCapacity
-from dappledrum.scheduling.draft import Draft, Plan
 from dappledrum.scheduling.gang_placement import GangPlacement
-from dappledrum.scheduling.paid_time import PaidTime
-from dappledrum.scheduling.renting import Renting
+from dappledrum.scheduling.plan_builder import Draft, Plan
+from dappledrum.scheduling.scale_out import Renting
 from dappledrum.scheduling.timeline import MachineTimeline, Offer
 
 
--- a/dappledrum/scheduling/renting.py
+++ b/dappledrum/scheduling/scale_out.py
@@ -9,7 +9,7 @@
 
 from dappledrum.scheduling.bags import Bag
 from dappledrum.scheduling.capacity import Row
-from dappledrum.scheduling.draft import Draft
+from dappledrum.scheduling.plan_builder import Draft
 from dappledrum.scheduling.timeline import SLACK, FetchTimes, Gap, Kind, MachineTimeline, Offer
 from dappledrum.timing.clock import ZERO
 
--- a/dappledrum/scheduling/test_chains.py
+++ b/dappledrum/scheduling/test_stages.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from dappledrum.model.dds import plain_stages
-from dappledrum.scheduling.chains import Link, stages
+from dappledrum.scheduling.stages import Link, stages
 from dappledrum.timing.clock import seconds
 
 OPTIMISM = 0.8
--- a/dappledrum/scheduling/test_preempt.py
+++ b/dappledrum/scheduling/test_victim_selection.py
@@ -5,8 +5,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from dappledrum.scheduling.preempt import Host, Victim, choose
 from dappledrum.scheduling.timeline import Size
+from dappledrum.scheduling.victim_selection import Host, Victim, choose
 from dappledrum.timing.clock import seconds
 
 tasks = st.lists(st.tuples(st.integers(1, 4), st.integers(0, 50)), max_size=5)
--- a/dappledrum/standins/world.py
+++ b/dappledrum/simulation/cluster.py
@@ -12,11 +12,11 @@
 
 import msgspec
 
-from dappledrum.controller.node import Node
+from dappledrum.controller.controller import Node
 from dappledrum.http.client import Caller, NoResponseError, Reply
 from dappledrum.http.server import Handler, Request, Response
 from dappledrum.model.history import ACCEPTED, REFUSED
-from dappledrum.model.rules import Rules
+from dappledrum.model.invariants import Rules
 from dappledrum.settings import (
     CloudLimits,
     External,
@@ -29,11 +29,11 @@
     Tuning,
     WorkerLimits,
 )
-from dappledrum.standins import recording
-from dappledrum.standins.fleet import CloudService, Timing
-from dappledrum.standins.network import Link, Network, Service
-from dappledrum.standins.state_service import StateService
-from dappledrum.standins.time import PROCESS, SkewedClock, VirtualLoop
+from dappledrum.simulation import history_recording
+from dappledrum.simulation.fleet import CloudService, Timing
+from dappledrum.simulation.network import Link, Network, Service
+from dappledrum.simulation.state_service import StateService
+from dappledrum.simulation.virtual_time import PROCESS, SkewedClock, VirtualLoop
 
 TYPES = [
     {
@@ -418,12 +418,12 @@
         if member is None and alive:
             member = self.rng.choice(alive)
         number = self.rules.history.next_number()
-        asked = recording.question(number, self.now(), path, body, member, self.cloud)
+        asked = history_recording.question(number, self.now(), path, body, member, self.cloud)
         if asked is not None:
             self.rules.record(asked)
         reply = await self._request(method, path, body, member)
         if asked is not None:
-            self.rules.record(recording.answer(number, self.now(), reply))
+            self.rules.record(history_recording.answer(number, self.now(), reply))
         return reply
 
     async def _request(
--- a/dappledrum/standins/costs.py
+++ b/dappledrum/simulation/costs.py
@@ -1,6 +1,6 @@
 """What the work of controllers costs, by duty, over the stand-ins and in virtual time.
 
-    python3 -m dappledrum.standins.costs [--machines 60] [--until 90] [--seed 1] [--end 60]
+    python3 -m dappledrum.simulation.costs [--machines 60] [--until 90] [--seed 1] [--end 60]
 
 Five whole controllers and a fleet that is kept busy, as in `experiment`; with `--end S` the leader
 ends then. A row a slice: calls of its functions, which are the same on every machine for a seed
@@ -19,10 +19,10 @@
 from pathlib import Path
 from typing import Any
 
-from dappledrum.standins.days import Day
-from dappledrum.standins.experiment import play
-from dappledrum.standins.time import run
-from dappledrum.standins.troubles.controllers import NodeCrash
+from dappledrum.simulation.day_file import Day
+from dappledrum.simulation.experiment import play
+from dappledrum.simulation.faults.controllers import NodeCrash
+from dappledrum.simulation.virtual_time import run
 
 ROOT = Path(__file__).parents[1]
 
@@ -62,7 +62,7 @@
             continue
         inside = path.relative_to(ROOT)
         part = inside.parts[0] if len(inside.parts) > 1 else "root"
-        if part in ("standins", "model") or path.name.startswith("test_"):
+        if part in ("simulation", "model") or path.name.startswith("test_"):
             continue
         number[part] += count
         seconds[part] += own
@@ -73,7 +73,7 @@
 def main(argv: list[str] | None = None) -> int:
     """Print the table."""
     parser = argparse.ArgumentParser(
-        prog="python3 -m dappledrum.standins.costs",
+        prog="python3 -m dappledrum.simulation.costs",
         description="What the controllers' work costs.",
     )
     parser.add_argument("--machines", type=int, default=60, metavar="N", help="default 60")
@@ -91,8 +91,8 @@
     report = run(play(day, options.seed, options.machines, 0.3, options.until))
     profile.disable()
     number, seconds, functions = by_slice(pstats.Stats(profile))
-    reports = functions["workers/bookkeeping.py:take"]
-    placed = functions["jobs/record.py:place"]
+    reports = functions["workers/reconciler.py:take"]
+    placed = functions["jobs/job.py:place"]
     plans = functions["dispatch/dispatcher.py:run"]
     print(
         f"{options.machines} machines, seed {options.seed}, {options.until:g} s: {reports} reports"
--- a/dappledrum/standins/ends.py
+++ b/dappledrum/simulation/crash_points.py
@@ -13,9 +13,9 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from dappledrum.standins.network import Sent, host
-from dappledrum.standins.pairs import FIVE
-from dappledrum.standins.world import World, job, led_world
+from dappledrum.simulation.cluster import World, job, led_world
+from dappledrum.simulation.fault_combinations import FIVE
+from dappledrum.simulation.network import Sent, host
 
 BACK = (0.0, 0.01, 0.1, 0.3, 1.0)
 MAX_LATENESS = 5.0
--- a/dappledrum/standins/days.py
+++ b/dappledrum/simulation/day_file.py
@@ -1,6 +1,6 @@
 """Days in files, with the kinds of trouble that the bench's days have, played over the stand-ins.
 
-Only what `standins/troubles` lists is known; anything else in a day's file ends it with a clear
+Only what `simulation/troubles` lists is known; anything else in a day's file ends it with a clear
 error. `busiest` takes the leader first, `count` how many.
 """
 
@@ -10,8 +10,8 @@
 
 import msgspec
 
-from dappledrum.standins.troubles import TroubleError, convert
-from dappledrum.standins.troubles.base import FaultLog
+from dappledrum.simulation.faults import TroubleError, convert
+from dappledrum.simulation.faults.base import FaultLog
 
 
 class DayError(Exception):
--- a/dappledrum/standins/experiment.py
+++ b/dappledrum/simulation/experiment.py
@@ -1,6 +1,6 @@
 """A day's file over the stand-ins, and what it costs, in virtual time.
 
-    python3 -m dappledrum.standins.experiment DAY.toml [--machines 60] [--seeds 3] [--back 0.3]
+    python3 -m dappledrum.simulation.experiment DAY.toml [--machines 60] [--seeds 3] [--back 0.3]
                                               [--until S] [--report FILE] [--trace FILE]
 
 Five whole controllers, a fleet that is kept busy, rules checked after each step. The report (JSON)
@@ -19,11 +19,11 @@
 
 import msgspec
 
-from dappledrum.standins.days import Day, DayError, load
-from dappledrum.standins.time import run
-from dappledrum.standins.trace import MessageTrace
-from dappledrum.standins.troubles.base import FaultLog
-from dappledrum.standins.world import World, job
+from dappledrum.simulation.cluster import World, job
+from dappledrum.simulation.day_file import Day, DayError, load
+from dappledrum.simulation.faults.base import FaultLog
+from dappledrum.simulation.trace import MessageTrace
+from dappledrum.simulation.virtual_time import run
 
 FIVE = tuple(f"drummer-{index}" for index in range(5))
 STEP = 0.25
@@ -186,7 +186,7 @@
 def main(argv: list[str] | None = None) -> int:
     """Play a day's file with some seeds."""
     parser = argparse.ArgumentParser(
-        prog="python3 -m dappledrum.standins.experiment",
+        prog="python3 -m dappledrum.simulation.experiment",
         description="Play a day over the stand-ins, and report what it costs.",
     )
     parser.add_argument("day", type=Path, metavar="DAY.toml")
--- a/dappledrum/standins/pairs.py
+++ b/dappledrum/simulation/fault_combinations.py
@@ -1,7 +1,8 @@
 """Two or three troubles of all kinds that overlap, drawn from a seed, while users submit, ask and
 cancel.
 
-    python3 -m dappledrum.standins.pairs [--from 0] [--count 100] [--kinds KIND,KIND] [--triples]
+    python3 -m dappledrum.simulation.fault_combinations [--from 0] [--count 100]
+        [--kinds KIND,KIND] [--triples]
 
 Five whole controllers in virtual time, rules checked after each step, also that every accepted job
 is known once all is over. The seed of each failure is printed; the same seed plays the same again
@@ -17,11 +18,11 @@
 import sys
 from typing import Any
 
-from dappledrum.standins.logged_failures import LoggedFailures
-from dappledrum.standins.time import run
-from dappledrum.standins.troubles import KINDS, convert, end_all
-from dappledrum.standins.troubles.base import FaultLog
-from dappledrum.standins.world import World, job
+from dappledrum.simulation.cluster import World, job
+from dappledrum.simulation.faults import KINDS, convert, end_all
+from dappledrum.simulation.faults.base import FaultLog
+from dappledrum.simulation.logged_failures import LoggedFailures
+from dappledrum.simulation.virtual_time import run
 
 FIVE = tuple(f"drummer-{index}" for index in range(5))
 MACHINES = 10
@@ -196,7 +197,7 @@
 
 def main(argv: list[str] | None = None) -> int:
     """Play draws, and print the seed of each failure."""
-    parser = argparse.ArgumentParser(prog="python3 -m dappledrum.standins.pairs")
+    parser = argparse.ArgumentParser(prog="python3 -m dappledrum.simulation.fault_combinations")
     parser.add_argument("--from", dest="first", type=int, default=0, metavar="SEED")
     parser.add_argument("--count", type=int, default=100, metavar="N")
     parser.add_argument("--kinds", default="", metavar="KIND,KIND", help="drawn of these only")
--- a/dappledrum/standins/failures.py
+++ b/dappledrum/simulation/fault_scenarios.py
@@ -3,7 +3,7 @@
 
 from collections.abc import Awaitable, Callable
 
-from dappledrum.standins.world import World, job
+from dappledrum.simulation.cluster import World, job
 
 FaultLog = Callable[[World], Awaitable[None]]
 
--- a/dappledrum/standins/troubles/__init__.py
+++ b/dappledrum/simulation/faults/__init__.py
@@ -9,9 +9,9 @@
 
 import msgspec
 
-from dappledrum.standins.troubles import controllers, machines, state_service, users
-from dappledrum.standins.troubles.base import FaultLog
-from dappledrum.standins.world import World
+from dappledrum.simulation.cluster import World
+from dappledrum.simulation.faults import controllers, machines, state_service, users
+from dappledrum.simulation.faults.base import FaultLog
 
 
 class TroubleError(Exception):
--- a/dappledrum/standins/troubles/base.py
+++ b/dappledrum/simulation/faults/base.py
@@ -7,7 +7,7 @@
 import msgspec
 from msgspec import Meta
 
-from dappledrum.standins.world import World
+from dappledrum.simulation.cluster import World
 
 Seconds = Annotated[float, Meta(ge=0, le=86_400)]
 Share = Annotated[float, Meta(ge=0, le=1)]
--- a/dappledrum/standins/troubles/controllers.py
+++ b/dappledrum/simulation/faults/controllers.py
@@ -2,8 +2,8 @@
 
 from typing import Literal
 
-from dappledrum.standins.troubles.base import Count, FaultLog, LastingTrouble, Seconds, later
-from dappledrum.standins.world import World
+from dappledrum.simulation.cluster import World
+from dappledrum.simulation.faults.base import Count, FaultLog, LastingTrouble, Seconds, later
 
 
 def _chosen(world: World, count: int, busiest: bool) -> list[str]:
--- a/dappledrum/standins/troubles/machines.py
+++ b/dappledrum/simulation/faults/machines.py
@@ -1,10 +1,10 @@
 """Troubles of machines and of the cloud: they fail, hang, hear or reach nobody, and what they send
 or are sent arrives late."""
 
-from dappledrum.standins.fleet import Worker
-from dappledrum.standins.network import Copies, LateCommands
-from dappledrum.standins.troubles.base import Count, FaultLog, LastingTrouble, Share, later
-from dappledrum.standins.world import World
+from dappledrum.simulation.cluster import World
+from dappledrum.simulation.faults.base import Count, FaultLog, LastingTrouble, Share, later
+from dappledrum.simulation.fleet import Worker
+from dappledrum.simulation.network import Copies, LateCommands
 
 LISTED_S = 30.0  # for how long the cloud lists a machine that has failed
 LATE_REPORTS = (2.0, 3.0)  # from seconds to leases
--- a/dappledrum/standins/troubles/state_service.py
+++ b/dappledrum/simulation/faults/state_service.py
@@ -1,8 +1,8 @@
 """Troubles of the state service: outages, and transactions whose sender hears nothing."""
 
-from dappledrum.standins.network import LateWrites
-from dappledrum.standins.troubles.base import LastingTrouble, Share, later
-from dappledrum.standins.world import World
+from dappledrum.simulation.cluster import World
+from dappledrum.simulation.faults.base import LastingTrouble, Share, later
+from dappledrum.simulation.network import LateWrites
 
 LATE_WRITES = (2.0, 12.0)  # seconds, as the bench has it
 
--- a/dappledrum/standins/troubles/users.py
+++ b/dappledrum/simulation/faults/users.py
@@ -7,9 +7,9 @@
 import math
 from collections.abc import Callable
 
-from dappledrum.model.rules import JobEvent
-from dappledrum.standins.fleet import Worker
-from dappledrum.standins.troubles.base import (
+from dappledrum.model.invariants import JobEvent
+from dappledrum.simulation.cluster import World, job
+from dappledrum.simulation.faults.base import (
     Count,
     FaultLog,
     LastingTrouble,
@@ -17,8 +17,8 @@
     Share,
     later,
 )
-from dappledrum.standins.troubles.machines import hang
-from dappledrum.standins.world import World, job
+from dappledrum.simulation.faults.machines import hang
+from dappledrum.simulation.fleet import Worker
 
 CANCEL_WITHIN_S = 0.2
 LONG_TO_GO_S = 10.0
--- a/dappledrum/standins/fleet.py
+++ b/dappledrum/simulation/fleet.py
@@ -9,10 +9,10 @@
 from typing import Any
 
 from dappledrum.http.client import NoResponseError, Reply
-from dappledrum.model.rules import Rules
-from dappledrum.model.waiting import Amount, FreeMachine
-from dappledrum.standins.network import Network
-from dappledrum.standins.state_service import reply
+from dappledrum.model.invariants import Rules
+from dappledrum.model.queueing import Amount, FreeMachine
+from dappledrum.simulation.network import Network
+from dappledrum.simulation.state_service import reply
 
 LIST_LAGS = 2  # the list is older than its usual age by so much at the most
 
--- a/dappledrum/standins/truth.py
+++ b/dappledrum/simulation/ground_truth.py
@@ -10,12 +10,12 @@
 from typing import Any
 from unittest.mock import patch
 
-from dappledrum.accounts.entries import Entry
-from dappledrum.jobs.record import Placement
-from dappledrum.standins.fleet import CloudService
-from dappledrum.workers.bookkeeping import Bookkeeper
+from dappledrum.accounting.entries import Entry
+from dappledrum.jobs.job import Placement
+from dappledrum.simulation.fleet import CloudService
+from dappledrum.workers.machine_registry import Machine
 from dappledrum.workers.messages import Report
-from dappledrum.workers.roster import Machine
+from dappledrum.workers.reconciler import Bookkeeper
 
 
 class Truth:
--- a/dappledrum/standins/recording.py
+++ b/dappledrum/simulation/history_recording.py
@@ -5,7 +5,7 @@
 from dappledrum.http.client import Reply
 from dappledrum.model.admissible import fault
 from dappledrum.model.history import ACCEPTED, Answer, Question, UserRequest
-from dappledrum.standins.fleet import CloudService
+from dappledrum.simulation.fleet import CloudService
 
 
 def question(
--- a/dappledrum/standins/odd_requests.py
+++ b/dappledrum/simulation/invalid_requests.py
@@ -7,8 +7,8 @@
 from typing import Any
 
 from dappledrum.http.server import Request, Response
-from dappledrum.standins.users import sent_form
-from dappledrum.standins.world import World, job
+from dappledrum.simulation.cluster import World, job
+from dappledrum.simulation.users import sent_form
 
 ABSENT = object()  # a field that is left out
 #: Requests that nobody should send: method, path, changes of a submission (None: another body),
--- a/dappledrum/standins/network.py
+++ b/dappledrum/simulation/network.py
@@ -9,7 +9,7 @@
 from typing import Any, NamedTuple
 
 from dappledrum.http.client import NoResponseError, NotSentError, Reply
-from dappledrum.standins.trace import MessageTrace, Request
+from dappledrum.simulation.trace import MessageTrace, Request
 from dappledrum.timing.timeouts import PauseTolerantTimeout
 
 Service = Callable[
--- a/dappledrum/standins/cuts.py
+++ b/dappledrum/simulation/network_partitions.py
@@ -1,6 +1,6 @@
 """What cuts cost, before and after: whole controllers over the stand-ins, in virtual time.
 
-    python3 -m dappledrum.standins.cuts [SEEDS]
+    python3 -m dappledrum.simulation.network_partitions [SEEDS]
 
 For each cut of 45 s, with and without `--reach`: seconds without a leader, the longest time in
 which each machine had no answered report (median, 99th percentile, most), and sessions that ended.
@@ -12,8 +12,8 @@
 import sys
 from collections.abc import Callable
 
-from dappledrum.standins.time import run
-from dappledrum.standins.world import World, job
+from dappledrum.simulation.cluster import World, job
+from dappledrum.simulation.virtual_time import run
 
 FIVE = tuple(f"drummer-{n}" for n in range(5))
 LENGTH = 45.0
--- a/dappledrum/standins/scenario.py
+++ b/dappledrum/simulation/scenario.py
@@ -12,10 +12,10 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from dappledrum.standins.pairs import FIVE, submission, user
-from dappledrum.standins.time import run
-from dappledrum.standins.troubles import end_all
-from dappledrum.standins.world import World, job, led_world
+from dappledrum.simulation.cluster import World, job, led_world
+from dappledrum.simulation.fault_combinations import FIVE, submission, user
+from dappledrum.simulation.faults import end_all
+from dappledrum.simulation.virtual_time import run
 
 LEASE_S = 9.0
 CANCEL_S = 30.0
--- a/dappledrum/standins/test_costs.py
+++ b/dappledrum/simulation/test_costs.py
@@ -8,13 +8,13 @@
 from dappledrum.scheduling.plan import Bag, Planner, TeamCapacity
 from dappledrum.scheduling.timeline import Kind, MachineTimeline, Offer, Size
 from dappledrum.settings import WorkerLimits
-from dappledrum.standins.costs import calls, main
-from dappledrum.standins.time import run
-from dappledrum.standins.world import World
+from dappledrum.simulation.cluster import World
+from dappledrum.simulation.costs import calls, main
+from dappledrum.simulation.virtual_time import run
 from dappledrum.timing.clock import Clock
-from dappledrum.workers.bookkeeping import Bookkeeper
+from dappledrum.workers.machine_registry import Roster
 from dappledrum.workers.messages import Report
-from dappledrum.workers.roster import Roster
+from dappledrum.workers.reconciler import Bookkeeper
 
 SPOT, ORDINARY = Kind("small", "a", True), Kind("small", "a", False)
 SIZE = Size(1.0, 0.0, 1.0)
--- a/dappledrum/standins/test_days.py
+++ b/dappledrum/simulation/test_days.py
@@ -8,11 +8,11 @@
 import pytest
 
 from dappledrum.http.client import NoResponseError
-from dappledrum.model.rules import JobEvent
-from dappledrum.standins.days import DayError, load
-from dappledrum.standins.time import run
-from dappledrum.standins.troubles import KINDS, convert, end_all
-from dappledrum.standins.world import World, job
+from dappledrum.model.invariants import JobEvent
+from dappledrum.simulation.cluster import World, job
+from dappledrum.simulation.day_file import DayError, load
+from dappledrum.simulation.faults import KINDS, convert, end_all
+from dappledrum.simulation.virtual_time import run
 
 BACK_S = 1.0
 SECOND = timedelta(seconds=1)
--- a/dappledrum/standins/test_experiment.py
+++ b/dappledrum/simulation/test_experiment.py
@@ -3,8 +3,8 @@
 import msgspec
 import pytest
 
-from dappledrum.standins.experiment import Report, main
-from dappledrum.standins.troubles import KINDS
+from dappledrum.simulation.experiment import Report, main
+from dappledrum.simulation.faults import KINDS
 
 DAY = """
 name = "all kinds"
--- a/dappledrum/standins/test_pairs.py
+++ b/dappledrum/simulation/test_fault_combinations.py
@@ -1,12 +1,18 @@
 """Two or three troubles that meet, of all kinds; a fixed dozen and a half here, as many as time
-allows by `python3 -m dappledrum.standins.pairs`."""
+allows by `python3 -m dappledrum.simulation.fault_combinations`."""
 
 import random
 
 import pytest
 
-from dappledrum.standins.pairs import CHANGES_OF_LEADER, DRAWN, draw_troubles, main, play
-from dappledrum.standins.time import run
+from dappledrum.simulation.fault_combinations import (
+    CHANGES_OF_LEADER,
+    DRAWN,
+    draw_troubles,
+    main,
+    play,
+)
+from dappledrum.simulation.virtual_time import run
 
 #: With each the kinds that meet; between them and the triples they name all.
 DOZEN = (
--- a/dappledrum/standins/test_recording.py
+++ b/dappledrum/simulation/test_history_recording.py
@@ -6,8 +6,8 @@
 import pytest
 
 from dappledrum.http.client import Reply
-from dappledrum.standins.time import run
-from dappledrum.standins.world import World, job
+from dappledrum.simulation.cluster import World, job
+from dappledrum.simulation.virtual_time import run
 
 NAME = "j-000001"
 LIAR = "drummer-1"
--- a/dappledrum/standins/test_trace.py
+++ b/dappledrum/simulation/test_trace.py
@@ -9,12 +9,12 @@
 import pytest
 
 from dappledrum.http.client import NoResponseError, NotSentError, Reply
-from dappledrum.standins import trace_digests
-from dappledrum.standins.days import Day
-from dappledrum.standins.experiment import main, play
-from dappledrum.standins.network import LateWrites, Network
-from dappledrum.standins.time import run
-from dappledrum.standins.trace import MessageTrace
+from dappledrum.simulation import trace_digests
+from dappledrum.simulation.day_file import Day
+from dappledrum.simulation.experiment import main, play
+from dappledrum.simulation.network import LateWrites, Network
+from dappledrum.simulation.trace import MessageTrace
+from dappledrum.simulation.virtual_time import run
 
 SECOND = timedelta(seconds=1)
 VERY_SMALL = ["--machines", "2", "--seeds", "1", "--until", "12"]
--- a/dappledrum/standins/test_users.py
+++ b/dappledrum/simulation/test_users.py
@@ -5,8 +5,8 @@
 import pytest
 
 from dappledrum.http.client import Reply
-from dappledrum.standins.time import run
-from dappledrum.standins.world import World, job
+from dappledrum.simulation.cluster import World, job
+from dappledrum.simulation.virtual_time import run
 
 NAME = "j-000001"
 PENDING = Reply(200, b'{"id":"j-000001","stance":"pending"}')
--- a/dappledrum/standins/trace_digests.py
+++ b/dappledrum/simulation/trace_digests.py
@@ -1,6 +1,6 @@
 """Compares the message traces of fixed days with committed digests.
 
-    PYTHONHASHSEED=0 python3 -m dappledrum.standins.trace_digests [--write] [--jobs N]
+    PYTHONHASHSEED=0 python3 -m dappledrum.simulation.trace_digests [--write] [--jobs N]
                                                                   [--traces DIR] [--day NAME]...
 
 Each play runs in a process of its own. Every play that differs is printed, and the exit status is
@@ -18,10 +18,10 @@
 
 import msgspec
 
-from dappledrum.standins.days import load
-from dappledrum.standins.experiment import play
-from dappledrum.standins.time import run
-from dappledrum.standins.trace import MessageTrace
+from dappledrum.simulation.day_file import load
+from dappledrum.simulation.experiment import play
+from dappledrum.simulation.trace import MessageTrace
+from dappledrum.simulation.virtual_time import run
 
 FIXTURE = Path(__file__).with_name("trace_digests.json")
 DAYS = Path(__file__).parents[2] / "days"
@@ -136,7 +136,7 @@
 
 def _options(argv: list[str] | None) -> argparse.Namespace:
     parser = argparse.ArgumentParser(
-        prog="PYTHONHASHSEED=0 python3 -m dappledrum.standins.trace_digests",
+        prog="PYTHONHASHSEED=0 python3 -m dappledrum.simulation.trace_digests",
         description="Compare the message traces of fixed days with the committed digests.",
     )
     names = [case.day for case in CASES]
--- a/dappledrum/standins/users.py
+++ b/dappledrum/simulation/users.py
@@ -13,8 +13,8 @@
 from typing import Any, NamedTuple
 
 from dappledrum.http.client import NoResponseError, Reply
-from dappledrum.standins import recording
-from dappledrum.standins.world import World, job
+from dappledrum.simulation import history_recording
+from dappledrum.simulation.cluster import World, job
 
 REQUEST_TIMEOUT = timedelta(seconds=2)
 UNKNOWN, ACCEPTED, FINAL = range(3)
@@ -85,16 +85,16 @@
         """Ask one controller; the history is told when the question began and what came of it."""
         history = self.world.rules.history
         asked, number = _now(), history.next_number()
-        question = recording.question(number, asked, path, body, member, self.world.cloud)
+        question = history_recording.question(number, asked, path, body, member, self.world.cloud)
         assert question is not None
         self.world.rules.record(question)
         try:
             caller = self.world.network.caller("user", member)
             reply = await caller.request(method, path, body, REQUEST_TIMEOUT)
         except NoResponseError:
-            self.world.rules.record(recording.answer(number, _now(), None))
+            self.world.rules.record(history_recording.answer(number, _now(), None))
             return None
-        self.world.rules.record(recording.answer(number, _now(), reply))
+        self.world.rules.record(history_recording.answer(number, _now(), reply))
         self._note(reply, asked, member)
         return reply
 
--- a/dappledrum/standins/busy.py
+++ b/dappledrum/simulation/workloads.py
@@ -11,14 +11,14 @@
 from datetime import timedelta
 from typing import Any
 
-from dappledrum.controller.node import Node
-from dappledrum.leading.leader import Leader
-from dappledrum.standins.fleet import Worker
-from dappledrum.standins.network import Copies
-from dappledrum.standins.pairs import FIVE
-from dappledrum.standins.scenario import LEASE_S, end_faults, later, now
-from dappledrum.standins.time import run
-from dappledrum.standins.world import World, job
+from dappledrum.controller.controller import Node
+from dappledrum.leader.leader import Leader
+from dappledrum.simulation.cluster import World, job
+from dappledrum.simulation.fault_combinations import FIVE
+from dappledrum.simulation.fleet import Worker
+from dappledrum.simulation.network import Copies
+from dappledrum.simulation.scenario import LEASE_S, end_faults, later, now
+from dappledrum.simulation.virtual_time import run
 
 LOOK_EVERY_S = 0.25
 CLOCKS_OFF = timedelta(seconds=0.5)  # and the steps in which the worlds are looked at
--- a/dappledrum/state/hint.py
+++ b/dappledrum/store/advisory_record.py
@@ -9,9 +9,9 @@
 
 import msgspec
 
-from dappledrum.state.budget import Rank
-from dappledrum.state.client import State, StateError, raw
-from dappledrum.state.messages import Guard, Put
+from dappledrum.store.client import State, StateError, raw
+from dappledrum.store.messages import Guard, Put
+from dappledrum.store.rate_limiter import Rank
 
 log = logging.getLogger(__name__)
 
--- a/dappledrum/state/client.py
+++ b/dappledrum/store/client.py
@@ -15,10 +15,9 @@
 import msgspec
 
 from dappledrum.http.client import Caller, NoResponseError, NotSentError, Reply
-from dappledrum.reach.links import Link
+from dappledrum.membership.link_health import Link
 from dappledrum.settings import StateLimits
-from dappledrum.state.budget import Budget, Rank
-from dappledrum.state.messages import (
+from dappledrum.store.messages import (
     Conflict,
     Delete,
     Entry,
@@ -32,6 +31,7 @@
     TimeToLive,
     Transaction,
 )
+from dappledrum.store.rate_limiter import Budget, Rank
 from dappledrum.timing.clock import ZERO, Clock
 from dappledrum.timing.fault_log import FaultLog
 
--- a/dappledrum/state/hedge.py
+++ b/dappledrum/store/hedged_commit.py
@@ -14,9 +14,9 @@
 
 import msgspec
 
-from dappledrum.state.budget import Rank
-from dappledrum.state.client import REQUEST_TIMEOUT, ConflictError, State, StateError
-from dappledrum.state.messages import Delete, Entry, Guard, Put
+from dappledrum.store.client import REQUEST_TIMEOUT, ConflictError, State, StateError
+from dappledrum.store.messages import Delete, Entry, Guard, Put
+from dappledrum.store.rate_limiter import Rank
 from dappledrum.timing.clock import ZERO
 
 log = logging.getLogger(__name__)
--- a/dappledrum/state/test_state.py
+++ b/dappledrum/store/test_client.py
@@ -8,9 +8,8 @@
 
 from dappledrum.http.client import NoResponseError, NotSentError, Reply
 from dappledrum.settings import StateLimits
-from dappledrum.standins.time import run
-from dappledrum.state.budget import Budget, Rank
-from dappledrum.state.client import (
+from dappledrum.simulation.virtual_time import run
+from dappledrum.store.client import (
     CompactedError,
     ConflictError,
     LeaseLostError,
@@ -20,7 +19,8 @@
     UnknownError,
     raw,
 )
-from dappledrum.state.messages import Guard, Put
+from dappledrum.store.messages import Guard, Put
+from dappledrum.store.rate_limiter import Budget, Rank
 from dappledrum.timing.clock import ZERO, Clock, seconds
 
 
--- a/dappledrum/state/test_guards.py
+++ b/dappledrum/store/test_guards.py
@@ -8,10 +8,10 @@
 import pytest
 
 from dappledrum.settings import NextLimits
-from dappledrum.standins.network import LateWrites
-from dappledrum.standins.pairs import FIVE, submission, user
-from dappledrum.standins.time import run
-from dappledrum.standins.world import World, job
+from dappledrum.simulation.cluster import World, job
+from dappledrum.simulation.fault_combinations import FIVE, submission, user
+from dappledrum.simulation.network import LateWrites
+from dappledrum.simulation.virtual_time import run
 
 OWN_ONCE = ("catalog", "gangs")  # made once, never removed
 HINTS = ("fleet", "learned")  # nothing rests on them
--- a/dappledrum/state/test_hedge.py
+++ b/dappledrum/store/test_hedged_commit.py
@@ -8,24 +8,24 @@
 import msgspec
 import pytest
 
-from dappledrum.jobs.intake import Intake
+from dappledrum.election.elector import Elector
+from dappledrum.election.lease_keeper import TermKeeper
+from dappledrum.election.quorum import Answers
+from dappledrum.election.terms import Term
+from dappledrum.jobs.api import Intake
+from dappledrum.jobs.job import Job, head_key
 from dappledrum.jobs.messages import JobRecord, PageRecord, Spec
-from dappledrum.jobs.record import Job, head_key
-from dappledrum.jobs.recorder import Recorder
-from dappledrum.leadership.elector import Elector
-from dappledrum.leadership.questions import Answers
-from dappledrum.leadership.term_keeper import TermKeeper
-from dappledrum.leadership.terms import Term
+from dappledrum.jobs.record_writer import Recorder
 from dappledrum.settings import CloudLimits, Params, StateLimits, Team, WorkerLimits
-from dappledrum.standins.network import LateWrites, Network
-from dappledrum.standins.state_service import StateService
-from dappledrum.standins.time import run
-from dappledrum.standins.world import job
-from dappledrum.state.budget import Rank
-from dappledrum.state.client import ConflictError, State, UnknownError, raw
-from dappledrum.state.hedge import READS, commit_idempotent, commit_or_find
-from dappledrum.state.messages import Guard, Put
-from dappledrum.state.value_limit import ValueLimit
+from dappledrum.simulation.cluster import job
+from dappledrum.simulation.network import LateWrites, Network
+from dappledrum.simulation.state_service import StateService
+from dappledrum.simulation.virtual_time import run
+from dappledrum.store.client import ConflictError, State, UnknownError, raw
+from dappledrum.store.hedged_commit import READS, commit_idempotent, commit_or_find
+from dappledrum.store.messages import Guard, Put
+from dappledrum.store.rate_limiter import Rank
+from dappledrum.store.value_limit import ValueLimit
 from dappledrum.timing.clock import ZERO, Clock, seconds
 
 LIMITS = StateLimits(200.0, 100.0, 8.0, 24)
--- a/dappledrum/workers/commands.py
+++ b/dappledrum/workers/commands.py
@@ -4,10 +4,10 @@
 when it is stored.
 """
 
-from dappledrum.jobs.record import Job, Placement
+from dappledrum.jobs.job import Job, Placement
 from dappledrum.timing.clock import Clock
+from dappledrum.workers.machine_registry import Machine
 from dappledrum.workers.messages import Command, Report, TaskReport, TaskState, job_and_number
-from dappledrum.workers.roster import Machine
 
 #: No line of an answer may be longer than 64 KiB.
 MAX_COMMANDS = 400
--- a/dappledrum/workers/failures.py
+++ b/dappledrum/workers/failure_attribution.py
@@ -10,8 +10,8 @@
 from collections.abc import Mapping
 from enum import Enum
 
-from dappledrum.jobs.record import Job
-from dappledrum.workers.roster import Machine
+from dappledrum.jobs.job import Job
+from dappledrum.workers.machine_registry import Machine
 
 MACHINE_ERRORS = 3
 FRESH_JOB_MACHINES = 2  # a job of which nothing has succeeded yet is suspected after so many
--- a/dappledrum/workers/report_attempts.py
+++ b/dappledrum/workers/heartbeat_attempts.py
@@ -8,7 +8,7 @@
 from collections import deque
 from datetime import timedelta
 
-from dappledrum.workers.roster import Roster
+from dappledrum.workers.machine_registry import Roster
 
 KEPT = timedelta(seconds=60)
 MAX_KEPT = 2_000
--- a/dappledrum/workers/bookkeeping.py
+++ b/dappledrum/workers/reconciler.py
@@ -18,19 +18,19 @@
 from collections.abc import Callable
 from datetime import timedelta
 
-from dappledrum.accounts.entries import Entry
-from dappledrum.accounts.ledger import Ledger
+from dappledrum.accounting.entries import Entry
+from dappledrum.accounting.ledger import Ledger
 from dappledrum.gangs.all_or_nothing import stop_broken_gangs
+from dappledrum.jobs.job import Job, Page, Placement
 from dappledrum.jobs.messages import Form
-from dappledrum.jobs.record import Job, Page, Placement
 from dappledrum.scheduling.estimates import Estimates
 from dappledrum.scheduling.timeline import Kind
 from dappledrum.settings import WorkerLimits
 from dappledrum.timing.clock import ZERO, Clock, longer
 from dappledrum.workers.commands import WorkerCommands, wanted
-from dappledrum.workers.failures import Verdict, failed, judge, suspected
+from dappledrum.workers.failure_attribution import Verdict, failed, judge, suspected
+from dappledrum.workers.machine_registry import GONE_MARGIN, Machine, Roster
 from dappledrum.workers.messages import Cause, Report, TaskReport, TaskState, job_and_number
-from dappledrum.workers.roster import GONE_MARGIN, Machine, Roster
 
 log = logging.getLogger(__name__)
 
--- a/dappledrum/workers/test_failures.py
+++ b/dappledrum/workers/test_failure_attribution.py
@@ -2,13 +2,13 @@
 
 import msgspec
 
+from dappledrum.jobs.job import Job
 from dappledrum.jobs.messages import JobRecord, PageRecord, Spec
-from dappledrum.jobs.record import Job
 from dappledrum.scheduling.timeline import Kind
-from dappledrum.standins.world import job
+from dappledrum.simulation.cluster import job
 from dappledrum.timing.clock import ZERO
-from dappledrum.workers.failures import Verdict, failed, judge, suspected
-from dappledrum.workers.roster import Machine
+from dappledrum.workers.failure_attribution import Verdict, failed, judge, suspected
+from dappledrum.workers.machine_registry import Machine
 
 
 def made(number, done=0):
--- a/dappledrum/workers/test_reachability.py
+++ b/dappledrum/workers/test_reachability.py
@@ -7,12 +7,12 @@
 
 from dappledrum.scheduling.estimates import Estimates
 from dappledrum.settings import WorkerLimits
-from dappledrum.standins.time import run
+from dappledrum.simulation.virtual_time import run
 from dappledrum.timing.clock import Clock
-from dappledrum.workers.bookkeeping import Bookkeeper
+from dappledrum.workers.machine_registry import Roster
 from dappledrum.workers.messages import Report
 from dappledrum.workers.reachability import Reachability
-from dappledrum.workers.roster import Roster
+from dappledrum.workers.reconciler import Bookkeeper
 
 LEASE = timedelta(seconds=10)
 
--- a/dappledrum/workers/test_bookkeeping.py
+++ b/dappledrum/workers/test_reconciler.py
@@ -6,16 +6,16 @@
 import msgspec
 import pytest
 
+from dappledrum.jobs.job import Job
 from dappledrum.jobs.messages import JobRecord, PageRecord, Spec
-from dappledrum.jobs.record import Job
 from dappledrum.scheduling.estimates import Estimates
 from dappledrum.settings import WorkerLimits
-from dappledrum.standins.world import job
+from dappledrum.simulation.cluster import job
 from dappledrum.timing.clock import Clock
-from dappledrum.workers.bookkeeping import Bookkeeper
+from dappledrum.workers.heartbeat_attempts import reporting_elsewhere
+from dappledrum.workers.machine_registry import Roster
 from dappledrum.workers.messages import Report, TaskReport
-from dappledrum.workers.report_attempts import reporting_elsewhere
-from dappledrum.workers.roster import Roster
+from dappledrum.workers.reconciler import Bookkeeper
 
 TOKEN = 5
 
