--- a/dappledrum/accounting/entries.py
+++ b/dappledrum/accounting/entries.py
@@ -11,7 +11,7 @@
 from enum import StrEnum
 from typing import NamedTuple
 
-from dappledrum.scheduling.timeline import Kind, Size
+from dappledrum.scheduling.timeline import InstanceKind, Size
 
 
 class Entry(StrEnum):
@@ -38,15 +38,15 @@
     RETURNING = "returning"
 
 
-class Want(NamedTuple):
+class Demand(NamedTuple):
     """Waiting tasks of the same size and demands."""
 
     size: Size
-    allowed: Callable[[Kind], bool]
+    allowed: Callable[[InstanceKind], bool]
     team_has_capacity: bool
 
 
-def why_idle(kind: Kind, free: Size, empty: bool, wants: Sequence[Want]) -> Entry:
+def why_idle(kind: InstanceKind, free: Size, empty: bool, wants: Sequence[Demand]) -> Entry:
     """Why free capacity of a machine is not used."""
     if not wants:
         return Entry.IDLE if empty else Entry.REST
--- a/dappledrum/accounting/ledger.py
+++ b/dappledrum/accounting/ledger.py
@@ -10,12 +10,12 @@
 from collections.abc import Iterable, Mapping, Sequence
 from datetime import timedelta
 
-from dappledrum.accounting.entries import Entry, Want, why_idle
+from dappledrum.accounting.entries import Demand, Entry, why_idle
 from dappledrum.fleet.messages import MachineType
 from dappledrum.jobs.job import Placement
-from dappledrum.scheduling.timeline import Kind, Size
+from dappledrum.scheduling.timeline import InstanceKind, Size
 from dappledrum.timing.clock import ZERO, Clock
-from dappledrum.workers.machine_registry import Machine, Roster
+from dappledrum.workers.machine_registry import Machine, MachineRegistry
 
 log = logging.getLogger(__name__)
 
@@ -43,7 +43,7 @@
 
     __slots__ = ("at", "lines", "kind")
 
-    def __init__(self, at: timedelta, kind: Kind) -> None:
+    def __init__(self, at: timedelta, kind: InstanceKind) -> None:
         self.at = at
         self.lines: Lines = Counter()
         self.kind = kind
@@ -65,8 +65,8 @@
 class Ledger:
     """Books what is spent; `step` is called every second or two."""
 
-    def __init__(self, roster: Roster, clock: Clock) -> None:
-        self.roster = roster
+    def __init__(self, registry: MachineRegistry, clock: Clock) -> None:
+        self.registry = registry
         self.clock = clock
         self.began = clock.now()
         self.accounts: dict[str, _Account] = {}
@@ -77,13 +77,13 @@
     def step(
         self,
         types: Mapping[str, MachineType],
-        wants: Sequence[Want],
+        wants: Sequence[Demand],
         available: Iterable[str] | None = None,
     ) -> None:
         """Book the time since the last step; `available`: machines that new work may use."""
         now = self.clock.now()
         usable = None if available is None else set(available)
-        for machine in self.roster:
+        for machine in self.registry:
             model = types.get(machine.kind.type) if machine.kind is not None else None
             if machine.kind is None or model is None:
                 continue
@@ -97,7 +97,7 @@
             money = span / timedelta(hours=1) * model.hourly(machine.kind.spot)
             free = usable is None or machine.name in usable
             self._book(account, machine, model, money, wants, free)
-        for name in [name for name in self.accounts if name not in self.roster.machines]:
+        for name in [name for name in self.accounts if name not in self.registry.machines]:
             account = self.accounts.pop(name)
             total = sum(account.lines.values())
             log.debug("%s is gone, %.4f spent on it: %s", name, total, shown(account.lines))
@@ -108,7 +108,7 @@
         machine: Machine,
         model: MachineType,
         money: float,
-        wants: Sequence[Want],
+        wants: Sequence[Demand],
         usable: bool,
     ) -> None:
         if machine.returning:
--- a/dappledrum/accounting/served_counts.py
+++ b/dappledrum/accounting/served_counts.py
@@ -37,7 +37,7 @@
     return result if due is None else f"{result}, due after {due:.1f} s"
 
 
-class Served:
+class ServedCounts:
     """Job counts of one term, including jobs that were live at its beginning."""
 
     def __init__(self) -> None:
--- a/dappledrum/accounting/test_accounting.py
+++ b/dappledrum/accounting/test_accounting.py
@@ -6,19 +6,19 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from dappledrum.accounting.entries import Entry, Want, why_idle
+from dappledrum.accounting.entries import Demand, Entry, why_idle
 from dappledrum.accounting.ledger import Ledger, shown
-from dappledrum.accounting.served_counts import Served
+from dappledrum.accounting.served_counts import ServedCounts
 from dappledrum.fleet.messages import MachineType
 from dappledrum.jobs.job import Job
 from dappledrum.jobs.messages import JobRecord, PageRecord, Spec
-from dappledrum.scheduling.timeline import Kind, Size
+from dappledrum.scheduling.timeline import InstanceKind, Size
 from dappledrum.simulation.cluster import TYPES, job
 from dappledrum.timing.clock import seconds
-from dappledrum.workers.machine_registry import Roster
+from dappledrum.workers.machine_registry import MachineRegistry
 
 MODEL = msgspec.convert(TYPES[0], MachineType)
-KIND = Kind("small", "a", True)
+KIND = InstanceKind("small", "a", True)
 
 
 class Steps:
@@ -54,15 +54,15 @@
 @settings(max_examples=150, derandomize=True, deadline=None)
 @given(steps)
 def test_all_money_is_booked_once_whatever_happens(drawn):
-    clock, roster = Steps(), Roster()
-    ledger = Ledger(roster, clock)
+    clock, registry = Steps(), MachineRegistry()
+    ledger = Ledger(registry, clock)
     work = live_job(beats=200, vcpus=2.0)
     names = ["host-0", "host-1", "host-2"]
     for name in names:
-        roster.ensure(name, KIND, clock.now())
+        registry.ensure(name, KIND, clock.now())
     total = kept = 0.0
     for span, what, index in drawn:
-        machine = roster.machines[names[index]]
+        machine = registry.machines[names[index]]
         free = [p for p in machine.placements.values() if p.running_at is not None]
         if what == "place" and len(machine.placements) < 2:
             machine.up_at = clock.now()
@@ -81,7 +81,7 @@
         elif what == "return":
             machine.returning = True
         clock.at += span
-        total += span / 3600 * MODEL.hourly(True) * len(roster.machines)
+        total += span / 3600 * MODEL.hourly(True) * len(registry.machines)
         ledger.step({"small": MODEL}, [])
     booked = sum(ledger.recent.values())
     assert abs(booked - total) < 1e-9
@@ -99,10 +99,10 @@
     def why(*wants, empty=True):
         return why_idle(KIND, free, empty, wants)
 
-    fits = Want(Size(2, 0, 2), lambda kind: True, True)
-    large = Want(Size(8, 0, 2), lambda kind: True, True)
-    elsewhere = Want(Size(2, 0, 2), lambda kind: not kind.spot, True)
-    limited = Want(Size(2, 0, 2), lambda kind: True, False)
+    fits = Demand(Size(2, 0, 2), lambda kind: True, True)
+    large = Demand(Size(8, 0, 2), lambda kind: True, True)
+    elsewhere = Demand(Size(2, 0, 2), lambda kind: not kind.spot, True)
+    limited = Demand(Size(2, 0, 2), lambda kind: True, False)
     assert why() is Entry.IDLE and why(empty=False) is Entry.REST
     assert why(elsewhere) is Entry.NO_KIND
     assert why(elsewhere, limited) is Entry.NO_TEAM
@@ -113,7 +113,7 @@
 
 
 def test_what_a_team_is_served():
-    served = Served()
+    served = ServedCounts()
     done, cancelled, started, waiting = (live_job(crew=c) for c in ("b", "b", "b", "a"))
     cancelled.cancelled = True
     started.page(0).finish(0)
--- a/dappledrum/accounting/test_shares.py
+++ b/dappledrum/accounting/test_shares.py
@@ -4,7 +4,7 @@
 
 from dappledrum.accounting.shares import main
 from dappledrum.settings import Team
-from dappledrum.simulation.cluster import World, job
+from dappledrum.simulation.cluster import SimulatedCluster, job
 from dappledrum.simulation.virtual_time import run
 
 
@@ -12,22 +12,22 @@
     """Two teams, two classes, a cancelled job, and leaders that end meanwhile."""
 
     async def day():
-        world = World(seed=8, teams=(Team("blue"), Team("red")))
-        await world.until(lambda: world.leader() is not None)
+        cluster = SimulatedCluster(seed=8, teams=(Team("blue"), Team("red")))
+        await cluster.until(lambda: cluster.leader() is not None)
         names = []
         for number in range(6):
             team, kind = ("red", "slow") if number % 3 == 0 else ("blue", "plain")
             due = 1.0 if number == 3 else 300.0 if kind == "slow" else None
             spec = job(number, crew=team, pattern=kind, dueS=due)
             names.append(spec["id"])
-            assert await world.submit(spec) == 201
-        await world.submit(job(50, crew="red", pattern="slow", runS=500.0))
-        await world.wait(4)
-        await world.restart(world.leader(), 0.3)
-        assert await world.cancel("j-000050") == "cancelled"
-        await world.finish(names)
-        await world.submit(job(60, crew="blue", runS=500.0, dueS=None))
-        await world.wait(3)
+            assert await cluster.submit(spec) == 201
+        await cluster.submit(job(50, crew="red", pattern="slow", runS=500.0))
+        await cluster.wait(4)
+        await cluster.restart(cluster.leader(), 0.3)
+        assert await cluster.cancel("j-000050") == "cancelled"
+        await cluster.finish(names)
+        await cluster.submit(job(60, crew="blue", runS=500.0, dueS=None))
+        await cluster.wait(3)
 
     caplog.set_level("INFO")
     run(day())
--- a/dappledrum/controller/catalog.py
+++ b/dappledrum/controller/catalog.py
@@ -7,14 +7,14 @@
 
 import msgspec
 
-from dappledrum.fleet.cloud_client import Cloud, CloudError
+from dappledrum.fleet.cloud_client import CloudClient, CloudError
 from dappledrum.fleet.messages import Catalog, MachineType
-from dappledrum.jobs.api import Intake
+from dappledrum.jobs.api import JobApi
 from dappledrum.leader.leader import Leader
 from dappledrum.settings import Params
-from dappledrum.store.client import State, StateError, raw
+from dappledrum.store.client import StoreClient, StoreError, raw
 from dappledrum.store.messages import Guard, Put
-from dappledrum.store.rate_limiter import Rank
+from dappledrum.store.rate_limiter import RequestPriority
 from dappledrum.timing.clock import Clock
 from dappledrum.timing.fault_log import FaultLog
 
@@ -28,19 +28,19 @@
 
     def __init__(
         self,
-        state: State,
-        cloud: Cloud,
+        store: StoreClient,
+        cloud: CloudClient,
         params: Params,
         clock: Clock,
         rng: random.Random,
-        intake: Intake,
+        job_api: JobApi,
         leader: Callable[[], Leader | None],
     ) -> None:
-        self.state = state
+        self.store = store
         self.cloud = cloud
         self.params = params
         self.rng = rng
-        self.intake = intake
+        self.job_api = job_api
         self.leader = leader
         self.no_catalog = FaultLog(log, clock, "no machine types are known yet")
 
@@ -51,7 +51,7 @@
             types = await self._stored_types() or await self._cloud_types()
             if types:
                 self.no_catalog.over()
-                self.intake.types = types
+                self.job_api.types = types
                 leader = self.leader()
                 if leader is not None:
                     leader.set_types(types)
@@ -62,11 +62,11 @@
 
     async def _stored_types(self) -> list[MachineType]:
         try:
-            entry = await self.state.get(CATALOG, Rank.INTAKE)
+            entry = await self.store.get(CATALOG, RequestPriority.INTAKE)
             return (
                 msgspec.json.decode(entry.value, type=Catalog).types if entry is not None else []
             )
-        except (StateError, msgspec.DecodeError) as error:
+        except (StoreError, msgspec.DecodeError) as error:
             self.no_catalog.seen(f"no stored catalog: {error}")
             return []
 
@@ -79,7 +79,9 @@
         value = raw(Catalog(types))
         if types and len(value) < self.params.state.value_bytes:
             try:
-                await self.state.commit([Guard(CATALOG, 0)], [Put(CATALOG, value)], Rank.INTAKE)
-            except StateError as error:
+                await self.store.commit(
+                    [Guard(CATALOG, 0)], [Put(CATALOG, value)], RequestPriority.INTAKE
+                )
+            except StoreError as error:
                 log.info("catalog not stored: %s", error)
         return types
--- a/dappledrum/controller/controller.py
+++ b/dappledrum/controller/controller.py
@@ -10,26 +10,26 @@
 import msgspec
 
 from dappledrum.controller.catalog import CATALOG, CatalogLoader
+from dappledrum.controller.heartbeat_endpoint import HeartbeatEndpoint
 from dappledrum.controller.isolation import Isolation
-from dappledrum.controller.peer_requests import PeerRequests
+from dappledrum.controller.peer_endpoint import PeerEndpoint
 from dappledrum.controller.peer_versions import PeerVersions
-from dappledrum.controller.user_requests import UserRequests
-from dappledrum.controller.worker_heartbeats import WorkerReports
+from dappledrum.controller.user_endpoint import UserEndpoint
 from dappledrum.election.elector import Elector
-from dappledrum.election.lease_keeper import TermKeeper
-from dappledrum.election.messages import PromiseRequest
-from dappledrum.election.voter import PROMISE
-from dappledrum.fleet.cloud_client import Cloud, CloudError
+from dappledrum.election.lease_keeper import LeaseKeeper
+from dappledrum.election.messages import LeaseGrantRequest
+from dappledrum.election.voter import LEASE_GRANT
+from dappledrum.fleet.cloud_client import CloudClient, CloudError
 from dappledrum.http.client import Caller
 from dappledrum.http.server import Request, Response
-from dappledrum.jobs.api import Intake, refusal
+from dappledrum.jobs.api import JobApi, refusal
 from dappledrum.jobs.job import Job
 from dappledrum.leader.leader import Leader
-from dappledrum.membership.service import Probe, Reach
+from dappledrum.membership.service import Membership, Probe
 from dappledrum.peers.client import Peers
 from dappledrum.settings import Settings, Tuning
-from dappledrum.store.client import State, StateError
-from dappledrum.store.rate_limiter import Rank
+from dappledrum.store.client import StoreClient, StoreError
+from dappledrum.store.rate_limiter import RequestPriority
 from dappledrum.store.value_limit import ValueLimit
 from dappledrum.timing.clock import ZERO, Clock, longer
 from dappledrum.timing.timeouts import PauseDetector
@@ -39,7 +39,7 @@
 LEADER_SHARE = 0.6
 FOLLOWER_BURST = 2.0  # seconds
 HOLDERS_TIME = timedelta(milliseconds=200)
-SERVED_TIME = timedelta(milliseconds=450)  # a peer waits for the state service for 300 ms
+SERVED_TIME = timedelta(milliseconds=450)  # a peer waits for the store for 300 ms
 NO_ANSWERS_ASKED = timedelta(seconds=5)  # later answers add nothing
 #: Margin within the time for cancellations: a leader with promises of only a majority stops early
 #: enough that its workers' leases have expired this long before that time is over.
@@ -53,7 +53,7 @@
 MAX_LEASE_LIFE = timedelta(seconds=3)
 
 
-class Node:
+class Controller:
     """One controller. The caller provides its connections, so tests can run several in one
     process."""
 
@@ -63,7 +63,7 @@
         tuning: Tuning,
         clock: Clock,
         rng: random.Random,
-        state: Caller,
+        store: Caller,
         cloud: Caller,
         peers: dict[str, Caller],
         probe: Probe,
@@ -74,14 +74,14 @@
         self.tuning = tuning
         self.clock = clock
         self.rng = rng
-        self.state = State(state, self.params.state, clock, rng)
-        self.cloud = Cloud(cloud, self.params.cloud.rps * 0.9, clock)
+        self.store = StoreClient(store, self.params.state, clock, rng)
+        self.cloud = CloudClient(cloud, self.params.cloud.rps * 0.9, clock)
         self.peers = Peers(peers)
         life = min(MAX_LEASE_LIFE, self.params.workers.lease / 3)
         left = self.params.workers.lease + KNOWN_MARGIN
-        keeper = TermKeeper(
+        lease_keeper = LeaseKeeper(
             settings.member,
-            self.state,
+            self.store,
             clock,
             rng,
             life,
@@ -89,15 +89,15 @@
             max(ZERO, self.params.workers.cancel - self.params.workers.lease - ALONE_MARGIN),
             max(MIN_KNOWN_SPAN, self.params.workers.cancel - longer(left)),
         )
-        keeper.on_confirmed = self._apply_confirmed
-        self.elector = Elector(keeper, self.peers.pre_vote, self.peers.transfer_leadership)
+        lease_keeper.on_confirmed = self._apply_confirmed
+        self.elector = Elector(lease_keeper, self.peers.pre_vote, self.peers.transfer_leadership)
         self.elector.on_change = self._leadership_changed
         self.value_limit = ValueLimit(limits)
-        self.intake = Intake(self.state, self.params, clock, self.value_limit)
-        keeper.confirmed = lambda span: self.intake.confirmed.within(span, clock.now())
+        self.job_api = JobApi(self.store, self.params, clock, self.value_limit)
+        lease_keeper.confirmed = lambda span: self.job_api.confirmed.within(span, clock.now())
         self.pause_detector = PauseDetector(clock)
         self.leader: Leader | None = None
-        self.reach = Reach(
+        self.membership = Membership(
             settings.member,
             clock,
             rng,
@@ -105,7 +105,7 @@
             self.elector,
             self.params.workers,
             self.pause_detector,
-            self.state.link,
+            self.store.link,
             self.cloud.link,
             lambda: self.leader.reporting() if self.leader is not None else {},
             probe,
@@ -114,37 +114,39 @@
             self._transfer_leadership,
         )
         if tuning.reach:
-            self.elector.candidacy_delay = self.reach.candidacy_delay
-            keeper.all_ask = lambda: len(self.reach.heartbeat_peers) == len(self.peers.callers)
-        isolation = Isolation(self.state, self.reach, clock, self.pause_detector)
+            self.elector.candidacy_delay = self.membership.candidacy_delay
+            lease_keeper.all_ask = lambda: (
+                len(self.membership.heartbeat_peers) == len(self.peers.callers)
+            )
+        isolation = Isolation(self.store, self.membership, clock, self.pause_detector)
         self.catalog = CatalogLoader(
-            self.state,
+            self.store,
             self.cloud,
             self.params,
             clock,
             rng,
-            self.intake,
+            self.job_api,
             lambda: self.leader,
         )
         self.versions = PeerVersions(
-            self.state, self.peers, self.reach, self.value_limit, self.intake
+            self.store, self.peers, self.membership, self.value_limit, self.job_api
         )
-        self.users = UserRequests(self.state, self.reach, self.peers, self.intake, isolation)
-        self.reports = WorkerReports(
+        self.users = UserEndpoint(self.store, self.membership, self.peers, self.job_api, isolation)
+        self.reports = HeartbeatEndpoint(
             settings.member,
             self.params.workers,
             tuning,
             clock,
-            self.state,
+            self.store,
             self.peers,
             self.elector,
-            self.reach,
+            self.membership,
             self.pause_detector,
             isolation,
             lambda: self.leader,
         )
-        self.peer_requests = PeerRequests(
-            clock, self.state, self.elector, self.reach, self.users, self.reports
+        self.peer_requests = PeerEndpoint(
+            clock, self.store, self.elector, self.membership, self.users, self.reports
         )
         self._term_begun = asyncio.Event()
         self._set_share()
@@ -159,7 +161,7 @@
             self.reports.watch(),
             self.versions.run(),
             self._learn_holders(),
-            *([self.reach.run()] if self.tuning.reach else []),
+            *([self.membership.run()] if self.tuning.reach else []),
         )
 
     def _set_share(self) -> None:
@@ -174,12 +176,12 @@
         )
         # A follower's share is small, and submissions come in bursts, rarely at all followers at
         # once, so each may use some seconds of its share in one burst.
-        self.state.set_share(share * 0.95, 1.0 if share >= LEADER_SHARE else FOLLOWER_BURST)
+        self.store.set_share(share * 0.95, 1.0 if share >= LEADER_SHARE else FOLLOWER_BURST)
 
     def _leadership_changed(self) -> None:
         self._set_share()
         self._term_begun.set()
-        self.reach.announce()
+        self.membership.announce()
 
     async def _lead(self) -> None:
         """Run the leader's part for as long as each term lasts."""
@@ -192,13 +194,13 @@
             self.leader = Leader(
                 term,
                 lambda: self.elector.leading() is not None,
-                self.state,
+                self.store,
                 self.value_limit,
                 self.cloud,
                 self.params,
                 self.clock,
                 self.tuning,
-                self.intake.types or [],
+                self.job_api.types or [],
                 self._job_ended,
                 self.pause_detector.awake_since,
             )
@@ -231,15 +233,15 @@
         return True
 
     def _job_ended(self, job: Job) -> None:
-        self.intake.remember(job.id, job.ended_record())
+        self.job_api.remember(job.id, job.ended_record())
 
     # links
 
     async def _ask_state(self) -> None:
         try:
-            await self.state.get(CATALOG, Rank.LEASE, timedelta(seconds=1))
-        except StateError as error:
-            log.debug("state service not reached: %s", error)
+            await self.store.get(CATALOG, RequestPriority.LEASE, timedelta(seconds=1))
+        except StoreError as error:
+            log.debug("store not reached: %s", error)
 
     async def _ask_cloud(self) -> None:
         try:
@@ -250,31 +252,31 @@
     async def _transfer_leadership(self, member: str, why: str) -> None:
         """Name a successor, after writing pending records if possible.
 
-        Heartbeats tell that the state service served the successor up to a second ago. When an
+        Heartbeats tell that the store served the successor up to a second ago. When an
         outage had begun since, nobody could take the key, and the leader that had stopped could
         not go on by promises: all that ran was lost.
         """
-        if self.state.failing_for() is not None and not await self._is_served(member):
-            log.info("not handing over to %s: the state service does not serve it now", member)
+        if self.store.failing_for() is not None and not await self._is_served(member):
+            log.info("not handing over to %s: the store does not serve it now", member)
             return
-        if self.leader is not None and not self.state.is_failing():
+        if self.leader is not None and not self.store.is_failing():
             await self.leader.settle(SETTLE)
         self.elector.transfer_leadership(member, why)
 
     async def _is_served(self, member: str) -> bool:
-        """Whether the state service serves a peer at this moment."""
+        """Whether the store serves a peer at this moment."""
         term = self.elector.holding()
         if term is None:
             return False
-        for_ms = int(PROMISE.total_seconds() * 1000)
-        request = PromiseRequest(self.settings.member, term.epoch, for_ms)
+        for_ms = int(LEASE_GRANT.total_seconds() * 1000)
+        request = LeaseGrantRequest(self.settings.member, term.epoch, for_ms)
         return await self.peers.is_served(member, request, SERVED_TIME)
 
     async def _learn_holders(self) -> None:
         """After a restart, ask whether any leader may still rely on a promise of the process
         before. Without the answer this controller must wait until such promises have expired,
         which is most of the time that a restart of all controllers takes."""
-        while self.elector.votes.unknown_until > self.clock.now():
+        while self.elector.voter.unknown_until > self.clock.now():
             if self.peers.callers and await self.peers.no_term_held(HOLDERS_TIME):
                 self.elector.no_term_held()
                 return
--- a/dappledrum/controller/worker_heartbeats.py
+++ b/dappledrum/controller/heartbeat_endpoint.py
@@ -13,14 +13,14 @@
 from dappledrum.http.server import Request, Response
 from dappledrum.jobs.api import refusal
 from dappledrum.leader.leader import MAX_IDLE_WAIT, Leader
-from dappledrum.membership.service import Reach
+from dappledrum.membership.service import Membership
 from dappledrum.peers.client import Peers
 from dappledrum.settings import Tuning, WorkerLimits
-from dappledrum.store.client import State
+from dappledrum.store.client import StoreClient
 from dappledrum.timing.clock import Clock
 from dappledrum.timing.timeouts import PauseDetector
-from dappledrum.workers.heartbeat_attempts import ReportAttempts, reporting_elsewhere
-from dappledrum.workers.messages import Commands, Redirect, Report
+from dappledrum.workers.heartbeat_attempts import HeartbeatAttempts, reporting_elsewhere
+from dappledrum.workers.messages import Commands, Redirect, WorkerHeartbeat
 
 log = logging.getLogger(__name__)
 
@@ -31,7 +31,7 @@
 )  # the longest that the answer to a forwarded report waits for work
 
 
-class WorkerReports:
+class HeartbeatEndpoint:
     """Answers workers as far as this controller is entitled to."""
 
     def __init__(
@@ -40,10 +40,10 @@
         limits: WorkerLimits,
         tuning: Tuning,
         clock: Clock,
-        state: State,
+        store: StoreClient,
         peers: Peers,
         elector: Elector,
-        reach: Reach,
+        membership: Membership,
         pause_detector: PauseDetector,
         isolation: Isolation,
         leader: Callable[[], Leader | None],
@@ -52,14 +52,14 @@
         self.limits = limits
         self.tuning = tuning
         self.clock = clock
-        self.state = state
+        self.store = store
         self.peers = peers
         self.elector = elector
-        self.reach = reach
+        self.membership = membership
         self.pause_detector = pause_detector
         self.isolation = isolation
         self.leader = leader
-        self.report_attempts = ReportAttempts()
+        self.report_attempts = HeartbeatAttempts()
 
     async def watch(self) -> None:
         """Resign as leader if no worker reports here while workers report to other controllers."""
@@ -70,7 +70,7 @@
             now = self.clock.now()
             if leader is None or not leader.loaded.is_set() or self.elector.leading() is None:
                 continue
-            if self.tuning.reach and self.reach.heartbeat_peers:
+            if self.tuning.reach and self.membership.heartbeat_peers:
                 continue  # heartbeats of peers show more, and who should lead instead
             heard = self.report_attempts.last
             began = max(leader.began, self.pause_detector.awake_since())
@@ -78,7 +78,7 @@
                 continue
             names = reporting_elsewhere(
                 await self.peers.report_attempts(ATTEMPT_WINDOW, timedelta(seconds=1)),
-                leader.roster,
+                leader.registry,
             )
             if names and self.leader() is leader:
                 self.elector.resign(
@@ -88,18 +88,18 @@
     async def serve(self, request: Request) -> Response:
         """Answer one report of a worker."""
         try:
-            report = msgspec.json.decode(request.body, type=Report)
+            report = msgspec.json.decode(request.body, type=WorkerHeartbeat)
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
             log.warning("unusable report: %s", error)
             return refusal(HTTPStatus.BAD_REQUEST, str(error))
         self.report_attempts.note(report.machine, self.clock.now())
-        self.reach.zone(report.zone).heard(self.clock.now(), report.address)
+        self.membership.zone(report.zone).heard(self.clock.now(), report.address)
         commands = await self._commands(report, MAX_IDLE_WAIT)
         if commands is not None:
             return Response(HTTPStatus.OK, msgspec.json.encode(commands))
         redirect_target = self.redirect_target()
         if redirect_target is not None and self.tuning.reach:
-            answer = await self.reach.forward_report(report, redirect_target, request.body)
+            answer = await self.membership.forward_report(report, redirect_target, request.body)
             if answer is not None:
                 return Response(HTTPStatus.OK, answer)
         return Response(
@@ -108,7 +108,7 @@
             close=True,  # the worker goes elsewhere, so its connection is not needed
         )
 
-    async def _commands(self, report: Report, most: timedelta) -> Commands | None:
+    async def _commands(self, report: WorkerHeartbeat, most: timedelta) -> Commands | None:
         """The leader's answer; None: this controller is not entitled to give one."""
         leader = self.leader()
         if leader is None or self.elector.holding() is not leader.term:
@@ -119,16 +119,16 @@
         """The controller to redirect a worker to; None: not known, the worker tries the next one
         itself.
 
-        A controller that does not reach the state service may know only a former leader. Four of
+        A controller that does not reach the store may know only a former leader. Four of
         them once redirected all workers in a circle, and none reached the fifth, which was the
         leader.
         """
         if self.isolation.alone():
             return None  # the leader known from before may have ended long ago
         if self.tuning.reach:
-            member = self.reach.redirect_target()
+            member = self.membership.redirect_target()
         else:
-            known = None if self.state.is_failing() else self.elector.leader
+            known = None if self.store.is_failing() else self.elector.leader
             member = known.member if known is not None else None
         return None if member == self.member else member
 
@@ -136,7 +136,7 @@
         """The answer to a report that a peer has forwarded: the answer that the worker itself
         would get, or None. It is never forwarded again."""
         try:
-            report = msgspec.json.decode(body, type=Report)
+            report = msgspec.json.decode(body, type=WorkerHeartbeat)
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
             log.warning("unusable report from a peer: %s", error)
             return None
--- a/dappledrum/controller/isolation.py
+++ b/dappledrum/controller/isolation.py
@@ -2,8 +2,8 @@
 
 from datetime import timedelta
 
-from dappledrum.membership.service import Reach
-from dappledrum.store.client import State
+from dappledrum.membership.service import Membership
+from dappledrum.store.client import StoreClient
 from dappledrum.timing.clock import Clock
 from dappledrum.timing.timeouts import PauseDetector
 
@@ -11,21 +11,25 @@
 
 
 class Isolation:
-    """Judges by the last answers of the state service and the last messages of peers."""
+    """Judges by the last answers of the store and the last messages of peers."""
 
     def __init__(
-        self, state: State, reach: Reach, clock: Clock, pause_detector: PauseDetector
+        self,
+        store: StoreClient,
+        membership: Membership,
+        clock: Clock,
+        pause_detector: PauseDetector,
     ) -> None:
-        self.state = state
-        self.reach = reach
+        self.store = store
+        self.membership = membership
         self.clock = clock
         self.pause_detector = pause_detector
 
     def alone(self) -> bool:
-        """Whether neither the state service nor a peer has been heard from for a while, though
+        """Whether neither the store nor a peer has been heard from for a while, though
         peers have before: this controller is cut off, or all others are down."""
-        failing = self.state.failing_for()
-        heard = self.reach.heard_at
+        failing = self.store.failing_for()
+        heard = self.membership.heard_at
         if heard is None or failing is None or failing < ALONE_AFTER:
             return False
         return self.clock.now() - max(heard, self.pause_detector.awake_since()) > ALONE_AFTER
--- a/dappledrum/controller/peer_versions.py
+++ b/dappledrum/controller/peer_versions.py
@@ -6,13 +6,13 @@
 from datetime import timedelta
 
 from dappledrum import __version__
-from dappledrum.jobs.api import Intake
-from dappledrum.membership.service import Reach
+from dappledrum.jobs.api import JobApi
+from dappledrum.membership.service import Membership
 from dappledrum.peers.client import Peers
 from dappledrum.peers.versions import GANGS, REACH, at_least
-from dappledrum.store.client import State, StateError, raw
+from dappledrum.store.client import StoreClient, StoreError, raw
 from dappledrum.store.messages import Guard, Put
-from dappledrum.store.rate_limiter import Rank
+from dappledrum.store.rate_limiter import RequestPriority
 from dappledrum.store.value_limit import ValueLimit
 
 log = logging.getLogger(__name__)
@@ -26,13 +26,18 @@
     """Enables what every controller must support before it may be used."""
 
     def __init__(
-        self, state: State, peers: Peers, reach: Reach, value_limit: ValueLimit, intake: Intake
+        self,
+        store: StoreClient,
+        peers: Peers,
+        membership: Membership,
+        value_limit: ValueLimit,
+        job_api: JobApi,
     ) -> None:
-        self.state = state
+        self.store = store
         self.peers = peers
-        self.reach = reach
+        self.membership = membership
         self.value_limit = value_limit
-        self.intake = intake
+        self.job_api = job_api
 
     async def run(self) -> None:
         """Ask every other controller for its version until all of them have answered.
@@ -53,13 +58,13 @@
                     versions[member] = version
                     log.info("%s runs version %.40s", member, version)
                     if at_least(version, REACH):
-                        self.reach.heartbeat_peers.add(member)
+                        self.membership.heartbeat_peers.add(member)
                         # At once: without messages of a peer this controller may not be ready.
-                        self.reach.announce()
+                        self.membership.announce()
             if len(versions) == len(self.peers.callers):
                 self.value_limit.settle("all controllers read them")
             if all(at_least(versions.get(member, ""), GANGS) for member in self.peers.callers):
-                self.intake.gangs = True
+                self.job_api.gangs = True
             settled = settled or await self._gangs_known()
             if settled and all(at_least(versions.get(m, ""), REACH) for m in self.peers.callers):
                 return
@@ -69,15 +74,15 @@
     async def _gangs_known(self) -> bool:
         """Whether it is stored, now or from before, that all controllers support gangs."""
         try:
-            entry = await self.state.get(GANGS_KNOWN, Rank.RECORD)
-            if entry is None and self.intake.gangs:
+            entry = await self.store.get(GANGS_KNOWN, RequestPriority.RECORD)
+            if entry is None and self.job_api.gangs:
                 value = raw({"version": __version__})
-                await self.state.commit(
-                    [Guard(GANGS_KNOWN, 0)], [Put(GANGS_KNOWN, value)], Rank.RECORD
+                await self.store.commit(
+                    [Guard(GANGS_KNOWN, 0)], [Put(GANGS_KNOWN, value)], RequestPriority.RECORD
                 )
-            self.intake.gangs = self.intake.gangs or entry is not None
+            self.job_api.gangs = self.job_api.gangs or entry is not None
             # An older peer may yet be upgraded, which settles how records are written.
-            return self.intake.gangs and self.value_limit.settled
-        except StateError as error:
+            return self.job_api.gangs and self.value_limit.settled
+        except StoreError as error:
             log.debug("not known whether all know gangs: %s", error)
             return False
--- a/dappledrum/controller/test_cancellations_in_outage.py
+++ b/dappledrum/controller/test_cancellations_in_outage.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from dappledrum.peers.messages import HoldingQuestion
+from dappledrum.peers.messages import HoldsTermRequest
 from dappledrum.simulation.cluster import job
 from dappledrum.simulation.scenario import CANCEL_S, now
 from dappledrum.simulation.workloads import FIVE, job_name, play_long_work
@@ -25,16 +25,16 @@
     the outage lasted."""
 
     async def act(work):
-        world, node, peers = work.world, work.leading_node(), work.others()
+        cluster, controller, peers = work.cluster, work.leading_controller(), work.others()
         sessions = work.sessions()
-        world.state.refused.add(world.leader())
-        await world.wait(work.rng.uniform(0, 0.5))
+        cluster.store.refused.add(cluster.leader())
+        await cluster.wait(work.rng.uniform(0, 0.5))
         await work.cancel(0, peers[0])
         if seed % 2:
             await work.cancel(1, peers[1])
-        world.state.out = True
-        await world.wait(CANCEL_S + 25)
-        assert node.elector.answering() is not None
+        cluster.store.out = True
+        await cluster.wait(CANCEL_S + 25)
+        assert controller.elector.answering() is not None
         assert not work.running(0) and len(work.running(2)) == 3
         assert work.sessions() == sessions, "nothing of what nobody has cancelled is lost"
 
@@ -47,23 +47,23 @@
     runs ends, which is the price."""
 
     async def act(work):
-        world = work.world
-        world.state.refused.add(world.leader())
+        cluster = work.cluster
+        cluster.store.refused.add(cluster.leader())
         told = work.others()[0]
         await work.cancel(0, told)
         began = now()
-        world.state.out = True
+        cluster.store.out = True
         if how == "ends":
-            world.kill(told)
+            cluster.kill(told)
         elif how == "back at once":
-            await world.restart(told, 0.3)
+            await cluster.restart(told, 0.3)
         elif how == "stands still":
-            world.freeze(told)
+            cluster.freeze(told)
         else:
-            world.cut_off(told, *(m for m in FIVE if m != told))
-            world.cut_off(told, *("back-" + m for m in FIVE if m != told))
-        await world.wait(CANCEL_S + 20 - (now() - began))
-        assert not world.rules.running
+            cluster.cut_off(told, *(m for m in FIVE if m != told))
+            cluster.cut_off(told, *("back-" + m for m in FIVE if m != told))
+        await cluster.wait(CANCEL_S + 20 - (now() - began))
+        assert not cluster.rules.running
         said = "not known what users were told is cancelled" in caplog.text
         assert said or how != "back at once"
 
@@ -74,23 +74,23 @@
     """The one that stored the cancellation did not hear so, and told nobody; others did."""
 
     async def act(work):
-        world, peers = work.world, work.others()
-        world.network.watcher = lambda sent: 0.0 if sent.path == "/multi" else None  # no answers
-        world.state.refused.add(world.leader())
+        cluster, peers = work.cluster, work.others()
+        cluster.network.watcher = lambda sent: 0.0 if sent.path == "/multi" else None  # no answers
+        cluster.store.refused.add(cluster.leader())
         for number in (0, 1):
             work.cancelled.add(number)
             path = f"/submissions/{job_name(number)}/cancel"
-            asked = asyncio.ensure_future(world._ask("POST", path, b"", peers[0]))
-            await world.wait(0.1)
+            asked = asyncio.ensure_future(cluster._ask("POST", path, b"", peers[0]))
+            await cluster.wait(0.1)
             asked.cancel()
-        world.network.watcher = None
-        assert await world.poll(job_name(0), peers[1]) == "cancelled"
-        assert await world.submit(job(1, beats=3), 1, peers[2]) == 200
-        world.state.out = True
-        world.kill(peers[0])
-        await world.wait(1)
-        world.start(peers[0])
-        await world.wait(CANCEL_S + 20)
+        cluster.network.watcher = None
+        assert await cluster.poll(job_name(0), peers[1]) == "cancelled"
+        assert await cluster.submit(job(1, beats=3), 1, peers[2]) == 200
+        cluster.store.out = True
+        cluster.kill(peers[0])
+        await cluster.wait(1)
+        cluster.start(peers[0])
+        await cluster.wait(CANCEL_S + 20)
 
     play_long_work(2, act)
 
@@ -100,21 +100,21 @@
     """It has won the key and answers nobody, as it does not know whom users have cancelled."""
 
     async def act(work):
-        world, former, peers, scans = work.world, work.world.leader(), work.others(), []
+        cluster, former, peers, scans = work.cluster, work.cluster.leader(), work.others(), []
 
         def stop(sent):
             if sent.target == "state" and sent.path.startswith("/keys?prefix=job/"):
                 scans.append(sent.source)
-                world.state.out = True
+                cluster.store.out = True
 
-        world.network.watcher = stop
-        world.kill(former)
+        cluster.network.watcher = stop
+        cluster.kill(former)
         await work.cancel(0, peers[0])
-        await world.until(lambda: world.state.out, most=10)
-        world.network.watcher = None
-        await world.wait(CANCEL_S + 10)
-        assert world.nodes[scans[0]].elector.answering() is None
-        assert not world.rules.running
+        await cluster.until(lambda: cluster.store.out, most=10)
+        cluster.network.watcher = None
+        await cluster.wait(CANCEL_S + 10)
+        assert cluster.controllers[scans[0]].elector.answering() is None
+        assert not cluster.rules.running
 
     play_long_work(seed, act)
 
@@ -124,12 +124,12 @@
     """Its renewals and readings time out, others are served, then it is slow for all."""
 
     async def act(work):
-        world = work.world
-        world.network.slow[(world.leader(), "state")] = 2.5
+        cluster = work.cluster
+        cluster.network.slow[(cluster.leader(), "state")] = 2.5
         await work.cancel(0, work.others()[0])
         for member in FIVE:
-            world.network.slow[(member, "state")] = 2.5
-        await world.wait(CANCEL_S + 20)
+            cluster.network.slow[(member, "state")] = 2.5
+        await cluster.wait(CANCEL_S + 20)
 
     play_long_work(seed, act)
 
@@ -139,15 +139,15 @@
     """It may command nothing any more but this: that tasks of cancelled jobs stop."""
 
     async def act(work):
-        world, node, sessions = work.world, work.leading_node(), work.sessions()
-        world.state.refused.add(world.leader())
+        cluster, controller, sessions = work.cluster, work.leading_controller(), work.sessions()
+        cluster.store.refused.add(cluster.leader())
         await work.cancel(0, work.others()[0])
-        world.state.out = True
-        for worker in world.cloud.workers():
+        cluster.store.out = True
+        for worker in cluster.cloud.workers():
             work.hang(worker, work.rng.uniform(4, 6))
-        await world.wait(4)
-        assert work.running(0) and node.elector.leading() is None
-        await world.wait(CANCEL_S + 15)
+        await cluster.wait(4)
+        assert work.running(0) and controller.elector.leading() is None
+        await cluster.wait(CANCEL_S + 15)
         assert work.sessions() == sessions
         assert not work.running(0) and len(work.running(1)) == 3
 
@@ -159,14 +159,14 @@
     goes on."""
 
     async def act(work):
-        world, node = work.world, work.leading_node()
-        world.state.refused.add(world.leader())
+        cluster, controller = work.cluster, work.leading_controller()
+        cluster.store.refused.add(cluster.leader())
         await work.cancel(0, work.others()[0])
-        world.state.out = True
-        world.drop_answers([worker.name for worker in world.cloud.workers()][::2])
-        await world.wait(CANCEL_S + 15)
-        assert node.elector.answering() is not None
-        assert not work.running(0) and world.rules.running
+        cluster.store.out = True
+        cluster.drop_answers([worker.name for worker in cluster.cloud.workers()][::2])
+        await cluster.wait(CANCEL_S + 15)
+        assert controller.elector.answering() is not None
+        assert not work.running(0) and cluster.rules.running
 
     play_long_work(3, act)
 
@@ -176,8 +176,8 @@
     """A renewal shows that it leads, not that it knows what users have been told."""
 
     async def act(work):
-        world, node = work.world, work.leading_node()
-        watch = node.state.watch
+        cluster, controller = work.cluster, work.leading_controller()
+        watch = controller.store.watch
 
         async def nothing(prefix, after, wait, rank):
             if prefix != "job/":
@@ -186,13 +186,13 @@
                 await asyncio.sleep(3600)
             raise RefusedError("status 429")
 
-        node.state.watch = nothing
-        await world.wait(2.5)  # the one that is under way still comes
+        controller.store.watch = nothing
+        await cluster.wait(2.5)  # the one that is under way still comes
         await work.cancel(0, work.others()[0])
-        await world.wait(CANCEL_S + 5)
-        assert world.leader() is not None
-        assert node.elector.epoch > 1  # it gave its term up, and read anew
-        node.state.watch = watch
+        await cluster.wait(CANCEL_S + 5)
+        assert cluster.leader() is not None
+        assert controller.elector.epoch > 1  # it gave its term up, and read anew
+        controller.store.watch = watch
 
     play_long_work(4, act)
 
@@ -201,19 +201,19 @@
     """It may have waited through an outage, in which its end says nothing of what came after."""
 
     async def act(work):
-        node, sent = work.leading_node(), []
-        watch = node.state.watch
+        controller, sent = work.leading_controller(), []
+        watch = controller.store.watch
 
         async def late(prefix, after, wait, rank):
             if prefix == "job/":
-                sent.append(node.clock.now())
+                sent.append(controller.clock.now())
             return await watch(prefix, after, wait, rank)
 
-        node.state.watch = late
-        await work.world.wait(6)
+        controller.store.watch = late
+        await work.cluster.wait(6)
         for _ in range(60):
-            await work.world.wait(0.11)
-            assert node.elector.term.known_at in sent[-2:]
+            await work.cluster.wait(0.11)
+            assert controller.elector.term.known_at in sent[-2:]
 
     play_long_work(7, act, jobs=1)
 
@@ -223,18 +223,18 @@
     under the cancellation that another controller has stored, and the next leader agrees."""
 
     async def act(work):
-        world, leader = work.world, work.world.leader()
-        world.state.refused.add(leader)
+        cluster, leader = work.cluster, work.cluster.leader()
+        cluster.store.refused.add(leader)
         await work.cancel(0, work.others()[0])
-        world.state.out = True
-        await world.until(lambda: not work.running(0), most=CANCEL_S / 2)
-        assert world.state.keys["job/j-000000"][0]["cancelled"] is True
-        world.state.refused.clear()
-        world.state.end_outage()
-        await world.wait(5)
-        assert world.leader() == leader
-        assert world.state.keys["ended/j-000000"][0]["state"] == "cancelled"
-        await world.restart(leader, 0.3)
+        cluster.store.out = True
+        await cluster.until(lambda: not work.running(0), most=CANCEL_S / 2)
+        assert cluster.store.keys["job/j-000000"][0]["cancelled"] is True
+        cluster.store.refused.clear()
+        cluster.store.end_outage()
+        await cluster.wait(5)
+        assert cluster.leader() == leader
+        assert cluster.store.keys["ended/j-000000"][0]["state"] == "cancelled"
+        await cluster.restart(leader, 0.3)
 
     play_long_work(5, act)
 
@@ -244,12 +244,12 @@
     bound from its last reading."""
 
     async def act(work):
-        elector = work.leading_node().elector
-        work.world.state.out = True
-        await work.world.wait(3 * CANCEL_S)
+        elector = work.leading_controller().elector
+        work.cluster.store.out = True
+        await work.cluster.wait(3 * CANCEL_S)
         assert elector.answering() is not None
         assert elector.clock.now() - elector.term.known_at < timedelta(seconds=3)
-        assert len(work.world.rules.running) == 3 * JOBS
+        assert len(work.cluster.rules.running) == 3 * JOBS
 
     play_long_work(6, act, JOBS)
 
@@ -259,10 +259,10 @@
     process before has promised; this one may learn more and answer again."""
 
     async def act(work):
-        node = work.leading_node()
-        node.elector.term.known_at -= timedelta(seconds=60)
-        assert node.elector.holding() is None
-        assert (await node.peer_requests.answer(HoldingQuestion())).holds
-        await work.world.wait(5)
+        controller = work.leading_controller()
+        controller.elector.term.known_at -= timedelta(seconds=60)
+        assert controller.elector.holding() is None
+        assert (await controller.peer_requests.answer(HoldsTermRequest())).holds
+        await work.cluster.wait(5)
 
     play_long_work(8, act, jobs=1)
--- a/dappledrum/controller/test_concurrent_faults.py
+++ b/dappledrum/controller/test_concurrent_faults.py
@@ -20,24 +20,24 @@
     ends in the midst of writing."""
 
     async def act(scenario):
-        world, rng = scenario.world, scenario.rng
+        cluster, rng = scenario.cluster, scenario.rng
         await scenario.submit_long(0, 1, 2)
         for _ in range(6):
             await scenario.until_led()
-            await world.wait(rng.uniform(0.5, 14))
-            leader = world.leader()
+            await cluster.wait(rng.uniform(0.5, 14))
+            leader = cluster.leader()
             how = rng.choice(("end", "hand over", "answers lost"))
             if how == "end" and leader is not None:
-                await world.restart(leader, rng.choice((0.1, 4.0)))
+                await cluster.restart(leader, rng.choice((0.1, 4.0)))
             elif how == "hand over" and leader is not None:
-                world.nodes[leader].elector.transfer_leadership(
+                cluster.controllers[leader].elector.transfer_leadership(
                     rng.choice(scenario.others()), "a test"
                 )
             elif leader is not None:
-                pairs = {(leader, w.name) for w in world.cloud.workers()}
-                world.network.blocked |= pairs
-                await world.wait(rng.uniform(1, 6))
-                world.network.blocked -= pairs
+                pairs = {(leader, w.name) for w in cluster.cloud.workers()}
+                cluster.network.blocked |= pairs
+                await cluster.wait(rng.uniform(1, 6))
+                cluster.network.blocked -= pairs
 
     play(seed, act)
 
@@ -48,15 +48,15 @@
     some are taken meanwhile, and rentals and returns are carried out late."""
 
     async def act(scenario):
-        world, rng = scenario.world, scenario.rng
+        cluster, rng = scenario.cluster, scenario.rng
         await scenario.submit_long(0, 1)
-        world.network.watcher = lambda sent: (
+        cluster.network.watcher = lambda sent: (
             rng.uniform(2, 20)
             if sent.target == "cloud" and sent.path.startswith("/rentals") and rng.random() < 0.4
             else None
         )
         for turn in range(8):
-            workers = world.cloud.workers()
+            workers = cluster.cloud.workers()
             for worker in rng.sample(workers, min(3, len(workers))):
                 span = rng.choice((1.0, 3.9, 5.0, LEASE_S - 0.5, LEASE_S + 2))
                 if rng.random() < 0.5:
@@ -64,13 +64,13 @@
                     later(span, setattr, worker, "hung", False)
                 else:
                     pairs = {frozenset((m, worker.name)) for m in FIVE}
-                    world.network.cuts |= pairs
-                    later(span, world.network.mend, pairs)
-            if turn % 3 == 2 and world.leader() is not None:
-                await world.restart(world.leader(), 0.3)
+                    cluster.network.cuts |= pairs
+                    later(span, cluster.network.mend, pairs)
+            if turn % 3 == 2 and cluster.leader() is not None:
+                await cluster.restart(cluster.leader(), 0.3)
             if turn == 4 and workers:
-                world.cloud.take(rng.choice(workers).name)
-            await world.wait(rng.uniform(2, 6))
+                cluster.cloud.take(rng.choice(workers).name)
+            await cluster.wait(rng.uniform(2, 6))
 
     play(seed, act)
 
@@ -81,23 +81,23 @@
     new one has cancelled is gone in time."""
 
     async def act(scenario):
-        world, rng = scenario.world, scenario.rng
+        cluster, rng = scenario.cluster, scenario.rng
         await scenario.submit_long(0, 1, 2)
-        await world.wait(8)
-        former = world.leader()
-        for worker in world.cloud.workers():
-            worker.node = former
-        world.isolate(former)
-        await world.wait(rng.uniform(0, 2.5))
+        await cluster.wait(8)
+        former = cluster.leader()
+        for worker in cluster.cloud.workers():
+            worker.controller = former
+        cluster.isolate(former)
+        await cluster.wait(rng.uniform(0, 2.5))
         await scenario.cancel(0, rng.choice([m for m in FIVE if m != former]))
         await scenario.until_led(former)
-        assert world.nodes[former].elector.answering() is None
-        await scenario.cancel(1, world.leader())
+        assert cluster.controllers[former].elector.answering() is None
+        await scenario.cancel(1, cluster.leader())
         asked = now()
         while now() < asked + CANCEL_S + 5:
             for number in (0, 1):  # whoever answers, says so
-                assert await world.poll(f"j-{900 + number:06d}", former) in (None, "cancelled")
-            await world.wait(2)
+                assert await cluster.poll(f"j-{900 + number:06d}", former) in (None, "cancelled")
+            await cluster.wait(2)
         assert not scenario.machines_of(0) and not scenario.machines_of(1)
 
     play(seed, act)
@@ -109,31 +109,31 @@
     """Nothing starts twice; team limits count what is there until it is proven gone."""
 
     async def act(scenario):
-        world, rng = scenario.world, scenario.rng
+        cluster, rng = scenario.cluster, scenario.rng
         await scenario.submit_long(0, 1, crew="red")
         await scenario.submit_long(2)
-        await world.wait(8)
-        away = rng.sample(sorted(w.name for w in world.cloud.workers()), 4)
-        workers = [w for w in world.cloud.workers() if w.name in away]
-        former = world.leader()
+        await cluster.wait(8)
+        away = rng.sample(sorted(w.name for w in cluster.cloud.workers()), 4)
+        workers = [w for w in cluster.cloud.workers() if w.name in away]
+        former = cluster.leader()
         if how == "hang":
             for worker in workers:
                 worker.hung = True
                 later(rng.uniform(1, LEASE_S), setattr, worker, "hung", False)
         elif how == "deaf":
-            world.drop_answers(away)
+            cluster.drop_answers(away)
         elif how == "cut":
             for name in away:
                 for member in FIVE:
-                    world.network.cut(member, name)
-        await world.wait(rng.uniform(0, 3))
-        world.kill(former)
+                    cluster.network.cut(member, name)
+        await cluster.wait(rng.uniform(0, 3))
+        cluster.kill(former)
         await scenario.until_led(former)
         if how == "cut from the new one":
             for name in away:
-                world.network.cut(world.leader(), name)
+                cluster.network.cut(cluster.leader(), name)
         await scenario.submit_long(3, 4, crew="red")
-        await world.wait(rng.uniform(2, 3 * LEASE_S))
+        await cluster.wait(rng.uniform(2, 3 * LEASE_S))
 
     play(seed, act)
 
@@ -143,30 +143,30 @@
     """Within seconds, also less than one; jobs are cancelled in between, and an outage follows."""
 
     async def act(scenario):
-        world, rng = scenario.world, scenario.rng
+        cluster, rng = scenario.cluster, scenario.rng
         await scenario.submit_long(0, 1, 2)
-        await world.wait(5)
-        first, second = world.leader(), rng.choice(scenario.others())
+        await cluster.wait(5)
+        first, second = cluster.leader(), rng.choice(scenario.others())
         for one, other in ((first, second), (second, first)):
-            if world.leader() == one:
-                world.nodes[one].elector.transfer_leadership(other, "a test")
-            await world.wait(rng.uniform(0, 0.5))
+            if cluster.leader() == one:
+                cluster.controllers[one].elector.transfer_leadership(other, "a test")
+            await cluster.wait(rng.uniform(0, 0.5))
         await scenario.cancel(0, rng.choice(FIVE))
         for member in FIVE:
-            world.kill(member)
+            cluster.kill(member)
         back = rng.choice(FIVE)
-        await world.wait(rng.choice((0.0, 0.2, 0.9)))
-        world.start(back)
+        await cluster.wait(rng.choice((0.0, 0.2, 0.9)))
+        cluster.start(back)
         await scenario.until_led()
         await scenario.cancel(1, back)
         if rng.random() < 0.5:
-            world.state.out = True
-        await world.wait(rng.uniform(0, 2))
+            cluster.store.out = True
+        await cluster.wait(rng.uniform(0, 2))
         for member in FIVE:
-            if not world.alive(member):
-                world.start(member)
-            await world.wait(rng.uniform(0, 0.3))
-        await world.wait(CANCEL_S + 5)
+            if not cluster.alive(member):
+                cluster.start(member)
+            await cluster.wait(rng.uniform(0, 0.3))
+        await cluster.wait(CANCEL_S + 5)
         assert not scenario.machines_of(0) and not scenario.machines_of(1)
 
     play(seed, act)
@@ -176,28 +176,28 @@
 @pytest.mark.parametrize("slow", [0.2, 1.2, 2.5])
 def test_a_state_service_that_is_slow_then_refuses_the_leader_then_all(seed, slow):
     async def act(scenario):
-        world, rng = scenario.world, scenario.rng
+        cluster, rng = scenario.cluster, scenario.rng
         await scenario.submit_long(0, 1, 2)
         for member in FIVE:
-            world.network.slow[(member, "state")] = slow
-            world.network.slow[("state", member)] = slow / 4
-        await world.wait(rng.uniform(2, 10))
-        cancelled = [asyncio.ensure_future(world.cancel("j-000900", 60))]
-        await world.wait(rng.uniform(0, 4))
-        if world.leader() is not None:
-            world.state.refused.add(world.leader())
-        cancelled.append(asyncio.ensure_future(world.cancel("j-000901", 60)))
-        await world.wait(rng.uniform(0, 3))
-        world.network.slow.clear()
-        await world.wait(rng.uniform(0, 1))
-        world.state.out = True
-        await world.wait(CANCEL_S + rng.uniform(0, 15))
-        world.state.refused.clear()
-        world.state.end_outage()
-        world.rules.faults_over_at = now()
+            cluster.network.slow[(member, "state")] = slow
+            cluster.network.slow[("state", member)] = slow / 4
+        await cluster.wait(rng.uniform(2, 10))
+        cancelled = [asyncio.ensure_future(cluster.cancel("j-000900", 60))]
+        await cluster.wait(rng.uniform(0, 4))
+        if cluster.leader() is not None:
+            cluster.store.refused.add(cluster.leader())
+        cancelled.append(asyncio.ensure_future(cluster.cancel("j-000901", 60)))
+        await cluster.wait(rng.uniform(0, 3))
+        cluster.network.slow.clear()
+        await cluster.wait(rng.uniform(0, 1))
+        cluster.store.out = True
+        await cluster.wait(CANCEL_S + rng.uniform(0, 15))
+        cluster.store.refused.clear()
+        cluster.store.end_outage()
+        cluster.rules.faults_over_at = now()
         for one in cancelled:
             while not one.done():
-                await world.wait(1)
+                await cluster.wait(1)
             assert one.result() == "cancelled"
 
     play(seed, act)
@@ -208,17 +208,17 @@
     """Also of an earlier session and attempt: the machines lose their sessions in between."""
 
     async def act(scenario):
-        world, rng = scenario.world, scenario.rng
-        world.network.copies = Copies(0.6, 0.5, 4 * LEASE_S, FIVE)
+        cluster, rng = scenario.cluster, scenario.rng
+        cluster.network.copies = Copies(0.6, 0.5, 4 * LEASE_S, FIVE)
         await scenario.submit_long(0, 1, 2)
         for _ in range(4):
-            for worker in rng.sample(world.cloud.workers(), 3):
+            for worker in rng.sample(cluster.cloud.workers(), 3):
                 worker.hung = True
                 later(rng.uniform(LEASE_S + 0.5, LEASE_S + 6), setattr, worker, "hung", False)
-            await world.wait(rng.uniform(1, LEASE_S))
-            if world.leader() is not None:
-                await world.restart(world.leader(), rng.choice((0.1, 2.0)))
-            await world.wait(rng.uniform(4, 12))
+            await cluster.wait(rng.uniform(1, LEASE_S))
+            if cluster.leader() is not None:
+                await cluster.restart(cluster.leader(), rng.choice((0.1, 2.0)))
+            await cluster.wait(rng.uniform(4, 12))
 
     play(seed, act)
 
@@ -230,22 +230,22 @@
     submissions and cancellations; leaders change meanwhile."""
 
     async def act(scenario):
-        world, rng = scenario.world, scenario.rng
+        cluster, rng = scenario.cluster, scenario.rng
         await scenario.submit_long(0, 1, 2)
-        world.network.late_writes = LateWrites(share, 2.0, 12.0)
-        cancelled = asyncio.ensure_future(world.cancel("j-000900", 200))
+        cluster.network.late_writes = LateWrites(share, 2.0, 12.0)
+        cancelled = asyncio.ensure_future(cluster.cancel("j-000900", 200))
         for turn in range(4):
-            await world.wait(rng.uniform(3, 9))
-            leader = world.leader()
+            await cluster.wait(rng.uniform(3, 9))
+            leader = cluster.leader()
             if leader is not None and turn % 2:
-                await world.restart(leader, rng.choice((0.0, 0.3, 5.0)))
+                await cluster.restart(leader, rng.choice((0.0, 0.3, 5.0)))
             elif leader is not None:
-                world.nodes[leader].elector.transfer_leadership(
+                cluster.controllers[leader].elector.transfer_leadership(
                     rng.choice(scenario.others()), "a test"
                 )
-        world.network.late_writes = None
-        await world.wait(13)
+        cluster.network.late_writes = None
+        await cluster.wait(13)
         while not cancelled.done():
-            await world.wait(1)
+            await cluster.wait(1)
 
     play(seed, act)
--- a/dappledrum/controller/test_concurrent_leadership_faults.py
+++ b/dappledrum/controller/test_concurrent_leadership_faults.py
@@ -35,38 +35,40 @@
 
 async def confirm(scenario, number, member):
     """A user asks this controller to cancel until it says so; then all that can answer agree."""
-    world, name = scenario.world, f"j-{900 + number:06d}"
-    world.rules.cancel_asked(name)
+    cluster, name = scenario.cluster, f"j-{900 + number:06d}"
+    cluster.rules.cancel_asked(name)
     for _ in range(200):
-        reply = await world._ask("POST", f"/submissions/{name}/cancel", b"", member)
+        reply = await cluster._ask("POST", f"/submissions/{name}/cancel", b"", member)
         if reply is not None and reply.status == 200:
             break
-        await world.wait(0.1)
+        await cluster.wait(0.1)
     else:
         raise AssertionError(f"{member} does not confirm that {name} is cancelled")
     state = json.loads(reply.body)["stance"]
-    world.rules.poll_answer(now(), name, 200, state)
+    cluster.rules.poll_answer(now(), name, 200, state)
     for other in FIVE:
-        if world.alive(other):
-            assert await world.poll(name, other) in (None, state)
+        if cluster.alive(other):
+            assert await cluster.poll(name, other) in (None, state)
 
 
 async def change_leader(scenario, step, incoming):
     """The work changes hands, to this controller if it can be named."""
-    world, rng = scenario.world, scenario.rng
-    outgoing = world.leader()
+    cluster, rng = scenario.cluster, scenario.rng
+    outgoing = cluster.leader()
     if step == "transfer":
-        world.nodes[outgoing].elector.transfer_leadership(incoming, "a test")
+        cluster.controllers[outgoing].elector.transfer_leadership(incoming, "a test")
     elif step == "end":
-        world.kill(outgoing)
-        later(rng.choice((0.0, 0.1, 0.5)), world.start, outgoing)
+        cluster.kill(outgoing)
+        later(rng.choice((0.0, 0.1, 0.5)), cluster.start, outgoing)
     elif step == "resignation":
-        world.nodes[outgoing].elector.resign("a test", world.nodes[outgoing].elector.life * 3)
+        cluster.controllers[outgoing].elector.resign(
+            "a test", cluster.controllers[outgoing].elector.life * 3
+        )
     elif step == "roll":
         for turn, member in enumerate(rng.sample(FIVE, len(FIVE))):
             at = turn * rng.uniform(0.4, 1.2)
-            later(at, world.kill, member)
-            later(at + rng.choice((0.1, 0.3)), world.start, member)
+            later(at, cluster.kill, member)
+            later(at + rng.choice((0.1, 0.3)), cluster.start, member)
 
 
 @SEEDS
@@ -75,14 +77,14 @@
     """Confirmed by the outgoing, the incoming and a third controller, right before and after."""
 
     async def act(scenario):
-        world, rng = scenario.world, scenario.rng
+        cluster, rng = scenario.cluster, scenario.rng
         moments = [(w, m) for w in ("outgoing", "incoming", "third") for m in ("before", "after")]
         for number, (who, moment) in enumerate(moments):
             await scenario.until_led()
             await scenario.submit_long(number, **LONG)
-            await world.wait(rng.uniform(4, 7))
+            await cluster.wait(rng.uniform(4, 7))
             await scenario.until_led()
-            outgoing = world.leader()
+            outgoing = cluster.leader()
             incoming, third = rng.sample(scenario.others(), 2)
             member = {"outgoing": outgoing, "incoming": incoming, "third": third}[who]
             if moment == "before":
@@ -90,30 +92,30 @@
                 await change_leader(scenario, step, incoming)
             else:
                 await change_leader(scenario, step, incoming)
-                await world.wait(rng.uniform(0, 0.4))
+                await cluster.wait(rng.uniform(0, 0.4))
                 await confirm(scenario, number, member)
-        await world.wait(CANCEL_S + 5)
+        await cluster.wait(CANCEL_S + 5)
         assert not any(scenario.machines_of(number) for number in range(len(moments)))
 
     play(seed, act)
 
 
-def deliver(world, sent, after):
+def deliver(cluster, sent, after):
     """A report arrives once more, at every controller."""
     for member in FIVE:
         asyncio.get_running_loop().create_task(
-            world.network._late(sent.source, member, "POST", "/hello", sent.body, after),
+            cluster.network._late(sent.source, member, "POST", "/hello", sent.body, after),
             context=contextvars.Context(),
         )
 
 
 async def disturb(scenario):
     """Reports become old: a machine loses its session, another is returned."""
-    world, rng = scenario.world, scenario.rng
-    hanging, gone = rng.sample(world.cloud.workers(), 2)
+    cluster, rng = scenario.cluster, scenario.rng
+    hanging, gone = rng.sample(cluster.cloud.workers(), 2)
     hanging.hung = True
     later(rng.uniform(LEASE_S + 0.5, LEASE_S + 4), setattr, hanging, "hung", False)
-    later(rng.uniform(0, 3), world.cloud.take, gone.name)
+    later(rng.uniform(0, 3), cluster.cloud.take, gone.name)
 
 
 @SEEDS
@@ -121,7 +123,7 @@
     """Of earlier sessions and attempts, and of machines that were returned meanwhile."""
 
     async def act(scenario):
-        world, rng = scenario.world, scenario.rng
+        cluster, rng = scenario.cluster, scenario.rng
         reports = []
 
         def remember(sent):
@@ -130,29 +132,29 @@
                 reports.append(sent)
 
         heard = {}
-        world.network.watcher = remember
+        cluster.network.watcher = remember
         await scenario.submit_long(0, 1)
         await scenario.submit_long(2, crew="red")
         for turn in range(4):
             await disturb(scenario)
-            await world.wait(rng.uniform(2, LEASE_S))
+            await cluster.wait(rng.uniform(2, LEASE_S))
             await scenario.until_led()
-            former = world.leader()
+            former = cluster.leader()
             if rng.random() < 0.5:
-                world.kill(former)
-                later(0.3, world.start, former)
+                cluster.kill(former)
+                later(0.3, cluster.start, former)
             else:
-                world.nodes[former].elector.transfer_leadership(
+                cluster.controllers[former].elector.transfer_leadership(
                     rng.choice(scenario.others()), "a test"
                 )
-            world.cloud.take(rng.choice(world.cloud.workers()).name)
-            while world.leader() is None:
-                await world.wait(0.02)
+            cluster.cloud.take(rng.choice(cluster.cloud.workers()).name)
+            while cluster.leader() is None:
+                await cluster.wait(0.02)
             delay = rng.choice((0.0, 0.05, 0.4))
             for sent in rng.sample(reports, min(len(reports), 60)):
-                deliver(world, sent, delay)
+                deliver(cluster, sent, delay)
             await scenario.submit_long(10 + turn)
-            await world.wait(rng.uniform(2, 5))
+            await cluster.wait(rng.uniform(2, 5))
 
     play(seed, act)
 
@@ -163,21 +165,21 @@
     """In the order of their reports; nothing that runs is stopped for what they do not show."""
 
     async def act(scenario):
-        world, rng = scenario.world, scenario.rng
-        world.network.copies = Copies(share, 0, 0, FIVE, for_next=True)
+        cluster, rng = scenario.cluster, scenario.rng
+        cluster.network.copies = Copies(share, 0, 0, FIVE, for_next=True)
         await scenario.submit_long(0, 1)
         await scenario.submit_long(2, crew="red")
         for turn in range(4):
             await disturb(scenario)
-            await world.wait(rng.uniform(2, LEASE_S + 3))
+            await cluster.wait(rng.uniform(2, LEASE_S + 3))
             await scenario.until_led()
             await scenario.submit_long(10 + turn)  # starts that the copies do not show
-            await world.wait(rng.uniform(0.5, 2))
+            await cluster.wait(rng.uniform(0.5, 2))
             step = rng.choice(("end", "transfer", "resignation"))
-            if world.leader() is not None:
+            if cluster.leader() is not None:
                 await change_leader(scenario, step, rng.choice(scenario.others()))
-        await world.wait(LEASE_S)
-        assert world.network.copied > 20
+        await cluster.wait(LEASE_S)
+        assert cluster.network.copied > 20
 
     play(seed, act)
 
@@ -188,7 +190,7 @@
     """They come for the first time, from machines that have got work or lost their lease since."""
 
     async def act(scenario):
-        world, rng = scenario.world, scenario.rng
+        cluster, rng = scenario.cluster, scenario.rng
         held, delivered = [], 0
 
         def hold(sent):
@@ -200,35 +202,37 @@
         await scenario.submit_long(0, 1)
         await scenario.submit_long(2, crew="red")
         for turn in range(4):
-            workers = world.cloud.workers()
+            workers = cluster.cloud.workers()
             chosen = {worker.name for worker in rng.sample(workers, min(5, len(workers)))}
-            world.network.watcher = hold
-            await world.wait(rng.uniform(2, LEASE_S + 3))
+            cluster.network.watcher = hold
+            await cluster.wait(rng.uniform(2, LEASE_S + 3))
             await scenario.until_led()
             step = rng.choice(("end", "transfer", "resignation"))
             await change_leader(scenario, step, rng.choice(scenario.others()))
-            await world.wait(rng.uniform(0, 3))
-            world.network.watcher = None
+            await cluster.wait(rng.uniform(0, 3))
+            cluster.network.watcher = None
             await scenario.until_led()
             await scenario.submit_long(10 + turn)  # starts that the reports do not show
-            await world.wait(rng.uniform(0.5, LEASE_S))
+            await cluster.wait(rng.uniform(0.5, LEASE_S))
             await scenario.until_led()
             rng.shuffle(held)
             for sent in held:
-                await world.network._late(sent.source, world.leader(), "POST", "/hello", sent.body)
+                await cluster.network._late(
+                    sent.source, cluster.leader(), "POST", "/hello", sent.body
+                )
             delivered += len(held)
             held.clear()
-            await world.wait(rng.uniform(1, 3))
+            await cluster.wait(rng.uniform(1, 3))
         assert delivered > 12
 
     play(seed, act)
 
 
-def no_worker(world):
+def no_worker(cluster):
     """Nothing passes between controllers and machines, new ones too."""
     for member in FIVE:
-        for number in range(1, world.cloud.next + 40):
-            world.network.cut(member, f"host-{number:06d}")
+        for number in range(1, cluster.cloud.next + 40):
+            cluster.network.cut(member, f"host-{number:06d}")
 
 
 @TWO_SEEDS
@@ -238,27 +242,27 @@
     """For longer than a lease, and than `cancel_s`; jobs are cancelled before and after."""
 
     async def act(scenario):
-        world, rng = scenario.world, scenario.rng
+        cluster, rng = scenario.cluster, scenario.rng
         await scenario.submit_long(0, 1, 2)
         await scenario.submit_long(3, crew="red")
-        await world.wait(8)
+        await cluster.wait(8)
         await scenario.cancel(0, rng.choice(FIVE))
-        await world.wait(rng.uniform(0, 0.5))
+        await cluster.wait(rng.uniform(0, 0.5))
         if how == "down":
             for member in FIVE:
-                world.kill(member)
+                cluster.kill(member)
         elif how == "no worker":
-            no_worker(world)
+            no_worker(cluster)
         else:
             for member in FIVE:
-                world.cut_off(member, "state")
-        await world.wait(span)
-        world.network.heal()
+                cluster.cut_off(member, "state")
+        await cluster.wait(span)
+        cluster.network.heal()
         for member in FIVE:
-            if not world.alive(member):
-                world.start(member)
+            if not cluster.alive(member):
+                cluster.start(member)
         await confirm(scenario, 1, rng.choice(FIVE))
-        await world.wait(CANCEL_S + 5)
+        await cluster.wait(CANCEL_S + 5)
         assert not scenario.machines_of(0) and not scenario.machines_of(1)
 
     play(seed, act)
@@ -270,27 +274,27 @@
     """In an outage none can follow, so those that lead for promises end, are back and so on."""
 
     async def act(scenario):
-        world, rng = scenario.world, scenario.rng
+        cluster, rng = scenario.cluster, scenario.rng
         await scenario.submit_long(0, 1, 2, **LONG)
         await scenario.submit_long(3, crew="red")
-        await world.wait(4)
+        await cluster.wait(4)
         cancelled, epochs = 0, set()
         for turn in range(10):
             began = now()
             if outage and turn in (3, 6):
-                later(rng.uniform(0, 2), setattr, world.state, "out", True)
-                later(12 + rng.uniform(0, 10), world.state.end_outage)
-            leader = world.leader()
+                later(rng.uniform(0, 2), setattr, cluster.store, "out", True)
+                later(12 + rng.uniform(0, 10), cluster.store.end_outage)
+            leader = cluster.leader()
             if leader is not None:
-                epochs.add(world.nodes[leader].elector.epoch)
+                epochs.add(cluster.controllers[leader].elector.epoch)
                 step = rng.choice(("end", "transfer", "resignation"))
                 await change_leader(scenario, step, rng.choice(scenario.others()))
             elif outage:
-                await world.restart(rng.choice(FIVE), 0.1)
-            if turn % 4 == 1 and not world.state.out:
+                await cluster.restart(rng.choice(FIVE), 0.1)
+            if turn % 4 == 1 and not cluster.store.out:
                 await confirm(scenario, cancelled, rng.choice(FIVE))
                 cancelled += 1
-            await world.wait(max(0.1, 12 + rng.uniform(-3, 3) - (now() - began)))
+            await cluster.wait(max(0.1, 12 + rng.uniform(-3, 3) - (now() - began)))
         assert outage or len(epochs) >= 9
 
     play(seed, act)
@@ -315,7 +319,7 @@
 
 def offered(leader, machines):
     """Whether a start is on its way to one of these machines."""
-    known = [machine for name in machines if (machine := leader.roster.get(name)) is not None]
+    known = [machine for name in machines if (machine := leader.registry.get(name)) is not None]
     placements = [placement for machine in known for placement in machine.placements.values()]
     return any(p.offered_tick >= 0 and not p.seen for p in placements)
 
@@ -328,35 +332,35 @@
     found = count_late_answers(monkeypatch)
 
     async def act(scenario):
-        world, rng = scenario.world, scenario.rng
+        cluster, rng = scenario.cluster, scenario.rng
         for turn in range(18):
             if turn >= 6 and (held > 4 or found["starts"]):
                 break  # six turns at least, and on until the meeting has come about
             await scenario.until_led()
-            former = world.leader()
-            slow = [worker.name for worker in world.cloud.workers()[turn % 2 :: 2]]
-            world.network.slow.update({(former, name): held for name in slow})
+            former = cluster.leader()
+            slow = [worker.name for worker in cluster.cloud.workers()[turn % 2 :: 2]]
+            cluster.network.slow.update({(former, name): held for name in slow})
             numbers = [10 * turn + number for number in range(4)]
             await scenario.submit_long(*numbers[:2], crew="red")
             await scenario.submit_long(*numbers[2:], vcpus=0.5)
             asked = now()
-            while world.leader() == former and now() < asked + 3:
-                if offered(world.nodes[former].leader, slow):
+            while cluster.leader() == former and now() < asked + 3:
+                if offered(cluster.controllers[former].leader, slow):
                     break
-                await world.wait(0.05)
+                await cluster.wait(0.05)
             if turn % 3 == 2:
-                world.isolate(former)
+                cluster.isolate(former)
                 await scenario.until_led(former)
-            elif world.leader() == former:
-                world.nodes[former].elector.transfer_leadership(
+            elif cluster.leader() == former:
+                cluster.controllers[former].elector.transfer_leadership(
                     rng.choice(scenario.others()), "a test"
                 )
-            await world.wait(rng.uniform(0, 1))
+            await cluster.wait(rng.uniform(0, 1))
             for number in numbers[1:3]:
-                await confirm(scenario, number, world.leader() or former)
-            await world.wait(held + 1)
-            world.network.heal()
-            await world.wait(rng.uniform(1, 4))
+                await confirm(scenario, number, cluster.leader() or former)
+            await cluster.wait(held + 1)
+            cluster.network.heal()
+            await cluster.wait(rng.uniform(1, 4))
 
     play(seed, act)
     if held < 4:
@@ -369,20 +373,20 @@
     """What users were told before cannot be asked of it, so what runs may end; no rule breaks."""
 
     async def act(scenario):
-        world, rng = scenario.world, scenario.rng
+        cluster, rng = scenario.cluster, scenario.rng
         await scenario.submit_long(0, 1, 2, **LONG)
-        await world.wait(6)
-        leader, told = world.leader(), rng.choice(scenario.others())
-        world.state.refused.add(leader)
-        await world.wait(rng.uniform(0, 0.5))
+        await cluster.wait(6)
+        leader, told = cluster.leader(), rng.choice(scenario.others())
+        cluster.store.refused.add(leader)
+        await cluster.wait(rng.uniform(0, 0.5))
         await scenario.cancel(0, told)  # the leader cannot read it
         member = leader if leads else told
-        world.state.out = True
-        await world.wait(rng.uniform(0, 0.3))
-        await world.restart(member, rng.choice((0.1, 0.3)))
-        await world.wait(CANCEL_S + rng.uniform(0, 10))
+        cluster.store.out = True
+        await cluster.wait(rng.uniform(0, 0.3))
+        await cluster.restart(member, rng.choice((0.1, 0.3)))
+        await cluster.wait(CANCEL_S + rng.uniform(0, 10))
         assert not scenario.machines_of(0)
-        world.state.end_outage()
+        cluster.store.end_outage()
         await confirm(scenario, 1, rng.choice(FIVE))
 
     play(seed, act)
--- a/dappledrum/controller/test_concurrent_limit_faults.py
+++ b/dappledrum/controller/test_concurrent_limit_faults.py
@@ -19,55 +19,57 @@
 def running(scenario, number):
     """How many tasks of one of the test's jobs are on machines."""
     name = f"j-{900 + number:06d}"
-    return sum(len(on) for (job, _), on in scenario.world.rules.running.items() if job == name)
+    return sum(len(on) for (job, _), on in scenario.cluster.rules.running.items() if job == name)
 
 
 def begun(scenario, number):
     """Whether a task of one of the test's jobs has started."""
-    return scenario.world.rules.jobs[f"j-{900 + number:06d}"].begun_at is not None
+    return scenario.cluster.rules.jobs[f"j-{900 + number:06d}"].begun_at is not None
 
 
 async def change_leader(scenario):
     """Another leads, or the same in another term."""
-    world, rng = scenario.world, scenario.rng
+    cluster, rng = scenario.cluster, scenario.rng
     await scenario.until_led()
-    leader = world.leader()
+    leader = cluster.leader()
     if rng.random() < 0.6:
-        await world.restart(leader, rng.choice((0.1, 3.0)))
+        await cluster.restart(leader, rng.choice((0.1, 3.0)))
     else:
-        world.nodes[leader].elector.transfer_leadership(rng.choice(scenario.others()), "a test")
-        await world.wait(0.5)
+        cluster.controllers[leader].elector.transfer_leadership(
+            rng.choice(scenario.others()), "a test"
+        )
+        await cluster.wait(0.5)
     await scenario.until_led()
 
 
 async def until_reported(scenario, names, check):
     """Wait for something, while these machines report to the leader, heard or not."""
-    reporting = [w for w in scenario.world.cloud.workers() if w.name in names]
+    reporting = [w for w in scenario.cluster.cloud.workers() if w.name in names]
     while not check():
         for worker in reporting:
-            worker.node = scenario.world.leader() or worker.node
-        await scenario.world.wait(0.25)
+            worker.controller = scenario.cluster.leader() or worker.controller
+        await scenario.cluster.wait(0.25)
 
 
 def cut_off(scenario, names):
     """Hold back everything between these machines and all controllers."""
     for name in names:
         for member in FIVE:
-            scenario.world.network.cut(member, name)
+            scenario.cluster.network.cut(member, name)
 
 
 def send_away(scenario, how, names):
     """Some machines can't be asked any more."""
-    world, rng = scenario.world, scenario.rng
+    cluster, rng = scenario.cluster, scenario.rng
     if how == "hang":
-        for worker in world.cloud.workers():
+        for worker in cluster.cloud.workers():
             if worker.name in names:
                 worker.hung = True
                 later(rng.uniform(1, 2 * LEASE_S), setattr, worker, "hung", False)
     elif how == "deaf":
-        world.drop_answers(names)
+        cluster.drop_answers(names)
     elif how == "mute":
-        world.drop_reports(names)
+        cluster.drop_reports(names)
     else:
         cut_off(scenario, names)
 
@@ -81,29 +83,29 @@
     free again a lease after the last one."""
 
     async def act(scenario):
-        world, rng = scenario.world, scenario.rng
+        cluster, rng = scenario.cluster, scenario.rng
         for number, team in enumerate(("blue", "red")):
             await scenario.submit_long(
                 number, crew=team, beats=4, vcpus=2.0, runS=300.0, dueS=60.0
             )
-        await world.until(lambda: running(scenario, 0) + running(scenario, 1) == 8)
+        await cluster.until(lambda: running(scenario, 0) + running(scenario, 1) == 8)
         for number, team in enumerate(("blue", "red")):
             await scenario.submit_long(
                 number + 2, crew=team, beats=4, vcpus=2.0, runS=5.0, dueS=60.0
             )
         on = sorted(scenario.machines_of(0) | scenario.machines_of(1))
         send_away(scenario, how, rng.sample(on, max(2, len(on) - 1)))
-        await world.wait(rng.uniform(0, 4))
+        await cluster.wait(rng.uniform(0, 4))
         cancelled = [0, 1] if changes == 0 else [0]
         for number in cancelled:
             await scenario.cancel(number, rng.choice(FIVE))
         for _ in range(changes):
-            await world.wait(rng.uniform(0.5, LEASE_S - 1))
+            await cluster.wait(rng.uniform(0.5, LEASE_S - 1))
             await change_leader(scenario)
         for number in {0, 1} - set(cancelled):
             await scenario.cancel(number, rng.choice(FIVE))
         since = now()
-        await world.until(lambda: begun(scenario, 2) and begun(scenario, 3), 60)
+        await cluster.until(lambda: begun(scenario, 2) and begun(scenario, 3), 60)
         assert now() - since < FREE_AGAIN_S
 
     play(seed, act, users=0, teams=LIMITED)
@@ -118,37 +120,37 @@
     still counts, through a change of leader, too."""
 
     async def act(scenario):
-        world, rng = scenario.world, scenario.rng
+        cluster, rng = scenario.cluster, scenario.rng
         await scenario.submit_long(0, crew="red", beats=1, vcpus=4.0, runS=12.0)
-        await world.until(lambda: running(scenario, 0) == 1)
+        await cluster.until(lambda: running(scenario, 0) == 1)
         first = scenario.machines_of(0)
-        await world.wait(rng.uniform(7, 9))
+        await cluster.wait(rng.uniform(7, 9))
         cut_off(scenario, first)
         await until_reported(scenario, first, lambda: running(scenario, 0) == 0)
         await until_reported(scenario, first, lambda: running(scenario, 0) == 1)
         second = scenario.machines_of(0)
         assert second != first
-        await world.wait(rng.uniform(1, 3))
-        world.network.heal()
+        await cluster.wait(rng.uniform(1, 3))
+        cluster.network.heal()
         send_away(scenario, how, sorted(second))
-        await world.wait(rng.uniform(4.5, 5))  # nothing new is put there by now
+        await cluster.wait(rng.uniform(4.5, 5))  # nothing new is put there by now
         if change:
             await change_leader(scenario)
         await scenario.submit_long(1, crew="red", beats=2, vcpus=4.0, runS=20.0, dueS=40.0)
-        await world.wait(LEASE_S * 2)
+        await cluster.wait(LEASE_S * 2)
 
     play(seed, act, users=0)
 
 
 def slow_links(scenario):
     """Everything takes longer on its way, some of it much longer."""
-    world, rng = scenario.world, scenario.rng
-    workers = [worker.name for worker in world.cloud.workers()]
+    cluster, rng = scenario.cluster, scenario.rng
+    workers = [worker.name for worker in cluster.cloud.workers()]
     for member in FIVE:
         for other in ("user", "state", "cloud", *workers):
             span = rng.choice((0.1, 0.4, 1.5)) if other != "state" else rng.choice((0.05, 0.3))
-            world.network.slow[(member, other)] = span * rng.random()
-            world.network.slow[(other, member)] = span * rng.random()
+            cluster.network.slow[(member, other)] = span * rng.random()
+            cluster.network.slow[(other, member)] = span * rng.random()
 
 
 @SEEDS
@@ -157,8 +159,8 @@
     waiting once the links are quick again, and the largest begin in time, too."""
 
     async def act(scenario):
-        world, rng = scenario.world, scenario.rng
-        world.cloud.most = len(world.cloud.machines)
+        cluster, rng = scenario.cluster, scenario.rng
+        cluster.cloud.most = len(cluster.cloud.machines)
         slow_links(scenario)
         for number in range(24):
             small = {"beats": rng.choice((1, 3, 12)), "vcpus": rng.choice((0.5, 1.0, 4.0))}
@@ -173,29 +175,29 @@
                 runS=rng.choice((2.0, 6.0, 12.0)),
                 expectedS=rng.choice((3.0, 10.0, 40.0)),
             )
-            await world.wait(rng.uniform(0, 1.5))
+            await cluster.wait(rng.uniform(0, 1.5))
             if number == 12:
                 await change_leader(scenario)
-        await world.wait(rng.uniform(20, 40))
-        world.network.slow.clear()
-        world.rules.faults_over_at = now()  # from here on no job may be left waiting beside room
-        await world.until(lambda: all(begun(scenario, number) for number in range(24)), 240)
-        world.rules.check_largest(now())
+        await cluster.wait(rng.uniform(20, 40))
+        cluster.network.slow.clear()
+        cluster.rules.faults_over_at = now()  # from here on no job may be left waiting beside room
+        await cluster.until(lambda: all(begun(scenario, number) for number in range(24)), 240)
+        cluster.rules.check_largest(now())
 
     play(seed, act, users=6)
 
 
 async def cut_zone_off(scenario, zone, member):
     """The workers of a zone and one controller reach only each other, for longer than a lease."""
-    world, rng = scenario.world, scenario.rng
-    inside = [w.name for w in world.cloud.workers() if w.kind[1] == zone]
-    outside = [w.name for w in world.cloud.workers() if w.kind[1] != zone]
+    cluster, rng = scenario.cluster, scenario.rng
+    inside = [w.name for w in cluster.cloud.workers() if w.kind[1] == zone]
+    outside = [w.name for w in cluster.cloud.workers() if w.kind[1] != zone]
     others = [other for other in FIVE if other != member]
-    world.isolate(member)
-    world.cut_off(member, "cloud", "user", *outside)
+    cluster.isolate(member)
+    cluster.cut_off(member, "cloud", "user", *outside)
     for other in others:
-        world.cut_off(other, *inside)
-    await world.wait(rng.uniform(LEASE_S + 1, 3 * LEASE_S))
+        cluster.cut_off(other, *inside)
+    await cluster.wait(rng.uniform(LEASE_S + 1, 3 * LEASE_S))
 
 
 @SEEDS
@@ -205,7 +207,7 @@
     that spread, lose machines on both sides, and the leader changes before and after."""
 
     async def act(scenario):
-        world, rng = scenario.world, scenario.rng
+        cluster, rng = scenario.cluster, scenario.rng
         bound = [{"oneZone": True}, {"hall": "a"}, {"hall": "b"}, {"spread": True}]
         # More than its zone takes at once: it still has tasks to place when the zone is cut off.
         await scenario.submit_long(8, beats=24, runS=25.0, dueS=60.0, oneZone=True)
@@ -214,26 +216,26 @@
             await scenario.submit_long(
                 number, beats=6, runS=[4.0, 8.0, 15.0, 25.0, 40.0, 60.0], dueS=100.0, **changes
             )
-        await world.wait(rng.uniform(4, 10))
+        await cluster.wait(rng.uniform(4, 10))
         zone = rng.choice(("a", "b"))
-        inside = world.leader() if leads else rng.choice(scenario.others())
-        workers = world.cloud.workers()
+        inside = cluster.leader() if leads else rng.choice(scenario.others())
+        workers = cluster.cloud.workers()
         for worker in rng.sample(workers, 2):
-            later(rng.uniform(0, LEASE_S), world.cloud.take, worker.name)
+            later(rng.uniform(0, LEASE_S), cluster.cloud.take, worker.name)
         for worker in rng.sample(workers, 2):
             later(rng.uniform(0, LEASE_S), setattr, worker, "hung", True)
         await cut_zone_off(scenario, zone, inside)
         await scenario.until_led()
-        if world.leader() != inside:
+        if cluster.leader() != inside:
             await change_leader(scenario)
-        await world.wait(rng.uniform(0, LEASE_S))
+        await cluster.wait(rng.uniform(0, LEASE_S))
 
     play(seed, act)
 
 
 def at_work_since(scenario, before):
     """Machines on which tasks run, and that were not there before."""
-    return {name for on in scenario.world.rules.running.values() for name in on} - before
+    return {name for on in scenario.cluster.rules.running.values() for name in on} - before
 
 
 @SEEDS
@@ -244,10 +246,10 @@
     met = []
 
     async def act(scenario):
-        world, rng = scenario.world, scenario.rng
-        world.cloud.slow = 0.1
-        world.cloud.lag_s = 15.0
-        world.cloud.most = 30
+        cluster, rng = scenario.cluster, scenario.rng
+        cluster.cloud.slow = 0.1
+        cluster.cloud.lag_s = 15.0
+        cluster.cloud.most = 30
 
         def lag(sent):
             if sent.path != "/multi":
@@ -256,18 +258,18 @@
                 return rng.uniform(5, 20)
             return rng.uniform(0.5, 6) if rng.random() < 0.2 else None
 
-        world.network.watcher = lag
+        cluster.network.watcher = lag
         for turn in range(4):
             await scenario.until_led()
-            before = set(world.cloud.machines)
+            before = set(cluster.cloud.machines)
             await scenario.submit_long(2 * turn, beats=6, vcpus=4.0, dueS=20.0, runS=12.0)
             await scenario.submit_long(2 * turn + 1, beats=2, vcpus=4.0, dueS=20.0, crew="red")
             began = now()
             while not at_work_since(scenario, before) and now() < began + 20:
-                await world.wait(0.25)
+                await cluster.wait(0.25)
             met.append(len(at_work_since(scenario, before)))
-            if world.leader() is not None:
-                await world.restart(world.leader(), rng.choice((0.1, 4.0)))
+            if cluster.leader() is not None:
+                await cluster.restart(cluster.leader(), rng.choice((0.1, 4.0)))
 
     play(seed, act, machines=2, users=4)
     assert sum(met) > 0
@@ -279,16 +281,16 @@
     planned behind others, on a fleet of idle machines."""
 
     async def act(scenario):
-        world, rng = scenario.world, scenario.rng
-        world.cloud.most = len(world.cloud.machines)
-        for model in world.cloud.types:
+        cluster, rng = scenario.cluster, scenario.rng
+        cluster.cloud.most = len(cluster.cloud.machines)
+        for model in cluster.cloud.types:
             model["readyS"] = 100.0
-        await world.wait(35)  # the catalog is read every 30 s
-        world.rules.faults_over_at = now()  # from here on no job may be left waiting beside room
+        await cluster.wait(35)  # the catalog is read every 30 s
+        cluster.rules.faults_over_at = now()  # from here on no job may be left waiting beside room
         for number in range(12):
             estimate = rng.choice((150.0, 250.0))
             await scenario.submit_long(number, beats=1, runS=150.0, expectedS=estimate)
-        await world.wait(130)
+        await cluster.wait(130)
 
     play(seed, act, users=0)
 
@@ -299,20 +301,20 @@
     runs there counts until its lease is over, and is begun elsewhere only then."""
 
     async def act(scenario):
-        world, rng = scenario.world, scenario.rng
+        cluster, rng = scenario.cluster, scenario.rng
         await scenario.submit_long(0, 1, crew="red", vcpus=1.0)
         await scenario.submit_long(2, 3)
-        await world.wait(8)
+        await cluster.wait(8)
         for number in range(3):
             on = sorted(scenario.machines_of(number))
-            silent = world.drop_reports(rng.sample(on, max(1, len(on) - 1)) if on else [])
+            silent = cluster.drop_reports(rng.sample(on, max(1, len(on) - 1)) if on else [])
             span = rng.choice((3.0, LEASE_S - 2, LEASE_S + 3, 3 * LEASE_S))
-            later(span, world.network.muted.difference_update, silent)
-            await world.wait(rng.uniform(0, LEASE_S))
+            later(span, cluster.network.muted.difference_update, silent)
+            await cluster.wait(rng.uniform(0, LEASE_S))
             await scenario.cancel(number, rng.choice(FIVE))
             await change_leader(scenario)
-            await world.wait(rng.uniform(0, LEASE_S))
-        await world.wait(CANCEL_S)
+            await cluster.wait(rng.uniform(0, LEASE_S))
+        await cluster.wait(CANCEL_S)
         assert not any(running(scenario, number) for number in range(3))
 
     play(seed, act)
@@ -323,17 +325,19 @@
     """Nothing is stopped there, nor begun elsewhere, as long as the machine may come back."""
 
     async def act(scenario):
-        world, rng = scenario.world, scenario.rng
+        cluster, rng = scenario.cluster, scenario.rng
         await scenario.submit_long(0, 1, beats=2, vcpus=4.0, runS=40.0, dueS=50.0)
-        await world.until(lambda: running(scenario, 0) + running(scenario, 1) == 4)
-        starts = world.rules.starts
+        await cluster.until(lambda: running(scenario, 0) + running(scenario, 1) == 4)
+        starts = cluster.rules.starts
         for _ in range(2):
-            silent = world.drop_reports(sorted(scenario.machines_of(0) | scenario.machines_of(1)))
-            await world.wait(rng.uniform(1, 2.5))  # and 6 s until a worker has found its way
-            world.network.muted -= silent
-            await world.wait(5)
+            silent = cluster.drop_reports(
+                sorted(scenario.machines_of(0) | scenario.machines_of(1))
+            )
+            await cluster.wait(rng.uniform(1, 2.5))  # and 6 s until a worker has found its way
+            cluster.network.muted -= silent
+            await cluster.wait(5)
         assert running(scenario, 0) + running(scenario, 1) == 4
-        assert world.rules.starts == starts
+        assert cluster.rules.starts == starts
 
     play(seed, act, users=0)
 
@@ -347,20 +351,20 @@
     its type begins there all the same when no other machine can be had."""
 
     async def act(scenario):
-        world, rng = scenario.world, scenario.rng
-        world.cloud.add(("large", "a", False))
-        world.cloud.most = len(world.cloud.machines)
+        cluster, rng = scenario.cluster, scenario.rng
+        cluster.cloud.add(("large", "a", False))
+        cluster.cloud.most = len(cluster.cloud.machines)
         for number in range(MACHINES):  # half of each machine is free after 20 s
             await scenario.submit_long(
                 number, beats=2, runS=[20.0, 260.0], expectedS=500.0, dueS=520.0, builds=["small"]
             )
         await scenario.submit_long(20, beats=1, vcpus=6.0, runS=260.0, expectedS=300.0, dueS=300.0)
-        await world.wait(rng.uniform(44, 48))
-        leader = world.nodes[world.leader()].leader
-        assert any(machine.retiring for machine in leader.roster)
-        world.rules.quiet_at = now()  # from here on no job may be left waiting beside room
+        await cluster.wait(rng.uniform(44, 48))
+        leader = cluster.controllers[cluster.leader()].leader
+        assert any(machine.retiring for machine in leader.registry)
+        cluster.rules.quiet_at = now()  # from here on no job may be left waiting beside room
         changes = {"runS": 10.0, "expectedS": 10.0, "dueS": 60.0} | bound
         await scenario.submit_long(21, beats=1, **changes)
-        await world.wait(100)
+        await cluster.wait(100)
 
     play(seed, act, users=0)
--- a/dappledrum/controller/test_concurrent_user_requests.py
+++ b/dappledrum/controller/test_concurrent_user_requests.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from dappledrum.simulation.cluster import World, job
+from dappledrum.simulation.cluster import SimulatedCluster, job
 from dappledrum.simulation.fault_combinations import FIVE
 from dappledrum.simulation.invalid_requests import OddRequests, changed
 from dappledrum.simulation.scenario import now, play
@@ -31,7 +31,7 @@
         beats = rng.choice(tasks)
         runs = [rng.uniform(0.5, 8) for _ in range(beats)]
         spec = job(700 + number, beats=beats, vcpus=0.5, runS=runs, dueS=None)
-        users.append(ImpatientUser(scenario.world, order, spec, rng))
+        users.append(ImpatientUser(scenario.cluster, order, spec, rng))
     scenario.names += [user.name for user in users]
     return users
 
@@ -41,9 +41,9 @@
     both live and ended. What they return."""
     tasks = [asyncio.ensure_future(one) for one in doing]
     while not all(task.done() for task in tasks):
-        await scenario.world.wait(0.25)
+        await scenario.cluster.wait(0.25)
         assert not order.broken, order.broken
-        keys = scenario.world.state.keys
+        keys = scenario.cluster.store.keys
         assert not [
             name for name in scenario.names if {f"job/{name}", f"ended/{name}"} <= keys.keys()
         ]
@@ -54,25 +54,25 @@
 @pytest.mark.parametrize("fault", ["none", "refused", "slow", "lists in parts"])
 def test_answers_at_all_nodes_within_milliseconds(seed, fault):
     """Right after a job is accepted, ended or cancelled nobody answers anything older: nor a
-    controller that the state service refuses alone and that relays its users, nor one whose
+    controller that the store refuses alone and that relays its users, nor one whose
     requests overtake each other, nor one that reads the list of jobs in several requests."""
 
-    async def refuse_one_after_another(world, rng):
+    async def refuse_one_after_another(cluster, rng):
         while True:
-            world.state.refused = {rng.choice(FIVE)}
+            cluster.store.refused = {rng.choice(FIVE)}
             await asyncio.sleep(rng.uniform(2, 8))
 
     async def act(scenario):
-        world, rng = scenario.world, scenario.rng
+        cluster, rng = scenario.cluster, scenario.rng
         order = AnswerOrder()
         users = impatient(scenario, order, seed, 12)
         troubles = []
         if fault == "refused":
-            troubles.append(refuse_one_after_another(world, rng))
+            troubles.append(refuse_one_after_another(cluster, rng))
         if fault == "lists in parts":
-            world.state.list_most = 2
+            cluster.store.list_most = 2
         if fault in ("slow", "lists in parts"):
-            troubles.append(wandering_latency(world, rng, FIVE, 0.25))
+            troubles.append(wandering_latency(cluster, rng, FIVE, 0.25))
         running = [asyncio.ensure_future(one) for one in troubles]
         states = await finished(scenario, order, [user.run() for user in users])
         for one in running:
@@ -91,7 +91,7 @@
     number = int(name.removeprefix("j-"))
     spec = job(number, beats=1, vcpus=0.5, runS=1.0, dueS=None, waitsOn=[user.name])
     scenario.names.append(name)
-    assert await scenario.world.submit(spec, 60) in (200, 201)
+    assert await scenario.cluster.submit(spec, 60) in (200, 201)
 
 
 @SEEDS
@@ -102,7 +102,7 @@
     waits for this one is done or cancelled with it."""
 
     async def act(scenario):
-        world, order = scenario.world, AnswerOrder()
+        cluster, order = scenario.cluster, AnswerOrder()
         users = impatient(scenario, order, seed, 16)
         most = 0.04 if written else 0.5
         meeting = [user.meet_end(written, user.rng.uniform(0, most)) for user in users]
@@ -111,8 +111,8 @@
         assert set(states) == {"done", "cancelled"}
         for state, follower in zip(states[::3], users[::3], strict=True):
             name = follower.name.replace("j-0007", "j-0006")
-            await world.until(lambda name=name: f"ended/{name}" in world.state.keys)
-            assert world.state.keys[f"ended/{name}"][0]["state"] == state
+            await cluster.until(lambda name=name: f"ended/{name}" in cluster.store.keys)
+            assert cluster.store.keys[f"ended/{name}"][0]["state"] == state
 
     play(seed, act, users=2)
 
@@ -123,26 +123,26 @@
     and accepts nothing that can't run."""
 
     async def act(scenario):
-        world, rng = scenario.world, scenario.rng
-        odd = OddRequests(world)
+        cluster, rng = scenario.cluster, scenario.rng
+        odd = OddRequests(cluster)
         await odd.prepare()
         for member in FIVE:
             await odd.check(member)
         member = rng.choice(FIVE)
-        world.state.refused.add(member)
+        cluster.store.refused.add(member)
         await odd.check(member, undecided=(503,))
-        await world.wait(2)
+        await cluster.wait(2)
         await odd.check(member)  # served through its peers
-        world.state.refused.clear()
+        cluster.store.refused.clear()
         for member in rng.sample(FIVE, 3):
-            await world.restart(member, rng.choice((0.1, 1.0)))
+            await cluster.restart(member, rng.choice((0.1, 1.0)))
             for _ in range(8):
                 await odd.check(member, undecided=(503,))
                 await asyncio.sleep(rng.uniform(0, 0.2))
-        await world.wait(5)
+        await cluster.wait(5)
         for member in FIVE:
             await odd.check(member)
-        await world.cancel("j-000961")
+        await cluster.cancel("j-000961")
 
     play(seed, act, users=2)
 
@@ -152,18 +152,18 @@
     """All controllers begin without the cloud and without a record of its types."""
 
     async def act(scenario):
-        world = scenario.world
-        odd = OddRequests(world)
+        cluster = scenario.cluster
+        odd = OddRequests(cluster)
         await odd.prepare()
         for member in FIVE:
-            world.kill(member)
-        world.cloud.out = True
-        del world.state.keys["catalog"]
+            cluster.kill(member)
+        cluster.cloud.out = True
+        del cluster.store.keys["catalog"]
         for member in FIVE:
-            world.start(member)
-        await world.wait(2)
+            cluster.start(member)
+        await cluster.wait(2)
         for member in FIVE:
-            assert world.nodes[member].intake.types is None
+            assert cluster.controllers[member].job_api.types is None
             await odd.check(member, undecided=(503,))
             response, _ = await odd.ask(member, "POST", "/submissions", changed(952, {}))
             assert response.status == 503
@@ -171,24 +171,24 @@
                 member, "POST", "/submissions", changed(960, {"vcpus": 400.0})
             )
             assert (response.status, state) == (200, "done")
-        world.cloud.out = False
-        await world.wait(8)
+        cluster.cloud.out = False
+        await cluster.wait(8)
         for member in FIVE:
             await odd.check(member)
-        await world.cancel("j-000961")
+        await cluster.cancel("j-000961")
 
     play(seed, act, users=2)
 
 
 @SEEDS
 def test_odd_requests_in_an_outage(seed):
-    """Whatever needs the state service is answered with 503 and a time to come back, at once."""
+    """Whatever needs the store is answered with 503 and a time to come back, at once."""
 
     async def act(scenario):
-        world, rng = scenario.world, scenario.rng
-        odd = OddRequests(world)
+        cluster, rng = scenario.cluster, scenario.rng
+        odd = OddRequests(cluster)
         await odd.prepare()
-        world.state.out = True
+        cluster.store.out = True
         odd.longest_s = 0.0
         until = now() + rng.uniform(5, 20)
         while now() < until:
@@ -197,12 +197,12 @@
             assert odd.longest_s < 1.2
             response, _ = await odd.ask(member, "POST", "/submissions", changed(952, {}))
             assert response.status == 503
-            await world.wait(rng.uniform(0, 1))
-        world.state.end_outage()
-        await world.wait(8)
+            await cluster.wait(rng.uniform(0, 1))
+        cluster.store.end_outage()
+        await cluster.wait(8)
         for member in FIVE:
             await odd.check(member)
-        await world.cancel("j-000961")
+        await cluster.cancel("j-000961")
 
     play(seed, act, users=2)
 
@@ -213,31 +213,31 @@
     successor ended it as cancelled. The former leader must not answer from its memory."""
 
     async def act(scenario):
-        world, rng = scenario.world, scenario.rng
+        cluster, rng = scenario.cluster, scenario.rng
         spec = job(800, beats=1, runS=rng.uniform(2, 4), expectedS=3.0, dueS=None)
         scenario.names.append(spec["id"])
         order = AnswerOrder()
-        user = ImpatientUser(world, order, spec, rng)
+        user = ImpatientUser(cluster, order, spec, rng)
         await user.until(user.submit, 200, 201)
-        former = world.leader()
+        former = cluster.leader()
         ending = f'"remove":"job/{user.name}"'.encode()
-        world.network.watcher = lambda sent: 60.0 if ending in sent.body else None
-        jobs = world.nodes[former].leader.jobs
-        await world.until(lambda: user.name in jobs)
+        cluster.network.watcher = lambda sent: 60.0 if ending in sent.body else None
+        jobs = cluster.controllers[former].leader.jobs
+        await cluster.until(lambda: user.name in jobs)
         live = jobs[user.name]
         while not live.page(0).uncertain:
             await asyncio.sleep(0.01)
-        world.freeze(former)
-        world.network.watcher = None
+        cluster.freeze(former)
+        cluster.network.watcher = None
         await scenario.until_led(former)
-        successor = world.leader()
+        successor = cluster.leader()
         while not (reply := await user.cancel(successor)) or reply.status != 200:
-            await world.wait(0.2)
-        await world.until(lambda: f"ended/{user.name}" in world.state.keys)
-        world.thaw(former)
+            await cluster.wait(0.2)
+        await cluster.until(lambda: f"ended/{user.name}" in cluster.store.keys)
+        cluster.thaw(former)
         for _ in range(10):
             await asyncio.gather(*(user.poll(member) for member in FIVE))
-            await world.wait(0.1)
+            await cluster.wait(0.1)
         assert not order.broken, order.broken
 
     play(seed, act, users=2)
@@ -254,37 +254,39 @@
     their ends."""
 
     async def main():
-        world = World(seed, members=FIVE, rps=rps, write_rps=write_rps, limited=True)
-        world.cloud.most = 30
+        cluster = SimulatedCluster(seed, members=FIVE, rps=rps, write_rps=write_rps, limited=True)
+        cluster.cloud.most = 30
         for _ in range(12):
-            world.cloud.add(("small", world.rng.choice(("a", "b")), True))
-        await world.until(lambda: world.leader() is not None)
-        leader = world.nodes[world.leader()].leader
+            cluster.cloud.add(("small", cluster.rng.choice(("a", "b")), True))
+        await cluster.until(lambda: cluster.leader() is not None)
+        leader = cluster.controllers[cluster.leader()].leader
         accepted_after, users, queue = [], [], []
         for number in range(ONE_TASK_JOBS):
             one = random.Random(f"{seed} one task {number}")
-            user = one_task_user(world, number, one, accepted_after, 0.25)
+            user = one_task_user(cluster, number, one, accepted_after, 0.25)
             users.append(asyncio.ensure_future(user))
-            await world.wait(one.expovariate(A_SECOND))
-            queue.append(len(leader.recorder.dirty) + len(leader.recorder.ending))
-        await world.until(lambda: all(user.done() for user in users))
+            await cluster.wait(one.expovariate(A_SECOND))
+            queue.append(len(leader.record_writer.dirty) + len(leader.record_writer.ending))
+        await cluster.until(lambda: all(user.done() for user in users))
         states = [user.result() for user in users]
         assert states.count("cancelled") > ONE_TASK_JOBS * 0.15
         assert sorted(accepted_after)[int(ONE_TASK_JOBS * 0.95)] < 0.3
-        assert max(queue) < world.params.state.txn_ops
-        assert world.state.over_rate == 0
-        world.rules.faults_over_at = now()
+        assert max(queue) < cluster.params.state.txn_ops
+        assert cluster.store.over_rate == 0
+        cluster.rules.faults_over_at = now()
         for number in range(0, ONE_TASK_JOBS, 7):
             for member in FIVE:
-                assert await world.poll(f"j-{number:06d}", member) == states[number]
-        await world.wait(5)
-        assert world.nodes[world.leader()].leader is leader
-        assert not leader.jobs and not leader.graph.jobs and not leader.bookkeeper.jobs
-        assert not leader.recorder.dirty and not leader.recorder.garbage
-        assert {key.split("/")[0] for key in world.state.keys if "/j-" in key} == {"ended"}
-        for node in world.nodes.values():
-            assert not node.intake.polls.waiting and not node.intake.admission.waiting
-        assert not world.rules.broken, world.rules.broken
+                assert await cluster.poll(f"j-{number:06d}", member) == states[number]
+        await cluster.wait(5)
+        assert cluster.controllers[cluster.leader()].leader is leader
+        assert not leader.jobs and not leader.graph.jobs and not leader.reconciler.jobs
+        assert not leader.record_writer.dirty and not leader.record_writer.garbage
+        assert {key.split("/")[0] for key in cluster.store.keys if "/j-" in key} == {"ended"}
+        for controller in cluster.controllers.values():
+            assert (
+                not controller.job_api.polls.waiting and not controller.job_api.admission.waiting
+            )
+        assert not cluster.rules.broken, cluster.rules.broken
 
     run(main())
 
@@ -295,24 +297,24 @@
     while some users repeated theirs at all controllers."""
 
     async def main():
-        world = World(seed, members=FIVE, rps=250.0, write_rps=35.0, limited=True)
-        world.cloud.most = 30
+        cluster = SimulatedCluster(seed, members=FIVE, rps=250.0, write_rps=35.0, limited=True)
+        cluster.cloud.most = 30
         for _ in range(12):
-            world.cloud.add(("small", world.rng.choice(("a", "b")), True))
-        await world.until(lambda: world.leader() is not None)
+            cluster.cloud.add(("small", cluster.rng.choice(("a", "b")), True))
+        await cluster.until(lambda: cluster.leader() is not None)
         order, accepted_after, users = AnswerOrder(), [], []
         for number in range(100):
             one = random.Random(f"{seed} beside {number}")
-            coming = [one_task_user(world, number, one, accepted_after, 0.25)]
+            coming = [one_task_user(cluster, number, one, accepted_after, 0.25)]
             if number % 4 == 0:
                 spec = job(500 + number, beats=1, vcpus=0.5, runS=one.uniform(1, 8), dueS=None)
-                coming.append(ImpatientUser(world, order, spec, one).run())
+                coming.append(ImpatientUser(cluster, order, spec, one).run())
             users += [asyncio.ensure_future(user) for user in coming]
-            await world.wait(one.expovariate(A_SECOND))
-        await world.until(lambda: all(user.done() for user in users))
+            await cluster.wait(one.expovariate(A_SECOND))
+        await cluster.until(lambda: all(user.done() for user in users))
         assert sorted(accepted_after)[95] < 0.3
-        assert world.state.over_rate == 0
+        assert cluster.store.over_rate == 0
         assert not order.broken, order.broken
-        assert not world.rules.broken, world.rules.broken
+        assert not cluster.rules.broken, cluster.rules.broken
 
     run(main())
--- a/dappledrum/controller/test_crash_points.py
+++ b/dappledrum/controller/test_crash_points.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from dappledrum.simulation.cluster import job, led_world
+from dappledrum.simulation.cluster import job, led_cluster
 from dappledrum.simulation.crash_points import STEPS, play_ends
 from dappledrum.simulation.fault_combinations import FIVE
 from dappledrum.simulation.scenario import now
@@ -22,101 +22,101 @@
 async def test_processes_that_begin_in_an_outage_are_ready_at_once():
     """They once were when it was over, and the load balancer, which had left them all out by
     then, took them back so slowly that users found nobody for 10 s more."""
-    world = await led_world(3, members=FIVE)
-    await world.wait(3)
-    world.state.out = True
-    await world.wait(2)
+    cluster = await led_cluster(3, members=FIVE)
+    await cluster.wait(3)
+    cluster.store.out = True
+    await cluster.wait(2)
     for member in FIVE:
-        world.kill(member)
+        cluster.kill(member)
     for member in FIVE:
-        await world.wait(world.rng.uniform(0, 0.2))
-        world.start(member)
-    await world.wait(1.2)
-    assert [await world.readiness(member) for member in FIVE] == [200] * 5
-    reply = await world._ask("GET", "/submissions/j-000001")
+        await cluster.wait(cluster.rng.uniform(0, 0.2))
+        cluster.start(member)
+    await cluster.wait(1.2)
+    assert [await cluster.readiness(member) for member in FIVE] == [200] * 5
+    reply = await cluster._ask("GET", "/submissions/j-000001")
     assert reply.status == 503
     alone = FIVE[0]
-    world.cut_from_peers(alone)
-    await world.restart(alone, 0.1)
-    await world.wait(3)
-    assert await world.readiness(alone) != 200, "it can neither serve users nor pass them on"
-    world.network.heal()
-    world.state.end_outage()
-    await world.wait(1)
-    assert await world.readiness(alone) == 200
+    cluster.cut_from_peers(alone)
+    await cluster.restart(alone, 0.1)
+    await cluster.wait(3)
+    assert await cluster.readiness(alone) != 200, "it can neither serve users nor pass them on"
+    cluster.network.heal()
+    cluster.store.end_outage()
+    await cluster.wait(1)
+    assert await cluster.readiness(alone) == 200
 
 
 async def test_words_of_a_later_process_count_though_its_clock_says_that_it_is_the_earlier():
     """Clocks wander by a quarter of a second, more than a process that ends at once lives."""
-    world = await led_world(4, members=FIVE)
-    await world.wait(3)
-    member = world.others(world.leader())[0]
-    await world.restart(member, 0.1)
-    world.nodes[member].reach.born -= 5_000
-    await world.wait(6)  # what the one before has told is not fresh any more
-    for other in world.others(member):
-        reach = world.nodes[other].reach
-        assert reach.table.is_connected(member, reach.clock.now())
+    cluster = await led_cluster(4, members=FIVE)
+    await cluster.wait(3)
+    member = cluster.others(cluster.leader())[0]
+    await cluster.restart(member, 0.1)
+    cluster.controllers[member].membership.born -= 5_000
+    await cluster.wait(6)  # what the one before has told is not fresh any more
+    for other in cluster.others(member):
+        membership = cluster.controllers[other].membership
+        assert membership.table.is_connected(member, membership.clock.now())
 
 
 async def test_a_process_in_a_loop_of_ends_slows_nobody():
-    """What each restart of a follower costs: some requests to the state service, no change of a
+    """What each restart of a follower costs: some requests to the store, no change of a
     record, and nobody else's time."""
-    world = await led_world(5, members=FIVE)
-    await world.wait(3)
-    leader = world.leader()
-    member = world.others(leader)[0]
-    await world.wait(10)
-    rest = world.state.requests
-    await world.wait(20)
-    rest = (world.state.requests - rest) / 20
-    requests, writes = world.state.requests, world.state.writes
+    cluster = await led_cluster(5, members=FIVE)
+    await cluster.wait(3)
+    leader = cluster.leader()
+    member = cluster.others(leader)[0]
+    await cluster.wait(10)
+    rest = cluster.store.requests
+    await cluster.wait(20)
+    rest = (cluster.store.requests - rest) / 20
+    requests, writes = cluster.store.requests, cluster.store.writes
     began = now()
     for _ in range(20):
-        await world.restart(member, 0.3)
-        await world.wait(0.3)
-        assert world.leader() == leader
-    each = (world.state.requests - requests - rest * (now() - began)) / 20
-    assert each < 12 and world.state.writes == writes
-    for number, other in enumerate(world.others(member)):
-        await world.restart(member, 0.3)
-        assert await world.submit(job(number), tries=1, member=other) == 201
-    await world.finish([f"j-{n:06d}" for n in range(4)])
+        await cluster.restart(member, 0.3)
+        await cluster.wait(0.3)
+        assert cluster.leader() == leader
+    each = (cluster.store.requests - requests - rest * (now() - began)) / 20
+    assert each < 12 and cluster.store.writes == writes
+    for number, other in enumerate(cluster.others(member)):
+        await cluster.restart(member, 0.3)
+        assert await cluster.submit(job(number), tries=1, member=other) == 201
+    await cluster.finish([f"j-{n:06d}" for n in range(4)])
 
 
 @pytest.mark.parametrize("seed", range(3))
 async def test_a_leader_that_is_back_at_once_is_replaced_at_once(seed):
     """Its key kept all others from standing until its hold was over, 3 s later, though its next
     process knew that nobody led under it."""
-    world = await led_world(seed, members=FIVE)
+    cluster = await led_cluster(seed, members=FIVE)
     for back in (0.0, 0.05, 0.3):
-        await world.wait(5)
-        leader = world.leader()
+        await cluster.wait(5)
+        leader = cluster.leader()
         began = now()
-        await world.restart(leader, back)
-        while world.leader() is None:
+        await cluster.restart(leader, back)
+        while cluster.leader() is None:
             await asyncio.sleep(0.01)
             assert now() - began < back + 0.5
         # Whoever is not back within its hold is waited for, as ever.
-        leader = world.leader()
-        world.kill(leader)
-        await world.wait(2)
-        assert world.leader() is None
-        await world.until_led(most=2)
-        world.start(leader)
+        leader = cluster.leader()
+        cluster.kill(leader)
+        await cluster.wait(2)
+        assert cluster.leader() is None
+        await cluster.until_led(most=2)
+        cluster.start(leader)
 
 
 async def test_a_key_with_ones_own_name_that_nobody_leads_by_goes():
     """A transaction of an election that is executed after its sender's end: the process after it
     does not lead by that key, and ends it."""
-    world = await led_world(7, members=FIVE)
-    await world.wait(3)
-    state = world.state
-    leader = world.leader()
-    ghost = world.others(leader)[0]
+    cluster = await led_cluster(7, members=FIVE)
+    await cluster.wait(3)
+    state = cluster.store
+    leader = cluster.leader()
+    ghost = cluster.others(leader)[0]
     epoch = state.keys["epoch"][0]["epoch"]
-    world.kill(leader)
-    await world.wait(1)
+    cluster.kill(leader)
+    await cluster.wait(1)
     for hold in [h for k, (_, _, h) in state.keys.items() if k == "leader"]:
         state._end(hold)
     state.holds[99] = (now() + 3, 3.0)
@@ -129,18 +129,18 @@
     }
     state._multi(body)
     assert state.keys["leader"][2] == 99
-    await world.wait(0.75)
+    await cluster.wait(0.75)
     assert 99 not in state.holds
-    assert world.leader() is not None
-    assert world.nodes[world.leader()].elector.term.epoch == epoch + 2
+    assert cluster.leader() is not None
+    assert cluster.controllers[cluster.leader()].elector.term.epoch == epoch + 2
 
 
 async def test_all_end_again_and_again():
     """Five at once, five times, before the first read is over or after it."""
-    world = await led_world(6, members=FIVE)
-    names = await world.accept_jobs(4, dueS=None)
+    cluster = await led_cluster(6, members=FIVE)
+    names = await cluster.accept_jobs(4, dueS=None)
     for _ in range(5):
-        await world.restart_all(world.rng.uniform(0, 1))
-        await world.wait(world.rng.choice((0.0, 0.005, 0.02, 0.5, 4.0)))
-    await world.until_led(most=6)
-    await world.finish(names)
+        await cluster.restart_all(cluster.rng.uniform(0, 1))
+        await cluster.wait(cluster.rng.choice((0.0, 0.005, 0.02, 0.5, 4.0)))
+    await cluster.until_led(most=6)
+    await cluster.finish(names)
--- a/dappledrum/controller/test_end_to_end.py
+++ b/dappledrum/controller/test_end_to_end.py
@@ -5,7 +5,7 @@
 
 from dappledrum.settings import Team
 from dappledrum.simulation import fault_scenarios
-from dappledrum.simulation.cluster import World, job, led_world
+from dappledrum.simulation.cluster import SimulatedCluster, job, led_cluster
 from dappledrum.simulation.scenario import day, now
 
 FAULTS = [
@@ -37,13 +37,13 @@
 
 @pytest.mark.parametrize("fault", FAULTS, ids=lambda t: t.__name__)
 async def test_day_keeps_the_rules(fault):
-    await day(World(seed=3), fault)
+    await day(SimulatedCluster(seed=3), fault)
 
 
 @pytest.mark.parametrize("seed", range(3))
 async def test_two_troubles_at_once(seed):
-    world = World(seed=seed)
-    pair = world.rng.sample(
+    cluster = SimulatedCluster(seed=seed)
+    pair = cluster.rng.sample(
         [
             fault_scenarios.leader_killed,
             fault_scenarios.machines_hang,
@@ -53,223 +53,223 @@
         ],
         2,
     )
-    await day(world, fault_scenarios.in_turn(*pair), runS=14.0)
+    await day(cluster, fault_scenarios.in_turn(*pair), runS=14.0)
 
 
 async def test_long_outage_keeps_running_work():
     """All peers promise not to stand, so leases go on and nothing is started again (design:
     promises)."""
-    world = await led_world(5)
-    names = await world.accept_jobs(3, runS=80.0, expectedS=60.0, dueS=100.0)
-    await world.until(lambda: len(world.rules.running) >= 8)
-    await world.wait(2)
-    running = set(world.rules.running)
-    world.state.out = True
-    await world.wait(world.lease_s * 2.5)
-    assert running <= set(world.rules.running)
-    world.state.end_outage()
-    await world.finish(names)
-    assert world.rules.starts == 12  # none had to start twice
+    cluster = await led_cluster(5)
+    names = await cluster.accept_jobs(3, runS=80.0, expectedS=60.0, dueS=100.0)
+    await cluster.until(lambda: len(cluster.rules.running) >= 8)
+    await cluster.wait(2)
+    running = set(cluster.rules.running)
+    cluster.store.out = True
+    await cluster.wait(cluster.lease_s * 2.5)
+    assert running <= set(cluster.rules.running)
+    cluster.store.end_outage()
+    await cluster.finish(names)
+    assert cluster.rules.starts == 12  # none had to start twice
 
 
 async def test_cancellation_while_a_start_is_on_its_way():
-    world = await led_world(2)
-    await world.accept(job(1, runS=300.0))
-    await world.until(lambda: world.rules.starts > 0)
-    assert await world.cancel("j-000001") == "cancelled"
-    await world.restart(world.leader())
-    await world.wait(30)
-    assert not world.rules.running
-    for member in world.members:
-        assert await world.poll("j-000001", member) == "cancelled"
-    assert await world.submit(job(1)) == 200
+    cluster = await led_cluster(2)
+    await cluster.accept(job(1, runS=300.0))
+    await cluster.until(lambda: cluster.rules.starts > 0)
+    assert await cluster.cancel("j-000001") == "cancelled"
+    await cluster.restart(cluster.leader())
+    await cluster.wait(30)
+    assert not cluster.rules.running
+    for member in cluster.members:
+        assert await cluster.poll("j-000001", member) == "cancelled"
+    assert await cluster.submit(job(1)) == 200
 
 
 async def test_services_spread_one_zone_and_limits():
-    world = await led_world(4)
-    service, *names = await world.accept(
+    cluster = await led_cluster(4)
+    service, *names = await cluster.accept(
         job(1, form="service", expectedS=0.0, dueS=None, beats=2),
         job(2, spread=True, beats=5),
         job(3, oneZone=True, beats=6),
         job(4, crew="red", beats=12),
         job(5, accelerators=1.0, hall="a", loaners=False, beats=1),
     )
-    await world.finish(names)
-    assert await world.poll(service) == "running"
-    assert await world.cancel(service) == "cancelled"
-    await world.wait(15)
-    assert not world.rules.running
+    await cluster.finish(names)
+    assert await cluster.poll(service) == "running"
+    assert await cluster.cancel(service) == "cancelled"
+    await cluster.wait(15)
+    assert not cluster.rules.running
 
 
 async def test_job_that_fails_everywhere_and_machine_on_which_all_fails():
-    world = await led_world(6)
-    broken, *names = await world.accept(job(1, broken=True), *map(job, range(2, 7)))
-    await world.until(lambda: world.rules.starts > 3)
-    world.timing.faulty.add(world.cloud.workers()[0].name)
-    await world.finish(names)
-    before = world.rules.starts
-    await world.wait(60)
-    assert world.rules.starts - before < 40
-    assert await world.cancel(broken) == "cancelled"
+    cluster = await led_cluster(6)
+    broken, *names = await cluster.accept(job(1, broken=True), *map(job, range(2, 7)))
+    await cluster.until(lambda: cluster.rules.starts > 3)
+    cluster.timing.faulty.add(cluster.cloud.workers()[0].name)
+    await cluster.finish(names)
+    before = cluster.rules.starts
+    await cluster.wait(60)
+    assert cluster.rules.starts - before < 40
+    assert await cluster.cancel(broken) == "cancelled"
 
 
 async def test_what_cannot_be_taken_is_said_at_once():
-    world = await led_world(7)
-    world.state.out = True
-    await world.wait(2)
+    cluster = await led_cluster(7)
+    cluster.store.out = True
+    await cluster.wait(2)
     spec = job(1)
-    world.rules.submitted(spec)
+    cluster.rules.submitted(spec)
     began = now()
-    assert await world.submit(spec, tries=1) is None
+    assert await cluster.submit(spec, tries=1) is None
     assert now() - began < 1.5  # of which the stand-in user waits one second
-    world.state.end_outage()
-    assert await world.submit(spec) == 201
+    cluster.store.end_outage()
+    assert await cluster.submit(spec) == 201
 
 
 async def test_controllers_started_during_an_outage_become_ready_after_it():
     """Readiness once hung on the first look for the catalog: all stayed unready when only the
     cloud had answered it. Without words nobody knows of a peer that could serve instead."""
-    world = await led_world(9, reach=False)
-    world.state.out = True
-    await world.wait(1)
-    await fault_scenarios.all_killed(world)
-    await world.wait(3)
-    assert [await world.readiness(member) for member in world.members] == [503] * 3
-    world.state.end_outage()
-    await world.wait(5)
-    assert [await world.readiness(member) for member in world.members] == [200] * 3
+    cluster = await led_cluster(9, reach=False)
+    cluster.store.out = True
+    await cluster.wait(1)
+    await fault_scenarios.all_killed(cluster)
+    await cluster.wait(3)
+    assert [await cluster.readiness(member) for member in cluster.members] == [503] * 3
+    cluster.store.end_outage()
+    await cluster.wait(5)
+    assert [await cluster.readiness(member) for member in cluster.members] == [200] * 3
 
 
 async def test_a_new_leader_does_not_rent_again_what_is_booting():
     """The list lags, so a new leader once rented its predecessor's booting machines a second
     time."""
-    world = World(seed=10)
-    for kind in world.cloud.types:
+    cluster = SimulatedCluster(seed=10)
+    for kind in cluster.cloud.types:
         kind["readyS"] = 30.0
-    await world.until_led()
-    await world.accept(job(1, beats=6, vcpus=4.0, builds=["small"], dueS=60.0))
-    await world.until(lambda: len(world.cloud.machines) >= 2)
-    await world.wait(3)
-    rented = world.cloud.next
-    await world.restart(world.leader())
-    await world.until(lambda: world.rules.starts > 0)
-    assert world.cloud.next <= rented + 1
-    await world.finish(["j-000001"])
+    await cluster.until_led()
+    await cluster.accept(job(1, beats=6, vcpus=4.0, builds=["small"], dueS=60.0))
+    await cluster.until(lambda: len(cluster.cloud.machines) >= 2)
+    await cluster.wait(3)
+    rented = cluster.cloud.next
+    await cluster.restart(cluster.leader())
+    await cluster.until(lambda: cluster.rules.starts > 0)
+    assert cluster.cloud.next <= rented + 1
+    await cluster.finish(["j-000001"])
 
 
 async def test_a_new_leader_returns_no_machine_that_has_not_found_it_yet():
     """Machines long up but not yet heard by the new leader once passed for boots that never
     end."""
-    world = await led_world(11)
-    await world.accept(job(1, beats=8, dueS=30.0))
-    await world.finish(["j-000001"])
-    await world.until(lambda: min(m.since for m in world.cloud.machines.values()) + 34 < now())
-    names = {worker.name for worker in world.cloud.workers()}
-    leader = world.leader()
-    for member in world.members:
+    cluster = await led_cluster(11)
+    await cluster.accept(job(1, beats=8, dueS=30.0))
+    await cluster.finish(["j-000001"])
+    await cluster.until(lambda: min(m.since for m in cluster.cloud.machines.values()) + 34 < now())
+    names = {worker.name for worker in cluster.cloud.workers()}
+    leader = cluster.leader()
+    for member in cluster.members:
         for name in names:
-            world.network.cut(name, member)
-    world.kill(leader)
-    await world.until(lambda: world.leader() not in (None, leader))
-    await world.wait(5)
-    assert names and names <= set(world.cloud.machines)
+            cluster.network.cut(name, member)
+    cluster.kill(leader)
+    await cluster.until(lambda: cluster.leader() not in (None, leader))
+    await cluster.wait(5)
+    assert names and names <= set(cluster.cloud.machines)
 
 
 async def test_a_team_gets_its_guarantee_from_borrowers_and_urgent_work_goes_first():
-    world = World(seed=12, teams=(Team("blue"), Team("red", cpus=8.0)))
-    world.cloud.most = 3
-    await world.until_led()
-    await world.accept(
+    cluster = SimulatedCluster(seed=12, teams=(Team("blue"), Team("red", cpus=8.0)))
+    cluster.cloud.most = 3
+    await cluster.until_led()
+    await cluster.accept(
         job(1, beats=60, builds=["small"], runS=60.0, expectedS=60.0, urgency="best_effort")
     )
-    await world.until(lambda: len(world.rules.running) >= 6)
-    await world.accept(
+    await cluster.until(lambda: len(cluster.rules.running) >= 6)
+    await cluster.accept(
         job(2, crew="red", builds=["small"], beats=2, urgency="best_effort", dueS=20.0)
     )
-    await world.until(lambda: world.running("j-000002") == 2, most=30)
-    await world.accept(job(3, builds=["small"], beats=1, urgency="prod", dueS=20.0))
-    await world.until(lambda: world.running("j-000003") == 1, most=30)
-    assert not world.rules.broken
+    await cluster.until(lambda: cluster.running("j-000002") == 2, most=30)
+    await cluster.accept(job(3, builds=["small"], beats=1, urgency="prod", dueS=20.0))
+    await cluster.until(lambda: cluster.running("j-000003") == 1, most=30)
+    assert not cluster.rules.broken
 
 
 async def test_a_surge_with_wrong_estimates_and_many_images_stays_within_the_rates():
     """Every owner is wrong by three times, every job brings an image of its own."""
-    world = await led_world(13)
-    writes, began = world.state.writes, now()
-    names = await world.accept(
+    cluster = await led_cluster(13)
+    writes, began = cluster.store.writes, now()
+    names = await cluster.accept(
         *(
             job(number, skin=f"img-{number}", expectedS=2.0 if number % 2 else 18.0, dueS=60.0)
             for number in range(40)
         )
     )
-    await world.finish(names, most=400)
-    rate = (world.state.writes - writes) / (now() - began)
-    assert rate < world.params.state.write_rps
+    await cluster.finish(names, most=400)
+    rate = (cluster.store.writes - writes) / (now() - began)
+    assert rate < cluster.params.state.write_rps
 
 
 async def test_a_notice_moves_what_would_be_lost_and_proves_the_rest_gone():
     """A task that the notice doomed once ran on until the machine was taken, and began again only
     when the worker's lease had run out: half a minute lost for each."""
-    world = await led_world(18, lease_s=30.0)
-    await world.accept(job(1, beats=2, vcpus=4.0, runS=40.0, expectedS=40.0, dueS=70.0))
-    await world.until(lambda: len(world.rules.running) == 2)
-    await world.accept(job(2, beats=1, vcpus=4.0, runS=8.0, expectedS=8.0, dueS=30.0))
-    await world.until(lambda: len(world.rules.running) == 3)
+    cluster = await led_cluster(18, lease_s=30.0)
+    await cluster.accept(job(1, beats=2, vcpus=4.0, runS=40.0, expectedS=40.0, dueS=70.0))
+    await cluster.until(lambda: len(cluster.rules.running) == 2)
+    await cluster.accept(job(2, beats=1, vcpus=4.0, runS=8.0, expectedS=8.0, dueS=30.0))
+    await cluster.until(lambda: len(cluster.rules.running) == 3)
     began = now()
-    for worker in world.cloud.workers():
+    for worker in cluster.cloud.workers():
         worker.recall_at = began + 12.0
         worker.changed.set()
-    taken = [worker.name for worker in world.cloud.workers()]
-    await world.wait(12)
-    assert len(world.rules.jobs["j-000002"].done) == 1  # it had time enough
+    taken = [worker.name for worker in cluster.cloud.workers()]
+    await cluster.wait(12)
+    assert len(cluster.rules.jobs["j-000002"].done) == 1  # it had time enough
     for name in taken:
-        machine = world.cloud.machines.pop(name, None)  # and no list says so
+        machine = cluster.cloud.machines.pop(name, None)  # and no list says so
         if machine is not None:
             machine.worker.vanish()
-    await world.finish(["j-000001", "j-000002"])
+    await cluster.finish(["j-000001", "j-000002"])
     assert now() - began < 75
 
 
 async def test_after_an_end_of_all_nobody_waits_for_promises_that_no_one_relies_on():
     """Each restart of all controllers once cost 2 s in which none of them stood."""
-    world = await led_world(19)
-    await world.restart_all(4.0)
-    took = await world.until_led()
+    cluster = await led_cluster(19)
+    await cluster.restart_all(4.0)
+    took = await cluster.until_led()
     assert took < 1.6
     # One that can't be asked may hold a term, so the wait stands.
-    world.kill("drummer-2")
-    await world.restart("drummer-0", 1.0)
-    node = world.nodes["drummer-0"]
-    assert node.elector.votes.unknown_until > node.clock.now()
-    await world.wait(1.5)
-    assert node.elector.votes.unknown_until > node.clock.now()
+    cluster.kill("drummer-2")
+    await cluster.restart("drummer-0", 1.0)
+    controller = cluster.controllers["drummer-0"]
+    assert controller.elector.voter.unknown_until > controller.clock.now()
+    await cluster.wait(1.5)
+    assert controller.elector.voter.unknown_until > controller.clock.now()
 
 
 async def test_a_leader_that_holds_on_promises_keeps_a_restarted_peer_from_standing():
     """The wait is only spared when nobody holds a term; here the leader does, on the promise of
     the process that has just ended."""
-    world = await led_world(20, lease_s=30.0)
-    leader = world.leader()
-    other = world.others(leader)[0]
-    world.state.out = True
-    await world.wait(4)
-    assert world.nodes[leader].elector.holding() is not None
-    await world.restart(other, 0.2)
-    await world.wait(1.0)
-    votes = world.nodes[other].elector.votes
-    assert votes.free_at() > world.nodes[other].clock.now()
-    world.state.end_outage()
-    await world.wait(3)
+    cluster = await led_cluster(20, lease_s=30.0)
+    leader = cluster.leader()
+    other = cluster.others(leader)[0]
+    cluster.store.out = True
+    await cluster.wait(4)
+    assert cluster.controllers[leader].elector.holding() is not None
+    await cluster.restart(other, 0.2)
+    await cluster.wait(1.0)
+    voter = cluster.controllers[other].elector.voter
+    assert voter.free_at() > cluster.controllers[other].clock.now()
+    cluster.store.end_outage()
+    await cluster.wait(3)
 
 
 async def test_an_unreachable_state_service_is_said_once_and_when_it_is_over(caplog):
-    world = await led_world(21)
+    cluster = await led_cluster(21)
     caplog.clear()
-    world.state.out = True
-    await world.wait(6)
+    cluster.store.out = True
+    await cluster.wait(6)
     during = [r for r in caplog.records if "does not serve" in r.getMessage()]
-    assert len(during) == len(world.members)
-    world.state.end_outage()
-    await world.wait(4)
+    assert len(during) == len(cluster.members)
+    cluster.store.end_outage()
+    await cluster.wait(4)
     over = [r for r in caplog.records if "over after" in r.getMessage()]
-    assert len(over) == len(world.members)
+    assert len(over) == len(cluster.members)
--- a/dappledrum/controller/test_large.py
+++ b/dappledrum/controller/test_large.py
@@ -2,23 +2,23 @@
 
 import pytest
 
-from dappledrum.simulation.cluster import World, job
+from dappledrum.simulation.cluster import SimulatedCluster, job
 from dappledrum.simulation.fault_scenarios import leader_killed, rolled, short_outage
 from dappledrum.simulation.virtual_time import run
 
 FIVE = tuple(f"drummer-{index}" for index in range(5))
 
 
-async def wave(world):
+async def wave(cluster):
     """A third of the spot machines go at once."""
-    for name in [m.name for m in world.cloud.machines.values() if m.kind[2]][::3]:
-        world.cloud.take(name)
-    await world.wait(5)
+    for name in [m.name for m in cluster.cloud.machines.values() if m.kind[2]][::3]:
+        cluster.cloud.take(name)
+    await cluster.wait(5)
 
 
-async def wave_and_leader_killed(world):
-    await wave(world)
-    await leader_killed(world)
+async def wave_and_leader_killed(cluster):
+    await wave(cluster)
+    await leader_killed(cluster)
 
 
 @pytest.mark.long
@@ -32,20 +32,20 @@
     do not fit, and takeovers that lose or repeat tasks."""
 
     async def main():
-        world = World(seed=5, members=FIVE)
-        world.cloud.most = 240
-        await world.until(lambda: world.leader() is not None)
+        cluster = SimulatedCluster(seed=5, members=FIVE)
+        cluster.cloud.most = 240
+        await cluster.until(lambda: cluster.leader() is not None)
         names = []
         for number in range(12):
             spec = job(
                 number, beats=70, runS=10.0, expectedS=10.0, dueS=40.0, skin=f"i-{number % 3}"
             )
             names.append(spec["id"])
-            assert await world.submit(spec) == 201
-        await world.until(lambda: world.rules.starts >= 300)
-        assert len(world.cloud.machines) > 100
-        await fault(world)
-        await world.finish(names)
+            assert await cluster.submit(spec) == 201
+        await cluster.until(lambda: cluster.rules.starts >= 300)
+        assert len(cluster.cloud.machines) > 100
+        await fault(cluster)
+        await cluster.finish(names)
 
     run(main())
 
@@ -55,21 +55,21 @@
     idle at the end of an interval."""
 
     async def main():
-        world = World(seed=6)
-        world.cloud.most = 3
-        ordinary = [world.cloud.add(("large", "a", False)) for _ in range(3)]
-        await world.until(lambda: world.leader() is not None)
+        cluster = SimulatedCluster(seed=6)
+        cluster.cloud.most = 3
+        ordinary = [cluster.cloud.add(("large", "a", False)) for _ in range(3)]
+        await cluster.until(lambda: cluster.leader() is not None)
         names = []
         for number in range(75):
             spec = job(number, builds=["large"], beats=6, runS=7.0, expectedS=7.0, dueS=40.0)
             names.append(spec["id"])
-            assert await world.submit(spec) == 201
-            await world.wait(2)
+            assert await cluster.submit(spec) == 201
+            await cluster.wait(2)
             if number == 20:
-                assert all(name in world.cloud.machines for name in ordinary)
-                world.cloud.most = 40
-        assert not any(name in world.cloud.machines for name in ordinary)
-        assert any(machine.kind[2] for machine in world.cloud.machines.values())
-        await world.finish(names)
+                assert all(name in cluster.cloud.machines for name in ordinary)
+                cluster.cloud.most = 40
+        assert not any(name in cluster.cloud.machines for name in ordinary)
+        assert any(machine.kind[2] for machine in cluster.cloud.machines.values())
+        await cluster.finish(names)
 
     run(main())
--- a/dappledrum/controller/test_late_and_duplicate_heartbeats.py
+++ b/dappledrum/controller/test_late_and_duplicate_heartbeats.py
@@ -8,9 +8,9 @@
 from dappledrum.simulation.cluster import job
 from dappledrum.simulation.scenario import LEASE_S, now
 from dappledrum.simulation.virtual_time import run
-from dappledrum.simulation.workloads import FIVE, GhostWorld, begin_short_work
+from dappledrum.simulation.workloads import FIVE, GhostWatchingCluster, begin_short_work
 
-#: Requests of all kinds: of users, workers and controllers, to the state service and the cloud.
+#: Requests of all kinds: of users, workers and controllers, to the store and the cloud.
 ALL = ("/hello", "/submissions", "/multi", "/holds", "/rentals", "/peer")
 REPORTS = ALL[:1]
 FAULTS = ("end", "die", "hang", "taken", "all", "die", "end", "outage")
@@ -18,23 +18,23 @@
 
 async def fault(work, what):
     """One of the troubles above."""
-    world, rng = work.world, work.rng
-    workers = [worker for worker in world.cloud.workers() if not worker.hung]
-    if what == "end" and world.leader() is not None:
-        await world.restart(world.leader(), rng.choice((0.0, 0.3)))
+    cluster, rng = work.cluster, work.rng
+    workers = [worker for worker in cluster.cloud.workers() if not worker.hung]
+    if what == "end" and cluster.leader() is not None:
+        await cluster.restart(cluster.leader(), rng.choice((0.0, 0.3)))
     elif what == "all":
-        await world.restart_all(rng.uniform(0, 1))
+        await cluster.restart_all(rng.uniform(0, 1))
     elif what in ("die", "taken"):
         for worker in rng.sample(workers, min(2, len(workers))):
-            world.cloud.take(worker.name)
-        if world.leader() is not None:
-            await world.restart(world.leader(), 0.1)
+            cluster.cloud.take(worker.name)
+        if cluster.leader() is not None:
+            await cluster.restart(cluster.leader(), 0.1)
     elif what == "hang" and workers:
         work.hang(rng.choice(workers), rng.uniform(2, 1.5 * LEASE_S))
     else:
-        world.state.out = True
-        await world.wait(rng.uniform(1, 5))
-        world.state.end_outage()
+        cluster.store.out = True
+        await cluster.wait(rng.uniform(1, 5))
+        cluster.store.end_outage()
 
 
 @pytest.mark.parametrize(("seed", "paths"), [(0, REPORTS), (1, REPORTS), (2, ALL), (3, ALL)])
@@ -47,25 +47,25 @@
         for turn, what in enumerate(FAULTS):
             await fault(work, what)
             await work.submit(100 + turn, beats=3)
-            await work.world.wait(work.rng.uniform(1, 6))
+            await work.cluster.wait(work.rng.uniform(1, 6))
         await work.finish(most=400)
-        assert work.world.network.copied > 150
-        ghosts = work.world.ghosts
+        assert work.cluster.network.copied > 150
+        ghosts = work.cluster.ghosts
         assert not ghosts, f"{len(ghosts)} times, as {ghosts[0]}"
 
     run(main())
 
 
-def reports_of(world, name):
+def reports_of(cluster, name):
     """The list of all that this worker reports from now on."""
-    seen, copy = [], world.network._copy
+    seen, copy = [], cluster.network._copy
 
     def keep(source, target, method, path, body):
         if path == "/hello" and source == name:
             seen.append(body)
         copy(source, target, method, path, body)
 
-    world.network._copy = keep
+    cluster.network._copy = keep
     return seen
 
 
@@ -75,50 +75,50 @@
     knew nothing of the order of its reports."""
 
     async def main():
-        world = GhostWorld(seed=2, members=FIVE, lease_s=LEASE_S)
-        world.cloud.most = 3
+        cluster = GhostWatchingCluster(seed=2, members=FIVE, lease_s=LEASE_S)
+        cluster.cloud.most = 3
         for _ in range(2):
-            world.cloud.add(("small", "a", True))
-        await world.until(lambda: world.leader() is not None)
+            cluster.cloud.add(("small", "a", True))
+        await cluster.until(lambda: cluster.leader() is not None)
         long = job(1, beats=2, vcpus=4.0, runS=300.0, expectedS=20.0, dueS=25.0)
-        assert await world.submit(long) == 201
-        await world.until(lambda: world.rules.starts >= 2)
-        await world.wait(3)
-        dead = next(worker for worker in world.cloud.workers() if worker.attempts)
-        seen = reports_of(world, dead.name)
-        await world.wait(4)
+        assert await cluster.submit(long) == 201
+        await cluster.until(lambda: cluster.rules.starts >= 2)
+        await cluster.wait(3)
+        dead = next(worker for worker in cluster.cloud.workers() if worker.attempts)
+        seen = reports_of(cluster, dead.name)
+        await cluster.wait(4)
         dead.vanish()
         died = now()
         if takeover:
-            await world.restart(world.leader(), 0.1)
-            await world.until(lambda: world.leader() is not None)
-        leader = world.nodes[world.leader()].leader
-        await world.until(leader.loaded.is_set)
+            await cluster.restart(cluster.leader(), 0.1)
+            await cluster.until(lambda: cluster.leader() is not None)
+        leader = cluster.controllers[cluster.leader()].leader
+        await cluster.until(leader.loaded.is_set)
 
         async def again():
             """In order, one a second, as though it still reported."""
             for body in (seen * 20)[:60]:
-                await world.network._late(dead.name, world.leader(), "POST", "/hello", body)
+                await cluster.network._late(dead.name, cluster.leader(), "POST", "/hello", body)
                 await asyncio.sleep(1)
 
         def given_up():
-            machine = leader.roster.get(dead.name)
+            machine = leader.registry.get(dead.name)
             return machine is None or not machine.placements
 
         copying = asyncio.ensure_future(again())
-        await world.until(given_up, most=(2 if takeover else 1) * LEASE_S + 4)
+        await cluster.until(given_up, most=(2 if takeover else 1) * LEASE_S + 4)
         assert now() - died > LEASE_S - 5, "not before it was proven"
         copying.cancel()
 
     run(main())
 
 
-def unreachable(world):
+def unreachable(cluster):
     """Machines that the leader believes to hear nothing."""
-    member = world.leader()
-    leader = world.nodes[member].leader if member is not None else None
+    member = cluster.leader()
+    leader = cluster.controllers[member].leader if member is not None else None
     return (
-        {m.name for m in leader.roster if m.reachability.unreachable}
+        {m.name for m in leader.registry if m.reachability.unreachable}
         if leader is not None
         else set()
     )
@@ -132,36 +132,36 @@
 
     async def main():
         work = await begin_short_work(seed, machines=9)
-        world = work.world
-        chosen = sorted(worker.name for worker in world.cloud.workers())[:3]
-        world.drop_answers(chosen)
-        assert await world.cancel(work.names.pop(0)) in ("cancelled", "done")
+        cluster = work.cluster
+        chosen = sorted(worker.name for worker in cluster.cloud.workers())[:3]
+        cluster.drop_answers(chosen)
+        assert await cluster.cancel(work.names.pop(0)) in ("cancelled", "done")
         if takeover:
-            await world.restart(world.leader(), 0.3)
+            await cluster.restart(cluster.leader(), 0.3)
         for number in range(10, 16):
             form = "ensemble" if number % 3 == 0 else "batch"
             await work.submit(number, beats=8, form=form, vcpus=1.0)
         service = await work.submit(20, form="service", beats=2, vcpus=1.0, expectedS=0.0)
         work.names.remove(service)  # it has no end
-        await world.wait(2.5 * LEASE_S)
+        await cluster.wait(2.5 * LEASE_S)
         leader = work.leader()
-        still = {n for n in chosen if n in world.cloud.machines and leader.roster.get(n)}
+        still = {n for n in chosen if n in cluster.cloud.machines and leader.registry.get(n)}
         timelines = leader.dispatcher.machines.timelines(leader.clock.now())
         # One that has shown nothing in this term is awaited like any that has not come yet.
         assert not still & {view.machine for view in timelines if not view.booting}
-        assert takeover or unreachable(world) & still
-        await world.finish(work.names, most=300)
-        assert not set(chosen) & {m.name for m in leader.roster if m.placements}
-        assert await world.poll(service) == "running"
+        assert takeover or unreachable(cluster) & still
+        await cluster.finish(work.names, most=300)
+        assert not set(chosen) & {m.name for m in leader.registry if m.placements}
+        assert await cluster.poll(service) == "running"
         assert len(work.running(20)) == 2
-        world.network.heal()
-        world.rules.faults_over_at = now()
-        await world.wait(2 * LEASE_S)
-        assert not unreachable(world)
+        cluster.network.heal()
+        cluster.rules.faults_over_at = now()
+        await cluster.wait(2 * LEASE_S)
+        assert not unreachable(cluster)
         last = job(99, beats=20, dueS=None)
-        assert await world.submit(last) == 201
-        assert await world.cancel(service) == "cancelled"
-        await world.finish([last["id"], service], most=100)
+        assert await cluster.submit(last) == 201
+        assert await cluster.cancel(service) == "cancelled"
+        await cluster.finish([last["id"], service], most=100)
 
     run(main())
 
@@ -169,16 +169,17 @@
 def test_a_controller_that_nobody_hears_blames_no_machine():
     async def main():
         work = await begin_short_work(3, machines=6)
-        world = work.world
-        world.drop_answers([worker.name for worker in world.cloud.workers()])
-        await world.wait(3 * LEASE_S)
+        cluster = work.cluster
+        cluster.drop_answers([worker.name for worker in cluster.cloud.workers()])
+        await cluster.wait(3 * LEASE_S)
         leader = work.leader()
         leader.dispatcher.machines.refresh()
-        up = [machine for machine in leader.roster if machine.up]
+        up = [machine for machine in leader.registry if machine.up]
         assert (
-            len(unreachable(world)) * 2 <= len(up) or leader.dispatcher.machines.mostly_unreachable
+            len(unreachable(cluster)) * 2 <= len(up)
+            or leader.dispatcher.machines.mostly_unreachable
         )
-        world.network.heal()
+        cluster.network.heal()
         await work.finish(most=200)
 
     run(main())
@@ -191,32 +192,34 @@
 
     async def main():
         work = await begin_short_work(4)
-        world = work.world
-        member = world.leader() if leads else work.others()[0]
+        cluster = work.cluster
+        member = cluster.leader() if leads else work.others()[0]
         sessions = work.sessions()
 
         async def status(path):
-            return (await world._ask("GET", path, None, member)).status
+            return (await cluster._ask("GET", path, None, member)).status
 
-        for worker in world.cloud.workers()[::2]:
-            worker.node = member
-        world.isolate(member)
-        await world.until(lambda: world.leader() not in (None, member), most=8)
-        await world.wait(5)
+        for worker in cluster.cloud.workers()[::2]:
+            worker.controller = member
+        cluster.isolate(member)
+        await cluster.until(lambda: cluster.leader() not in (None, member), most=8)
+        await cluster.wait(5)
         began = now()
         assert await status("/ready") == 503
         assert await status(f"/submissions/{work.names[0]}") == 503
         assert now() - began < 0.5
-        node = world.nodes[member]
-        assert node.elector.holding() is None and node.reports.redirect_target() is None
-        await world.wait(20)
+        controller = cluster.controllers[member]
+        assert (
+            controller.elector.holding() is None and controller.reports.redirect_target() is None
+        )
+        await cluster.wait(20)
         kept = sessions.keys() & work.sessions().keys()
         assert {name: work.sessions()[name] for name in kept} == {n: sessions[n] for n in kept}
-        world.network.heal()
-        world.rules.faults_over_at = now()
-        await world.wait(2)
+        cluster.network.heal()
+        cluster.rules.faults_over_at = now()
+        await cluster.wait(2)
         assert await status("/ready") == 200
-        await world.finish(work.names, most=200)
+        await cluster.finish(work.names, most=200)
 
     run(main())
 
@@ -229,25 +232,25 @@
 
     async def main():
         work = await begin_short_work(7, REPORTS, machines=4, jobs=2)
-        world = work.world
-        await world.wait(0 if young else 15)
+        cluster = work.cluster
+        await cluster.wait(0 if young else 15)
         long = job(50, beats=4, vcpus=4.0, runS=25.0, expectedS=25.0, dueS=40.0)
         work.names.append(long["id"])
-        assert await world.submit(long) == 201
-        await world.wait(4)
-        old = [worker for worker in world.cloud.workers() if worker.attempts][:2]
+        assert await cluster.submit(long) == 201
+        await cluster.wait(4)
+        old = [worker for worker in cluster.cloud.workers() if worker.attempts][:2]
         assert old
         if election:
-            world.kill(world.leader())
-            await world.wait(1)
+            cluster.kill(cluster.leader())
+            await cluster.wait(1)
         for worker in old:
             worker.vanish()
-            await world.wait(0.2)
-            world.cloud.machines[worker.name].worker = worker.begin_anew()
-        await world.wait(2)
+            await cluster.wait(0.2)
+            cluster.cloud.machines[worker.name].worker = worker.begin_anew()
+        await cluster.wait(2)
         for member in FIVE:
-            if not world.alive(member):
-                world.start(member)
+            if not cluster.alive(member):
+                cluster.start(member)
         assert await work.finish(most=200) < 2 * LEASE_S + 90
 
     run(main())
@@ -259,24 +262,24 @@
 
     async def main():
         work = await begin_short_work(5, REPORTS)
-        world, rng = work.world, work.rng
+        cluster, rng = work.cluster, work.rng
         for turn in range(6):
-            up = world.cloud.workers()
-            world.drop_answers([worker.name for worker in rng.sample(up, len(up) // 4)])
-            world.isolate(rng.choice(FIVE))
-            if world.leader() is not None and turn % 2:
-                await world.restart(world.leader(), rng.uniform(0, 0.5))
-            world.state.out = turn == 3
+            up = cluster.cloud.workers()
+            cluster.drop_answers([worker.name for worker in rng.sample(up, len(up) // 4)])
+            cluster.isolate(rng.choice(FIVE))
+            if cluster.leader() is not None and turn % 2:
+                await cluster.restart(cluster.leader(), rng.uniform(0, 0.5))
+            cluster.store.out = turn == 3
             asked = asyncio.ensure_future(work.submit(200 + turn, beats=4, tries=60))
-            await world.wait(rng.uniform(2, 12))
-            if world.state.out:
-                world.state.end_outage()
-            world.network.heal()
-            await world.wait(rng.uniform(0, 4))
+            await cluster.wait(rng.uniform(2, 12))
+            if cluster.store.out:
+                cluster.store.end_outage()
+            cluster.network.heal()
+            await cluster.wait(rng.uniform(0, 4))
             await asked
-        world.network.copies = None
+        cluster.network.copies = None
         await work.finish(most=400)
-        world.rules.check_largest(now(), 240.0)
-        assert not world.rules.broken and world.rules.longest_s < 10
+        cluster.rules.check_largest(now(), 240.0)
+        assert not cluster.rules.broken and cluster.rules.longest_s < 10
 
     run(main())
--- a/dappledrum/controller/test_lost_responses.py
+++ b/dappledrum/controller/test_lost_responses.py
@@ -36,18 +36,18 @@
     """Loses answers of some kinds of transactions, and lets users look at what those wrote."""
 
     def __init__(self, scenario, kinds):
-        self.world = scenario.world
+        self.cluster = scenario.cluster
         self.rng = scenario.rng
         self.kinds = kinds
         self.lost = dict.fromkeys(kinds, 0)
         self.waits = []  # of users, for answers to requests that are carried out
         self.looks = []
-        self.ask = self.world._ask
-        self.world._ask = self.checked
-        self.world.network.watcher = self.watch
+        self.ask = self.cluster._ask
+        self.cluster._ask = self.checked
+        self.cluster.network.watcher = self.watch
 
     def watch(self, sent):
-        """Decides on each request as it arrives at the state service."""
+        """Decides on each request as it arrives at the store."""
         if sent.path != "/multi":
             return None
         transaction = json.loads(sent.body)
@@ -59,19 +59,19 @@
         for change in transaction["then"]:
             place, _, name = (change.get("write") or "").partition("/")
             if place in ("job", "ended"):
-                for member in self.rng.sample(self.world.members, 3):
+                for member in self.rng.sample(self.cluster.members, 3):
                     later(self.rng.uniform(0.0, 0.3), self.look, place, name, member)
         return 0.0
 
     def look(self, place, name, member):
         """A user asks, and now and then repeats the submission."""
-        if member not in self.world.network.services:
+        if member not in self.cluster.network.services:
             return
-        self.looks.append(asyncio.ensure_future(self.world.poll(name, member)))
-        key = self.world.state.keys.get(f"job/{name}")
+        self.looks.append(asyncio.ensure_future(self.cluster.poll(name, member)))
+        key = self.cluster.store.keys.get(f"job/{name}")
         if place == "job" and key is not None and self.rng.random() < 0.3:
             body = json.dumps(key[0]["spec"]).encode()
-            again = self.world._ask("POST", "/submissions", body, member)
+            again = self.cluster._ask("POST", "/submissions", body, member)
             self.looks.append(asyncio.ensure_future(again))
 
     async def checked(self, method, path, body=None, member=None):
@@ -81,7 +81,7 @@
         if reply is None or reply.status not in (200, 201):
             return reply
         said = json.loads(reply.body)
-        keys = self.world.state.keys
+        keys = self.cluster.store.keys
         live, over = keys.get(f"job/{said['id']}"), keys.get(f"ended/{said['id']}")
         assert live or over, f"{said['id']} told and not stored"
         if said["stance"] == "cancelled":
@@ -93,7 +93,7 @@
 
     async def stop(self):
         """Every answer arrives from now on."""
-        self.world.network.watcher = None
+        self.cluster.network.watcher = None
         await asyncio.gather(*self.looks)
 
     def share_within(self, span):
@@ -108,16 +108,16 @@
         lost = LostAnswers(scenario, (kind,))
         await scenario.submit_long(*range(4))
         for number in range(4):
-            await scenario.world.wait(scenario.rng.uniform(1, 5))
+            await scenario.cluster.wait(scenario.rng.uniform(1, 5))
             if number % 2:
                 await scenario.cancel(number, scenario.rng.choice(scenario.others()))
             needs = scenario.names[:1] if kind == "comparison" else None
             for after in range(2):
                 follower = 950 + number * 2 + after
                 one = job(follower, beats=1, runS=2.0, dueS=None, waitsOn=needs)
-                await scenario.world.submit(one, 60)
+                await scenario.cluster.submit(one, 60)
                 scenario.names.append(one["id"])
-        await scenario.world.wait(SPELL_S - 20)
+        await scenario.cluster.wait(SPELL_S - 20)
         await lost.stop()
         assert lost.lost[kind] >= 2
         assert lost.share_within(0.3) > 0.95, sorted(lost.waits)[-5:]
@@ -131,23 +131,25 @@
     it, and does not give it back because it has not heard so."""
 
     async def act(scenario):
-        world, rng = scenario.world, scenario.rng
+        cluster, rng = scenario.cluster, scenario.rng
         lost = LostAnswers(scenario, ("election", "transfer"))
         await scenario.submit_long(0, 1)
         vacant = []
         for way in ("end", "transfer", "resign", "end"):
-            await world.wait(rng.uniform(11, 14))  # a term may be handed over after 10 s
-            leader = world.leader()
+            await cluster.wait(rng.uniform(11, 14))  # a term may be handed over after 10 s
+            leader = cluster.leader()
             began = now()
             if way == "end":
-                world.kill(leader)
-                later(rng.uniform(0.1, 3), world.start, leader)
+                cluster.kill(leader)
+                later(rng.uniform(0.1, 3), cluster.start, leader)
             elif way == "transfer":
-                world.nodes[leader].elector.transfer_leadership(
+                cluster.controllers[leader].elector.transfer_leadership(
                     rng.choice(scenario.others()), "test"
                 )
             else:
-                world.nodes[leader].elector.resign("test", world.nodes[leader].elector.life * 2)
+                cluster.controllers[leader].elector.resign(
+                    "test", cluster.controllers[leader].elector.life * 2
+                )
             await scenario.until_led(leader)
             vacant.append((way, round(now() - began, 2)))
         await lost.stop()
@@ -161,17 +163,19 @@
 @pytest.mark.parametrize("seed", range(3))
 def test_answers_of_any_kind_are_lost_while_leaders_end(seed):
     async def act(scenario):
-        world, rng = scenario.world, scenario.rng
+        cluster, rng = scenario.cluster, scenario.rng
         kinds = ("acceptance", "cancellation", "progress", "end", "election", "transfer")
         lost = LostAnswers(scenario, kinds)
         await scenario.submit_long(*range(5))
         for number in range(3):
-            await world.wait(rng.uniform(2, 8))
-            leader = world.leader()
+            await cluster.wait(rng.uniform(2, 8))
+            leader = cluster.leader()
             if leader is not None:
-                await world.restart(leader, rng.uniform(0, 2))
-            later(rng.uniform(0, 1), asyncio.ensure_future, world.cancel(f"j-{900 + number:06d}"))
-        await world.wait(10)
+                await cluster.restart(leader, rng.uniform(0, 2))
+            later(
+                rng.uniform(0, 1), asyncio.ensure_future, cluster.cancel(f"j-{900 + number:06d}")
+            )
+        await cluster.wait(10)
         await lost.stop()
 
     play(seed, act)
--- a/dappledrum/controller/test_paused_processes.py
+++ b/dappledrum/controller/test_paused_processes.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from dappledrum.simulation.cluster import World, led_world
+from dappledrum.simulation.cluster import SimulatedCluster, led_cluster
 from dappledrum.simulation.fault_scenarios import machines_taken, pausing, rolled, short_outage
 from dappledrum.simulation.scenario import day
 from dappledrum.simulation.virtual_time import PROCESS, VirtualLoop, run
@@ -17,57 +17,57 @@
 
 @pytest.mark.parametrize("fault", PAUSES, ids=lambda t: t.__name__)
 async def test_a_pause_keeps_the_rules(fault):
-    await day(World(seed=31), fault, runS=15.0)
+    await day(SimulatedCluster(seed=31), fault, runS=15.0)
 
 
 @pytest.mark.parametrize("other", [short_outage, machines_taken, rolled], ids=lambda t: t.__name__)
 async def test_a_pause_of_the_leader_meets_another_trouble(other):
-    world = World(seed=32)
+    cluster = SimulatedCluster(seed=32)
 
-    async def both(world):
-        await pausing("leader", 5)(world)
-        pause = asyncio.get_running_loop().create_task(pausing("leader", 7)(world))
-        await other(world)
+    async def both(cluster):
+        await pausing("leader", 5)(cluster)
+        pause = asyncio.get_running_loop().create_task(pausing("leader", 7)(cluster))
+        await other(cluster)
         await pause
 
-    await day(world, both, runS=15.0)
+    await day(cluster, both, runS=15.0)
 
 
 @pytest.mark.parametrize("seed", range(4))
 async def test_pauses_at_any_moment(seed):
     """Short ones and ones longer than the leader's lease, at moments that fall into renewals,
     transactions, plans and held answers; each controller in turn."""
-    world = World(seed=40 + seed)
+    cluster = SimulatedCluster(seed=40 + seed)
 
-    async def often(world):
+    async def often(cluster):
         for number in range(12):
-            await world.wait(world.rng.uniform(0.1, 2.5))
-            member = world.leader() if number % 3 else world.rng.choice(world.members)
+            await cluster.wait(cluster.rng.uniform(0.1, 2.5))
+            member = cluster.leader() if number % 3 else cluster.rng.choice(cluster.members)
             if member is None:
                 continue
-            world.freeze(member)
-            await world.wait(world.rng.choice([0.3, 1.0, 2.0, 2.8, 3.3, 5.0, 10.0]))
-            world.thaw(member)
+            cluster.freeze(member)
+            await cluster.wait(cluster.rng.choice([0.3, 1.0, 2.0, 2.8, 3.3, 5.0, 10.0]))
+            cluster.thaw(member)
 
-    await day(world, often, jobs=8, runS=12.0)
+    await day(cluster, often, jobs=8, runS=12.0)
 
 
 async def test_a_pause_returns_and_rents_nothing():
     """Shorter than the leader's lease: leadership, machines and tasks stay as they are."""
-    world = await led_world(37)
-    names = await world.accept_jobs(3, runS=30.0, expectedS=30.0, dueS=55.0)
-    await world.until(lambda: len(world.rules.running) == 12)
-    machines, rented = set(world.cloud.machines), world.cloud.next
+    cluster = await led_cluster(37)
+    names = await cluster.accept_jobs(3, runS=30.0, expectedS=30.0, dueS=55.0)
+    await cluster.until(lambda: len(cluster.rules.running) == 12)
+    machines, rented = set(cluster.cloud.machines), cluster.cloud.next
     for _ in range(3):
-        leader = world.leader()
-        world.freeze(leader)
-        await world.wait(2.2)
-        world.thaw(leader)
-        await world.wait(1.5)
-        assert world.leader() == leader
-    assert set(world.cloud.machines) == machines and world.cloud.next == rented
-    await world.finish(names)
-    assert world.rules.starts == 12
+        leader = cluster.leader()
+        cluster.freeze(leader)
+        await cluster.wait(2.2)
+        cluster.thaw(leader)
+        await cluster.wait(1.5)
+        assert cluster.leader() == leader
+    assert set(cluster.cloud.machines) == machines and cluster.cloud.next == rented
+    await cluster.finish(names)
+    assert cluster.rules.starts == 12
 
 
 async def test_an_answer_that_came_during_a_pause_is_read_before_it_is_called_missing():
@@ -110,8 +110,8 @@
     """It once never ended, and nobody saw what had failed."""
 
     async def main():
-        world = await led_world(39)
-        world.freeze(world.leader())
+        cluster = await led_cluster(39)
+        cluster.freeze(cluster.leader())
         raise ValueError("as a failed check")
 
     with pytest.raises(ValueError, match="failed check"):
--- a/dappledrum/controller/test_slow_boots.py
+++ b/dappledrum/controller/test_slow_boots.py
@@ -2,39 +2,39 @@
 
 import pytest
 
-from dappledrum.fleet.cloud_client import Cloud, CloudError
+from dappledrum.fleet.cloud_client import CloudClient, CloudError
 from dappledrum.fleet.messages import RentalRequest
-from dappledrum.simulation.cluster import World, job
+from dappledrum.simulation.cluster import SimulatedCluster, job
 from dappledrum.simulation.fault_scenarios import leader_killed, machines_taken
 from dappledrum.simulation.scenario import day
 from dappledrum.simulation.virtual_time import run
 
 
 def slow(factor):
-    async def fault(world):
-        world.cloud.slow = factor
-        await machines_taken(world)
-        await world.wait(40)
-        world.cloud.slow = 1.0
+    async def fault(cluster):
+        cluster.cloud.slow = factor
+        await machines_taken(cluster)
+        await cluster.wait(40)
+        cluster.cloud.slow = 1.0
 
     fault.__name__ = f"boots_times_{factor}"
     return fault
 
 
-async def some_never_and_a_kill(world):
-    world.cloud.stalled = 0.5
-    await machines_taken(world)
-    await leader_killed(world)
-    await world.wait(20)
-    world.cloud.stalled = 0.0
+async def some_never_and_a_kill(cluster):
+    cluster.cloud.stalled = 0.5
+    await machines_taken(cluster)
+    await leader_killed(cluster)
+    await cluster.wait(20)
+    cluster.cloud.stalled = 0.0
 
 
-async def lists_lag(world):
-    world.cloud.lag_s = 40.0
-    await machines_taken(world)
-    await leader_killed(world)
-    await world.wait(30)
-    world.cloud.lag_s = 4.0
+async def lists_lag(cluster):
+    cluster.cloud.lag_s = 40.0
+    await machines_taken(cluster)
+    await leader_killed(cluster)
+    await cluster.wait(30)
+    cluster.cloud.lag_s = 4.0
 
 
 FAULTS = [slow(0.05), slow(6.0), some_never_and_a_kill, lists_lag]
@@ -43,23 +43,23 @@
 @pytest.mark.parametrize("fault", FAULTS, ids=lambda t: t.__name__)
 def test_day_keeps_the_rules_and_ends(fault):
     async def main():
-        await day(World(seed=51), fault, runS=10.0)
+        await day(SimulatedCluster(seed=51), fault, runS=10.0)
 
     run(main())
 
 
 def test_no_storm_of_rentals_while_all_boots_are_slow():
     async def main():
-        world = World(seed=52)
-        world.cloud.slow = 8.0
-        await world.until(lambda: world.leader() is not None)
-        await world.submit(job(1, beats=12, dueS=30.0))
-        await world.until(lambda: len(world.cloud.machines) >= 1)
-        await world.wait(8)
-        rented = world.cloud.next
-        await world.wait(50)
-        assert world.cloud.next <= rented + 3
-        await world.finish(["j-000001"])
+        cluster = SimulatedCluster(seed=52)
+        cluster.cloud.slow = 8.0
+        await cluster.until(lambda: cluster.leader() is not None)
+        await cluster.submit(job(1, beats=12, dueS=30.0))
+        await cluster.until(lambda: len(cluster.cloud.machines) >= 1)
+        await cluster.wait(8)
+        rented = cluster.cloud.next
+        await cluster.wait(50)
+        assert cluster.cloud.next <= rented + 3
+        await cluster.finish(["j-000001"])
 
     run(main())
 
@@ -68,17 +68,17 @@
     """Paced for seconds, or sent after a pause: the machines may be another leader's by then."""
 
     async def main():
-        world = World(seed=53)
-        await world.until(lambda: world.leader() is not None)
-        node = world.nodes[world.leader()]
-        cloud = Cloud(world.network.caller("drummer-0", "cloud"), 0.5, node.clock)
+        cluster = SimulatedCluster(seed=53)
+        await cluster.until(lambda: cluster.leader() is not None)
+        controller = cluster.controllers[cluster.leader()]
+        cloud = CloudClient(cluster.network.caller("drummer-0", "cloud"), 0.5, controller.clock)
         await cloud.catalog()
         request = RentalRequest("r-old", "small", "a", True, 1)
         with pytest.raises(CloudError):
             await cloud.rent(request, lambda: False)
-        name = world.cloud.add(("small", "a", True))
+        name = cluster.cloud.add(("small", "a", True))
         with pytest.raises(CloudError):
             await cloud.give_back([name], lambda: False)
-        assert "r-old" not in world.cloud.answers and name in world.cloud.machines
+        assert "r-old" not in cluster.cloud.answers and name in cluster.cloud.machines
 
     run(main())
--- a/dappledrum/controller/test_small_jobs.py
+++ b/dappledrum/controller/test_small_jobs.py
@@ -3,13 +3,13 @@
 import asyncio
 from collections import Counter
 
-from dappledrum.simulation.cluster import World, job
+from dappledrum.simulation.cluster import SimulatedCluster, job
 from dappledrum.simulation.virtual_time import run
 
 JOBS = 150
 
 
-async def served(world, number):
+async def served(cluster, number):
     """One user: submits a job and polls until it is done."""
     spec = job(
         number,
@@ -21,9 +21,9 @@
         urgency="best_effort",
         dueS=None,
     )
-    assert await world.submit(spec) == 201
+    assert await cluster.submit(spec) == 201
     answers = Counter()
-    while (state := await world.poll(spec["id"])) != "done":
+    while (state := await cluster.poll(spec["id"])) != "done":
         answers[state] += 1
         await asyncio.sleep(1)
     return answers
@@ -33,19 +33,19 @@
     """Each poll once was a read of its own, and hundreds of them starved submissions."""
 
     async def main():
-        world = World(seed=14, rps=60.0)
-        await world.until(lambda: world.leader() is not None)
-        writes, requests = world.state.writes, world.state.requests
+        cluster = SimulatedCluster(seed=14, rps=60.0)
+        await cluster.until(lambda: cluster.leader() is not None)
+        writes, requests = cluster.store.writes, cluster.store.requests
         users = []
         for number in range(JOBS):
-            users.append(asyncio.get_running_loop().create_task(served(world, number)))
-            await world.wait(0.05)
-        await world.until(lambda: all(user.done() for user in users))
+            users.append(asyncio.get_running_loop().create_task(served(cluster, number)))
+            await cluster.wait(0.05)
+        await cluster.until(lambda: all(user.done() for user in users))
         answers = sum((user.result() for user in users), Counter())
         assert answers.total() > JOBS * 10
         assert answers[None] < answers.total() * 0.02
-        assert world.state.writes - writes < JOBS * 4.5
-        assert world.state.requests - requests < answers.total() * 0.5
+        assert cluster.store.writes - writes < JOBS * 4.5
+        assert cluster.store.requests - requests < answers.total() * 0.5
 
     run(main())
 
@@ -54,44 +54,44 @@
     """A plan for 800 of them took two seconds, a bag each."""
 
     async def main():
-        world = World(seed=15)
-        most, world.cloud.most = world.cloud.most, 0  # nothing starts, so all stay ready
-        await world.until(lambda: world.leader() is not None)
-        await world.wait(1)
+        cluster = SimulatedCluster(seed=15)
+        most, cluster.cloud.most = cluster.cloud.most, 0  # nothing starts, so all stay ready
+        await cluster.until(lambda: cluster.leader() is not None)
+        await cluster.wait(1)
         for number in range(40):
             image = "img-1" if number < 20 else "img-2"
             spec = job(number, beats=1, skin=image, dueS=600.0)
-            assert await world.submit(spec) == 201
-        await world.submit(job(100, beats=9))
-        await world.wait(2)
-        dispatcher = world.nodes[world.leader()].leader.dispatcher
+            assert await cluster.submit(spec) == 201
+        await cluster.submit(job(100, beats=9))
+        await cluster.wait(2)
+        dispatcher = cluster.controllers[cluster.leader()].leader.dispatcher
         bags = dispatcher.work.bags(dispatcher.clock.now(), 0.0)
         sizes = Counter()
         for bag in bags:
             sizes[bag.image, bag.total == 9] += bag.ready
         assert sizes == {("img-1", False): 20, ("img-2", False): 20, ("img-1", True): 9}
         assert len(bags) <= 7
-        world.cloud.most = most
-        await world.finish([f"j-{n:06d}" for n in [*range(40), 100]])
+        cluster.cloud.most = most
+        await cluster.finish([f"j-{n:06d}" for n in [*range(40), 100]])
 
     run(main())
 
 
 def test_submissions_that_come_together_share_a_transaction_and_not_their_refusals():
     async def main():
-        world = World(seed=16)
-        await world.until(lambda: world.leader() is not None)
-        await world.wait(3)
+        cluster = SimulatedCluster(seed=16)
+        await cluster.until(lambda: cluster.leader() is not None)
+        await cluster.wait(3)
         specs = [job(number, beats=1) for number in range(8)]
-        assert await world.submit(specs[3]) == 201
-        requests = world.state.requests
-        member = next(m for m in world.members if m != world.leader())
+        assert await cluster.submit(specs[3]) == 201
+        requests = cluster.store.requests
+        member = next(m for m in cluster.members if m != cluster.leader())
         twice = [*specs, specs[5]]
-        statuses = await asyncio.gather(*(world.submit(spec, 1, member) for spec in twice))
+        statuses = await asyncio.gather(*(cluster.submit(spec, 1, member) for spec in twice))
         assert statuses == [201, 201, 201, 200, 201, 201, 201, 201, statuses[8]]
         assert statuses[8] in (200, 201)
-        assert world.state.requests - requests < 25
-        await world.finish([spec["id"] for spec in specs])
+        assert cluster.store.requests - requests < 25
+        await cluster.finish([spec["id"] for spec in specs])
 
     run(main())
 
@@ -100,11 +100,11 @@
     """Written one transaction at a time, each slow answer made the next users wait, too."""
 
     async def main():
-        world = World(seed=17)
-        await world.until(lambda: world.leader() is not None)
-        await world.wait(2)
-        member = next(m for m in world.members if m != world.leader())
-        state, slow = world.network.services["state"], True
+        cluster = SimulatedCluster(seed=17)
+        await cluster.until(lambda: cluster.leader() is not None)
+        await cluster.wait(2)
+        member = next(m for m in cluster.members if m != cluster.leader())
+        state, slow = cluster.network.services["state"], True
 
         async def service(source, method, path, body):
             nonlocal slow
@@ -113,12 +113,12 @@
                 await asyncio.sleep(0.6)
             return await state(source, method, path, body)
 
-        world.network.services["state"] = service
+        cluster.network.services["state"] = service
         loop = asyncio.get_running_loop()
-        first = loop.create_task(world.submit(job(1), 1, member))
+        first = loop.create_task(cluster.submit(job(1), 1, member))
         await asyncio.sleep(0.05)
         began = loop.time()
-        assert await world.submit(job(2), 1, member) == 201
+        assert await cluster.submit(job(2), 1, member) == 201
         assert loop.time() - began < 0.2
         assert await first == 201
 
--- a/dappledrum/controller/test_upgrade.py
+++ b/dappledrum/controller/test_upgrade.py
@@ -14,7 +14,7 @@
 from dappledrum.jobs.job import Job
 from dappledrum.jobs.messages import JobRecord, RowsRecord, SpecPart
 from dappledrum.settings import NextLimits
-from dappledrum.simulation.cluster import World, job
+from dappledrum.simulation.cluster import SimulatedCluster, job
 from dappledrum.simulation.virtual_time import run
 
 NEXT = NextLimits(write_rps=40.0, value_kb=2.0, txn_ops=8)
@@ -26,12 +26,12 @@
 
 def old_world(seed):
     members = tuple(f"drummer-{n}" for n in range(3))
-    world = World(seed=seed, members=members, next=NEXT, old=set(members))
-    world.cloud.most = 30
-    return world
+    cluster = SimulatedCluster(seed=seed, members=members, next=NEXT, old=set(members))
+    cluster.cloud.most = 30
+    return cluster
 
 
-async def submit_old(world):
+async def submit_old(cluster):
     """Live jobs of many pages, one of them a service, and one with a long list of types."""
     specs = [
         job(1, beats=600, vcpus=0.1, memGb=0.1, runS=25.0, expectedS=25.0, dueS=None),
@@ -40,60 +40,60 @@
         job(4, runS=60.0, expectedS=60.0),
     ]
     for spec in specs:
-        assert await world.submit(spec) == 201
-    await world.until(lambda: world.rules.starts > 500)
+        assert await cluster.submit(spec) == 201
+    await cluster.until(lambda: cluster.rules.starts > 500)
 
 
-async def one_by_one(world):
-    for member in world.members:
-        await world.upgrade(member)
-        await world.wait(4)
+async def one_by_one(cluster):
+    for member in cluster.members:
+        await cluster.upgrade(member)
+        await cluster.wait(4)
 
 
-async def leader_first(world):
-    await world.upgrade(world.leader())
-    await world.wait(4)
-    await one_by_one(world)
+async def leader_first(cluster):
+    await cluster.upgrade(cluster.leader())
+    await cluster.wait(4)
+    await one_by_one(cluster)
 
 
-async def leader_last(world):
-    while len(world.old) > 1:
-        await world.upgrade(next(m for m in sorted(world.old) if m != world.leader()))
-        await world.wait(3)
-    await one_by_one(world)
+async def leader_last(cluster):
+    while len(cluster.old) > 1:
+        await cluster.upgrade(next(m for m in sorted(cluster.old) if m != cluster.leader()))
+        await cluster.wait(3)
+    await one_by_one(cluster)
 
 
-async def all_at_once(world):
-    world.old.clear()
-    await world.restart_all()
+async def all_at_once(cluster):
+    cluster.old.clear()
+    await cluster.restart_all()
 
 
-async def old_after_new_after_old(world):
+async def old_after_new_after_old(cluster):
     """Leadership goes back and forth; a process that dies early comes back old."""
-    first = world.leader()
-    await world.upgrade(first)
-    await world.wait(3)
-    others = [member for member in world.members if member != first]
-    for member in (world.leader(), first, *others):
+    first = cluster.leader()
+    await cluster.upgrade(first)
+    await cluster.wait(3)
+    others = [member for member in cluster.members if member != first]
+    for member in (cluster.leader(), first, *others):
         if member is not None:
-            await world.restart(member, 4.0)
-            await world.wait(5)
-    await one_by_one(world)
+            await cluster.restart(member, 4.0)
+            await cluster.wait(5)
+    await one_by_one(cluster)
 
 
-async def outage_in_the_midst(world):
-    await world.upgrade(world.members[0])
-    world.state.out = True
-    await world.wait(5)
-    world.state.end_outage()
-    await one_by_one(world)
+async def outage_in_the_midst(cluster):
+    await cluster.upgrade(cluster.members[0])
+    cluster.store.out = True
+    await cluster.wait(5)
+    cluster.store.end_outage()
+    await one_by_one(cluster)
 
 
-async def crash_in_the_midst(world):
-    await world.upgrade(world.members[0])
-    await world.restart_all()
-    await world.wait(3)
-    await one_by_one(world)
+async def crash_in_the_midst(cluster):
+    await cluster.upgrade(cluster.members[0])
+    await cluster.restart_all()
+    await cluster.wait(3)
+    await one_by_one(cluster)
 
 
 @pytest.mark.long
@@ -111,28 +111,28 @@
 )
 def test_an_upgrade_while_serving_and_limits_that_drop_right_after(upgrade):
     async def main():
-        world = old_world(51)
-        await world.until(lambda: world.leader() is not None)
-        await submit_old(world)
-        await upgrade(world)
-        assert not world.old and not world.state.too_large
-        world.drop_limits()
+        cluster = old_world(51)
+        await cluster.until(lambda: cluster.leader() is not None)
+        await submit_old(cluster)
+        await upgrade(cluster)
+        assert not cluster.old and not cluster.store.too_large
+        cluster.drop_limits()
         # Named by both: a job of the version before, still live or not.
-        assert await world.submit(job(10, waitsOn=[name(1), name(4)], dueS=None)) == 201
-        assert await world.submit(job(11, waitsOn=[name(10)], dueS=200.0)) == 201
-        assert await world.submit(job(12, waitsOn=[name(3)])) == 201
-        await world.finish([name(n) for n in (1, 3, 4, 10, 11, 12)])
-        assert await world.poll(name(2)) == "running"
-        assert await world.cancel(name(2)) == "cancelled"
-        await world.wait(25)
-        assert not world.rules.running
-        assert await world.poll(name(2)) == "cancelled"
-        await world.wait(5)
-        left = [key for key in world.state.keys if key.split("/")[0] in ("page", "rows", "spec")]
+        assert await cluster.submit(job(10, waitsOn=[name(1), name(4)], dueS=None)) == 201
+        assert await cluster.submit(job(11, waitsOn=[name(10)], dueS=200.0)) == 201
+        assert await cluster.submit(job(12, waitsOn=[name(3)])) == 201
+        await cluster.finish([name(n) for n in (1, 3, 4, 10, 11, 12)])
+        assert await cluster.poll(name(2)) == "running"
+        assert await cluster.cancel(name(2)) == "cancelled"
+        await cluster.wait(25)
+        assert not cluster.rules.running
+        assert await cluster.poll(name(2)) == "cancelled"
+        await cluster.wait(5)
+        left = [key for key in cluster.store.keys if key.split("/")[0] in ("page", "rows", "spec")]
         assert not left
-        assert world.state.over_rate <= 3
+        assert cluster.store.over_rate <= 3
         # The first refusal only tells that the limits have dropped.
-        assert len(world.state.too_large) <= 3
+        assert len(cluster.store.too_large) <= 3
 
     run(main())
 
@@ -142,24 +142,24 @@
     first refusal tells, and nothing stays unwritable."""
 
     async def main():
-        world = old_world(53)
-        await world.until(lambda: world.leader() is not None)
-        await submit_old(world)
-        missing = next(member for member in world.members if member != world.leader())
-        world.kill(missing)
-        for member in world.members:
+        cluster = old_world(53)
+        await cluster.until(lambda: cluster.leader() is not None)
+        await submit_old(cluster)
+        missing = next(member for member in cluster.members if member != cluster.leader())
+        cluster.kill(missing)
+        for member in cluster.members:
             if member != missing:
-                await world.upgrade(member)
-                await world.wait(4)
-        world.drop_limits()
-        await world.finish([name(3), name(4)])
-        assert 0 < len(world.state.too_large) < 12
-        assert await world.cancel(name(2)) == "cancelled"
-        world.old.clear()
-        world.start(missing)
-        await world.finish([name(1)])
-        await world.wait(25)
-        assert not world.rules.running
+                await cluster.upgrade(member)
+                await cluster.wait(4)
+        cluster.drop_limits()
+        await cluster.finish([name(3), name(4)])
+        assert 0 < len(cluster.store.too_large) < 12
+        assert await cluster.cancel(name(2)) == "cancelled"
+        cluster.old.clear()
+        cluster.start(missing)
+        await cluster.finish([name(1)])
+        await cluster.wait(25)
+        assert not cluster.rules.running
 
     run(main())
 
@@ -205,20 +205,20 @@
 
 def test_hundreds_of_names_are_taken_and_too_many_are_refused():
     async def main():
-        world = World(seed=52, next=NEXT)
-        world.drop_limits()
-        await world.until(lambda: world.leader() is not None)
-        await world.wait(5)
+        cluster = SimulatedCluster(seed=52, next=NEXT)
+        cluster.drop_limits()
+        await cluster.until(lambda: cluster.leader() is not None)
+        await cluster.wait(5)
         ids = []
         for number in range(300):
             spec = job(number, beats=1, vcpus=0.1, memGb=0.1, runS=1.0, dueS=None)
             ids.append(spec["id"])
-            assert await world.submit(spec) == 201
-        assert await world.submit(job(900, waitsOn=ids)) == 201
-        await world.restart(world.leader())
-        await world.finish([name(900)])
-        assert not world.state.too_large
+            assert await cluster.submit(spec) == 201
+        assert await cluster.submit(job(900, waitsOn=ids)) == 201
+        await cluster.restart(cluster.leader())
+        await cluster.finish([name(900)])
+        assert not cluster.store.too_large
         await asyncio.sleep(5)
-        assert not [key for key in world.state.keys if key.startswith("spec/")]
+        assert not [key for key in cluster.store.keys if key.startswith("spec/")]
 
     run(main())
--- a/dappledrum/controller/test_wiring.py
+++ b/dappledrum/controller/test_wiring.py
@@ -27,7 +27,7 @@
         settings = msgspec.convert(good(), Settings)
         back = f"127.0.0.1:{before.getsockname()[1]}"
         settings = msgspec.structs.replace(settings, back=back)
-        running = asyncio.create_task(wiring.run_node(settings, Tuning()))
+        running = asyncio.create_task(wiring.run_controller(settings, Tuning()))
         await asyncio.sleep(0.2)
         assert not begun.is_set() and not running.done()
         before.close()
@@ -35,5 +35,5 @@
             await begun.wait()
         running.cancel()
 
-    monkeypatch.setattr(wiring, "Node", Begun)
+    monkeypatch.setattr(wiring, "Controller", Begun)
     asyncio.run(main())
--- a/dappledrum/controller/wiring.py
+++ b/dappledrum/controller/wiring.py
@@ -6,7 +6,7 @@
 from datetime import timedelta
 from typing import NamedTuple
 
-from dappledrum.controller.controller import Node
+from dappledrum.controller.controller import Controller
 from dappledrum.http.client import Client, NoResponseError
 from dappledrum.http.server import LISTEN, Server
 from dappledrum.settings import Settings, Tuning, split_address
@@ -14,7 +14,7 @@
 
 log = logging.getLogger(__name__)
 
-STATE_OPEN = 40  # requests to the state service at a time; loops and batches, never one a user
+STATE_OPEN = 40  # requests to the store at a time; loops and batches, never one a user
 CLOUD_OPEN = 6
 PEER_OPEN = 12  # to each peer
 APART = 10  # for listening, and probes of workers
@@ -36,7 +36,7 @@
 
     Connections that wait to be accepted count, too. While a process stands still they are all
     that comes, and nothing is read of those that are over: a leader of 900 machines that went on
-    after 25 s held all the sockets it could have, and got none for the state service.
+    after 25 s held all the sockets it could have, and got none for the store.
     """
     own = min(STATE_OPEN + CLOUD_OPEN + PEER_OPEN * peers + APART, most // 4)
     private = min(PEER_OPEN * max(peers, 1), most // 8)
@@ -57,12 +57,16 @@
         return False
 
 
-async def run_node(settings: Settings, tuning: Tuning) -> None:
+async def run_controller(settings: Settings, tuning: Tuning) -> None:
     """Listen, then run until the process is killed."""
     most = settings.params.machine_limits.max_sockets
     shares = sockets(most, len(settings.seeds))
-    public = Server(lambda request: node.serve(request), shares.public, shares.public_waiting)
-    private = Server(lambda request: node.serve_peer(request), shares.peers, shares.peers_waiting)
+    public = Server(
+        lambda request: controller.serve(request), shares.public, shares.public_waiting
+    )
+    private = Server(
+        lambda request: controller.serve_peer(request), shares.peers, shares.peers_waiting
+    )
     # What this process may have forgotten is counted from its beginning; a former one that still
     # has the addresses may be promising yet, so it begins when that one is gone.
     await public.take(*split_address(settings.serve_on))
@@ -71,7 +75,7 @@
         peer.member: Client(*split_address(peer.address), max_open=PEER_OPEN)
         for peer in settings.seeds
     }
-    node = Node(
+    controller = Controller(
         settings,
         tuning,
         Clock(),
@@ -84,4 +88,4 @@
     await public.start(*split_address(settings.serve_on))
     await private.start(*split_address(settings.back))
     log.info("listening on %s, for peers on %s", settings.serve_on, settings.back)
-    await asyncio.gather(node.run())
+    await asyncio.gather(controller.run())
--- a/dappledrum/dependencies/graph.py
+++ b/dappledrum/dependencies/graph.py
@@ -37,7 +37,7 @@
     return ", ".join(ordered[:SHOWN]) + more
 
 
-class Graph:
+class DependencyGraph:
     """The relation for one term of leadership."""
 
     def __init__(
