--- a/dappledrum/dependencies/lookup.py
+++ b/dappledrum/dependencies/lookup.py
@@ -14,27 +14,27 @@
 from dappledrum.jobs.job import ended_key, head_key
 from dappledrum.jobs.messages import Form, JobRecord
 from dappledrum.jobs.poll_batcher import LiveRecord
-from dappledrum.store.client import ConflictError, RefusedError, State, StateError
+from dappledrum.store.client import ConflictError, RefusedError, StoreClient, StoreError
 from dappledrum.store.hedged_commit import commit_idempotent
 from dappledrum.store.messages import Guard
-from dappledrum.store.rate_limiter import Rank
+from dappledrum.store.rate_limiter import RequestPriority
 
 KEPT = 20_000
 REQUEST_TIMEOUT = timedelta(seconds=1)
 SINGLE = 4  # up to so many heads are read one by one, more from the list of all live ones
 
 
-class Lookup:
+class DependencyLookup:
     """One for each controller."""
 
     def __init__(
         self,
-        state: State,
+        store: StoreClient,
         max_guards: int,
         read: Callable[[str], Awaitable[JobRecord | None]],
         read_many: Callable[[set[str]], Awaitable[dict[str, LiveRecord]]],
     ) -> None:
-        self.state = state
+        self.store = store
         self.max_names = max(1, max_guards // 2)
         self.read = read
         self.read_many = read_many
@@ -71,11 +71,13 @@
         return None
 
     async def _existing(self, names: Collection[str]) -> set[str]:
-        if self.state.busy_for(Rank.INTAKE) > REQUEST_TIMEOUT / 2:
+        if self.store.busy_for(RequestPriority.INTAKE) > REQUEST_TIMEOUT / 2:
             raise RefusedError("over the share of requests")
         guards = [Guard(key(name), 0) for name in names for key in (head_key, ended_key)]
         try:
-            await commit_idempotent(self.state, guards, [], Rank.INTAKE, REQUEST_TIMEOUT)
+            await commit_idempotent(
+                self.store, guards, [], RequestPriority.INTAKE, REQUEST_TIMEOUT
+            )
         except ConflictError as error:
             return set(error.failed)
         return set()
@@ -84,6 +86,6 @@
         """Forms of live jobs; those that have ended meanwhile are left out."""
         if len(names) > SINGLE:
             many = await self.read_many(names)
-            return {n: v[0].spec.form for n, v in many.items() if not isinstance(v, StateError)}
+            return {n: v[0].spec.form for n, v in many.items() if not isinstance(v, StoreError)}
         records = await asyncio.gather(*(self.read(name) for name in names))
         return {record.spec.id: record.spec.form for record in records if record is not None}
--- a/dappledrum/dependencies/resolver.py
+++ b/dappledrum/dependencies/resolver.py
@@ -6,11 +6,11 @@
 
 import msgspec
 
-from dappledrum.dependencies.graph import Graph, shown
+from dappledrum.dependencies.graph import DependencyGraph, shown
 from dappledrum.jobs.job import ended_key, head_key
 from dappledrum.jobs.messages import EndedRecord
-from dappledrum.store.client import State, StateError
-from dappledrum.store.rate_limiter import Rank
+from dappledrum.store.client import StoreClient, StoreError
+from dappledrum.store.rate_limiter import RequestPriority
 from dappledrum.timing.clock import Clock
 
 log = logging.getLogger(__name__)
@@ -21,11 +21,11 @@
 MAX_AGAIN_PAUSE = timedelta(seconds=30)
 
 
-class Resolver:
+class DependencyResolver:
     """The reader for one term of leadership."""
 
-    def __init__(self, state: State, graph: Graph, clock: Clock) -> None:
-        self.state = state
+    def __init__(self, store: StoreClient, graph: DependencyGraph, clock: Clock) -> None:
+        self.store = store
         self.graph = graph
         self.clock = clock
         self.tries: dict[str, tuple[timedelta, int]] = {}  # when to look again, how often before
@@ -48,12 +48,16 @@
     async def _read(self, name: str) -> None:
         try:
             # The live key first, as jobs move from there to the other only.
-            live = await self.state.get(head_key(name), Rank.RECORD)
-            entry = await self.state.get(ended_key(name), Rank.RECORD) if live is None else None
+            live = await self.store.get(head_key(name), RequestPriority.RECORD)
+            entry = (
+                await self.store.get(ended_key(name), RequestPriority.RECORD)
+                if live is None
+                else None
+            )
             if entry is not None:
                 self.graph.settle(name, msgspec.json.decode(entry.value, type=EndedRecord))
                 return
-        except StateError as error:
+        except StoreError as error:
             log.info("%s not read: %s", name, error)
             return
         except msgspec.DecodeError as error:
--- a/dappledrum/dispatch/candidate_machines.py
+++ b/dappledrum/dispatch/candidate_machines.py
@@ -2,36 +2,36 @@
 
 from datetime import timedelta
 
-from dappledrum.fleet.autoscaler import MAX_RENTALS, FleetManager
+from dappledrum.fleet.autoscaler import MAX_RENTALS, Autoscaler
 from dappledrum.jobs.job import Job, Placement
 from dappledrum.jobs.messages import Form
 from dappledrum.scheduling.estimates import Estimates
-from dappledrum.scheduling.timeline import Kind, MachineTimeline, Offer, Size
+from dappledrum.scheduling.timeline import InstanceKind, MachineTimeline, Offer, Size
 from dappledrum.settings import Params
 from dappledrum.timing.clock import ZERO, Clock
-from dappledrum.workers.machine_registry import Machine, Roster
+from dappledrum.workers.machine_registry import Machine, MachineRegistry
 
 LONG = timedelta(days=1)  # services run until they are cancelled
 IDLE_SPARED = 0.25  # share of the spot machines that idle jobs leave free
 IDLE_RENTED = 0.05  # share of the fleet that one plan may rent for them while nothing is late
 
 
-class Machines:
+class CandidateMachines:
     """The capacity of the fleet, now and later."""
 
     def __init__(
         self,
         jobs: dict[str, Job],
-        roster: Roster,
+        registry: MachineRegistry,
         estimates: Estimates,
-        fleet_manager: FleetManager,
+        autoscaler: Autoscaler,
         params: Params,
         clock: Clock,
     ) -> None:
         self.jobs = jobs
-        self.roster = roster
+        self.registry = registry
         self.estimates = estimates
-        self.fleet_manager = fleet_manager
+        self.autoscaler = autoscaler
         self.params = params
         self.clock = clock
         self.sizes: set[Size] = set()  # of the tasks of live jobs
@@ -41,24 +41,22 @@
 
     def refresh(self) -> None:
         """Compute what all machines of one plan have in common."""
-        self.awake_since = self.fleet_manager.awake_since()
-        self.mostly_unreachable = self.roster.mostly_unreachable()
+        self.awake_since = self.autoscaler.awake_since()
+        self.mostly_unreachable = self.registry.mostly_unreachable()
         self.sizes = {job.size for job in self.jobs.values()}
         self._moments = {}
 
     def timelines(self, now: timedelta) -> list[MachineTimeline]:
         """One entry for each machine that new work may use, now or later."""
         return [
-            view for machine in self.roster if (view := self._timeline(machine, now)) is not None
+            view for machine in self.registry if (view := self._timeline(machine, now)) is not None
         ]
 
     def may_wait(self, machine: Machine, span: timedelta) -> bool:
         """Whether the answer to a busy machine may be held back for this time. It has free
         capacity, and none of its tasks is expected to end meanwhile: the report of that end would
         have to wait for the answer to this report."""
-        model = (
-            self.fleet_manager.types.get(machine.kind.type) if machine.kind is not None else None
-        )
+        model = self.autoscaler.types.get(machine.kind.type) if machine.kind is not None else None
         if model is None or not machine.usable or machine.recall_at is not None:
             return False
         now = self.clock.now()
@@ -78,7 +76,7 @@
     def available(self) -> list[str]:
         """Machines that new work may use at this moment, for the accounts."""
         now = self.clock.now()
-        return [m.name for m in self.roster if m.up and self._takes_work(m, now)]
+        return [m.name for m in self.registry if m.up and self._takes_work(m, now)]
 
     def _takes_work(self, machine: Machine, now: timedelta) -> bool:
         """Whether new work may be placed on a machine, now or once it is up."""
@@ -98,12 +96,12 @@
 
     def _timeline(self, machine: Machine, now: timedelta) -> MachineTimeline | None:
         kind = machine.kind
-        model = self.fleet_manager.types.get(kind.type) if kind is not None else None
+        model = self.autoscaler.types.get(kind.type) if kind is not None else None
         if kind is None or model is None or not self._takes_work(machine, now):
             return None
         if not machine.up and machine.placements and not machine.awaiting_report:
             return None
-        ready_at = now if machine.up else self.fleet_manager.ready_at(machine)
+        ready_at = now if machine.up else self.autoscaler.ready_at(machine)
         until = None if machine.recall_at is None else machine.recall_at - timedelta(seconds=1)
         timeline = MachineTimeline(
             machine.name,
@@ -113,7 +111,7 @@
             machine.rented_at,
             model.hourly(kind.spot),
             model.fetch_gb_per_s,
-            self.fleet_manager.interval(kind),
+            self.autoscaler.interval(kind),
             until,
             booting=not machine.up,
         )
@@ -161,21 +159,21 @@
             free += max(0.0, view.free[0].cpus)
         more = 0.0
         if nothing_late:
-            largest = max((model.cpus for model in self.fleet_manager.types.values()), default=0.0)
+            largest = max((model.cpus for model in self.autoscaler.types.values()), default=0.0)
             more = max(IDLE_RENTED * sum(view.capacity for view in timelines), largest)
         return max(0.0, free - IDLE_SPARED * total) + more
 
     def offers(self) -> list[Offer]:
         """The kinds of machines that can be rented now."""
         result = []
-        for model in self.fleet_manager.types.values():
+        for model in self.autoscaler.types.values():
             for zone in model.zones:
                 for spot in (True, False):
-                    kind = Kind(model.name, zone, spot)
-                    if (spot and model.spot_price is None) or not self.fleet_manager.offered(kind):
+                    kind = InstanceKind(model.name, zone, spot)
+                    if (spot and model.spot_price is None) or not self.autoscaler.offered(kind):
                         continue
                     capacity = Size(model.cpus, model.gpus, model.memory_gb)
-                    boot = self.fleet_manager.boots.expected(kind)
+                    boot = self.autoscaler.boots.expected(kind)
                     result.append(
                         Offer(
                             kind,
@@ -183,7 +181,7 @@
                             model.hourly(spot),
                             boot,
                             model.fetch_gb_per_s,
-                            self.fleet_manager.interval(kind),
+                            self.autoscaler.interval(kind),
                             MAX_RENTALS,
                         )
                     )
--- a/dappledrum/dispatch/dispatcher.py
+++ b/dappledrum/dispatch/dispatcher.py
@@ -4,18 +4,18 @@
 from collections.abc import Callable, Iterator
 from datetime import timedelta
 
-from dappledrum.dispatch.candidate_machines import Machines
-from dappledrum.dispatch.pending_work import Work
-from dappledrum.dispatch.placement import Placing
+from dappledrum.dispatch.candidate_machines import CandidateMachines
+from dappledrum.dispatch.pending_work import PendingWork
+from dappledrum.dispatch.placement import Placer
 from dappledrum.dispatch.preemption import Preemption
-from dappledrum.dispatch.scale_in import Savings
-from dappledrum.fleet.autoscaler import FleetManager
+from dappledrum.dispatch.scale_in import ScaleIn
+from dappledrum.fleet.autoscaler import Autoscaler
 from dappledrum.jobs.job import Job, Page
 from dappledrum.scheduling.estimates import Estimates
 from dappledrum.scheduling.plan import Plan, Planner, TeamCapacity
 from dappledrum.settings import Params, Tuning
 from dappledrum.timing.clock import Clock
-from dappledrum.workers.machine_registry import Roster
+from dappledrum.workers.machine_registry import MachineRegistry
 
 TURN = timedelta(milliseconds=15)  # planning time before the event loop runs other tasks
 IDLE_EVERY = timedelta(seconds=3)
@@ -29,9 +29,9 @@
     def __init__(
         self,
         jobs: dict[str, Job],
-        roster: Roster,
+        registry: MachineRegistry,
         estimates: Estimates,
-        fleet_manager: FleetManager,
+        autoscaler: Autoscaler,
         params: Params,
         clock: Clock,
         tuning: Tuning,
@@ -40,14 +40,14 @@
         page_bytes: int | None = None,
     ) -> None:
         self.jobs = jobs
-        self.fleet_manager = fleet_manager
+        self.autoscaler = autoscaler
         self.clock = clock
         self.tuning = tuning
-        self.work = Work(jobs, estimates, fleet_manager, params, clock, tuning)
-        self.machines = Machines(jobs, roster, estimates, fleet_manager, params, clock)
-        self.placing = Placing(self.work, roster, params, clock, mark, backlog, page_bytes)
-        self.preemption = Preemption(roster, fleet_manager, params)
-        self.savings = Savings(jobs, roster, self.machines, fleet_manager, params)
+        self.work = PendingWork(jobs, estimates, autoscaler, params, clock, tuning)
+        self.machines = CandidateMachines(jobs, registry, estimates, autoscaler, params, clock)
+        self.placing = Placer(self.work, registry, params, clock, mark, backlog, page_bytes)
+        self.preemption = Preemption(registry, autoscaler, params)
+        self.savings = ScaleIn(jobs, registry, self.machines, autoscaler, params)
         self.idle_at = -IDLE_EVERY
         self.postponed: set[str] = set()  # bags that the newest plan did not reach
         self.nothing_late = False  # the newest plan had nothing late and rented nothing
@@ -90,13 +90,13 @@
         needed = plan.needed
         if self.postponed:
             # What the postponed bags need is not known yet, so no needed machine is dropped.
-            needed = needed | self.fleet_manager.needed
+            needed = needed | self.autoscaler.needed
         else:
             self.savings.release_from_idle(plan, now, yielding)
-            if self.fleet_manager.listed:
+            if self.autoscaler.listed:
                 self.savings.cheapen(plan, timelines, bags)
         # Before the first list it is not known what the predecessor has rented.
-        self.fleet_manager.order(plan.rentals if self.fleet_manager.listed else {}, needed, now)
+        self.autoscaler.order(plan.rentals if self.autoscaler.listed else {}, needed, now)
         return plan
 
     async def _step(
--- a/dappledrum/dispatch/pending_work.py
+++ b/dappledrum/dispatch/pending_work.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable, Hashable
 from datetime import timedelta
 
-from dappledrum.accounting.entries import Want
-from dappledrum.fleet.autoscaler import FleetManager
+from dappledrum.accounting.entries import Demand
+from dappledrum.fleet.autoscaler import Autoscaler
 from dappledrum.fleet.messages import MachineType
 from dappledrum.gangs.all_or_nothing import is_gang
 from dappledrum.jobs.api import allowed
@@ -16,7 +16,7 @@
 from dappledrum.scheduling.deadlines import closing_deadlines, next_deadline, stage_deadlines
 from dappledrum.scheduling.estimates import Estimates
 from dappledrum.scheduling.stages import Link, Stage, stages
-from dappledrum.scheduling.timeline import Kind, Size, fetch_time
+from dappledrum.scheduling.timeline import InstanceKind, Size, fetch_time
 from dappledrum.settings import Params, Tuning
 from dappledrum.timing.clock import ZERO, Clock
 from dappledrum.workers.failure_attribution import suspected
@@ -36,21 +36,21 @@
 OPTIMISM = 0.8  # a deadline counts as missed only if tasks of 0.8 times the estimate miss it
 
 
-class Work:
+class PendingWork:
     """The tasks that wait to be placed, and their order."""
 
     def __init__(
         self,
         jobs: dict[str, Job],
         estimates: Estimates,
-        fleet_manager: FleetManager,
+        autoscaler: Autoscaler,
         params: Params,
         clock: Clock,
         tuning: Tuning,
     ) -> None:
         self.jobs = jobs
         self.estimates = estimates
-        self.fleet_manager = fleet_manager
+        self.autoscaler = autoscaler
         self.params = params
         self.clock = clock
         self.tuning = tuning
@@ -109,16 +109,14 @@
 
     def _fetch(self, job: Job) -> timedelta:
         """How long the fetch of a missing image takes on the machines with the highest rate."""
-        rates = [
-            m.fetch_gb_per_s for m in self.fleet_manager.types.values() if allowed(job.spec, m)
-        ]
+        rates = [m.fetch_gb_per_s for m in self.autoscaler.types.values() if allowed(job.spec, m)]
         return fetch_time(job.spec.image_gb, max(rates, default=1.0))
 
-    def wants(self) -> list[Want]:
+    def wants(self) -> list[Demand]:
         """What waits for capacity, for the accounts; similar jobs are listed once."""
         capacity = self.team_capacity()
         now = self.clock.now()
-        result: dict[Hashable, Want] = {}
+        result: dict[Hashable, Demand] = {}
         for job in self.jobs.values():
             spec = job.spec
             if job.cancelled or job.over or job.unmet or now < job.retry_at or job.waiting() <= 0:
@@ -129,7 +127,7 @@
             if likeness not in result:
                 left = capacity.get(spec.team)
                 has = left is None or left.times(Size(spec.cpus, spec.gpus, 0.0)) >= 1
-                result[likeness] = Want(size, self._allowed(job, set()), has)
+                result[likeness] = Demand(size, self._allowed(job, set()), has)
         return list(result.values())
 
     def _closing(self, job: Job) -> list[timedelta]:
@@ -288,12 +286,12 @@
 
     def _allowed(
         self, job: Job, zones: set[str], spot_only: bool = False
-    ) -> Callable[[Kind], bool]:
+    ) -> Callable[[InstanceKind], bool]:
         spec = job.spec
-        types: dict[str, MachineType] = self.fleet_manager.types
+        types: dict[str, MachineType] = self.autoscaler.types
         fits = {name for name, model in types.items() if allowed(spec, model)}
 
-        def check(kind: Kind) -> bool:
+        def check(kind: InstanceKind) -> bool:
             if kind.type not in fits or (not kind.spot if spot_only else kind.spot > spec.spot):
                 return False
             if spec.zone is not None and kind.zone != spec.zone:
@@ -304,9 +302,7 @@
 
     def _zone_capacity(self, job: Job) -> dict[str, int]:
         most = -(-job.spec.tasks // 2)
-        capacity = {
-            zone: most for model in self.fleet_manager.types.values() for zone in model.zones
-        }
+        capacity = {zone: most for model in self.autoscaler.types.values() for zone in model.zones}
         for placement in job.placements():
             capacity[placement.zone] = capacity.get(placement.zone, most) - 1
         return capacity
--- a/dappledrum/dispatch/placement.py
+++ b/dappledrum/dispatch/placement.py
@@ -3,26 +3,26 @@
 import logging
 from collections.abc import Callable
 
-from dappledrum.dispatch.pending_work import Work
+from dappledrum.dispatch.pending_work import PendingWork
 from dappledrum.gangs.all_or_nothing import is_gang
 from dappledrum.jobs.job import Job, Page
 from dappledrum.jobs.messages import RANKS, Priority
 from dappledrum.settings import Params
 from dappledrum.timing.clock import Clock
-from dappledrum.workers.machine_registry import Roster
+from dappledrum.workers.machine_registry import MachineRegistry
 
 log = logging.getLogger(__name__)
 
 RECORDS_AHEAD = 1.0  # seconds of writing that starts of low urgency may queue up
 
 
-class Placing:
+class Placer:
     """Places tasks; their records are written afterwards, and only then workers are told."""
 
     def __init__(
         self,
-        work: Work,
-        roster: Roster,
+        work: PendingWork,
+        registry: MachineRegistry,
         params: Params,
         clock: Clock,
         mark: Callable[[Page], None],
@@ -31,7 +31,7 @@
     ) -> None:
         self.work = work
         self.jobs = work.jobs
-        self.roster = roster
+        self.registry = registry
         self.params = params
         self.clock = clock
         self.mark = mark
@@ -62,7 +62,7 @@
             return
         log.info("%s is not placed: room for %d of %d tasks", job.id, placed, job.spec.tasks)
         for placement in list(job.placements()):
-            machine = self.roster.get(placement.machine)
+            machine = self.registry.get(placement.machine)
             if machine is not None:
                 machine.placements.pop((job.id, placement.task), None)
             placement.page.remove(placement.task)
@@ -82,7 +82,7 @@
         """Place tasks of a job on a machine, if both are still as they were when the plan began;
         returns how many were placed."""
         job = self.jobs.get(job_id)
-        machine = self.roster.get(name)
+        machine = self.registry.get(name)
         if machine is None or machine.kind is None or not machine.usable:
             return 0
         if job is None or job.cancelled or job.over or job.unmet:
--- a/dappledrum/dispatch/preemption.py
+++ b/dappledrum/dispatch/preemption.py
@@ -3,7 +3,7 @@
 import logging
 from datetime import timedelta
 
-from dappledrum.fleet.autoscaler import FleetManager
+from dappledrum.fleet.autoscaler import Autoscaler
 from dappledrum.gangs.all_or_nothing import give_up, is_gang
 from dappledrum.jobs.job import Job, Placement
 from dappledrum.jobs.messages import RANKS, Priority
@@ -12,7 +12,7 @@
 from dappledrum.scheduling.victim_selection import Host, Victim, choose
 from dappledrum.settings import Params
 from dappledrum.timing.clock import ZERO
-from dappledrum.workers.machine_registry import Roster
+from dappledrum.workers.machine_registry import MachineRegistry
 
 log = logging.getLogger(__name__)
 
@@ -22,9 +22,9 @@
 class Preemption:
     """Frees capacity for tasks that would be late."""
 
-    def __init__(self, roster: Roster, fleet_manager: FleetManager, params: Params) -> None:
-        self.roster = roster
-        self.fleet_manager = fleet_manager
+    def __init__(self, registry: MachineRegistry, autoscaler: Autoscaler, params: Params) -> None:
+        self.registry = registry
+        self.autoscaler = autoscaler
         self.params = params
 
     def free_capacity(
@@ -48,11 +48,9 @@
         if now + self.params.workers.report * 2 + bag.run > bag.due and job.id not in guaranteed:
             return
         hosts = []
-        for machine in self.roster:
+        for machine in self.registry:
             model = (
-                self.fleet_manager.types.get(machine.kind.type)
-                if machine.kind is not None
-                else None
+                self.autoscaler.types.get(machine.kind.type) if machine.kind is not None else None
             )
             if (
                 model is None
--- a/dappledrum/dispatch/scale_in.py
+++ b/dappledrum/dispatch/scale_in.py
@@ -4,16 +4,16 @@
 import math
 from datetime import timedelta
 
-from dappledrum.dispatch.candidate_machines import Machines
-from dappledrum.fleet.autoscaler import MAX_RENTALS, FleetManager
+from dappledrum.dispatch.candidate_machines import CandidateMachines
+from dappledrum.fleet.autoscaler import MAX_RENTALS, Autoscaler
 from dappledrum.fleet.messages import MachineType
 from dappledrum.jobs.job import Job
 from dappledrum.jobs.messages import Form
 from dappledrum.scheduling.bags import Bag
 from dappledrum.scheduling.plan_builder import Plan
-from dappledrum.scheduling.timeline import Kind, MachineTimeline, Size
+from dappledrum.scheduling.timeline import InstanceKind, MachineTimeline, Size
 from dappledrum.settings import Params
-from dappledrum.workers.machine_registry import Machine, Roster
+from dappledrum.workers.machine_registry import Machine, MachineRegistry
 
 log = logging.getLogger(__name__)
 
@@ -21,21 +21,21 @@
 SWAPPED = 0.1  # share of the fleet for which cheaper machines are rented at a time
 
 
-class Savings:
+class ScaleIn:
     """Decides which ordinary machines are no longer needed."""
 
     def __init__(
         self,
         jobs: dict[str, Job],
-        roster: Roster,
-        machines: Machines,
-        fleet_manager: FleetManager,
+        registry: MachineRegistry,
+        machines: CandidateMachines,
+        autoscaler: Autoscaler,
         params: Params,
     ) -> None:
         self.jobs = jobs
-        self.roster = roster
+        self.registry = registry
         self.machines = machines
-        self.fleet_manager = fleet_manager
+        self.autoscaler = autoscaler
         self.params = params
 
     def cheapen(self, plan: Plan, timelines: list[MachineTimeline], bags: list[Bag]) -> None:
@@ -49,7 +49,7 @@
         spot machines are also rented as replacements. Without spare capacity all machines are
         used.
         """
-        retiring = [machine for machine in self.roster if machine.retiring]
+        retiring = [machine for machine in self.registry if machine.retiring]
         spare = self._spare(timelines) - sum(self._used(machine) for machine in retiring)
         spare -= sum(bag.size.cpus * plan.late.get(bag.id, 0) for bag in bags)
         bound = any(not job.spec.spot for job in self.jobs.values())
@@ -63,8 +63,8 @@
             for view in timelines
             if not view.kind.spot
             and not view.booting
-            and (machine := self.roster.get(view.machine)) is not None
-            and self._has_spot(self.fleet_manager.types.get(view.kind.type))
+            and (machine := self.registry.get(view.machine)) is not None
+            and self._has_spot(self.autoscaler.types.get(view.kind.type))
             and all(p.page.job.spec.form is not Form.SERVICE for p in machine.placements.values())
         ]
         ordinary.sort(key=lambda pair: (-pair[0].hourly_cpu, len(pair[1].placements)))
@@ -78,7 +78,7 @@
             else:
                 left += used
         # What would go back is worth more as room for what ordinary machines still do.
-        self.fleet_manager.keep_spot = bool(ordinary)
+        self.autoscaler.keep_spot = bool(ordinary)
         if left > 0 and not plan.late and not plan.rentals:
             plan.rentals.update(self._swap(left - spare, timelines))
 
@@ -114,7 +114,7 @@
     def _fits_beside(self, bag: Bag, machine: Machine) -> bool:
         """Whether a machine has capacity for a task beside what is there."""
         kind = machine.kind
-        model = None if kind is None else self.fleet_manager.types.get(kind.type)
+        model = None if kind is None else self.autoscaler.types.get(kind.type)
         if kind is None or model is None or not bag.allowed(kind):
             return False
         free = Size(model.cpus, model.gpus, model.memory_gb)
@@ -122,21 +122,21 @@
             free = free.minus(placement.page.job.size)
         return free.times(bag.size) >= 1
 
-    def _swap(self, cpus: float, timelines: list[MachineTimeline]) -> dict[Kind, int]:
+    def _swap(self, cpus: float, timelines: list[MachineTimeline]) -> dict[InstanceKind, int]:
         """Spot machines to rent for work that now runs on ordinary ones: the cheapest type on
         which all live tasks fit, a tenth of the fleet at a time."""
         coming = sum(view.capacity for view in timelines if view.booting and view.kind.spot)
         cpus = min(cpus, SWAPPED * sum(view.capacity for view in timelines)) - coming
-        result: dict[Kind, int] = {}
-        models = [m for m in self.fleet_manager.types.values() if m.cpus > 0 and self._has_spot(m)]
+        result: dict[InstanceKind, int] = {}
+        models = [m for m in self.autoscaler.types.values() if m.cpus > 0 and self._has_spot(m)]
         for model in sorted(models, key=lambda m: m.hourly(True) / m.cpus):
             whole = Size(model.cpus, model.gpus, model.memory_gb)
             if any(whole.times(size) < 1 for size in self.machines.sizes):
                 continue
             for zone in model.zones:
-                kind = Kind(model.name, zone, True)
+                kind = InstanceKind(model.name, zone, True)
                 count = min(math.ceil(cpus / model.cpus), MAX_RENTALS)
-                if count > 0 and self.fleet_manager.offered(kind):
+                if count > 0 and self.autoscaler.offered(kind):
                     result[kind] = count
                     cpus -= count * model.cpus
         return result
@@ -163,7 +163,7 @@
         ]
         free = 0.0
         for view in spot:
-            model = self.fleet_manager.types[view.kind.type]
+            model = self.autoscaler.types[view.kind.type]
             whole = Size(model.cpus, model.gpus, model.memory_gb)
             fitting = [size for size in self.machines.sizes if whole.times(size) >= 1]
             size = max(fitting, key=lambda one: one.cpus, default=whole)
@@ -177,13 +177,13 @@
         save.
         """
         report = self.params.workers.report
-        for machine in self.roster:
+        for machine in self.registry:
             if machine.kind is None or machine.kind.spot or machine.name in plan.needed:
                 continue
             jobs = [p.page.job for p in machine.placements.values()]
             if not jobs or machine.retiring or any(j.id not in yielding for j in jobs):
                 continue
-            interval = self.fleet_manager.interval(machine.kind)
+            interval = self.autoscaler.interval(machine.kind)
             left = interval - (now - machine.rented_at) % interval
             if left <= report * 3 + max(j.spec.save for j in jobs) * 1.5 + timedelta(seconds=1):
                 log.info("%s gets no new work: only idle work is left on it", machine.name)
--- a/dappledrum/dispatch/test_dispatcher.py
+++ b/dappledrum/dispatch/test_dispatcher.py
@@ -3,8 +3,8 @@
 from datetime import timedelta
 
 from dappledrum.dispatch.dispatcher import MAX_PLAN_TIME
-from dappledrum.scheduling.scale_out import Renting
-from dappledrum.simulation.cluster import World, job
+from dappledrum.scheduling.scale_out import ScaleOut
+from dappledrum.simulation.cluster import SimulatedCluster, job
 from dappledrum.simulation.virtual_time import run
 
 
@@ -27,36 +27,32 @@
     came meanwhile waited for it."""
 
     async def main():
-        world = World(seed=3)
-        world.cloud.most = 0  # nothing starts, so all is left over
-        await world.until(lambda: world.leader() is not None)
+        cluster = SimulatedCluster(seed=3)
+        cluster.cloud.most = 0  # nothing starts, so all is left over
+        await cluster.until(lambda: cluster.leader() is not None)
         for number in range(8):
-            assert await world.submit(job(number, beats=9, dueS=300.0 + number)) == 201
-        await world.wait(2)
-        dispatcher = world.nodes[world.leader()].leader.dispatcher
+            assert await cluster.submit(job(number, beats=9, dueS=300.0 + number)) == 201
+        await cluster.wait(2)
+        dispatcher = cluster.controllers[cluster.leader()].leader.dispatcher
         came = []
-        rent = Renting.rent
+        rent = ScaleOut.rent
 
         def note(renting, bag, count):
             came.append(bag.id)
             rent(renting, bag, count)
 
-        monkeypatch.setattr(Renting, "rent", note)
-        dispatcher.fleet_manager.needed = {"counted on before"}
+        monkeypatch.setattr(ScaleOut, "rent", note)
+        dispatcher.autoscaler.needed = {"counted on before"}
         whole = dispatcher.clock
         dispatcher.clock = SlowClock(whole, MAX_PLAN_TIME / 12)
         await dispatcher.run()
         first, came[:] = list(came), []
         late = set(dispatcher.postponed)
         assert 0 < len(first) < 8 and late == {f"j-{n:06d}" for n in range(8)} - set(first)
-        assert (
-            "counted on before" in dispatcher.fleet_manager.needed and not dispatcher.nothing_late
-        )
+        assert "counted on before" in dispatcher.autoscaler.needed and not dispatcher.nothing_late
         dispatcher.clock = whole
         await dispatcher.run()
         assert set(came[: len(late)]) == late and len(came) == 8
-        assert (
-            not dispatcher.postponed and "counted on before" not in dispatcher.fleet_manager.needed
-        )
+        assert not dispatcher.postponed and "counted on before" not in dispatcher.autoscaler.needed
 
     run(main())
--- a/dappledrum/dispatch/test_scale_in.py
+++ b/dappledrum/dispatch/test_scale_in.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from dappledrum.dispatch.scale_in import HEADROOM, Savings
-from dappledrum.scheduling.timeline import Kind, MachineTimeline, Size
+from dappledrum.dispatch.scale_in import HEADROOM, ScaleIn
+from dappledrum.scheduling.timeline import InstanceKind, MachineTimeline, Size
 from dappledrum.timing.clock import seconds
 
 CPUS = 16.0
@@ -15,14 +15,23 @@
 def spare(until, booting=False):
     """Spare CPUs of one empty spot machine."""
     model = SimpleNamespace(cpus=CPUS, gpus=0.0, memory_gb=64.0)
-    fleet_manager = SimpleNamespace(types={"large": model})
+    autoscaler = SimpleNamespace(types={"large": model})
     machines = SimpleNamespace(sizes={Size(2.0, 0.0, 2.0)})
     view = MachineTimeline(
-        *("m", Kind("large", "a", True), Size(CPUS, 0.0, 64.0), NOW, NOW, 1.0, 1.0, seconds(60)),
+        *(
+            "m",
+            InstanceKind("large", "a", True),
+            Size(CPUS, 0.0, 64.0),
+            NOW,
+            NOW,
+            1.0,
+            1.0,
+            seconds(60),
+        ),
         until=until,
         booting=booting,
     )
-    return Savings({}, None, machines, fleet_manager, None)._spare([view])
+    return ScaleIn({}, None, machines, autoscaler, None)._spare([view])
 
 
 @pytest.mark.parametrize(
--- a/dappledrum/election/elector.py
+++ b/dappledrum/election/elector.py
@@ -17,30 +17,30 @@
 
 import msgspec
 
-from dappledrum.election.lease_keeper import TermKeeper
+from dappledrum.election.lease_keeper import LeaseKeeper
 from dappledrum.election.messages import (
     EpochRecord,
     LeaderRecord,
+    LeaseGrantReply,
+    LeaseGrantRequest,
     PreVote,
     PreVoteReply,
-    PromiseReply,
-    PromiseRequest,
     TransferLeadership,
 )
-from dappledrum.election.quorum import PreVoteAsker, TransferCall, majority
+from dappledrum.election.quorum import PreVoteCall, TransferCall, majority
 from dappledrum.election.terms import LEADER, Term
 from dappledrum.election.transfers import PendingTransfer, TransferLimit
-from dappledrum.election.voter import PROMISE, VoteState
+from dappledrum.election.voter import LEASE_GRANT, Voter
 from dappledrum.store.client import (
     CompactedError,
     ConflictError,
     LeaseLostError,
-    StateError,
+    StoreError,
     raw,
 )
 from dappledrum.store.hedged_commit import commit_or_find
 from dappledrum.store.messages import Event, Guard, Put
-from dappledrum.store.rate_limiter import Rank
+from dappledrum.store.rate_limiter import RequestPriority
 from dappledrum.timing.clock import ZERO, longer
 
 log = logging.getLogger(__name__)
@@ -57,20 +57,20 @@
     """Stands for leader when there is none; renews while leading; knows who leads."""
 
     def __init__(
-        self, keeper: TermKeeper, ask_pre_vote: PreVoteAsker, send_transfer: TransferCall
+        self, lease_keeper: LeaseKeeper, ask_pre_vote: PreVoteCall, send_transfer: TransferCall
     ) -> None:
-        self.keeper = keeper
-        self.member = keeper.member
-        self.state = keeper.state
-        self.clock = keeper.clock
-        self.rng = keeper.rng
-        self.life = keeper.life
+        self.lease_keeper = lease_keeper
+        self.member = lease_keeper.member
+        self.store = lease_keeper.store
+        self.clock = lease_keeper.clock
+        self.rng = lease_keeper.rng
+        self.life = lease_keeper.life
         self.ask_pre_vote = ask_pre_vote
         self.send_transfer = send_transfer
         self.term: Term | None = None
         self.leader: LeaderRecord | None = None
         self.on_change: Callable[[], None] = lambda: None
-        self.votes = VoteState(self.clock.now())
+        self.voter = Voter(self.clock.now())
         self.avoid_until = ZERO
         self.epoch = 0  # the highest that was heard of
         self.transfers = TransferLimit(self.clock)
@@ -93,7 +93,7 @@
         """The running term, if leases may at least be renewed: by the lease, or by the promises of
         peers."""
         term = self.term
-        return term if term is not None and self.keeper.holds(term) else None
+        return term if term is not None and self.lease_keeper.holds(term) else None
 
     def answering(self) -> Term | None:
         """The running term, if a worker may be answered at this moment, which renews its lease.
@@ -114,9 +114,9 @@
         A promise of an earlier process can only serve a term that has been held without a break
         since before that, so none is left that rests on one, and there is nothing to wait for.
         """
-        if self.votes.unknown_until > self.clock.now():
+        if self.voter.unknown_until > self.clock.now():
             log.info("nobody relies on a promise from before, standing at once")
-            self.votes.unknown_until = self.clock.now()
+            self.voter.unknown_until = self.clock.now()
 
     def resign(self, why: str, avoid: timedelta) -> None:
         """Give leadership up and don't stand again for a while."""
@@ -163,8 +163,8 @@
         while True:
             try:
                 await self._round()
-            except StateError as error:
-                log.debug("state service not reached for leadership: %s", error)
+            except StoreError as error:
+                log.debug("store not reached for leadership: %s", error)
                 await asyncio.sleep(self.rng.uniform(0.2, 0.5))
             except Exception:  # the loop must outlive whatever a service answers
                 log.exception("leadership loop failed, going on")
@@ -172,7 +172,7 @@
 
     async def _round(self) -> None:
         """Look who leads; take over when nobody does, else wait for a change."""
-        entries, revision = await self.state.scan(LEADER, Rank.LEASE)
+        entries, revision = await self.store.scan(LEADER, RequestPriority.LEASE)
         holder = next((e for e in entries if e.key == LEADER), None)
         if holder is None:
             self._learn(None)
@@ -211,7 +211,7 @@
         """
         if self.leader is None or self.leader.member != self.member or self.term is not None:
             return
-        entry = await self.state.get(LEADER, Rank.LEASE)
+        entry = await self.store.get(LEADER, RequestPriority.LEASE)
         if entry is not None and entry.version == version and entry.lease is not None:
             epoch = self.leader.epoch
             log.warning("ending the hold of epoch %d, under which nobody leads any more", epoch)
@@ -220,7 +220,7 @@
     async def _watch(self, revision: int) -> tuple[list[Event], int] | None:
         """Changes of the leader's key; None when a leader has offered its place meanwhile."""
         watch = asyncio.ensure_future(
-            self.state.watch(LEADER, revision, self.life * 2, Rank.LEASE)
+            self.store.watch(LEADER, revision, self.life * 2, RequestPriority.LEASE)
         )
         transfer_arrives = asyncio.ensure_future(self._transfer_arrived.wait())
         try:
@@ -250,7 +250,7 @@
 
     async def _may_campaign(self) -> bool:
         now = self.clock.now()
-        wait = max(self.votes.free_at(), self.avoid_until) - now
+        wait = max(self.voter.free_at(), self.avoid_until) - now
         if wait > ZERO:
             await asyncio.sleep(min(wait, timedelta(seconds=0.5)).total_seconds())
             return False
@@ -276,7 +276,7 @@
             transfer.resolve(True)
         clearing = asyncio.ensure_future(self._learn_others_stopped(term))
         try:
-            await self.keeper.keep(term)
+            await self.lease_keeper.keep(term)
         finally:
             clearing.cancel()
             term.over.set()
@@ -291,25 +291,25 @@
 
     async def _win(self, transfer: PendingTransfer | None) -> Term | None:
         """Stand for leader; the term, or None when another one leads or may do so."""
-        entry = await self.state.get(EPOCH, Rank.LEASE)
+        entry = await self.store.get(EPOCH, RequestPriority.LEASE)
         epoch = (
             msgspec.json.decode(entry.value, type=EpochRecord).epoch if entry is not None else 0
         )
         if transfer is not None and transfer.request.epoch != epoch:
             return None
-        if transfer is None and await self.state.get(LEADER, Rank.LEASE) is not None:
+        if transfer is None and await self.store.get(LEADER, RequestPriority.LEASE) is not None:
             return None  # taken between the look and the epoch: nobody may be asked to stand
-        lease = await self.state.open_lease(self.life)
+        lease = await self.store.open_lease(self.life)
         # Whoever offers its place and knew that it alone could answer is the only one that can
         # have answered anybody; its key stands, so whom this controller has promised has lapsed.
         if transfer is not None and transfer.request.clear:
             clear: timedelta | None = self.clock.now()
         else:
             clear = await self._others_stopped(epoch + 1)
-            if self.votes.free_at() > self.clock.now():
+            if self.voter.free_at() > self.clock.now():
                 await self._drop(lease)  # a promise was given while we were reading
                 return None
-        self.votes.tried = epoch
+        self.voter.tried = epoch
         sent = self.clock.now()
         replaced = transfer.request.version if transfer is not None else 0
         guards = [Guard(LEADER, replaced), Guard(EPOCH, entry.version if entry is not None else 0)]
@@ -319,12 +319,17 @@
         ]
         try:
             version = await commit_or_find(
-                self.state, guards, changes, Rank.LEASE, lambda: self._won(lease), self.life / 2
+                self.store,
+                guards,
+                changes,
+                RequestPriority.LEASE,
+                lambda: self._won(lease),
+                self.life / 2,
             )
         except (ConflictError, LeaseLostError):
             await self._drop(lease)
             return None
-        except StateError:
+        except StoreError:
             # Won or not, nobody knows: without its lease the key can't stay.
             await self._drop(lease)
             raise
@@ -332,8 +337,8 @@
         term = Term(epoch + 1, version, lease, self.clock.now())
         term.others_stopped_at = clear
         try:
-            await self.keeper.renew(term)
-        except StateError:
+            await self.lease_keeper.renew(term)
+        except StoreError:
             await self._drop(lease)
             raise
         took = (self.clock.now() - sent).total_seconds() * 1e3
@@ -351,7 +356,7 @@
     async def _won(self, lease: int) -> int | None:
         """The version of the leader's key if it hangs on this lease, which only one transaction of
         this process names; the key's content alone may be that of an earlier process."""
-        entry = await self.state.get(LEADER, Rank.LEASE)
+        entry = await self.store.get(LEADER, RequestPriority.LEASE)
         return entry.version if entry is not None and entry.lease == lease else None
 
     async def _others_stopped(self, epoch: int) -> timedelta | None:
@@ -361,7 +366,7 @@
         A peer that does not know the question shows that only the promise of *all* counts, and
         this controller has given none that stands.
         """
-        if not self.votes.pre_vote(epoch, self.clock.now(), False).free:
+        if not self.voter.pre_vote(epoch, self.clock.now(), False).free:
             return None
         answers = await self.ask_pre_vote(PreVote(self.member, epoch), PRE_VOTE_TIME)
         if answers.old or majority(answers.yes, answers.asked):
@@ -370,7 +375,7 @@
 
     async def _learn_others_stopped(self, term: Term) -> None:
         """Ask on until it is known, or until every promise must have lapsed all the same."""
-        at_last = term.began + longer(self.keeper.max_alone + PROMISE)
+        at_last = term.began + longer(self.lease_keeper.max_alone + LEASE_GRANT)
         while term.others_stopped_at is None:
             if self.clock.now() >= at_last:
                 term.others_stopped_at = at_last
@@ -380,12 +385,12 @@
             if term.others_stopped_at is not None:
                 log.info("no former leader answers any more, by the word of a majority")
 
-    def promise(self, request: PromiseRequest) -> PromiseReply:
-        """Answer a leader that can't reach the state service, and which this controller can't
+    def promise(self, request: LeaseGrantRequest) -> LeaseGrantReply:
+        """Answer a leader that can't reach the store, and which this controller can't
         reach either."""
         leads, now = self.term is not None, self.clock.now()
-        reply = self.votes.promise(request, now, leads, self.epoch)
-        confirmed = self.keeper.confirmed(timedelta(milliseconds=request.told_ms))
+        reply = self.voter.promise(request, now, leads, self.epoch)
+        confirmed = self.lease_keeper.confirmed(timedelta(milliseconds=request.told_ms))
         reply.cancelled = sorted(confirmed.cancelled)
         reply.told_ms = int(confirmed.span.total_seconds() * 1000)
         return reply
@@ -393,10 +398,10 @@
     def pre_vote(self, question: PreVote) -> PreVoteReply:
         """Answer a candidate."""
         leads = self.term is not None and self.term.epoch != question.epoch
-        return self.votes.pre_vote(question.epoch, self.clock.now(), leads)
+        return self.voter.pre_vote(question.epoch, self.clock.now(), leads)
 
     async def _drop(self, lease: int) -> None:
         try:
-            await self.state.close_lease(lease)
-        except StateError as error:
+            await self.store.close_lease(lease)
+        except StoreError as error:
             log.info("lease not ended, it will run out: %s", error)
--- a/dappledrum/election/lease_keeper.py
+++ b/dappledrum/election/lease_keeper.py
@@ -1,4 +1,4 @@
-"""Keeping a term: by renewing its lease, and by promises of peers while the state service is away.
+"""Keeping a term: by renewing its lease, and by promises of peers while the store is away.
 
 However a term is held, it answers workers only up to a bound from the last moment at which the
 leader knew of every cancellation that any controller had confirmed to a user (`Term.known_at`): an
@@ -12,12 +12,12 @@
 from datetime import timedelta
 from typing import Any
 
-from dappledrum.election.messages import PromiseRequest
+from dappledrum.election.messages import LeaseGrantRequest
 from dappledrum.election.quorum import Asker, majority
 from dappledrum.election.terms import Term
-from dappledrum.election.voter import PROMISE
+from dappledrum.election.voter import LEASE_GRANT
 from dappledrum.jobs.confirmed_cancellations import CancellationWindow
-from dappledrum.store.client import LeaseLostError, State, StateError
+from dappledrum.store.client import LeaseLostError, StoreClient, StoreError
 from dappledrum.timing.clock import ZERO, Clock, shorter
 from dappledrum.timing.fault_log import FaultLog
 
@@ -29,13 +29,13 @@
 WINDOW_MARGIN = timedelta(seconds=2)
 
 
-class TermKeeper:
+class LeaseKeeper:
     """Renews the lease of a term, asks peers for promises, and tells how long the term lasts."""
 
     def __init__(
         self,
         member: str,
-        state: State,
+        store: StoreClient,
         clock: Clock,
         rng: random.Random,
         life: timedelta,
@@ -44,7 +44,7 @@
         max_known: timedelta,
     ) -> None:
         self.member = member
-        self.state = state
+        self.store = store
         self.clock = clock
         self.rng = rng
         self.life = life
@@ -70,7 +70,7 @@
         """Whether workers' leases may at least be renewed under this term at this moment."""
         if term.over.is_set():
             return False
-        until = min(max(term.valid_until, term.promised_until), self.known_until(term))
+        until = min(max(term.valid_until, term.granted_until), self.known_until(term))
         return self.clock.now() < until
 
     def known_until(self, term: Term) -> timedelta:
@@ -81,7 +81,7 @@
 
     async def renew(self, term: Term) -> None:
         sent = self.clock.now()
-        await self.state.renew_lease(term.lease, self.life / 3)
+        await self.store.renew_lease(term.lease, self.life / 3)
         term.valid_until = max(term.valid_until, sent + shorter(self.life) - MARGIN)
         term.renewed_at = max(term.renewed_at, sent)
         self.incomplete_confirmations.over()
@@ -89,7 +89,7 @@
     async def keep(self, term: Term) -> None:
         """Renew until the lease is lost.
 
-        While the state service is away, ask all peers to keep still.
+        While the store is away, ask all peers to keep still.
         """
         while not term.over.is_set():
             try:
@@ -98,9 +98,9 @@
                 pause = self.life / 4
             except LeaseLostError:
                 return
-            except StateError as error:
+            except StoreError as error:
                 log.debug("renewal failed: %s", error)
-                await self.ask_promises(term)
+                await self.request_lease_grants(term)
                 pause = self.life / 12
             if not self.holds(term):
                 self._log_why(term)
@@ -137,13 +137,13 @@
             over.cancel()
             task.cancel()
 
-    async def ask_promises(self, term: Term) -> None:
+    async def request_lease_grants(self, term: Term) -> None:
         sent = self.clock.now()
         back = ZERO if term.known_at is None else sent - term.known_at + WINDOW_MARGIN
-        request = PromiseRequest(
+        request = LeaseGrantRequest(
             self.member,
             term.epoch,
-            int(PROMISE.total_seconds() * 1000),
+            int(LEASE_GRANT.total_seconds() * 1000),
             int(back.total_seconds() * 1000),
         )
         answers = await self.ask_peers(request, self.life / 4)
@@ -157,12 +157,12 @@
             self.incomplete_confirmations.seen(
                 f"complete for {answers.confirmed.span.total_seconds():.0f} s"
             )
-        until = sent + shorter(PROMISE) - MARGIN
+        until = sent + shorter(LEASE_GRANT) - MARGIN
         if answers.yes == answers.asked:
-            term.promised_until = until
+            term.granted_until = until
         elif majority(answers.strong, answers.asked) and self.all_ask():
             until = min(until, term.renewed_at + shorter(self.max_alone))
-            term.promised_until = max(term.promised_until, until)
+            term.granted_until = max(term.granted_until, until)
 
     def _apply_confirmed(self, term: Term, asked: timedelta, by_peers: CancellationWindow) -> bool:
         """Take on what all controllers have told users, if that is complete since all was known
--- a/dappledrum/election/messages.py
+++ b/dappledrum/election/messages.py
@@ -22,8 +22,8 @@
     epoch: int
 
 
-class PromiseRequest(msgspec.Struct):
-    """A leader that does not reach the state service asks a peer not to stand for leader for a
+class LeaseGrantRequest(msgspec.Struct):
+    """A leader that does not reach the store asks a peer not to stand for leader for a
     limited time."""
 
     member: str
@@ -34,7 +34,7 @@
     told_ms: Age = 0
 
 
-class PromiseReply(msgspec.Struct, omit_defaults=True):
+class LeaseGrantReply(msgspec.Struct, omit_defaults=True):
     """The peer's answer.
 
     A weak promise counts only if all peers promise, since a candidate may have been told that this
--- a/dappledrum/election/quorum.py
+++ b/dappledrum/election/quorum.py
@@ -4,7 +4,7 @@
 from datetime import timedelta
 from typing import NamedTuple
 
-from dappledrum.election.messages import PreVote, PromiseRequest, TransferLeadership
+from dappledrum.election.messages import LeaseGrantRequest, PreVote, TransferLeadership
 from dappledrum.jobs.confirmed_cancellations import CancellationWindow
 from dappledrum.timing.clock import ZERO
 
@@ -29,6 +29,6 @@
     return (peers + 1) * 2 > asked + 1
 
 
-Asker = Callable[[PromiseRequest, timedelta], Awaitable[Answers]]
-PreVoteAsker = Callable[[PreVote, timedelta], Awaitable[Answers]]
+Asker = Callable[[LeaseGrantRequest, timedelta], Awaitable[Answers]]
+PreVoteCall = Callable[[PreVote, timedelta], Awaitable[Answers]]
 TransferCall = Callable[[str, TransferLeadership, timedelta], Awaitable[bool]]
--- a/dappledrum/election/terms.py
+++ b/dappledrum/election/terms.py
@@ -18,7 +18,7 @@
         self.version = version
         self.lease = lease
         self.valid_until = ZERO  # by the lease
-        self.promised_until = ZERO  # by promises of peers
+        self.granted_until = ZERO  # by promises of peers
         self.renewed_at = began  # when the newest successful renewal was sent
         #: All cancellations confirmed to users until then are known; None: not read yet.
         self.known_at: timedelta | None = None
--- a/dappledrum/election/test_confirmed_cancellations.py
+++ b/dappledrum/election/test_confirmed_cancellations.py
@@ -8,8 +8,8 @@
 import pytest
 
 from dappledrum.election.elector import Elector
-from dappledrum.election.lease_keeper import WINDOW_MARGIN, TermKeeper
-from dappledrum.election.messages import PromiseReply, PromiseRequest
+from dappledrum.election.lease_keeper import WINDOW_MARGIN, LeaseKeeper
+from dappledrum.election.messages import LeaseGrantReply, LeaseGrantRequest
 from dappledrum.election.quorum import ALWAYS, Answers
 from dappledrum.election.terms import Term
 from dappledrum.http.client import NoResponseError, Reply
@@ -33,7 +33,7 @@
 
 
 class ElectionModel:
-    """A leader without the state service, at 100 s, that knew of all cancellations at 95 s."""
+    """A leader without the store, at 100 s, that knew of all cancellations at 95 s."""
 
     def __init__(self, peers, known=95.0, takes=0.0):
         self.clock = Clock()
@@ -41,12 +41,12 @@
         self.takes = takes
         self.heard = []
         self.own = ConfirmedCancellations(s(0))
-        keeper = TermKeeper(
+        lease_keeper = LeaseKeeper(
             "drummer-0", None, self.clock, random.Random(1), LIFE, self.ask, s(20), s(20)
         )
-        keeper.confirmed = lambda span: self.own.within(span, self.clock.now())
-        keeper.on_confirmed = lambda names: bool(self.heard.append(names)) or True
-        self.elector = Elector(keeper, None, None)
+        lease_keeper.confirmed = lambda span: self.own.within(span, self.clock.now())
+        lease_keeper.on_confirmed = lambda names: bool(self.heard.append(names)) or True
+        self.elector = Elector(lease_keeper, None, None)
         self.term = self.elector.term = Term(1, 1, 1, s(90))
         self.term.valid_until = s(101)
         self.term.known_at = None if known is None else s(known)
@@ -62,7 +62,7 @@
 
     async def asked(self):
         await asyncio.sleep(100 - self.clock.now().total_seconds())
-        await self.elector.keeper.ask_promises(self.term)
+        await self.elector.lease_keeper.request_lease_grants(self.term)
         return self.term.known_at
 
 
@@ -115,7 +115,7 @@
         assert await election.asked() == s(100) and election.heard == [frozenset({"j-9"})]
         young = ElectionModel([peer()])
         young.own = ConfirmedCancellations(s(98))
-        await young.elector.keeper.ask_promises(young.term)
+        await young.elector.lease_keeper.request_lease_grants(young.term)
         assert young.term.known_at == s(95) and young.heard == []
 
     run(main())
@@ -136,15 +136,15 @@
     """Its right may be over, too, and others act on that."""
     # known for 20 s: lapsed when they answer
     at, election = known([peer()], known=80.5, takes=0.7)
-    assert at == s(80.5) and election.heard == [] and election.term.promised_until == ZERO
+    assert at == s(80.5) and election.heard == [] and election.term.granted_until == ZERO
 
 
 def test_nobody_answers_longer_than_the_bound_however_the_term_is_held():
     async def main():
         election = ElectionModel([])
         term, elector = election.term, election.elector
-        for held in ("valid_until", "promised_until"):
-            term.valid_until = term.promised_until = ZERO
+        for held in ("valid_until", "granted_until"):
+            term.valid_until = term.granted_until = ZERO
             setattr(term, held, s(1000))
             term.known_at = election.clock.now()
             await asyncio.sleep(19.9)
@@ -190,12 +190,15 @@
     ("replies", "span", "names"),
     [
         (
-            [PromiseReply(True, "", False, ["j-1"], 7000), PromiseReply(True, "", True, [], 6000)],
+            [
+                LeaseGrantReply(True, "", False, ["j-1"], 7000),
+                LeaseGrantReply(True, "", True, [], 6000),
+            ],
             6,
             1,
         ),
-        ([PromiseReply(True, "", False, ["j-1"], 7000), None], 0, 1),
-        ([PromiseReply(True), PromiseReply(False, "leading", False, ["j-1"], 7000)], 0, 1),
+        ([LeaseGrantReply(True, "", False, ["j-1"], 7000), None], 0, 1),
+        ([LeaseGrantReply(True), LeaseGrantReply(False, "leading", False, ["j-1"], 7000)], 0, 1),
         ([], ALWAYS.total_seconds(), 0),
     ],
     ids=["all", "one is silent", "one is of an older version", "there is no other"],
@@ -203,7 +206,7 @@
 def test_peers_attest_together_or_not_at_all(replies, span, names):
     async def main():
         peers = Peers({f"p-{n}": Says(reply) for n, reply in enumerate(replies)})
-        answers = await peers.promise(PromiseRequest("drummer-0", 1, 2000, 7000), s(1))
+        answers = await peers.promise(LeaseGrantRequest("drummer-0", 1, 2000, 7000), s(1))
         assert answers.confirmed.span == s(span) and len(answers.confirmed.cancelled) == names
 
     run(main())
--- a/dappledrum/election/voter.py
+++ b/dappledrum/election/voter.py
@@ -1,6 +1,6 @@
 """What one controller has promised to leaders, and what it has answered to candidates.
 
-There are two kinds of voting. A leader that does not reach the state service asks its peers to
+There are two kinds of voting. A leader that does not reach the store asks its peers to
 promise not to stand for leader, and goes on answering workers while a majority (itself included)
 or all of them do. A candidate asks its peers in a pre-vote whether they hold to a promise; until a
 majority says that they do not, it takes no leader's silence as proof. Any two majorities share a
@@ -12,20 +12,20 @@
 
 from datetime import timedelta
 
-from dappledrum.election.messages import PreVoteReply, PromiseReply, PromiseRequest
+from dappledrum.election.messages import LeaseGrantReply, LeaseGrantRequest, PreVoteReply
 from dappledrum.timing.clock import longer
 
-PROMISE = timedelta(seconds=2)
-MAX_PROMISE = timedelta(seconds=60)
+LEASE_GRANT = timedelta(seconds=2)
+MAX_LEASE_GRANT = timedelta(seconds=60)
 
 
-class VoteState:
+class Voter:
     """The promises and pre-votes of one process; they are lost with it."""
 
     def __init__(self, now: timedelta) -> None:
         #: A process of this member before it may have promised something that this one does not
         #: know of, or may have told a candidate that it was free.
-        self.unremembered_until = now + longer(PROMISE)
+        self.unremembered_until = now + longer(LEASE_GRANT)
         #: The same for standing: shortened when nobody can rely on such a promise any more.
         self.unknown_until = self.unremembered_until
         self.no_candidacy_until = now  # what this process has promised
@@ -37,9 +37,9 @@
         return max(self.no_candidacy_until, self.unknown_until)
 
     def promise(
-        self, request: PromiseRequest, now: timedelta, leads: bool, epoch: int
-    ) -> PromiseReply:
-        """Answer a leader that does not reach the state service, which this controller does not
+        self, request: LeaseGrantRequest, now: timedelta, leads: bool, epoch: int
+    ) -> LeaseGrantReply:
+        """Answer a leader that does not reach the store, which this controller does not
         reach either.
 
         `epoch` is the highest that this controller knows of. The promise is refused if this
@@ -48,14 +48,14 @@
         may have done so in a former process.
         """
         if leads:
-            return PromiseReply(False, "leading")
+            return LeaseGrantReply(False, "leading")
         if self.tried is not None and self.tried >= request.epoch:
-            return PromiseReply(False, "stood already")
+            return LeaseGrantReply(False, "stood already")
         if epoch > request.epoch:
-            return PromiseReply(False, "newer leader known")
-        until = now + longer(min(timedelta(milliseconds=request.for_ms), MAX_PROMISE))
+            return LeaseGrantReply(False, "newer leader known")
+        until = now + longer(min(timedelta(milliseconds=request.for_ms), MAX_LEASE_GRANT))
         self.no_candidacy_until = max(self.no_candidacy_until, until)
-        return PromiseReply(
+        return LeaseGrantReply(
             True, "", self.least_epoch > request.epoch or now < self.unremembered_until
         )
 
--- a/dappledrum/fleet/autoscaler.py
+++ b/dappledrum/fleet/autoscaler.py
@@ -5,16 +5,16 @@
 from collections.abc import Callable
 from datetime import timedelta
 
-from dappledrum.fleet.boot_times import Boots, Waiting
-from dappledrum.fleet.cloud_client import Cloud, CloudError, NoCapacityError
+from dappledrum.fleet.boot_times import BootTimes, PendingBoot
+from dappledrum.fleet.cloud_client import CloudClient, CloudError, NoCapacityError
 from dappledrum.fleet.messages import ListedMachine, MachineType, RentalRequest
 from dappledrum.recovery.return_times import expected_report_in
-from dappledrum.scheduling.timeline import Kind
+from dappledrum.scheduling.timeline import InstanceKind
 from dappledrum.settings import Params
 from dappledrum.timing.clock import ZERO, Clock
 from dappledrum.timing.fault_log import FaultLog
-from dappledrum.workers.machine_registry import Machine, Roster
-from dappledrum.workers.reconciler import Bookkeeper
+from dappledrum.workers.machine_registry import Machine, MachineRegistry
+from dappledrum.workers.reconciler import Reconciler
 
 log = logging.getLogger(__name__)
 
@@ -29,14 +29,14 @@
 INTRODUCED = timedelta(seconds=20)  # beyond a lease: machines report to a new leader by then
 
 
-class FleetManager:
+class Autoscaler:
     """Manages the rented machines for one term of leadership."""
 
     def __init__(
         self,
-        cloud: Cloud,
-        roster: Roster,
-        bookkeeper: Bookkeeper,
+        cloud: CloudClient,
+        registry: MachineRegistry,
+        reconciler: Reconciler,
         params: Params,
         clock: Clock,
         epoch: int,
@@ -47,24 +47,26 @@
     ) -> None:
         self.awake_since = awake_since
         self.cloud = cloud
-        self.roster = roster
-        self.bookkeeper = bookkeeper
+        self.registry = registry
+        self.reconciler = reconciler
         self.params = params
         self.clock = clock
         self.epoch = epoch
         self.base_interval = interval
         self.leading = leading
         self.wake = wake
-        self.boots = Boots()
-        self.slow: set[Kind] = set()  # kinds whose slow boots were logged
+        self.boots = BootTimes()
+        self.slow: set[InstanceKind] = set()  # kinds whose slow boots were logged
         self.types: dict[str, MachineType] = {}
-        self.wanted: dict[Kind, int] = {}  # from the newest plan
+        self.wanted: dict[InstanceKind, int] = {}  # from the newest plan
         self.needed: set[str] = set()  # machines that the newest plan counts on
         self.keep_spot = False  # idle spot machines are wanted for what ordinary ones do
         self.aside: dict[
-            Kind, tuple[timedelta, timedelta]
+            InstanceKind, tuple[timedelta, timedelta]
         ] = {}  # until when, and for how long it was
-        self.settled: dict[Kind, timedelta] = {}  # when the newest request for a kind was answered
+        self.settled: dict[
+            InstanceKind, timedelta
+        ] = {}  # when the newest request for a kind was answered
         self.counter = 0
         self.listed = False
         self.planned = False
@@ -73,12 +75,12 @@
 
     # questions of the planner
 
-    def offered(self, kind: Kind) -> bool:
+    def offered(self, kind: InstanceKind) -> bool:
         """Whether a kind of machine can be requested now."""
         until = self.aside.get(kind)
         return until is None or self.clock.now() >= until[0]
 
-    def interval(self, kind: Kind) -> timedelta:
+    def interval(self, kind: InstanceKind) -> timedelta:
         """Length of a billed interval of a machine: at least some boot times, so that a machine is
         not returned just to be booted again."""
         model = self.types.get(kind.type)
@@ -124,7 +126,7 @@
         now = self.clock.now()
         self.boots.nominal = {name: model.boot for name, model in self.types.items()}
         waiting = []
-        for machine in self.roster:
+        for machine in self.registry:
             if machine.kind is None:
                 continue
             if machine.up_at is not None and machine.asked_at is not None:
@@ -136,7 +138,7 @@
                 and not machine.returning
                 and not self.boots.overtaken(machine.kind, machine.asked_at, now)
             ):
-                waiting.append(Waiting(machine.kind, machine.rented_at))
+                waiting.append(PendingBoot(machine.kind, machine.rented_at))
         self.boots.refresh(waiting, now)
         for kind in {one.kind for one in waiting}:
             ratio = self.boots.ratio(kind)
@@ -147,7 +149,7 @@
             log.warning("boots of %s take as long as usual again", kind)
             self.slow.discard(kind)
 
-    def order(self, rentals: dict[Kind, int], needed: set[str], began: timedelta) -> None:
+    def order(self, rentals: dict[InstanceKind, int], needed: set[str], began: timedelta) -> None:
         """Replace what is wanted by a newer plan.
 
         A plan that began before a request was answered does not know its result, and asks for the
@@ -180,7 +182,7 @@
                     finally:
                         self.settled[kind] = self.clock.now()
 
-    async def _rent(self, kind: Kind, count: int) -> None:
+    async def _rent(self, kind: InstanceKind, count: int) -> None:
         self.counter += 1
         request = RentalRequest(
             f"r-{self.epoch}-{self.counter}", kind.type, kind.zone, kind.spot, count
@@ -200,8 +202,8 @@
             return
         log.info("rented %d of %d %s (%s)", len(names), count, kind, ", ".join(names))
         for name in names:
-            if name not in self.roster.gone:
-                machine = self.roster.ensure(name, kind, sent)
+            if name not in self.registry.gone:
+                machine = self.registry.ensure(name, kind, sent)
                 machine.rented_at = sent
                 if not machine.up:
                     machine.asked_at = sent
@@ -211,7 +213,7 @@
             self.aside.pop(kind, None)
         self.wake("rented")
 
-    def _set_aside(self, kind: Kind) -> None:
+    def _set_aside(self, kind: InstanceKind) -> None:
         _, before = self.aside.get(kind, (ZERO, ZERO))
         span = min(max(before * 2, ASIDE), MAX_TIME_ASIDE)
         self.aside[kind] = (self.clock.now() + span, span)
@@ -226,14 +228,14 @@
             if not self.leading():
                 continue
             self.look_at_boots()
-            for machine in self.roster:
+            for machine in self.registry:
                 why = None if machine.returning else self._why_return(machine)
                 if why is not None:
                     log.info("returning %s: %s", machine.name, why)
                     machine.returning = True
                     if not machine.up:
                         self.boots.given_up(self.clock.now())
-            names = [m.name for m in self.roster if m.returning][:MAX_RETURNS]
+            names = [m.name for m in self.registry if m.returning][:MAX_RETURNS]
             if names:
                 try:
                     await self.cloud.give_back(names, self.leading)
@@ -242,13 +244,13 @@
                     await asyncio.sleep(1)
                     continue
                 for name in names:
-                    machine = self.roster.get(name)
+                    machine = self.registry.get(name)
                     if machine is not None:
                         if machine.kind is not None:
                             self.aside.pop(
                                 machine.kind, None
                             )  # what has just been given back can be had again
-                        self.bookkeeper.returned(machine)
+                        self.reconciler.returned(machine)
 
     def _why_return(self, machine: Machine) -> str | None:
         now = self.clock.now()
@@ -284,7 +286,7 @@
 
     def _connected(self, now: timedelta) -> bool:
         """Whether most machines report, so that the fault is not on this side if one does not."""
-        up = [m for m in self.roster if m.up]
+        up = [m for m in self.registry if m.up]
         since = self.awake_since()
         heard = sum(not m.silent(now, self.params.workers.report, since) for m in up)
         return heard * 2 > len(up)
@@ -306,16 +308,16 @@
     def _reconcile(self, listed: list[ListedMachine]) -> None:
         now = self.clock.now()
         for item in listed:
-            if item.id in self.roster.gone:
+            if item.id in self.registry.gone:
                 continue
-            machine = self.roster.get(item.id)
+            machine = self.registry.get(item.id)
             if machine is None:
                 log.info("%s is in the list (%s), taken on", item.id, item.state)
-                machine = self.roster.ensure(item.id, None, now)
+                machine = self.registry.ensure(item.id, None, now)
             if machine.listed_at is None and machine.rented_at == machine.seen_at:
                 machine.rented_at = min(machine.rented_at, now - timedelta(seconds=item.age_s))
             if machine.kind is None:
-                machine.kind = Kind(item.type, item.zone, item.spot)
+                machine.kind = InstanceKind(item.type, item.zone, item.spot)
             machine.listed_at = now
             machine.unconfirmed = False
             machine.failed |= item.state == "failed"
@@ -324,7 +326,7 @@
             self.listed = True
             self.wake("first list")
         stale = 3 * self.params.cloud.list_lag + timedelta(seconds=10)
-        for machine in self.roster:
+        for machine in self.registry:
             known = machine.listed_at if machine.listed_at is not None else machine.rented_at
             unheard = machine.last_report is None or now - machine.last_report > stale
             if machine.returning or machine.placements or now - known <= stale or not unheard:
--- a/dappledrum/fleet/boot_times.py
+++ b/dappledrum/fleet/boot_times.py
@@ -14,7 +14,7 @@
 from datetime import timedelta
 from typing import NamedTuple
 
-from dappledrum.scheduling.timeline import Kind
+from dappledrum.scheduling.timeline import InstanceKind
 from dappledrum.timing.clock import ZERO
 
 PRIOR_WEIGHT = 2.0  # number of boots that weigh as much as the catalog's figure
@@ -28,60 +28,60 @@
 FLOOR = timedelta(seconds=20)  # reports and lists take their time, too
 
 
-class Boot(NamedTuple):
+class BootTime(NamedTuple):
     """A completed boot."""
 
-    kind: Kind
+    kind: InstanceKind
     ratio: float  # to the catalog's figure
     asked_at: timedelta
     up_at: timedelta
 
 
-class Waiting(NamedTuple):
+class PendingBoot(NamedTuple):
     """A boot in progress."""
 
-    kind: Kind
+    kind: InstanceKind
     asked_at: timedelta
 
 
-def likeness(one: Kind, other: Kind) -> float:
+def likeness(one: InstanceKind, other: InstanceKind) -> float:
     """How much a boot of one kind says about another kind: the weight of its observation."""
     same = sum(a == b for a, b in zip(one, other, strict=True))
     return (0.25, 0.35, 0.6, 1.0)[same]
 
 
-class Boots:
+class BootTimes:
     """The boots that a leader has seen."""
 
     def __init__(self) -> None:
         self.nominal: dict[str, timedelta] = {}  # by type, from the catalog
-        self.seen: deque[Boot] = deque(maxlen=KEPT)
+        self.seen: deque[BootTime] = deque(maxlen=KEPT)
         self.exchanged_at: timedelta | None = None
-        self._ratios: dict[Kind, float] = {}
-        self._unfinished: list[Waiting] = []
+        self._ratios: dict[InstanceKind, float] = {}
+        self._unfinished: list[PendingBoot] = []
         self._refreshed_at: timedelta | None = None
 
-    def _nominal(self, kind: Kind) -> timedelta:
+    def _nominal(self, kind: InstanceKind) -> timedelta:
         return max(self.nominal.get(kind.type, timedelta(seconds=60)), SHORTEST)
 
-    def finished(self, kind: Kind, asked_at: timedelta, up_at: timedelta) -> None:
+    def finished(self, kind: InstanceKind, asked_at: timedelta, up_at: timedelta) -> None:
         """Record a machine that has come up."""
         took = max(up_at - asked_at, SHORTEST)
-        self.seen.append(Boot(kind, took / self._nominal(kind), asked_at, up_at))
+        self.seen.append(BootTime(kind, took / self._nominal(kind), asked_at, up_at))
         self._ratios.clear()
 
-    def remember(self, boots: Iterable[Boot]) -> None:
+    def remember(self, boots: Iterable[BootTime]) -> None:
         """Add boots that the predecessor has seen."""
         self.seen.extend(boots)
         self._ratios.clear()
 
-    def refresh(self, unfinished: Iterable[Waiting], now: timedelta) -> None:
+    def refresh(self, unfinished: Iterable[PendingBoot], now: timedelta) -> None:
         """Set which boots are in progress; estimates stay the same until the next call."""
         self._unfinished = list(unfinished)
         self._refreshed_at = now
         self._ratios.clear()
 
-    def ratio(self, kind: Kind) -> float:
+    def ratio(self, kind: InstanceKind) -> float:
         """Expected boot time as a multiple of the figure in the catalog. A geometric mean, so that
         the few machines that never come up do not outweigh all others."""
         known = self._ratios.get(kind)
@@ -89,7 +89,7 @@
             known = self._ratios[kind] = self._ratio(kind)
         return known
 
-    def _over(self, kind: Kind) -> tuple[float, float]:
+    def _over(self, kind: InstanceKind) -> tuple[float, float]:
         """Weighted sum of the logarithms of the completed boots, and the sum of the weights."""
         now = self._refreshed_at
         total, weight = 0.0, PRIOR_WEIGHT
@@ -100,7 +100,7 @@
             weight += share
         return total, weight
 
-    def _ratio(self, kind: Kind) -> float:
+    def _ratio(self, kind: InstanceKind) -> float:
         total, weight = self._over(kind)
         # Beyond what was seen so far; after a time of quick boots that says most.
         expected = min(math.exp(total / weight) * MARGIN, MAX_USUAL_RATIO)
@@ -113,18 +113,18 @@
                 weight += share
         return math.exp(total / weight)
 
-    def expected(self, kind: Kind) -> timedelta:
+    def expected(self, kind: InstanceKind) -> timedelta:
         """How long a machine requested now will take, with a margin."""
         return max(self._nominal(kind) * self.ratio(kind) * MARGIN, SHORTEST)
 
-    def left(self, kind: Kind, asked_at: timedelta, now: timedelta) -> timedelta:
+    def left(self, kind: InstanceKind, asked_at: timedelta, now: timedelta) -> timedelta:
         """How much longer a boot in progress will take. Beyond the expected time the estimate
         grows with the age of the boot."""
         expected = self.expected(kind)
         late = now - asked_at - expected
         return -late if late < ZERO else expected * 0.3 + late * 0.5
 
-    def hopeless(self, kind: Kind, asked_at: timedelta, now: timedelta) -> bool:
+    def hopeless(self, kind: InstanceKind, asked_at: timedelta, now: timedelta) -> bool:
         """Whether a new machine is expected sooner than this one."""
         nominal = self._nominal(kind)
         age = now - asked_at
@@ -137,11 +137,11 @@
             return False
         return self.exchanged_at is None or now - self.exchanged_at > self.expected(kind)
 
-    def _later(self, kind: Kind, asked_at: timedelta) -> list[Boot]:
+    def _later(self, kind: InstanceKind, asked_at: timedelta) -> list[BootTime]:
         """Completed boots of the type and zone that were requested at the same time or later."""
         return [b for b in self.seen if b.asked_at >= asked_at and b.kind[:2] == kind[:2]]
 
-    def overtaken(self, kind: Kind, asked_at: timedelta, now: timedelta) -> bool:
+    def overtaken(self, kind: InstanceKind, asked_at: timedelta, now: timedelta) -> bool:
         """Whether machines requested later are up, and twice the time of the slowest of them has
         passed."""
         later = self._later(kind, asked_at)
--- a/dappledrum/fleet/cloud_client.py
+++ b/dappledrum/fleet/cloud_client.py
@@ -17,7 +17,7 @@
     RentalRequest,
 )
 from dappledrum.http.client import Caller, NoResponseError, Reply
-from dappledrum.membership.link_health import Link
+from dappledrum.membership.link_health import LinkHealth
 from dappledrum.timing.clock import ZERO, Clock
 
 log = logging.getLogger(__name__)
@@ -34,7 +34,7 @@
     """There are no machines of this kind at the moment."""
 
 
-class Cloud:
+class CloudClient:
     """Client that spaces its requests evenly."""
 
     def __init__(self, caller: Caller, rps: float, clock: Clock) -> None:
@@ -42,7 +42,7 @@
         self.gap = timedelta(seconds=1 / rps)
         self.clock = clock
         self.next_at = ZERO
-        self.link = Link(clock)
+        self.link = LinkHealth(clock)
 
     async def _call(
         self,
--- a/dappledrum/fleet/fleet_facts.py
+++ b/dappledrum/fleet/fleet_facts.py
@@ -8,10 +8,10 @@
 from datetime import UTC, datetime, timedelta
 
 from dappledrum.fleet.messages import BootingRecord, FleetRecord
-from dappledrum.scheduling.timeline import Kind
-from dappledrum.store.advisory_record import Hint
+from dappledrum.scheduling.timeline import InstanceKind
+from dappledrum.store.advisory_record import AdvisoryRecord
 from dappledrum.timing.clock import ZERO, Clock
-from dappledrum.workers.machine_registry import Roster
+from dappledrum.workers.machine_registry import MachineRegistry
 
 FLEET = "fleet"
 KEPT = timedelta(minutes=10)
@@ -19,12 +19,14 @@
 PAUSE = timedelta(seconds=1)
 
 
-class FleetMemory:
+class FleetFacts:
     """Writes the record when it has changed, during one term."""
 
-    def __init__(self, hint: Hint[FleetRecord], roster: Roster, clock: Clock) -> None:
+    def __init__(
+        self, hint: AdvisoryRecord[FleetRecord], registry: MachineRegistry, clock: Clock
+    ) -> None:
         self.hint = hint
-        self.roster = roster
+        self.registry = registry
         self.clock = clock
         self.most = hint.value_bytes // NAME_BYTES
 
@@ -36,8 +38,8 @@
             for row in (self.hint.stored.booting if self.hint.stored is not None else ())
             for name in row.names
         }
-        groups: dict[tuple[Kind, int], list[str]] = {}
-        for machine in self.roster:
+        groups: dict[tuple[InstanceKind, int], list[str]] = {}
+        for machine in self.registry:
             age = now - machine.rented_at
             settled = machine.up or machine.returning or machine.unconfirmed
             if settled or machine.kind is None or age > KEPT:
@@ -63,6 +65,8 @@
         for row in record.booting:
             age = max(self.clock.today() - datetime.fromtimestamp(row.at_ms / 1000, UTC), ZERO)
             for name in row.names if age < KEPT else ():
-                if self.roster.get(name) is None:
-                    machine = self.roster.ensure(name, Kind(row.type, row.zone, row.spot), now)
+                if self.registry.get(name) is None:
+                    machine = self.registry.ensure(
+                        name, InstanceKind(row.type, row.zone, row.spot), now
+                    )
                     machine.rented_at = now - age
--- a/dappledrum/fleet/test_autoscaler.py
+++ b/dappledrum/fleet/test_autoscaler.py
@@ -3,17 +3,17 @@
 import asyncio
 from datetime import timedelta
 
-from dappledrum.fleet.autoscaler import FleetManager
+from dappledrum.fleet.autoscaler import Autoscaler
 from dappledrum.fleet.cloud_client import CloudError, NoCapacityError
 from dappledrum.fleet.messages import MachineType
 from dappledrum.scheduling.estimates import Estimates
-from dappledrum.scheduling.timeline import Kind
-from dappledrum.simulation.cluster import World
+from dappledrum.scheduling.timeline import InstanceKind
+from dappledrum.simulation.cluster import SimulatedCluster
 from dappledrum.timing.clock import Clock, seconds
-from dappledrum.workers.machine_registry import Roster
-from dappledrum.workers.reconciler import Bookkeeper
+from dappledrum.workers.machine_registry import MachineRegistry
+from dappledrum.workers.reconciler import Reconciler
 
-SPOT = Kind("small", "a", True)
+SPOT = InstanceKind("small", "a", True)
 
 
 class Till:
@@ -39,14 +39,14 @@
 
 
 def keeping(cloud):
-    params = World(seed=1, members=()).params
-    roster = Roster()
-    books = Bookkeeper(
-        {}, roster, Estimates(), params.workers, Clock(), 3, lambda _: None, lambda _: None
+    params = SimulatedCluster(seed=1, members=()).params
+    registry = MachineRegistry()
+    books = Reconciler(
+        {}, registry, Estimates(), params.workers, Clock(), 3, lambda _: None, lambda _: None
     )
-    fleet_manager = FleetManager(
+    autoscaler = Autoscaler(
         cloud,
-        roster,
+        registry,
         books,
         params,
         Clock(),
@@ -55,11 +55,11 @@
         lambda: True,
         lambda _: None,
     )
-    fleet_manager.types = {"small": MachineType("small", 4, 0, 16, 20, 1, 0.3, 10, ["a"], 0.1)}
-    return fleet_manager, roster
+    autoscaler.types = {"small": MachineType("small", 4, 0, 16, 20, 1, 0.3, 10, ["a"], 0.1)}
+    return autoscaler, registry
 
 
-async def while_running(fleet_manager, *loops, for_s):
+async def while_running(autoscaler, *loops, for_s):
     tasks = [asyncio.create_task(loop()) for loop in loops]
     await asyncio.sleep(for_s)
     for task in tasks:
@@ -68,49 +68,49 @@
 
 async def test_names_of_requests_are_never_used_twice_and_refusals_back_off():
     cloud = Till(["h1"], NoCapacityError("none"), CloudError("no answer"), ["h2"])
-    fleet_manager, roster = keeping(cloud)
+    autoscaler, registry = keeping(cloud)
     spans = []
     for _ in range(4):
-        fleet_manager.order({SPOT: 1}, set(), fleet_manager.clock.now())
-        await while_running(fleet_manager, fleet_manager.rent_loop, for_s=0.1)
-        spans.append(fleet_manager.offered(SPOT))
-        while not fleet_manager.offered(SPOT):
+        autoscaler.order({SPOT: 1}, set(), autoscaler.clock.now())
+        await while_running(autoscaler, autoscaler.rent_loop, for_s=0.1)
+        spans.append(autoscaler.offered(SPOT))
+        while not autoscaler.offered(SPOT):
             await asyncio.sleep(1)
     assert cloud.requests == ["r-3-1", "r-3-2", "r-3-3", "r-3-4"]
     assert spans == [True, False, False, True]
-    assert set(roster.machines) == {"h1", "h2"}
+    assert set(registry.machines) == {"h1", "h2"}
 
 
 async def test_idle_machines_go_back_at_the_end_of_their_interval_and_can_be_had_again():
     cloud = Till(["h1", "h2"], NoCapacityError("none"))
-    fleet_manager, roster = keeping(cloud)
+    autoscaler, registry = keeping(cloud)
     for _ in range(2):
-        fleet_manager.order({SPOT: 2}, {"h2"}, fleet_manager.clock.now())
-        await while_running(fleet_manager, fleet_manager.rent_loop, for_s=0.1)
-    for machine in roster:
-        machine.up_at = machine.last_report = fleet_manager.clock.now()
-    assert not fleet_manager.offered(SPOT)
-    await while_running(fleet_manager, fleet_manager.return_loop, for_s=57)
+        autoscaler.order({SPOT: 2}, {"h2"}, autoscaler.clock.now())
+        await while_running(autoscaler, autoscaler.rent_loop, for_s=0.1)
+    for machine in registry:
+        machine.up_at = machine.last_report = autoscaler.clock.now()
+    assert not autoscaler.offered(SPOT)
+    await while_running(autoscaler, autoscaler.return_loop, for_s=57)
     assert cloud.returned == []
-    for machine in roster:
-        machine.last_report = machine.last_answer = fleet_manager.clock.now()
-    fleet_manager.aside[SPOT] = (fleet_manager.clock.now() + seconds(60), seconds(60))
-    await while_running(fleet_manager, fleet_manager.return_loop, for_s=3)
+    for machine in registry:
+        machine.last_report = machine.last_answer = autoscaler.clock.now()
+    autoscaler.aside[SPOT] = (autoscaler.clock.now() + seconds(60), seconds(60))
+    await while_running(autoscaler, autoscaler.return_loop, for_s=3)
     assert cloud.returned == ["h1"]
-    assert fleet_manager.offered(SPOT)
+    assert autoscaler.offered(SPOT)
 
 
 async def test_a_boot_that_a_later_one_has_overtaken_is_given_up():
     cloud = Till(["h1", "h2"], ["h3"])
-    fleet_manager, roster = keeping(cloud)
-    fleet_manager.order({SPOT: 2}, {"h1", "h2", "h3"}, fleet_manager.clock.now())
-    await while_running(fleet_manager, fleet_manager.rent_loop, for_s=1)
-    fleet_manager.order({SPOT: 1}, {"h1", "h2", "h3"}, fleet_manager.clock.now())
-    await while_running(fleet_manager, fleet_manager.rent_loop, for_s=10)
-    roster.get("h3").up_at = fleet_manager.clock.now()
-    await while_running(fleet_manager, fleet_manager.return_loop, for_s=15)
+    autoscaler, registry = keeping(cloud)
+    autoscaler.order({SPOT: 2}, {"h1", "h2", "h3"}, autoscaler.clock.now())
+    await while_running(autoscaler, autoscaler.rent_loop, for_s=1)
+    autoscaler.order({SPOT: 1}, {"h1", "h2", "h3"}, autoscaler.clock.now())
+    await while_running(autoscaler, autoscaler.rent_loop, for_s=10)
+    registry.get("h3").up_at = autoscaler.clock.now()
+    await while_running(autoscaler, autoscaler.return_loop, for_s=15)
     assert cloud.returned == []
-    await while_running(fleet_manager, fleet_manager.return_loop, for_s=15)
+    await while_running(autoscaler, autoscaler.return_loop, for_s=15)
     assert sorted(cloud.returned) == ["h1", "h2"]
 
 
@@ -119,27 +119,25 @@
     the trouble lasted."""
     names = [f"h{n}" for n in range(8)]
     cloud = Till(names)
-    fleet_manager, _ = keeping(cloud)
-    fleet_manager.order({SPOT: 8}, set(names), fleet_manager.clock.now())
-    await while_running(
-        fleet_manager, fleet_manager.rent_loop, fleet_manager.return_loop, for_s=35
-    )
+    autoscaler, _ = keeping(cloud)
+    autoscaler.order({SPOT: 8}, set(names), autoscaler.clock.now())
+    await while_running(autoscaler, autoscaler.rent_loop, autoscaler.return_loop, for_s=35)
     assert cloud.returned == []
-    assert fleet_manager.boots.expected(SPOT) > timedelta(seconds=20)
-    await while_running(fleet_manager, fleet_manager.return_loop, for_s=400)
+    assert autoscaler.boots.expected(SPOT) > timedelta(seconds=20)
+    await while_running(autoscaler, autoscaler.return_loop, for_s=400)
     assert 1 <= len(cloud.returned) <= 4
 
 
 async def test_machines_that_have_not_found_a_new_leader_are_no_slow_boots():
     """Taken for boots of many minutes, they made every takeover expect six times the boot."""
-    fleet_manager, roster = keeping(Till())
+    autoscaler, registry = keeping(Till())
     await asyncio.sleep(300)
     for number in range(10):
-        machine = roster.ensure(f"h{number}", SPOT, fleet_manager.clock.now())
+        machine = registry.ensure(f"h{number}", SPOT, autoscaler.clock.now())
         machine.rented_at = timedelta(0)
     for _ in range(3):
-        fleet_manager.look_at_boots()
-        assert fleet_manager.boots.ratio(SPOT) == 1.0
+        autoscaler.look_at_boots()
+        assert autoscaler.boots.ratio(SPOT) == 1.0
         await asyncio.sleep(40)
 
 
@@ -147,22 +145,22 @@
     """Lists may lag by far more than usual: dropped on its absence, it was paid for and never
     used."""
     cloud = Till(["h1"])
-    fleet_manager, roster = keeping(cloud)
-    fleet_manager.order({SPOT: 1}, {"h1"}, fleet_manager.clock.now())
-    await while_running(fleet_manager, fleet_manager.rent_loop, fleet_manager.list_loop, for_s=28)
-    assert roster.get("h1") is not None and "h1" not in roster.gone
+    autoscaler, registry = keeping(cloud)
+    autoscaler.order({SPOT: 1}, {"h1"}, autoscaler.clock.now())
+    await while_running(autoscaler, autoscaler.rent_loop, autoscaler.list_loop, for_s=28)
+    assert registry.get("h1") is not None and "h1" not in registry.gone
 
 
 async def test_a_plan_made_while_a_request_was_out_does_not_ask_again():
     """Guards against renting twice: such a plan has not counted what the answer brought."""
     cloud = Till(["h1", "h2"], ["h3"])
-    fleet_manager, _ = keeping(cloud)
-    before = fleet_manager.clock.now()
-    fleet_manager.order({SPOT: 2}, set(), before)
-    await while_running(fleet_manager, fleet_manager.rent_loop, for_s=0.1)
-    fleet_manager.order({SPOT: 2}, set(), before)
-    await while_running(fleet_manager, fleet_manager.rent_loop, for_s=0.1)
+    autoscaler, _ = keeping(cloud)
+    before = autoscaler.clock.now()
+    autoscaler.order({SPOT: 2}, set(), before)
+    await while_running(autoscaler, autoscaler.rent_loop, for_s=0.1)
+    autoscaler.order({SPOT: 2}, set(), before)
+    await while_running(autoscaler, autoscaler.rent_loop, for_s=0.1)
     assert len(cloud.requests) == 1
-    fleet_manager.order({SPOT: 1}, set(), fleet_manager.clock.now())
-    await while_running(fleet_manager, fleet_manager.rent_loop, for_s=0.1)
+    autoscaler.order({SPOT: 1}, set(), autoscaler.clock.now())
+    await while_running(autoscaler, autoscaler.rent_loop, for_s=0.1)
     assert len(cloud.requests) == 2
--- a/dappledrum/fleet/test_boot_times.py
+++ b/dappledrum/fleet/test_boot_times.py
@@ -2,15 +2,15 @@
 
 from datetime import timedelta
 
-from dappledrum.fleet.boot_times import Boots, Waiting
-from dappledrum.scheduling.timeline import Kind
+from dappledrum.fleet.boot_times import BootTimes, PendingBoot
+from dappledrum.scheduling.timeline import InstanceKind
 from dappledrum.timing.clock import seconds
 
-HERE, THERE = Kind("small", "a", True), Kind("large", "b", False)
+HERE, THERE = InstanceKind("small", "a", True), InstanceKind("large", "b", False)
 
 
 def seen(factor, number=10, at=100.0):
-    boots = Boots()
+    boots = BootTimes()
     boots.nominal = {"small": seconds(40.0), "large": seconds(80.0)}
     for _ in range(number):
         boots.finished(HERE, seconds(at - 40 * factor), seconds(at))
@@ -35,7 +35,7 @@
     """After a time of quick boots, new ones were expected at once for minutes."""
     boots = seen(0.05)
     quick = boots.ratio(HERE)
-    waiting = [Waiting(HERE, seconds(100.0))] * 10
+    waiting = [PendingBoot(HERE, seconds(100.0))] * 10
     boots.refresh(waiting, seconds(130.0))
     assert boots.ratio(HERE) > quick * 3
     assert boots.left(HERE, seconds(100.0), seconds(130.0)) > timedelta(seconds=5)
--- a/dappledrum/gangs/search.py
+++ b/dappledrum/gangs/search.py
@@ -12,7 +12,14 @@
 from datetime import timedelta
 from typing import NamedTuple
 
-from dappledrum.scheduling.timeline import SLACK, Kind, MachineTimeline, Offer, Size, fetch_time
+from dappledrum.scheduling.timeline import (
+    SLACK,
+    InstanceKind,
+    MachineTimeline,
+    Offer,
+    Size,
+    fetch_time,
+)
 from dappledrum.timing.clock import ZERO
 
 PROBED = 24  # moments tried at first; in a fleet there are thousands
@@ -28,7 +35,7 @@
     due: timedelta
     image: str
     image_gb: float
-    allowed: Callable[[Kind], bool]
+    allowed: Callable[[InstanceKind], bool]
     zone_capacity: dict[str, int] | None = None  # spread: how many tasks each zone may take
 
 
@@ -38,7 +45,7 @@
     start: timedelta
     finish: timedelta
     shares: list[tuple[int, int]]  # index of the machine, tasks
-    rented: dict[Kind, tuple[int, int]]  # machines, tasks on them
+    rented: dict[InstanceKind, tuple[int, int]]  # machines, tasks on them
     cost: float
 
 
@@ -139,7 +146,7 @@
         are rented as far as needed, of the first kinds first."""
         start = self.now + max(one.boot for one in offers)
         shares, zones, left = self.shares(start)
-        rented: dict[Kind, tuple[int, int]] = {}
+        rented: dict[InstanceKind, tuple[int, int]] = {}
         cost = 0.0
         for one in offers:
             each = one.capacity.times(self.gang.size)
@@ -174,7 +181,7 @@
         self,
         start: timedelta,
         shares: list[tuple[int, int]],
-        rented: dict[Kind, tuple[int, int]] | None = None,
+        rented: dict[InstanceKind, tuple[int, int]] | None = None,
         cost: float = 0.0,
     ) -> GangSlot:
         finish = start + self.span
--- a/dappledrum/gangs/test_gangs.py
+++ b/dappledrum/gangs/test_gangs.py
@@ -13,9 +13,9 @@
 from dappledrum.jobs.messages import JobRecord, PageRecord, Spec
 from dappledrum.peers.versions import GANGS, at_least
 from dappledrum.scheduling.plan import Bag, Planner, TeamCapacity
-from dappledrum.scheduling.timeline import Kind, MachineTimeline, Offer, Size
+from dappledrum.scheduling.timeline import InstanceKind, MachineTimeline, Offer, Size
 from dappledrum.settings import Team
-from dappledrum.simulation.cluster import World, job
+from dappledrum.simulation.cluster import SimulatedCluster, job
 from dappledrum.simulation.virtual_time import run
 from dappledrum.timing.clock import seconds
 
@@ -34,7 +34,7 @@
     result = []
     for index, (cpus, ready, taken) in enumerate(drawn):
         timeline = MachineTimeline(
-            *(f"m{index}", Kind("p", "z", True), Size(cpus, 0, 99), seconds(NOW + ready)),
+            *(f"m{index}", InstanceKind("p", "z", True), Size(cpus, 0, 99), seconds(NOW + ready)),
             *(seconds(NOW), 0.4, 1.0, seconds(60)),
             booting=ready > 0,
         )
@@ -135,13 +135,13 @@
 
 def test_renting_counts_the_whole_of_one_kind_and_several_only_if_one_does_not_do():
     offers = [
-        Offer(Kind("p", "z", True), Size(8, 0, 9), 0.1, seconds(20), 1.0, seconds(60), 2),
-        Offer(Kind("q", "z", True), Size(16, 0, 9), 1.0, seconds(5), 1.0, seconds(60), 2),
+        Offer(InstanceKind("p", "z", True), Size(8, 0, 9), 0.1, seconds(20), 1.0, seconds(60), 2),
+        Offer(InstanceKind("q", "z", True), Size(16, 0, 9), 1.0, seconds(5), 1.0, seconds(60), 2),
     ]
-    assert plan([], [bag("a", 4)], [*offers]).rentals == {Kind("p", "z", True): 2}
+    assert plan([], [bag("a", 4)], [*offers]).rentals == {InstanceKind("p", "z", True): 2}
     offers[0].most = offers[1].most = 2
     both = plan([], [bag("a", 11)], offers)
-    assert both.rentals == {Kind("p", "z", True): 2, Kind("q", "z", True): 2}
+    assert both.rentals == {InstanceKind("p", "z", True): 2, InstanceKind("q", "z", True): 2}
     offers[0].most = offers[1].most = 2
     assert not plan([], [bag("a", 13)], offers).rentals  # nothing is rented for a part
 
@@ -158,72 +158,74 @@
     return job(number, form="ensemble", **changes)
 
 
-async def started(world, seed_job):
-    await world.until(lambda: world.leader() is not None)
-    assert await world.submit(seed_job) == 201
+async def started(cluster, seed_job):
+    await cluster.until(lambda: cluster.leader() is not None)
+    assert await cluster.submit(seed_job) == 201
     tasks = seed_job["beats"]
-    await world.until(lambda: len(world.rules.running) == tasks)
+    await cluster.until(lambda: len(cluster.rules.running) == tasks)
 
 
 def test_a_gang_runs_whole_and_a_lost_member_restarts_it():
     async def main():
-        world = World(seed=61)
-        await started(world, gang(1, beats=8, vcpus=3.0, runS=20.0, expectedS=20.0))
-        await world.wait(6)
-        taken = next(iter(world.rules.running.values()))
-        world.cloud.take(next(iter(taken)))
-        await world.finish(["j-000001"])
-        assert world.rules.starts > 8
+        cluster = SimulatedCluster(seed=61)
+        await started(cluster, gang(1, beats=8, vcpus=3.0, runS=20.0, expectedS=20.0))
+        await cluster.wait(6)
+        taken = next(iter(cluster.rules.running.values()))
+        cluster.cloud.take(next(iter(taken)))
+        await cluster.finish(["j-000001"])
+        assert cluster.rules.starts > 8
 
     run(main())
 
 
 def test_a_gang_outlives_takeovers_also_while_it_is_being_placed():
     async def main():
-        world = World(seed=62)
-        await world.until(lambda: world.leader() is not None)
-        assert await world.submit(gang(1, beats=12, vcpus=2.0, runS=15.0, expectedS=15.0)) == 201
-        await world.until(lambda: world.rules.starts >= 1)
-        await world.restart(world.leader())
-        await world.until(lambda: len(world.rules.running) == 12)
-        await world.restart_all()
-        await world.finish(["j-000001"])
+        cluster = SimulatedCluster(seed=62)
+        await cluster.until(lambda: cluster.leader() is not None)
+        assert await cluster.submit(gang(1, beats=12, vcpus=2.0, runS=15.0, expectedS=15.0)) == 201
+        await cluster.until(lambda: cluster.rules.starts >= 1)
+        await cluster.restart(cluster.leader())
+        await cluster.until(lambda: len(cluster.rules.running) == 12)
+        await cluster.restart_all()
+        await cluster.finish(["j-000001"])
 
     run(main())
 
 
 def test_gangs_that_do_not_fit_together_take_turns():
     async def main():
-        world = World(seed=63)
-        world.cloud.most = 4
-        await world.until(lambda: world.leader() is not None)
+        cluster = SimulatedCluster(seed=63)
+        cluster.cloud.most = 4
+        await cluster.until(lambda: cluster.leader() is not None)
         names = []
         for number in range(4):
             spec = gang(number, beats=3, vcpus=4.0, builds=["small"], dueS=60.0)
-            assert await world.submit(spec) == 201
+            assert await cluster.submit(spec) == 201
             names.append(spec["id"])
-        await world.finish(names)
+        await cluster.finish(names)
 
     run(main())
 
 
 def test_the_limit_of_a_team_counts_the_whole_gang_and_prod_takes_it_whole():
     async def main():
-        world = World(seed=64, teams=(Team("blue"), Team("red", cpus_max=8.0)))
-        world.cloud.most = 2
-        await world.until(lambda: world.leader() is not None)
-        assert await world.submit(gang(1, crew="red", beats=5)) == 422
+        cluster = SimulatedCluster(seed=64, teams=(Team("blue"), Team("red", cpus_max=8.0)))
+        cluster.cloud.most = 2
+        await cluster.until(lambda: cluster.leader() is not None)
+        assert await cluster.submit(gang(1, crew="red", beats=5)) == 422
         await started(
-            world,
+            cluster,
             gang(2, beats=4, builds=["small"], runS=60.0, expectedS=60.0, urgency="best_effort"),
         )
         urgent = job(3, beats=1, vcpus=4.0, builds=["small"], urgency="prod", runS=25.0)
         urgent["dueS"] = 20.0
-        assert await world.submit(urgent) == 201
-        await world.until(lambda: any(name == "j-000003" for name, _ in world.rules.running), 30)
-        await world.wait(3)
-        assert not [n for n, _ in world.rules.running if n == "j-000002"]
-        await world.finish(["j-000002", "j-000003"])
+        assert await cluster.submit(urgent) == 201
+        await cluster.until(
+            lambda: any(name == "j-000003" for name, _ in cluster.rules.running), 30
+        )
+        await cluster.wait(3)
+        assert not [n for n, _ in cluster.rules.running if n == "j-000002"]
+        await cluster.finish(["j-000002", "j-000003"])
 
     run(main())
 
@@ -231,17 +233,17 @@
 def test_gangs_are_taken_when_all_controllers_know_them():
     async def main():
         members = tuple(f"drummer-{n}" for n in range(3))
-        world = World(seed=65, members=members, old={"drummer-2"})
-        await world.until(lambda: world.leader() is not None)
-        reply = await world.submit(gang(1), tries=3, member="drummer-0")
+        cluster = SimulatedCluster(seed=65, members=members, old={"drummer-2"})
+        await cluster.until(lambda: cluster.leader() is not None)
+        reply = await cluster.submit(gang(1), tries=3, member="drummer-0")
         assert reply is None  # 503, and never a record that an older leader can't read
-        await world.upgrade("drummer-2")
-        assert await world.submit(gang(1), member="drummer-0") == 201
-        world.kill("drummer-1")
-        await world.restart("drummer-0")
+        await cluster.upgrade("drummer-2")
+        assert await cluster.submit(gang(1), member="drummer-0") == 201
+        cluster.kill("drummer-1")
+        await cluster.restart("drummer-0")
         # Known from the store, though one does not answer.
-        assert await world.submit(gang(2), member="drummer-0") == 201
-        await world.finish(["j-000001", "j-000002"])
+        assert await cluster.submit(gang(2), member="drummer-0") == 201
+        await cluster.finish(["j-000001", "j-000002"])
         assert asyncio.get_running_loop().time() < 200
 
     run(main())
--- a/dappledrum/golden/entries.py
+++ b/dappledrum/golden/entries.py
@@ -14,7 +14,7 @@
     name: str
     about: str
     data: bytes | None = None  # value or body; None: there is none
-    key: str | None = None  # key, or prefix of keys, in the state service
+    key: str | None = None  # key, or prefix of keys, in the store
     method: str | None = None
     path: str | None = None
     status: int | None = None
--- a/dappledrum/golden/test_controllers.py
+++ b/dappledrum/golden/test_controllers.py
@@ -6,44 +6,44 @@
 import pytest
 
 from dappledrum.election.messages import (
+    LeaseGrantReply,
+    LeaseGrantRequest,
     PreVote,
     PreVoteReply,
-    PromiseReply,
-    PromiseRequest,
     TransferLeadership,
     TransferLeadershipReply,
 )
 from dappledrum.golden.entries import load
-from dappledrum.golden.recorder import RecordingCaller, as_sent
+from dappledrum.golden.recording_caller import RecordingCaller, as_sent
 from dappledrum.membership.messages import (
-    ForwardedReports,
-    ForwardedReportsReply,
-    Heartbeat,
-    Heartbeats,
-    HeartbeatsReply,
+    ForwardedHeartbeats,
+    ForwardedHeartbeatsReply,
+    PeerHeartbeat,
+    PeerHeartbeats,
+    PeerHeartbeatsReply,
 )
 from dappledrum.peers.client import Peers
 from dappledrum.peers.messages import (
-    HoldingQuestion,
-    HoldingReply,
-    Promise,
-    Question,
+    HeartbeatAttemptsReply,
+    HeartbeatAttemptsRequest,
+    HoldsTermReply,
+    HoldsTermRequest,
+    LeaseGrantCall,
+    PeerReply,
+    PeerRequest,
     Relay,
     RelayReply,
-    Reply,
-    ReportAttemptsQuestion,
-    ReportAttemptsReply,
-    VersionQuestion,
     VersionReply,
+    VersionRequest,
     decode,
     encode,
 )
-from dappledrum.simulation.cluster import led_world
+from dappledrum.simulation.cluster import led_cluster
 
 GOLDEN = load("controllers")
 SECOND = timedelta(seconds=1)
 
-FULL_HEARTBEAT = Heartbeat(
+FULL_HEARTBEAT = PeerHeartbeat(
     member="drummer-0",
     born=1764000000000,
     tick=81234,
@@ -61,19 +61,21 @@
     lost=["c"],
     samples={"a": ["10.1.0.232:9000"]},
 )
-SHORT_HEARTBEAT = Heartbeat(member="drummer-2", born=1764000000001, tick=5, age_ms=6, awake_ms=4)
+SHORT_HEARTBEAT = PeerHeartbeat(
+    member="drummer-2", born=1764000000001, tick=5, age_ms=6, awake_ms=4
+)
 
 QUESTIONS = {
     "relay": Relay(method="POST", path="/submissions", body=b'{"id":"j-000007"}'),
-    "report-attempts": ReportAttemptsQuestion(within_ms=10000),
-    "promise": Promise(
-        request=PromiseRequest(member="drummer-1", epoch=7, for_ms=2000, told_ms=45000)
+    "report-attempts": HeartbeatAttemptsRequest(within_ms=10000),
+    "promise": LeaseGrantCall(
+        request=LeaseGrantRequest(member="drummer-1", epoch=7, for_ms=2000, told_ms=45000)
     ),
-    "version": VersionQuestion(),
-    "holding": HoldingQuestion(),
-    "heartbeats": Heartbeats(own=FULL_HEARTBEAT, heard=[SHORT_HEARTBEAT]),
-    "heartbeats-none-heard": Heartbeats(own=SHORT_HEARTBEAT),
-    "forwarded-reports": ForwardedReports(reports=[b'{"drum":"host-000231"}', b"{}"]),
+    "version": VersionRequest(),
+    "holding": HoldsTermRequest(),
+    "heartbeats": PeerHeartbeats(own=FULL_HEARTBEAT, heard=[SHORT_HEARTBEAT]),
+    "heartbeats-none-heard": PeerHeartbeats(own=SHORT_HEARTBEAT),
+    "forwarded-reports": ForwardedHeartbeats(reports=[b'{"drum":"host-000231"}', b"{}"]),
     "transfer-leadership": TransferLeadership(
         member="drummer-1", epoch=7, version=412, moves_ms=[1000, 60000], clear=True
     ),
@@ -82,20 +84,20 @@
 REPLIES = {
     "relay-reply": RelayReply(status=503, body=b'{"error":"try again"}', retry_after=2),
     "relay-reply-at-once": RelayReply(status=200, body=b"{}"),
-    "report-attempts-reply": ReportAttemptsReply(machines={"host-000231": 2, "host-000232": 1}),
-    "promise-reply": PromiseReply(
+    "report-attempts-reply": HeartbeatAttemptsReply(machines={"host-000231": 2, "host-000232": 1}),
+    "promise-reply": LeaseGrantReply(
         granted=True,
         reason="why",
         weak=True,
         cancelled=["j-000003", "j-000004"],
         told_ms=45000,
     ),
-    "promise-refused": PromiseReply(granted=False, reason="state service reached"),
+    "promise-refused": LeaseGrantReply(granted=False, reason="state service reached"),
     "version-reply": VersionReply(version="0.7.0"),
-    "holding-reply": HoldingReply(holds=True, quiet_ms=0),
-    "holding-reply-unknown": HoldingReply(holds=False),
-    "heartbeats-reply": HeartbeatsReply(own=FULL_HEARTBEAT, heard=[SHORT_HEARTBEAT]),
-    "forwarded-reports-reply": ForwardedReportsReply(answers=[b'{"baton":7,"calls":[]}', None]),
+    "holding-reply": HoldsTermReply(holds=True, quiet_ms=0),
+    "holding-reply-unknown": HoldsTermReply(holds=False),
+    "heartbeats-reply": PeerHeartbeatsReply(own=FULL_HEARTBEAT, heard=[SHORT_HEARTBEAT]),
+    "forwarded-reports-reply": ForwardedHeartbeatsReply(answers=[b'{"baton":7,"calls":[]}', None]),
     "transfer-leadership-reply": TransferLeadershipReply(leads=True),
     "pre-vote-reply": PreVoteReply(free=True),
 }
@@ -145,15 +147,15 @@
 
 
 def test_each_kind_of_message_has_an_entry():
-    assert {type(message) for message in QUESTIONS.values()} == set(get_args(Question))
-    assert {type(message) for message in REPLIES.values()} == set(get_args(Reply))
+    assert {type(message) for message in QUESTIONS.values()} == set(get_args(PeerRequest))
+    assert {type(message) for message in REPLIES.values()} == set(get_args(PeerReply))
 
 
 @pytest.mark.parametrize("name", QUESTIONS)
 def test_questions(name):
     entry = GOLDEN[name]
     assert encode(QUESTIONS[name]) == entry.data
-    assert decode(entry.data, Question) == QUESTIONS[name]
+    assert decode(entry.data, PeerRequest) == QUESTIONS[name]
 
 
 @pytest.mark.parametrize("name", REPLIES)
@@ -188,8 +190,8 @@
 
 
 async def test_a_leader_answers_on_its_address_for_peers():
-    world = await led_world(1, members=("drummer-0",))
+    cluster = await led_cluster(1, members=("drummer-0",))
     question, expected = GOLDEN["holding"], GOLDEN["holding-reply"]
-    serve = world.network.services["back-drummer-0"]
+    serve = cluster.network.services["back-drummer-0"]
     reply = await serve("drummer-1", *as_sent(question))
     assert (reply.status, reply.body) == (expected.status, expected.data)
--- a/dappledrum/golden/test_state_service.py
+++ b/dappledrum/golden/test_key_value_store.py
@@ -1,4 +1,4 @@
-"""Requests to the state service, and its replies."""
+"""Requests to the store, and its replies."""
 
 import random
 from datetime import timedelta
@@ -7,19 +7,19 @@
 import pytest
 
 from dappledrum.golden.entries import load
-from dappledrum.golden.recorder import RecordingCaller, as_sent
+from dappledrum.golden.recording_caller import RecordingCaller, as_sent
 from dappledrum.settings import StateLimits
 from dappledrum.store.client import (
     CompactedError,
     ConflictError,
     LeaseLostError,
     RefusedError,
-    State,
+    StoreClient,
     TooLargeError,
     raw,
 )
 from dappledrum.store.messages import Delete, Entry, Event, Guard, Put
-from dappledrum.store.rate_limiter import Rank
+from dappledrum.store.rate_limiter import RequestPriority
 from dappledrum.timing.clock import Clock
 
 GOLDEN = load("state_service")
@@ -27,11 +27,11 @@
 
 
 def read_key(state):
-    return state.get("job/j-000007", Rank.RECORD)
+    return state.get("job/j-000007", RequestPriority.RECORD)
 
 
 def scan(state):
-    return state.scan("job/", Rank.RECORD)
+    return state.scan("job/", RequestPriority.RECORD)
 
 
 def commit(state):
@@ -42,12 +42,12 @@
             Put(key="epoch", value=raw({"epoch": 7})),
             Delete(key="page/j-000007/1"),
         ],
-        Rank.RECORD,
+        RequestPriority.RECORD,
     )
 
 
 def compare(state):
-    return state.commit([Guard(key="job/j-000007", version=412)], [], Rank.POLL)
+    return state.commit([Guard(key="job/j-000007", version=412)], [], RequestPriority.POLL)
 
 
 def open_lease(state):
@@ -63,7 +63,7 @@
 
 
 def watch(state):
-    return state.watch("job/", 431, timedelta(seconds=10), Rank.RECORD)
+    return state.watch("job/", 431, timedelta(seconds=10), RequestPriority.RECORD)
 
 
 FOUND = Entry(key="job/j-000007", value=msgspec.Raw(b'{"a":1}'), version=412, lease=7)
@@ -111,7 +111,7 @@
 async def test_exchanges(call, sent, replies, expected):
     caller = RecordingCaller(GOLDEN[name] for name in replies)
     limits = StateLimits(rps=200.0, write_rps=100.0, value_kb=8.0, txn_ops=24)
-    state = State(caller, limits, Clock(), random.Random(1))
+    state = StoreClient(caller, limits, Clock(), random.Random(1))
     if isinstance(expected, type):
         with pytest.raises(expected) as caught:
             await call(state)
--- a/dappledrum/golden/test_store.py
+++ b/dappledrum/golden/test_store.py
@@ -1,4 +1,4 @@
-"""Keys and values in the state service."""
+"""Keys and values in the store."""
 
 import random
 from types import SimpleNamespace
@@ -13,7 +13,7 @@
 from dappledrum.fleet.fleet_facts import FLEET
 from dappledrum.fleet.messages import BootingRecord, Catalog, FleetRecord, MachineType
 from dappledrum.golden.entries import load
-from dappledrum.golden.recorder import RecordingCaller, as_sent
+from dappledrum.golden.recording_caller import RecordingCaller, as_sent
 from dappledrum.jobs import record_writer
 from dappledrum.jobs.job import Job, ended_key, head_key, page_key, rows_key, spec_key
 from dappledrum.jobs.messages import (
@@ -32,8 +32,8 @@
 from dappledrum.learning.messages import BootRow, ClassRow, LearnedRecord
 from dappledrum.peers.client import Peers
 from dappledrum.settings import StateLimits
-from dappledrum.simulation.cluster import job, led_world
-from dappledrum.store.client import State, raw
+from dappledrum.simulation.cluster import job, led_cluster
+from dappledrum.store.client import StoreClient, raw
 from dappledrum.store.messages import Delete
 from dappledrum.store.value_limit import ValueLimit
 from dappledrum.timing.clock import Clock
@@ -286,9 +286,9 @@
     monkeypatch.setattr(peer_versions, "__version__", "0.7.0")
     limits = StateLimits(rps=200.0, write_rps=100.0, value_kb=8.0, txn_ops=24)
     caller = RecordingCaller([STATE["key-missing"], STATE["transaction-done"]])
-    state = State(caller, limits, Clock(), random.Random(1))
-    intake = SimpleNamespace(gangs=False)
-    await peer_versions.PeerVersions(state, Peers({}), None, ValueLimit(limits), intake).run()
+    state = StoreClient(caller, limits, Clock(), random.Random(1))
+    job_api = SimpleNamespace(gangs=False)
+    await peer_versions.PeerVersions(state, Peers({}), None, ValueLimit(limits), job_api).run()
     read, write = caller.sent
     assert read == ("GET", f"/keys/{GOLDEN['gangs'].key}", None)
     assert write == as_sent(STATE["write-gangs"])
@@ -296,16 +296,16 @@
 
 
 async def test_a_controller_writes_no_other_keys():
-    world = await led_world(1, members=("drummer-0",))
-    await world.accept(job(7), job(8, form="service"))
-    await world.wait(60)
-    assert not world.rules.broken
-    assert set(world.state.keys) == {
+    cluster = await led_cluster(1, members=("drummer-0",))
+    await cluster.accept(job(7), job(8, form="service"))
+    await cluster.wait(60)
+    assert not cluster.rules.broken
+    assert set(cluster.store.keys) == {
         GOLDEN[name].key
         for name in (
             *("ended-done", "job-just-accepted"),
             *("leader", "epoch", "catalog", "gangs", "fleet", "learned"),
         )
     }
-    assert world.state.keys["leader"][0] == {"member": "drummer-0", "epoch": 1}
-    assert world.state.keys["epoch"][0] == {"epoch": 1}
+    assert cluster.store.keys["leader"][0] == {"member": "drummer-0", "epoch": 1}
+    assert cluster.store.keys["epoch"][0] == {"epoch": 1}
--- a/dappledrum/golden/test_users.py
+++ b/dappledrum/golden/test_users.py
@@ -7,10 +7,10 @@
 import pytest
 
 from dappledrum.golden.entries import load
-from dappledrum.golden.recorder import as_sent
+from dappledrum.golden.recording_caller import as_sent
 from dappledrum.jobs.api import answer, busy, refusal
 from dappledrum.jobs.messages import Answer, Form, Outcome, Priority, Spec
-from dappledrum.simulation.cluster import led_world
+from dappledrum.simulation.cluster import led_cluster
 
 GOLDEN = load("users")
 
@@ -131,13 +131,13 @@
 
 
 async def test_a_controller_serves_users():
-    world = await led_world(1, members=("drummer-0",))
-    serve = world.network.services["drummer-0"]
+    cluster = await led_cluster(1, members=("drummer-0",))
+    serve = cluster.network.services["drummer-0"]
     for name in ("submit-first", "submit-second"):
         spec = json.loads(GOLDEN[name].data) | {"runS": 6.0}
-        world.rules.submitted(spec, asyncio.get_running_loop().time())
+        cluster.rules.submitted(spec, asyncio.get_running_loop().time())
     for exchanges in (AT_ONCE, LATER):
         for request, expected in exchanges:
             reply = await serve("user", *as_sent(GOLDEN[request]))
             assert (reply.status, reply.body) == (GOLDEN[expected].status, GOLDEN[expected].data)
-        await world.wait(60)
+        await cluster.wait(60)
--- a/dappledrum/golden/test_workers.py
+++ b/dappledrum/golden/test_workers.py
@@ -7,25 +7,25 @@
 
 from dappledrum.controller import wiring
 from dappledrum.golden.entries import load
-from dappledrum.golden.recorder import RecordingCaller, as_sent
+from dappledrum.golden.recording_caller import RecordingCaller, as_sent
 from dappledrum.http import server
-from dappledrum.simulation.cluster import led_world
+from dappledrum.simulation.cluster import led_cluster
 from dappledrum.timing.clock import seconds
 from dappledrum.workers.messages import (
     Cause,
     Command,
     Commands,
     Redirect,
-    Report,
-    TaskReport,
     TaskState,
+    TaskStatus,
+    WorkerHeartbeat,
 )
 
 GOLDEN = load("workers")
 
 #: Received only.
 REPORTS = {
-    "report-all-fields": Report(
+    "report-all-fields": WorkerHeartbeat(
         machine="host-000231",
         address="10.1.0.232:9000",
         type="g8",
@@ -36,11 +36,11 @@
         token=41,
         notice_s=29.5,
         tasks=[
-            TaskReport(task="j-000412/3", attempt=2, state="running"),
-            TaskReport(task="j-000398/0", attempt=1, state="ended", cause="stopped", saved=True),
+            TaskStatus(task="j-000412/3", attempt=2, state="running"),
+            TaskStatus(task="j-000398/0", attempt=1, state="ended", cause="stopped", saved=True),
         ],
     ),
-    "report-of-an-empty-machine": Report(
+    "report-of-an-empty-machine": WorkerHeartbeat(
         machine="host-000232",
         address="10.1.0.233:9000",
         type="g8",
@@ -101,7 +101,7 @@
 def test_reports(name):
     entry = GOLDEN[name]
     assert (entry.method, entry.path) == ("POST", server.WORKERS)
-    assert msgspec.json.decode(entry.data, type=Report) == REPORTS[name]
+    assert msgspec.json.decode(entry.data, type=WorkerHeartbeat) == REPORTS[name]
 
 
 @pytest.mark.parametrize("name", ANSWERS)
@@ -118,18 +118,18 @@
 
 async def test_a_leader_answers_a_report():
     """The machine is unknown, and so is its task, which is therefore stopped."""
-    world = await led_world(1, members=("drummer-0",))
+    cluster = await led_cluster(1, members=("drummer-0",))
     expected = GOLDEN["stop-an-unknown-task"]
-    serve = world.network.services["drummer-0"]
+    serve = cluster.network.services["drummer-0"]
     reply = await serve("worker", *as_sent(GOLDEN["report-of-an-unknown-task"]))
     assert (reply.status, reply.body) == (expected.status, expected.data)
 
 
 async def test_a_follower_redirects_a_report():
-    world = await led_world(1, reach=False)
-    leader = world.leader()
-    follower = next(member for member in world.members if member != leader)
-    serve = world.network.services[follower]
+    cluster = await led_cluster(1, reach=False)
+    leader = cluster.leader()
+    follower = next(member for member in cluster.members if member != leader)
+    serve = cluster.network.services[follower]
     reply = await serve("worker", *as_sent(GOLDEN["report-of-an-unknown-task"]))
     expected = GOLDEN["redirect"]
     assert reply.status == expected.status
--- a/dappledrum/jobs/__init__.py
+++ b/dappledrum/jobs/__init__.py
@@ -1,1 +1,1 @@
-"""Jobs: their records in the state service, their intake, and the leader's writing of progress."""
+"""Jobs: their records in the store, their intake, and the leader's writing of progress."""
--- a/dappledrum/jobs/api.py
+++ b/dappledrum/jobs/api.py
@@ -1,6 +1,6 @@
 """What users ask for.
 
-Any controller serves it, straight from the state service. Nothing is answered from memory but
+Any controller serves it, straight from the store. Nothing is answered from memory but
 final states: whoever has been told something by one controller must not be told anything older by
 another, so each answer rests on a read that began after its request came in.
 """
@@ -14,7 +14,7 @@
 import msgspec
 
 from dappledrum.accounting.served_counts import described
-from dappledrum.dependencies.lookup import Lookup
+from dappledrum.dependencies.lookup import DependencyLookup
 from dappledrum.fleet.messages import MachineType
 from dappledrum.http.server import Response
 from dappledrum.jobs.confirmed_cancellations import ConfirmedCancellations
@@ -29,21 +29,21 @@
     PageRecord,
     Spec,
 )
-from dappledrum.jobs.poll_batcher import LiveRecord, LiveStatus, Polls, StoredJob, seen
-from dappledrum.jobs.submission_batcher import Admission
+from dappledrum.jobs.poll_batcher import LiveRecord, LiveStatus, PollBatcher, StoredJob, seen
+from dappledrum.jobs.submission_batcher import SubmissionBatcher
 from dappledrum.jobs.value_parts import LONG, split_spec
 from dappledrum.settings import Params
 from dappledrum.store.client import (
     ConflictError,
     RefusedError,
-    State,
-    StateError,
+    StoreClient,
+    StoreError,
     TooLargeError,
     raw,
 )
 from dappledrum.store.hedged_commit import commit_or_find
 from dappledrum.store.messages import Guard, Put
-from dappledrum.store.rate_limiter import Rank
+from dappledrum.store.rate_limiter import RequestPriority
 from dappledrum.store.value_limit import ValueLimit
 from dappledrum.timing.clock import Clock
 
@@ -96,13 +96,17 @@
     return spec.cpus <= kind.cpus and spec.gpus <= kind.gpus and spec.memory_gb <= kind.memory_gb
 
 
-class Intake:
+class JobApi:
     """Submissions, polls and cancellations."""
 
     def __init__(
-        self, state: State, params: Params, clock: Clock, value_limit: ValueLimit | None = None
+        self,
+        store: StoreClient,
+        params: Params,
+        clock: Clock,
+        value_limit: ValueLimit | None = None,
     ) -> None:
-        self.state = state
+        self.store = store
         self.params = params
         self.clock = clock
         self.value_limit = value_limit or ValueLimit(params.state)
@@ -111,11 +115,13 @@
         self.gangs = False
         self.ended: OrderedDict[str, EndedRecord] = OrderedDict()
         self.confirmed = ConfirmedCancellations(clock.now())
-        self.admission = Admission(state, params.state.txn_ops, self.find)
-        self.polls = Polls(
-            state, params.state.txn_ops * 4, self.find, self._find_many, self._find_ended
+        self.admission = SubmissionBatcher(store, params.state.txn_ops, self.find)
+        self.polls = PollBatcher(
+            store, params.state.txn_ops * 4, self.find, self._find_many, self._find_ended
+        )
+        self.lookup = DependencyLookup(
+            store, params.state.txn_ops * 4, self._read_live, self._find_many
         )
-        self.lookup = Lookup(state, params.state.txn_ops * 4, self._read_live, self._find_many)
 
     def remember(self, job: str, record: EndedRecord) -> None:
         """Keep a final state; it never changes again."""
@@ -136,7 +142,7 @@
             return self._present(spec.id, self.ended[spec.id], HTTPStatus.OK)
         try:
             return await self._submit(spec)
-        except StateError as error:
+        except StoreError as error:
             log.info("submission %s not taken: %s", spec.id, error)
             return busy()
 
@@ -164,7 +170,7 @@
             self.value_limit.refused(max(len(bytes(put.value)) for put in puts), str(error))
             return busy()
         except ConflictError:
-            found = await self.find(spec.id, Rank.INTAKE)
+            found = await self.find(spec.id, RequestPriority.INTAKE)
             if isinstance(found, tuple):
                 self.polls.note(spec.id, seen(found[0]), found[1])
             return busy() if found is None else self._present(spec.id, found, HTTPStatus.OK)
@@ -185,13 +191,13 @@
             return objection
         try:
             return await self._unless_accepted(name, objection)
-        except StateError as error:
+        except StoreError as error:
             log.info("malformed submission %s not refused: %s", name, error)
             return busy()
 
     async def _unless_accepted(self, job: str, objection: Response) -> Response:
         """Refuse a submission; accepted once means accepted for ever, so look before."""
-        found = self.ended.get(job) or await self.find(job, Rank.INTAKE)
+        found = self.ended.get(job) or await self.find(job, RequestPriority.INTAKE)
         return objection if found is None else self._present(job, found, HTTPStatus.OK)
 
     async def _objection(self, spec: Spec) -> Response | None:
@@ -239,7 +245,7 @@
             return self._present(job, known, HTTPStatus.OK)
         try:
             found = await self.polls.ask(job)
-        except StateError as error:
+        except StoreError as error:
             log.debug("poll of %s not answered: %s", job, error)
             return busy()
         if found is None:
@@ -250,22 +256,22 @@
         """POST /submissions/{id}/cancel."""
         try:
             for _ in range(6):
-                found = self.ended.get(job) or await self.find(job, Rank.INTAKE)
+                found = self.ended.get(job) or await self.find(job, RequestPriority.INTAKE)
                 if found is None:
                     return refusal(HTTPStatus.NOT_FOUND, "no such job")
                 if isinstance(found, EndedRecord) or found[0].cancelled:
                     return self._present(job, found, HTTPStatus.OK, brief=True)
                 record, version = found
                 record.cancelled = True
-                if self.state.busy_for(Rank.INTAKE, writes=1) > timedelta(seconds=0.3):
+                if self.store.busy_for(RequestPriority.INTAKE, writes=1) > timedelta(seconds=0.3):
                     return busy()
                 try:
                     guards = [Guard(head_key(job), version), Guard(ended_key(job), 0)]
                     stored = await commit_or_find(
-                        self.state,
+                        self.store,
                         guards,
                         [Put(head_key(job), raw(record))],
-                        Rank.INTAKE,
+                        RequestPriority.INTAKE,
                         lambda: self._cancelled(job),
                     )
                 except ConflictError:
@@ -275,42 +281,42 @@
                     return self._present(job, stored, HTTPStatus.OK, brief=True)
                 log.info("cancelled %s", job)
                 return self._present(job, (record, version), HTTPStatus.OK, brief=True)
-        except StateError as error:
+        except StoreError as error:
             # Too large a head is written again by the leader, in parts.
             log.info("cancellation of %s not taken: %s", job, error)
         return busy()
 
     async def _cancelled(self, job: str) -> StoredJob:
         """What is stored of a job that is cancelled or over, whoever has stored it; else None."""
-        found = await self.find(job, Rank.INTAKE)
+        found = await self.find(job, RequestPriority.INTAKE)
         if isinstance(found, tuple) and not found[0].cancelled:
             return None
         return found
 
-    async def find(self, job: str, rank: Rank) -> StoredJob:
+    async def find(self, job: str, rank: RequestPriority) -> StoredJob:
         """Read a job.
 
         It moves from live to ended only, so the live key is read first; both absent: never
         accepted.
         """
         self._affordable(rank)
-        entry = await self.state.get(head_key(job), rank, READ_TIMEOUT)
+        entry = await self.store.get(head_key(job), rank, READ_TIMEOUT)
         if entry is not None:
             return self._decode(entry.value, JobRecord), entry.version
         return await self._find_ended(job, rank)
 
     async def _read_live(self, job: str) -> JobRecord | None:
         """Read the head of a live job."""
-        entry = await self.state.get(head_key(job), Rank.INTAKE, READ_TIMEOUT)
+        entry = await self.store.get(head_key(job), RequestPriority.INTAKE, READ_TIMEOUT)
         return None if entry is None else self._decode(entry.value, JobRecord)
 
-    def _affordable(self, rank: Rank) -> None:
-        if self.state.busy_for(rank) > READ_TIMEOUT / 2:
+    def _affordable(self, rank: RequestPriority) -> None:
+        if self.store.busy_for(rank) > READ_TIMEOUT / 2:
             raise RefusedError("over the share of requests")
 
-    async def _find_ended(self, job: str, rank: Rank) -> EndedRecord | None:
+    async def _find_ended(self, job: str, rank: RequestPriority) -> EndedRecord | None:
         """Read the final state of a job that is not live any more, or never was."""
-        entry = await self.state.get(ended_key(job), rank, READ_TIMEOUT)
+        entry = await self.store.get(ended_key(job), rank, READ_TIMEOUT)
         if entry is None:
             return None
         record = self._decode(entry.value, EndedRecord)
@@ -320,14 +326,14 @@
     async def _find_many(self, jobs: set[str]) -> dict[str, LiveRecord]:
         """Those of the jobs that are live, from one look at all live ones; a record that can't be
         read is the trouble of those who ask for its job, not of all who ask together."""
-        entries, _ = await self.state.scan(head_key(""), Rank.POLL)
+        entries, _ = await self.store.scan(head_key(""), RequestPriority.POLL)
         result: dict[str, LiveRecord] = {}
         for entry in entries:
             job = entry.key.removeprefix(head_key(""))
             if job in jobs:
                 try:
                     result[job] = self._decode(entry.value, JobRecord), entry.version
-                except StateError as error:
+                except StoreError as error:
                     result[job] = error
         return result
 
@@ -336,7 +342,7 @@
         try:
             return msgspec.json.decode(value, type=kind)
         except msgspec.DecodeError as error:
-            raise StateError(f"unusable record: {error}") from error
+            raise StoreError(f"unusable record: {error}") from error
 
     def _present(
         self, job: str, found: StoredJob | LiveStatus, status: int, brief: bool = False
--- a/dappledrum/jobs/messages.py
+++ b/dappledrum/jobs/messages.py
@@ -1,4 +1,4 @@
-"""Submissions and answers as users see them, and records as the state service keeps them."""
+"""Submissions and answers as users see them, and records as the store keeps them."""
 
 from datetime import timedelta
 from enum import StrEnum
@@ -11,7 +11,7 @@
 
 MAX_TASKS = 100_000
 
-# `$` would let a line break follow, which no key of the state service may hold.
+# `$` would let a line break follow, which no key of the store may hold.
 JobId = Annotated[str, Meta(pattern=r"^j-[0-9]{1,30}\Z")]
 Label = Annotated[str, Meta(min_length=1, max_length=200)]
 Amount = Annotated[float, Meta(ge=0, le=1e9)]
--- a/dappledrum/jobs/poll_batcher.py
+++ b/dappledrum/jobs/poll_batcher.py
@@ -1,6 +1,6 @@
 """Answers to polls, many from one read.
 
-With a swarm of small jobs there are more polls than the state service takes requests. What a
+With a swarm of small jobs there are more polls than the store takes requests. What a
 controller has read before is kept with its version, and one transaction that only compares says
 for dozens of jobs at once whether that still holds. It begins after the polls that it answers
 came in, so nobody is told anything older than what another controller has said.
@@ -15,10 +15,10 @@
 
 from dappledrum.jobs.job import head_key
 from dappledrum.jobs.messages import EndedRecord, JobRecord
-from dappledrum.store.client import ConflictError, RefusedError, State, StateError
+from dappledrum.store.client import ConflictError, RefusedError, StoreClient, StoreError
 from dappledrum.store.hedged_commit import commit_idempotent
 from dappledrum.store.messages import Guard
-from dappledrum.store.rate_limiter import Rank
+from dappledrum.store.rate_limiter import RequestPriority
 
 log = logging.getLogger(__name__)
 
@@ -38,7 +38,7 @@
     running: int
 
 
-LiveRecord = tuple[JobRecord, int] | StateError  # of a live job, or why its record is of no use
+LiveRecord = tuple[JobRecord, int] | StoreError  # of a live job, or why its record is of no use
 StoredJob = tuple[JobRecord, int] | EndedRecord | None
 PollAnswer = LiveStatus | EndedRecord | None
 
@@ -48,18 +48,18 @@
     return LiveStatus(record.cancelled, record.done, record.running)
 
 
-class Polls:
+class PollBatcher:
     """Waiting polls, and what is known of live jobs."""
 
     def __init__(
         self,
-        state: State,
+        store: StoreClient,
         max_guards: int,
-        find: Callable[[str, Rank], Awaitable[StoredJob]],
+        find: Callable[[str, RequestPriority], Awaitable[StoredJob]],
         find_many: Callable[[set[str]], Awaitable[dict[str, LiveRecord]]],
-        find_ended: Callable[[str, Rank], Awaitable[EndedRecord | None]],
+        find_ended: Callable[[str, RequestPriority], Awaitable[EndedRecord | None]],
     ) -> None:
-        self.state = state
+        self.store = store
         self.max_guards = max_guards
         self.find = find
         self.find_many = find_many
@@ -80,7 +80,7 @@
 
     async def ask(self, job: str) -> PollAnswer:
         """State of a job, from a reading that begins after this call."""
-        wait = self.state.busy_for(Rank.POLL)
+        wait = self.store.busy_for(RequestPriority.POLL)
         if wait > REQUEST_TIMEOUT * 0.8 or len(self.waiting) > KEPT:
             raise RefusedError("over the share of requests")
         answer = self.waiting.get(job)
@@ -95,9 +95,11 @@
         try:
             while self.waiting:
                 # The more of the share is used up, the more polls go into one reading.
-                scarce = 1 - max(0.0, self.state.requests.level) / self.state.requests.size
+                scarce = 1 - max(0.0, self.store.requests.level) / self.store.requests.size
                 pause = GATHER + (MAX_GATHER_TIME - GATHER) * scarce
-                pause = max(pause, min(self.state.busy_for(Rank.POLL), REQUEST_TIMEOUT / 2))
+                pause = max(
+                    pause, min(self.store.busy_for(RequestPriority.POLL), REQUEST_TIMEOUT / 2)
+                )
                 await asyncio.sleep(pause.total_seconds())
                 if len(self.running) >= AT_ONCE:
                     await asyncio.wait(self.running, return_when=asyncio.FIRST_COMPLETED)
@@ -121,23 +123,23 @@
                     else:
                         answer.set_result(value)
         except Exception as error:  # those who wait must hear of whatever went wrong
-            if not isinstance(error, StateError):
+            if not isinstance(error, StoreError):
                 log.exception("reading for polls failed, going on")
             for answer in batch.values():
                 if not answer.done():
-                    answer.set_exception(StateError(str(error)))
+                    answer.set_exception(StoreError(str(error)))
         for answer in batch.values():
             answer.exception()  # whoever asked may have gone
 
-    async def _read(self, jobs: set[str]) -> dict[str, PollAnswer | StateError]:
+    async def _read(self, jobs: set[str]) -> dict[str, PollAnswer | StoreError]:
         held = await self._unchanged({job for job in jobs if job in self.known})
-        result: dict[str, PollAnswer | StateError] = dict(held)
+        result: dict[str, PollAnswer | StoreError] = dict(held)
         missing = jobs - held.keys()
-        find: Callable[[str, Rank], Awaitable[StoredJob]] = self.find
+        find: Callable[[str, RequestPriority], Awaitable[StoredJob]] = self.find
         if len(missing) > SINGLE:
             find = self.find_ended  # what is not among the live ones now was over before
             for job, found in (await self.find_many(missing)).items():
-                if isinstance(found, StateError):
+                if isinstance(found, StoreError):
                     result[job] = found
                 else:
                     result[job] = seen(found[0])
@@ -154,7 +156,7 @@
         claims = {job: self.known[job] for job in jobs}
         guards = [Guard(head_key(job), version) for job, (_, version) in claims.items()]
         try:
-            await commit_idempotent(self.state, guards, [], Rank.POLL, REQUEST_TIMEOUT)
+            await commit_idempotent(self.store, guards, [], RequestPriority.POLL, REQUEST_TIMEOUT)
             failed: set[str] = set()
         except ConflictError as error:
             failed = set(error.failed)
@@ -169,11 +171,11 @@
         return result
 
     async def _single(
-        self, find: Callable[[str, Rank], Awaitable[StoredJob]], job: str
-    ) -> PollAnswer | StateError:
+        self, find: Callable[[str, RequestPriority], Awaitable[StoredJob]], job: str
+    ) -> PollAnswer | StoreError:
         try:
-            found = await find(job, Rank.POLL)
-        except StateError as error:
+            found = await find(job, RequestPriority.POLL)
+        except StoreError as error:
             return error
         if isinstance(found, tuple):
             record, version = found
--- a/dappledrum/jobs/record_writer.py
+++ b/dappledrum/jobs/record_writer.py
@@ -1,4 +1,4 @@
-"""Writes the leader's changes to the state service, many pages in one transaction.
+"""Writes the leader's changes to the store, many pages in one transaction.
 
 Every transaction is guarded by the leader's key and by the version of each page. After a conflict
 or an unknown outcome the pages concerned are read again before they are written again; writing
@@ -22,14 +22,14 @@
 from dappledrum.store.client import (
     TXN_BYTES,
     ConflictError,
-    State,
-    StateError,
+    StoreClient,
+    StoreError,
     TooLargeError,
     raw,
 )
 from dappledrum.store.hedged_commit import Evidence, commit_idempotent, commit_or_find
 from dappledrum.store.messages import Delete, Guard, Put
-from dappledrum.store.rate_limiter import Rank
+from dappledrum.store.rate_limiter import RequestPriority
 from dappledrum.store.value_limit import ValueLimit
 from dappledrum.timing.clock import Clock
 
@@ -43,13 +43,18 @@
 LOOK = timedelta(milliseconds=100)
 
 
-class Recorder:
+class RecordWriter:
     """One for each term of leadership."""
 
     def __init__(
-        self, state: State, term: Term, limits: StateLimits, value_limit: ValueLimit, clock: Clock
+        self,
+        store: StoreClient,
+        term: Term,
+        limits: StateLimits,
+        value_limit: ValueLimit,
+        clock: Clock,
     ) -> None:
-        self.state = state
+        self.store = store
         self.term = term
         self.limits = limits
         self.value_limit = value_limit
@@ -110,7 +115,7 @@
                 try:
                     if not await self._flush():
                         await self._pause()
-                except StateError as error:
+                except StoreError as error:
                     log.info("progress not written yet: %s", error)
                     await asyncio.sleep(0.1)
                 except Exception:  # the loop must go on, else nothing is ever placed again
@@ -142,7 +147,7 @@
         urgent = [p for p, since in self.dirty.items() if p.starts > p.saved or now - since > LAZY]
         # Starts of urgent jobs before others': a swarm of small jobs must not delay them.
         urgent.sort(key=lambda page: (page.starts <= page.saved, page.job.rank))
-        spare = min(capacity, int(self.state.writes.level - 0.5 * self.state.writes.size))
+        spare = min(capacity, int(self.store.writes.level - 0.5 * self.store.writes.size))
         hurried = set(urgent)
         lazy = [page for page in self.dirty if page not in hurried][: max(0, spare)]
         pages: list[Page] = []
@@ -180,7 +185,7 @@
     def _capacity(self) -> int:
         """Number of changes for the next transaction: what the rate allows now, but always a
         few."""
-        allowed = int(self.state.writes.level - 0.2 * self.state.writes.size)
+        allowed = int(self.store.writes.level - 0.2 * self.store.writes.size)
         return max(4, min(self.limits.txn_ops, allowed))
 
     async def _write(self, pages: list[Page], jobs: list[Job]) -> None:
@@ -228,7 +233,7 @@
             ):
                 raise
             return  # certainly not executed: again, in parts
-        except StateError:
+        except StoreError:
             for page, _, parts, _, _ in written:
                 page.parts = max(page.parts, parts)  # whatever may be there is removed later
                 page.uncertain = page.twin_possible = True
@@ -261,9 +266,9 @@
     ) -> int:
         """Store the changes; returns the revision."""
         if not evidence:
-            return await self.state.commit(guards, changes, Rank.RECORD)
+            return await self.store.commit(guards, changes, RequestPriority.RECORD)
         return await commit_or_find(
-            self.state, guards, changes, Rank.RECORD, lambda: self._find(evidence[0])
+            self.store, guards, changes, RequestPriority.RECORD, lambda: self._find(evidence[0])
         )
 
     async def _find(self, evidence: Evidence) -> int | None:
@@ -271,7 +276,7 @@
 
         Read while the lease certainly lasted, so no other leader can have written the value.
         """
-        entry = await self.state.get(evidence.key, Rank.RECORD)
+        entry = await self.store.get(evidence.key, RequestPriority.RECORD)
         led = not self.term.over.is_set() and self.clock.now() < self.term.valid_until
         if entry is None or not led or not evidence.shown_by(entry):
             return None
@@ -287,7 +292,7 @@
         if not page.uncertain:
             return True
         job = page.job
-        entry = await self.state.get(page.key, Rank.RECORD)
+        entry = await self.store.get(page.key, RequestPriority.RECORD)
         if entry is not None:
             page.version = entry.version
             if (
@@ -315,7 +320,7 @@
         successor has removed: jobs that it had taken for done and that users have cancelled since.
         It once answered users from what it remembered of them.
         """
-        entry = await self.state.get(ended_key(job.id), Rank.RECORD)
+        entry = await self.store.get(ended_key(job.id), RequestPriority.RECORD)
         try:
             if entry is None:
                 raise msgspec.DecodeError("no record")
@@ -351,7 +356,9 @@
         heads = {key: head_key(key.split("/")[1]) for key in keys}
         guards = [self.term.guard(), *(Guard(head, 0) for head in sorted(set(heads.values())))]
         try:
-            await commit_idempotent(self.state, guards, [Delete(key) for key in keys], Rank.POLL)
+            await commit_idempotent(
+                self.store, guards, [Delete(key) for key in keys], RequestPriority.POLL
+            )
         except ConflictError as error:
             if LEADER in error.failed:
                 self._replaced()
--- a/dappledrum/jobs/submission_batcher.py
+++ b/dappledrum/jobs/submission_batcher.py
@@ -1,4 +1,4 @@
-"""Puts accepted jobs into the state service, those that come together in one transaction.
+"""Puts accepted jobs into the store, those that come together in one transaction.
 
 Each job keeps its own guards. When one of them fails, only its job hears of it, and the others are
 written without it. While the answer of a transaction is late, its jobs are looked up: one that is
@@ -12,14 +12,14 @@
 
 from dappledrum.jobs.job import ended_key, head_key
 from dappledrum.jobs.poll_batcher import StoredJob
-from dappledrum.store.client import TXN_BYTES, ConflictError, State, StateError
+from dappledrum.store.client import TXN_BYTES, ConflictError, StoreClient, StoreError
 from dappledrum.store.hedged_commit import commit_or_find
 from dappledrum.store.messages import Guard, Put
-from dappledrum.store.rate_limiter import Rank
+from dappledrum.store.rate_limiter import RequestPriority
 from dappledrum.timing.clock import ZERO
 
 GATHER = timedelta(milliseconds=5)
-AT_ONCE = 4  # one slow answer of the state service must not hold up whoever comes next
+AT_ONCE = 4  # one slow answer of the store must not hold up whoever comes next
 QUEUE = timedelta(milliseconds=300)  # what would wait for longer is told to come back
 
 
@@ -34,13 +34,16 @@
             self.answer.set_exception(error)
 
 
-class Admission:
-    """Jobs on their way into the state service."""
+class SubmissionBatcher:
+    """Jobs on their way into the store."""
 
     def __init__(
-        self, state: State, max_changes: int, find: Callable[[str, Rank], Awaitable[StoredJob]]
+        self,
+        store: StoreClient,
+        max_changes: int,
+        find: Callable[[str, RequestPriority], Awaitable[StoredJob]],
     ) -> None:
-        self.state = state
+        self.store = store
         self.max_changes = max_changes
         self.find = find
         self.waiting: dict[str, _Item] = {}
@@ -49,7 +52,7 @@
 
     def full(self) -> bool:
         """Whether the rate of changes leaves no room for one more job soon."""
-        return self.state.busy_for(Rank.INTAKE, writes=len(self.waiting) + 1) > QUEUE
+        return self.store.busy_for(RequestPriority.INTAKE, writes=len(self.waiting) + 1) > QUEUE
 
     async def admit(self, job: str, puts: list[Put]) -> int | StoredJob:
         """Store a new job; returns the version, or what was read of the job while the answer was
@@ -81,7 +84,7 @@
         for item in list(self.waiting.values()):
             size += sum(len(bytes(put.value)) + 300 for put in item.puts)
             changes += len(item.puts)
-            over = self.state.busy_for(Rank.INTAKE, writes=changes) > ZERO
+            over = self.store.busy_for(RequestPriority.INTAKE, writes=changes) > ZERO
             if batch and (size > TXN_BYTES or changes > self.max_changes or over):
                 break
             batch.append(self.waiting.pop(item.job))
@@ -94,7 +97,7 @@
         try:
             puts = [put for item in batch for put in item.puts]
             version = await commit_or_find(
-                self.state, guards, puts, Rank.INTAKE, lambda: self._find(batch)
+                self.store, guards, puts, RequestPriority.INTAKE, lambda: self._find(batch)
             )
         except ConflictError as error:
             failed = set(error.failed)
@@ -104,12 +107,12 @@
             others = [i for i in batch if i not in refused and not i.answer.done()]
             if others:
                 await self._commit(others)
-        except StateError as error:
+        except StoreError as error:
             for item in batch:
                 item.fail(type(error)(str(error)))
         except Exception as error:
             for item in batch:
-                item.fail(StateError(str(error)))
+                item.fail(StoreError(str(error)))
             raise
         else:
             for item in batch:
@@ -128,9 +131,9 @@
         for item in batch:
             if item.answer.done():
                 continue
-            if self.state.busy_for(Rank.INTAKE) > ZERO:
+            if self.store.busy_for(RequestPriority.INTAKE) > ZERO:
                 return None
-            found = await self.find(item.job, Rank.INTAKE)
+            found = await self.find(item.job, RequestPriority.INTAKE)
             if found is None:
                 return None
             if not item.answer.done():
--- a/dappledrum/jobs/test_api.py
+++ b/dappledrum/jobs/test_api.py
@@ -10,7 +10,7 @@
 from dappledrum.http.server import Request
 from dappledrum.jobs.job import Job, Page
 from dappledrum.jobs.messages import JobRecord, PageRecord, Spec
-from dappledrum.simulation.cluster import job, led_world
+from dappledrum.simulation.cluster import job, led_cluster
 from dappledrum.simulation.virtual_time import run
 
 
@@ -18,8 +18,8 @@
     """Statuses of submissions, sent to one controller of a quiet world."""
 
     async def main():
-        world = await led_world(1)
-        replies = [await world._ask("POST", "/submissions", body) for body in bodies]
+        cluster = await led_cluster(1)
+        replies = [await cluster._ask("POST", "/submissions", body) for body in bodies]
         return [reply.status for reply in replies if reply is not None]
 
     return run(main())
@@ -95,7 +95,7 @@
 
 
 async def test_paths_and_methods():
-    world = await led_world(1)
+    cluster = await led_cluster(1)
     for method, path, status in (
         ("GET", "/submissions/j-000009", 404),
         ("GET", "/submissions/nonsense", 404),
@@ -111,48 +111,50 @@
         ("GET", "/", 404),
         ("POST", "/hello", 400),
     ):
-        reply = await world._ask(method, path, b"")
+        reply = await cluster._ask(method, path, b"")
         assert reply is not None and reply.status == status, path
 
 
 @pytest.mark.parametrize("name", ["j-\u00b2", "j-", "j-" + "1" * 31, "j-1\n"])
 async def test_a_name_that_no_job_can_have_is_not_looked_up(name):
-    """Not every digit is an ASCII one: such a name went to the state service as part of a path."""
-    world = await led_world(1)
+    """Not every digit is an ASCII one: such a name went to the store as part of a path."""
+    cluster = await led_cluster(1)
     began = asyncio.get_running_loop().time()
-    reply = await world.nodes["drummer-1"].serve(Request("GET", f"/submissions/{name}", b""))
+    reply = await cluster.controllers["drummer-1"].serve(
+        Request("GET", f"/submissions/{name}", b"")
+    )
     assert reply.status == 404 and asyncio.get_running_loop().time() == began
 
 
 async def test_a_very_large_job_keeps_within_the_store():
     """The stand-in checks sizes of values and transactions; most tasks of the job are already
     done."""
-    world = await led_world(8)
-    names = await world.accept(
+    cluster = await led_cluster(8)
+    names = await cluster.accept(
         job(1, beats=100_000, vcpus=0.25, memGb=0.1, runS=2.0, dueS=None), job(2)
     )
-    await world.until(lambda: world.rules.starts > 300)
-    leader = world.nodes[world.leader()]
+    await cluster.until(lambda: cluster.rules.starts > 300)
+    leader = cluster.controllers[cluster.leader()]
     live = leader.leader.jobs["j-000001"]
-    facts = world.rules.jobs["j-000001"]
+    facts = cluster.rules.jobs["j-000001"]
     for index in range(live.page_count - 1):
         page = live.page(index)
         if not page.places and page.done == 0:
             page.done = (1 << page.count) - 1
             live.done += page.count
             page.touch()
-            leader.leader.recorder.mark(page)
+            leader.leader.record_writer.mark(page)
             facts.done.update(range(page.first, page.first + page.count))
-    await world.until(lambda: len(leader.leader.recorder.dirty) < 8)
+    await cluster.until(lambda: len(leader.leader.record_writer.dirty) < 8)
     for _ in range(10):  # the totals in the head follow the pages
-        reply = await world._ask("GET", "/submissions/j-000001")
+        reply = await cluster._ask("GET", "/submissions/j-000001")
         if reply is not None and json.loads(reply.body)["done"] > 90_000:
             break
-        await world.wait(1)
+        await cluster.wait(1)
     else:
         raise AssertionError("the totals are not in the head")
-    await world.restart(world.leader())
-    await world.finish(names, most=600)
+    await cluster.restart(cluster.leader())
+    await cluster.finish(names, most=600)
 
 
 def test_stored_pages_come_back_the_same():
@@ -220,53 +222,53 @@
 
 async def test_types_learned_while_a_submission_waits_do_not_turn_it_into_a_refusal():
     """The catalog came in between the verdict and the answer, and a good job got 422 for ever."""
-    world = await led_world(1)
-    intake = world.nodes["drummer-0"].intake
-    types, intake.types = intake.types, None
-    asyncio.get_running_loop().call_later(0.002, setattr, intake, "types", types)
-    reply = await intake.submit(body())
-    assert intake.types is types and reply.status == 503
+    cluster = await led_cluster(1)
+    job_api = cluster.controllers["drummer-0"].job_api
+    types, job_api.types = job_api.types, None
+    asyncio.get_running_loop().call_later(0.002, setattr, job_api, "types", types)
+    reply = await job_api.submit(body())
+    assert job_api.types is types and reply.status == 503
 
 
 async def test_a_record_that_cannot_be_read_is_the_trouble_of_its_own_job():
     """It made a batch of polls fail, and kept a leader from reading the others."""
-    world = await led_world(9)
-    names = await world.accept_jobs(6, runS=20.0)
-    await world.until(lambda: world.rules.starts >= 4)
+    cluster = await led_cluster(9)
+    names = await cluster.accept_jobs(6, runS=20.0)
+    await cluster.until(lambda: cluster.rules.starts >= 4)
     bad = names[2]
-    world.state.tally += 1
-    world.state.keys[f"job/{bad}"] = ({"spec": 7}, world.state.tally, None)
-    await world.restart_all(0.2)
-    await world.until_led()
-    asked = [asyncio.ensure_future(world.poll(name, world.members[0])) for name in names]
+    cluster.store.tally += 1
+    cluster.store.keys[f"job/{bad}"] = ({"spec": 7}, cluster.store.tally, None)
+    await cluster.restart_all(0.2)
+    await cluster.until_led()
+    asked = [asyncio.ensure_future(cluster.poll(name, cluster.members[0])) for name in names]
     states = dict(zip(names, await asyncio.gather(*asked), strict=True))
     assert states.pop(bad) is None, "neither told anything nor forgotten"
     assert None not in states.values()
-    await world.submit(job(7))
-    await world.finish([*states, "j-000007"], most=200)
-    assert f"job/{bad}" in world.state.keys
+    await cluster.submit(job(7))
+    await cluster.finish([*states, "j-000007"], most=200)
+    assert f"job/{bad}" in cluster.store.keys
 
 
 async def test_the_form_that_is_remembered_is_the_one_that_was_stored():
     """A repeated submission of another form joined the first one, and its form was remembered: a
     job that waits for the service would have been accepted, and never have begun."""
-    world = await led_world(10)
-    await world.wait(1)
-    intake = world.nodes["drummer-1"].intake
+    cluster = await led_cluster(10)
+    await cluster.wait(1)
+    job_api = cluster.controllers["drummer-1"].job_api
     replies = await asyncio.gather(
-        intake.submit(body(form="service")), intake.submit(body(form="batch"))
+        job_api.submit(body(form="service")), job_api.submit(body(form="batch"))
     )
     assert [reply.status for reply in replies] == [201, 201]
-    reply = await intake.submit(body(id="j-000002", waitsOn=["j-000001"]))
+    reply = await job_api.submit(body(id="j-000002", waitsOn=["j-000001"]))
     assert reply.status == 422
 
 
 async def test_a_known_job_that_names_too_many_others_is_not_refused():
-    world = await led_world(11)
-    await world.wait(1)
-    intake = world.nodes["drummer-1"].intake
-    assert (await intake.submit(body())).status == 201
-    state = msgspec.structs.replace(intake.params.state, txn_ops=0)
-    intake.params = msgspec.structs.replace(intake.params, state=state)
-    assert (await intake.submit(body())).status == 200
-    assert (await intake.submit(body(id="j-000002"))).status == 400
+    cluster = await led_cluster(11)
+    await cluster.wait(1)
+    job_api = cluster.controllers["drummer-1"].job_api
+    assert (await job_api.submit(body())).status == 201
+    state = msgspec.structs.replace(job_api.params.state, txn_ops=0)
+    job_api.params = msgspec.structs.replace(job_api.params, state=state)
+    assert (await job_api.submit(body())).status == 200
+    assert (await job_api.submit(body(id="j-000002"))).status == 400
--- a/dappledrum/jobs/test_old_records.py
+++ b/dappledrum/jobs/test_old_records.py
@@ -7,17 +7,17 @@
 import cbor2
 import msgspec
 
-from dappledrum.election.messages import EpochRecord, LeaderRecord, PromiseReply
+from dappledrum.election.messages import EpochRecord, LeaderRecord, LeaseGrantReply
 from dappledrum.fleet.messages import Catalog, FleetRecord
 from dappledrum.jobs.job import Job
 from dappledrum.jobs.messages import EndedRecord, JobRecord, Outcome, PageRecord
 from dappledrum.peers.messages import (
-    Promise,
-    Question,
+    HeartbeatAttemptsReply,
+    HeartbeatAttemptsRequest,
+    LeaseGrantCall,
+    PeerRequest,
     Relay,
     RelayReply,
-    ReportAttemptsQuestion,
-    ReportAttemptsReply,
 )
 from dappledrum.peers.messages import decode as decode_peer
 from dappledrum.simulation.cluster import job
@@ -152,15 +152,18 @@
     assert msgspec.json.decode(catalog, type=Catalog).types[0].name == "small"
     questions = [
         ({"kind": "relay", "method": "GET", "path": "/x", "body": b""}, Relay),
-        ({"kind": "knocks", "within_ms": 10}, ReportAttemptsQuestion),
-        ({"kind": "promise", "request": {"member": "n", "epoch": 3, "for_ms": 2000}}, Promise),
+        ({"kind": "knocks", "within_ms": 10}, HeartbeatAttemptsRequest),
+        (
+            {"kind": "promise", "request": {"member": "n", "epoch": 3, "for_ms": 2000}},
+            LeaseGrantCall,
+        ),
     ]
     for message, kind in questions:
-        assert isinstance(decode_peer(cbor2.dumps(message), Question), kind)
+        assert isinstance(decode_peer(cbor2.dumps(message), PeerRequest), kind)
     replies = [
         ({"status": 200, "body": b"{}", "retry_after": None}, RelayReply),
-        ({"machines": {"host-000001": 2}}, ReportAttemptsReply),
-        ({"granted": False, "reason": "why"}, PromiseReply),
+        ({"machines": {"host-000001": 2}}, HeartbeatAttemptsReply),
+        ({"granted": False, "reason": "why"}, LeaseGrantReply),
     ]
     for message, kind in replies:
         assert isinstance(decode_peer(cbor2.dumps(message), kind), kind)
--- a/dappledrum/jobs/test_record_writer.py
+++ b/dappledrum/jobs/test_record_writer.py
@@ -9,22 +9,22 @@
 from dappledrum.election.terms import Term
 from dappledrum.jobs.job import Job
 from dappledrum.jobs.messages import JobRecord, PageRecord, Spec
-from dappledrum.jobs.record_writer import LAZY, Recorder
+from dappledrum.jobs.record_writer import LAZY, RecordWriter
 from dappledrum.settings import StateLimits
 from dappledrum.simulation.cluster import job
 from dappledrum.simulation.virtual_time import run
-from dappledrum.store.client import State
-from dappledrum.store.rate_limiter import Budget
+from dappledrum.store.client import StoreClient
+from dappledrum.store.rate_limiter import RateLimiter
 from dappledrum.store.value_limit import ValueLimit
 from dappledrum.timing.clock import Clock
 
 
-class Slow(State):
-    """A state service that takes every transaction, with a budget that is nearly used up."""
+class Slow(StoreClient):
+    """A store that takes every transaction, with a budget that is nearly used up."""
 
     def __init__(self, limits, clock):
         super().__init__(None, limits, clock, random.Random(1))
-        self.writes = Budget(20.0, clock.now())
+        self.writes = RateLimiter(20.0, clock.now())
         self.writes.take(14, clock.now())
         self.written = []
 
@@ -47,14 +47,14 @@
         clock = Clock()
         limits = StateLimits(100, 20, 8, 24)
         state = Slow(limits, clock)
-        recorder = Recorder(state, Term(1, 1, 1), limits, ValueLimit(limits), clock)
+        record_writer = RecordWriter(state, Term(1, 1, 1), limits, ValueLimit(limits), clock)
         jobs = [live(number) for number in range(12)]
         for one in jobs[:-1]:
             one.page(0).finish(0)
-            recorder.mark(one.page(0))
+            record_writer.mark(one.page(0))
         jobs[-1].page(0).place(0, "host-1", 1, "a", clock.today())
-        recorder.mark(jobs[-1].page(0))
-        writing = asyncio.create_task(recorder.run())
+        record_writer.mark(jobs[-1].page(0))
+        writing = asyncio.create_task(record_writer.run())
         began = clock.now()
         await asyncio.sleep(0.05)
         assert [keys for _, keys in state.written] == [["job/j-000011"]]
@@ -64,6 +64,6 @@
             f"job/{one.id}" for one in jobs
         )
         assert all(at - began < LAZY + timedelta(seconds=1) for at, _ in state.written)
-        assert not recorder.dirty
+        assert not record_writer.dirty
 
     run(main())
--- a/dappledrum/leader/heartbeat_responder.py
+++ b/dappledrum/leader/heartbeat_responder.py
@@ -5,15 +5,15 @@
 from collections.abc import Awaitable, Callable
 from datetime import timedelta
 
-from dappledrum.dispatch.candidate_machines import Machines
+from dappledrum.dispatch.candidate_machines import CandidateMachines
 from dappledrum.election.terms import Term
-from dappledrum.jobs.record_writer import Recorder
+from dappledrum.jobs.record_writer import RecordWriter
 from dappledrum.settings import WorkerLimits
 from dappledrum.timing.clock import ZERO, Clock
 from dappledrum.workers.commands import pending
-from dappledrum.workers.machine_registry import Machine, Roster
-from dappledrum.workers.messages import Command, Commands, Report
-from dappledrum.workers.reconciler import Bookkeeper
+from dappledrum.workers.machine_registry import Machine, MachineRegistry
+from dappledrum.workers.messages import Command, Commands, WorkerHeartbeat
+from dappledrum.workers.reconciler import Reconciler
 
 log = logging.getLogger(__name__)
 
@@ -28,7 +28,7 @@
 LOAD_TIME = timedelta(seconds=1.5)  # the longest that a report waits for the records to be read
 
 
-class WorkerAnswers:
+class HeartbeatResponder:
     """Answers workers during one term."""
 
     def __init__(
@@ -37,10 +37,10 @@
         leading: Callable[[], bool],
         limits: WorkerLimits,
         clock: Clock,
-        roster: Roster,
-        bookkeeper: Bookkeeper,
-        recorder: Recorder,
-        machines: Machines,
+        registry: MachineRegistry,
+        reconciler: Reconciler,
+        record_writer: RecordWriter,
+        machines: CandidateMachines,
         loaded: asyncio.Event,
         woken: asyncio.Event,
     ) -> None:
@@ -48,15 +48,15 @@
         self.leading = leading
         self.limits = limits
         self.clock = clock
-        self.roster = roster
-        self.bookkeeper = bookkeeper
-        self.recorder = recorder
+        self.registry = registry
+        self.reconciler = reconciler
+        self.record_writer = record_writer
         self.machines = machines
         self.loaded = loaded  # the records are read
         self.woken = woken  # a plan is about to be made
 
     async def answer(
-        self, report: Report, holding: Callable[[], bool], most: timedelta
+        self, report: WorkerHeartbeat, holding: Callable[[], bool], most: timedelta
     ) -> Commands | None:
         """The answer to a worker, which is held back for up to `most` while there is no work for
         it; None when this controller is not entitled to answer."""
@@ -66,10 +66,10 @@
             log.warning("%s has seen token %d, stepping down", report.machine, report.token)
             self.term.over.set()
             return None
-        if report.machine in self.roster.gone:
+        if report.machine in self.registry.gone:
             return None
-        machine = self.bookkeeper.take(report)
-        known = self.roster.get(report.machine)
+        machine = self.reconciler.take(report)
+        known = self.registry.get(report.machine)
         if machine is None:
             if known is None or not holding():
                 return None
@@ -78,11 +78,11 @@
             return Commands(self.term.epoch, [])
         if self.leading():
             await self._wait_for_work(machine, most)
-        if not holding() or machine.name in self.roster.gone:
+        if not holding() or machine.name in self.registry.gone:
             return None
         return self._commands(machine, report)
 
-    def _commands(self, machine: Machine, report: Report) -> Commands:
+    def _commands(self, machine: Machine, report: WorkerHeartbeat) -> Commands:
         now = self.clock.now()
         machine.last_answer = max(machine.last_answer, now)
         fresh = (machine.session, machine.sequence) == (report.session, report.sequence)
@@ -90,9 +90,9 @@
             machine.reachability.answered(now, self.limits.lease)
         commands: list[Command] = []
         if fresh and self.leading():
-            commands = self.bookkeeper.commands.of_records(machine, report)
+            commands = self.reconciler.commands.of_records(machine, report)
         elif fresh:
-            commands = self.bookkeeper.commands.of_cancellations(machine, report)
+            commands = self.reconciler.commands.of_cancellations(machine, report)
         return Commands(self.term.epoch, commands)
 
     async def _wait_for_work(self, machine: Machine, most: timedelta) -> None:
@@ -121,8 +121,8 @@
                 return
 
     async def _saved(self) -> bool:
-        async with self.recorder.saved:
-            return await self.recorder.saved.wait()
+        async with self.record_writer.saved:
+            return await self.record_writer.saved.wait()
 
     @staticmethod
     async def _happens(wait: Awaitable[bool], time_limit: timedelta) -> bool:
--- a/dappledrum/leader/job_loader.py
+++ b/dappledrum/leader/job_loader.py
@@ -9,9 +9,9 @@
 
 from dappledrum.jobs.job import Job, Page, spec_key
 from dappledrum.jobs.messages import JobRecord, PageRecord, RowsRecord, SpecPart
-from dappledrum.store.client import State
+from dappledrum.store.client import StoreClient
 from dappledrum.store.messages import Entry
-from dappledrum.store.rate_limiter import Rank
+from dappledrum.store.rate_limiter import RequestPriority
 
 log = logging.getLogger(__name__)
 
@@ -24,25 +24,28 @@
 BROKEN = (ValueError, LookupError, TypeError)
 
 
-class StoredJobs:
+class JobLoader:
     """Reads all records of live jobs into `jobs`.
 
     `garbage` gets the keys of records whose job does not exist any more.
     """
 
-    def __init__(self, state: State, jobs: dict[str, Job], garbage: dict[str, None]) -> None:
-        self.state = state
+    def __init__(self, store: StoreClient, jobs: dict[str, Job], garbage: dict[str, None]) -> None:
+        self.store = store
         self.jobs = jobs
         self.garbage = garbage
         self.unreadable: set[str] = set()  # jobs with a record that can't be read
 
     async def read(self) -> int:
         """Replace all jobs by those that are stored; returns the revision from which to watch."""
-        jobs, revision = await self.state.scan(JOBS, Rank.RECORD)
+        jobs, revision = await self.store.scan(JOBS, RequestPriority.RECORD)
         pages, rows, specs = [
             entries
             for entries, _ in await asyncio.gather(
-                *(self.state.scan(prefix, Rank.RECORD) for prefix in (PAGES, ROWS, SPECS))
+                *(
+                    self.store.scan(prefix, RequestPriority.RECORD)
+                    for prefix in (PAGES, ROWS, SPECS)
+                )
             )
         ]
         self.unreadable.clear()
--- a/dappledrum/leader/leader.py
+++ b/dappledrum/leader/leader.py
@@ -11,34 +11,34 @@
 import msgspec
 
 from dappledrum.accounting.ledger import STEP, Ledger
-from dappledrum.accounting.served_counts import Served, described, ending
-from dappledrum.dependencies.graph import Graph
-from dappledrum.dependencies.resolver import Resolver
+from dappledrum.accounting.served_counts import ServedCounts, described, ending
+from dappledrum.dependencies.graph import DependencyGraph
+from dappledrum.dependencies.resolver import DependencyResolver
 from dappledrum.dispatch.dispatcher import Dispatcher
 from dappledrum.election.terms import Term
-from dappledrum.fleet.autoscaler import FleetManager
-from dappledrum.fleet.cloud_client import Cloud
-from dappledrum.fleet.fleet_facts import FLEET, FleetMemory
+from dappledrum.fleet.autoscaler import Autoscaler
+from dappledrum.fleet.cloud_client import CloudClient
+from dappledrum.fleet.fleet_facts import FLEET, FleetFacts
 from dappledrum.fleet.messages import FleetRecord, MachineType
 from dappledrum.jobs.job import Job, head_key, spec_key
 from dappledrum.jobs.messages import JobRecord, SpecPart
-from dappledrum.jobs.record_writer import Recorder
-from dappledrum.leader.heartbeat_responder import MAX_IDLE_WAIT, WorkerAnswers
-from dappledrum.leader.job_loader import JOBS, StoredJobs
-from dappledrum.learning.learned_estimates import LearnedMemory
+from dappledrum.jobs.record_writer import RecordWriter
+from dappledrum.leader.heartbeat_responder import MAX_IDLE_WAIT, HeartbeatResponder
+from dappledrum.leader.job_loader import JOBS, JobLoader
+from dappledrum.learning.learned_estimates import LearnedEstimates
 from dappledrum.learning.messages import LearnedRecord
 from dappledrum.recovery.progress import RecoveryProgress
 from dappledrum.scheduling.estimates import Estimates
 from dappledrum.settings import Params, Tuning
-from dappledrum.store.advisory_record import Hint
-from dappledrum.store.client import CompactedError, State, StateError
+from dappledrum.store.advisory_record import AdvisoryRecord
+from dappledrum.store.client import CompactedError, StoreClient, StoreError
 from dappledrum.store.messages import Event
-from dappledrum.store.rate_limiter import Rank
+from dappledrum.store.rate_limiter import RequestPriority
 from dappledrum.store.value_limit import ValueLimit
 from dappledrum.timing.clock import ZERO, Clock
-from dappledrum.workers.machine_registry import Roster
-from dappledrum.workers.messages import Commands, Report
-from dappledrum.workers.reconciler import Bookkeeper
+from dappledrum.workers.machine_registry import MachineRegistry
+from dappledrum.workers.messages import Commands, WorkerHeartbeat
+from dappledrum.workers.reconciler import Reconciler
 
 log = logging.getLogger(__name__)
 
@@ -60,9 +60,9 @@
         self,
         term: Term,
         leading: Callable[[], bool],
-        state: State,
+        store: StoreClient,
         value_limit: ValueLimit,
-        cloud: Cloud,
+        cloud: CloudClient,
         params: Params,
         clock: Clock,
         tuning: Tuning,
@@ -72,39 +72,39 @@
     ) -> None:
         self.term = term
         self.leading = leading
-        self.state = state
+        self.store = store
         self.params = params
         self.clock = clock
         self.on_ended = on_ended
         self.jobs: dict[str, Job] = {}
         self.over: OrderedDict[str, None] = OrderedDict()
-        self.roster = Roster()
-        self.ledger = Ledger(self.roster, clock)
-        self.served = Served()
+        self.registry = MachineRegistry()
+        self.ledger = Ledger(self.registry, clock)
+        self.served = ServedCounts()
         self.estimates = Estimates()
-        self.recorder = Recorder(state, term, params.state, value_limit, clock)
-        self.recorder.on_ended = self._ended
-        self.records = StoredJobs(state, self.jobs, self.recorder.garbage)
-        self.graph = Graph(self.jobs, self.recorder.mark, self.wake)
-        self.recorder.on_cancelled = self.graph.cancelled
-        self.resolver = Resolver(state, self.graph, clock)
-        self.bookkeeper = Bookkeeper(
+        self.record_writer = RecordWriter(store, term, params.state, value_limit, clock)
+        self.record_writer.on_ended = self._ended
+        self.records = JobLoader(store, self.jobs, self.record_writer.garbage)
+        self.graph = DependencyGraph(self.jobs, self.record_writer.mark, self.wake)
+        self.record_writer.on_cancelled = self.graph.cancelled
+        self.resolver = DependencyResolver(store, self.graph, clock)
+        self.reconciler = Reconciler(
             self.jobs,
-            self.roster,
+            self.registry,
             self.estimates,
             params.workers,
             clock,
             term.epoch,
-            self.recorder.mark,
+            self.record_writer.mark,
             self.wake,
             self.ledger,
             lambda: term.others_stopped_at,
             awake_since,
         )
-        self.fleet_manager = FleetManager(
+        self.autoscaler = Autoscaler(
             cloud,
-            self.roster,
-            self.bookkeeper,
+            self.registry,
+            self.reconciler,
             params,
             clock,
             term.epoch,
@@ -114,30 +114,34 @@
             awake_since,
         )
         self.recovery = RecoveryProgress(
-            self.roster, clock, params.workers.lease, lambda: self.fleet_manager.listed
+            self.registry, clock, params.workers.lease, lambda: self.autoscaler.listed
         )
-        self.bookkeeper.on_lost = self.recovery.lost
+        self.reconciler.on_lost = self.recovery.lost
         most = params.state.value_bytes
-        self.memory = FleetMemory(
-            Hint(state, term.guard(), FLEET, FleetRecord, most, Rank.RECORD), self.roster, clock
+        self.memory = FleetFacts(
+            AdvisoryRecord(store, term.guard(), FLEET, FleetRecord, most, RequestPriority.RECORD),
+            self.registry,
+            clock,
         )
-        self.learned = LearnedMemory(
-            Hint(state, term.guard(), LEARNED, LearnedRecord, most, Rank.POLL),
+        self.learned = LearnedEstimates(
+            AdvisoryRecord(
+                store, term.guard(), LEARNED, LearnedRecord, most, RequestPriority.POLL
+            ),
             self.estimates,
-            self.fleet_manager.boots,
+            self.autoscaler.boots,
             clock,
         )
         self.set_types(types)
         self.dispatcher = Dispatcher(
             self.jobs,
-            self.roster,
+            self.registry,
             self.estimates,
-            self.fleet_manager,
+            self.autoscaler,
             params,
             clock,
             tuning,
-            self.recorder.mark,
-            self.recorder.starts_waiting,
+            self.record_writer.mark,
+            self.record_writer.starts_waiting,
             # Pages of the version before may be larger than new ones, and are stored in parts.
             min(value_limit.now, value_limit.least * (params.state.txn_ops - 2)),
         )
@@ -146,14 +150,14 @@
         self.woken = asyncio.Event()
         self.revision = 0
         self.began = clock.now()
-        self.answers = WorkerAnswers(
+        self.answers = HeartbeatResponder(
             term,
             leading,
             params.workers,
             clock,
-            self.roster,
-            self.bookkeeper,
-            self.recorder,
+            self.registry,
+            self.reconciler,
+            self.record_writer,
             self.dispatcher.machines,
             self.loaded,
             self.woken,
@@ -161,8 +165,8 @@
 
     def set_types(self, types: list[MachineType]) -> None:
         """Take over a catalog."""
-        self.fleet_manager.types = {t.name: t for t in types}
-        self.bookkeeper.cache_gb = {t.name: t.cache_gb for t in types}
+        self.autoscaler.types = {t.name: t for t in types}
+        self.reconciler.cache_gb = {t.name: t.cache_gb for t in types}
 
     def no_answers_since(self, moment: timedelta) -> None:
         """Note that no other controller has answered a worker since then."""
@@ -173,7 +177,7 @@
             term.others_stopped_at = (
                 moment if term.others_stopped_at is None else min(term.others_stopped_at, moment)
             )
-            self.bookkeeper.no_answers_since(moment)
+            self.reconciler.no_answers_since(moment)
 
     def wake(self, why: str) -> None:
         """Trigger a planning round; `why` is for debugging."""
@@ -184,17 +188,17 @@
         loops = [
             self._keep_running(self._load_once),
             self._keep_running(self._watch),
-            self._keep_running(self.recorder.run),
+            self._keep_running(self.record_writer.run),
             self._keep_running(self._plan),
             self._keep_running(self._sweep),
             self._keep_running(self._resolve),
             self._keep_running(self._store_fleet),
             self._keep_running(self._store_learned),
             self._keep_running(self._account),
-            self._keep_running(self.fleet_manager.rent_loop),
-            self._keep_running(self.fleet_manager.return_loop),
-            self._keep_running(self.fleet_manager.list_loop),
-            self._keep_running(self.fleet_manager.catalog_loop),
+            self._keep_running(self.autoscaler.rent_loop),
+            self._keep_running(self.autoscaler.return_loop),
+            self._keep_running(self.autoscaler.list_loop),
+            self._keep_running(self.autoscaler.catalog_loop),
         ]
         tasks = [asyncio.get_running_loop().create_task(loop) for loop in loops]
         try:
@@ -210,8 +214,8 @@
             try:
                 await loop()
                 return
-            except StateError as error:
-                log.debug("%s: state service not reached: %s", loop.__name__, error)
+            except StoreError as error:
+                log.debug("%s: store not reached: %s", loop.__name__, error)
                 await asyncio.sleep(0.1)
             except Exception:
                 log.exception("%s failed, going on", loop.__name__)
@@ -224,12 +228,12 @@
         revision = await self.records.read()
         self.graph.clear()
         for job in self.jobs.values():
-            self.bookkeeper.restore(job)
+            self.reconciler.restore(job)
         await self.memory.recall()
-        await self.learned.recall({t.name: t.boot for t in self.fleet_manager.types.values()})
+        await self.learned.recall({t.name: t.boot for t in self.autoscaler.types.values()})
         for job in list(self.jobs.values()):
             self.graph.add(job)
-            self.recorder.mark(job.page(0))
+            self.record_writer.mark(job.page(0))
         self.revision = revision
         self.term.knows(started)  # later cancellations are seen by the watch
         self.loaded.set()
@@ -245,12 +249,12 @@
         while True:
             sent = self.clock.now()
             try:
-                events, revision = await self.state.watch(
-                    JOBS, self.revision, WATCH_WAIT, Rank.RECORD
+                events, revision = await self.store.watch(
+                    JOBS, self.revision, WATCH_WAIT, RequestPriority.RECORD
                 )
             except CompactedError:
                 sent = self.clock.now()
-                entries, revision = await self.state.scan(JOBS, Rank.RECORD)
+                entries, revision = await self.store.scan(JOBS, RequestPriority.RECORD)
                 events = [Event(e.version, put=e.key, value=e.value) for e in entries]
             for event in events:
                 if event.put is not None:
@@ -285,7 +289,7 @@
             job.page(0).version = version
             if record.cancelled:
                 self._cancel(job, "is cancelled")
-        self.recorder.mark(job.page(0))
+        self.record_writer.mark(job.page(0))
         self.wake("job changed")
 
     def _cancel(self, job: Job, why: str) -> None:
@@ -303,7 +307,7 @@
             job = self.jobs.get(name)
             if job is not None and not job.cancelled:
                 self._cancel(job, "is cancelled, as other controllers say")
-                self.recorder.mark(job.page(0))
+                self.record_writer.mark(job.page(0))
                 self.wake("job cancelled")
 
     def _new(self, job: Job) -> Job:
@@ -315,19 +319,19 @@
 
     async def _complete(self, name: str) -> None:
         """Read a new job whose specification is stored in parts."""
-        entry = await self.state.get(head_key(name), Rank.RECORD)
+        entry = await self.store.get(head_key(name), RequestPriority.RECORD)
         if entry is not None and name not in self.jobs:
             record = msgspec.json.decode(entry.value, type=JobRecord)
             parts = []
             for number in range(record.spec_parts):
-                part = await self.state.get(spec_key(name, number), Rank.RECORD)
+                part = await self.store.get(spec_key(name, number), RequestPriority.RECORD)
                 if part is None:
                     log.error("%s lacks a part of its specification", name)
                     return
                 parts.append(msgspec.json.decode(part.value, type=SpecPart))
             made = self.records.make_job(record, entry.version, parts)
             if made is not None:
-                self.recorder.mark(self._new(made).page(0))
+                self.record_writer.mark(self._new(made).page(0))
                 self.wake("job changed")
         self.incomplete.pop(name, None)
 
@@ -340,7 +344,7 @@
         while len(self.over) > KEPT_OVER:
             self.over.popitem(last=False)
         for placement in list(job.placements()):
-            machine = self.roster.get(placement.machine)
+            machine = self.registry.get(placement.machine)
             if machine is not None:
                 machine.placements.pop((job.id, placement.task), None)
         self.served.ended(job)
@@ -358,7 +362,7 @@
                 pass
             self.woken.clear()
             pause = GATHER
-            if self.leading() and self.fleet_manager.types:
+            if self.leading() and self.autoscaler.types:
                 started = self.clock.now()
                 plan = await self.dispatcher.run()
                 took = self.clock.now() - started
@@ -381,7 +385,7 @@
             while True:
                 await asyncio.sleep(STEP.total_seconds())
                 self.ledger.step(
-                    self.fleet_manager.types,
+                    self.autoscaler.types,
                     self.dispatcher.work.wants(),
                     self.dispatcher.machines.available(),
                 )
@@ -403,9 +407,9 @@
             # A leader that was paused until its term was over does not know what others have
             # answered since: one took hundreds of tasks for lost, though it could store nothing.
             if self.leading():
-                self.bookkeeper.sweep()
+                self.reconciler.sweep()
             self.recovery.look()
-            self.recorder.shrink(self.jobs.values())
+            self.record_writer.shrink(self.jobs.values())
             await asyncio.sleep(0.5)
 
     # workers
@@ -414,7 +418,7 @@
         """How many machines should report, by zone."""
         now, lease = self.clock.now(), self.params.workers.lease
         result: Counter[str] = Counter()
-        for machine in self.roster:
+        for machine in self.registry:
             if machine.returning or machine.failed or machine.expired(now, lease):
                 continue
             if machine.up and machine.kind is not None:
@@ -426,11 +430,11 @@
     async def settle(self, time_limit: timedelta) -> None:
         """Write pending records before another controller leads."""
         until = self.clock.now() + time_limit
-        while self.recorder.dirty and self.clock.now() < until:
+        while self.record_writer.dirty and self.clock.now() < until:
             await asyncio.sleep(0.02)
 
     async def report(
-        self, report: Report, holding: Callable[[], bool], most: timedelta = MAX_IDLE_WAIT
+        self, report: WorkerHeartbeat, holding: Callable[[], bool], most: timedelta = MAX_IDLE_WAIT
     ) -> Commands | None:
         """The answer to a worker, which is held back for up to `most` while there is no work for
         it; None when this controller is not entitled to answer."""
--- a/dappledrum/leader/test_job_loader.py
+++ b/dappledrum/leader/test_job_loader.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from dappledrum.simulation.cluster import World, job
+from dappledrum.simulation.cluster import SimulatedCluster, job
 from dappledrum.simulation.virtual_time import run
 
 BAD = {
@@ -25,20 +25,20 @@
 @pytest.mark.parametrize("what", BAD)
 def test_a_record_that_makes_no_sense(what, new):
     async def main():
-        world = World(seed=1)
-        await world.until(lambda: world.leader() is not None)
-        await world.wait(2)
+        cluster = SimulatedCluster(seed=1)
+        await cluster.until(lambda: cluster.leader() is not None)
+        await cluster.wait(2)
         record = {"spec": spec_of(77), "at_ms": 0, "size": 256, "page": [1, "0", [], "", [], []]}
         put = {"write": "job/j-000077", "value": record | BAD[what]}
         if new:
-            world.kill(world.leader())
-        world.state._multi({"guards": [], "then": [put]})
-        await world.until(lambda: world.leader() is not None, most=10)
-        await world.wait(1)
+            cluster.kill(cluster.leader())
+        cluster.store._multi({"guards": [], "then": [put]})
+        await cluster.until(lambda: cluster.leader() is not None, most=10)
+        await cluster.wait(1)
         fine = job(1, dueS=None)
-        assert await world.submit(fine) == 201
-        await world.finish([fine["id"]], most=60)
-        leader = world.nodes[world.leader()]
+        assert await cluster.submit(fine) == 201
+        await cluster.finish([fine["id"]], most=60)
+        leader = cluster.controllers[cluster.leader()]
         assert "j-000077" not in leader.leader.jobs
         known = leader.elector.term.known_at
         assert (leader.clock.now() - known).total_seconds() < 3
@@ -50,25 +50,25 @@
     """Its renewals are answered, its lists are not: it kept the key, and answered nobody."""
 
     async def main():
-        world = World(seed=2)
-        await world.until(lambda: world.leader() is not None)
-        await world.wait(2)
-        stuck = world.leader()
-        for member in world.members:
+        cluster = SimulatedCluster(seed=2)
+        await cluster.until(lambda: cluster.leader() is not None)
+        await cluster.wait(2)
+        stuck = cluster.leader()
+        for member in cluster.members:
             if member != stuck:
-                await world.restart(member, 0.1)
-        await world.wait(3)
-        victim = next(m for m in world.members if m != stuck)
-        scan = world.nodes[victim].state.scan
+                await cluster.restart(member, 0.1)
+        await cluster.wait(3)
+        victim = next(m for m in cluster.members if m != stuck)
+        scan = cluster.controllers[victim].store.scan
 
         async def nothing(prefix, rank):
             if prefix == "job/":
                 await asyncio.sleep(3600)
             return await scan(prefix, rank)
 
-        world.nodes[victim].state.scan = nothing
-        world.nodes[stuck].elector.transfer_leadership(victim, "a test")
-        await world.until(lambda: world.leader() == victim, most=10)
-        await world.until(lambda: world.leader() not in (None, victim), most=120)
+        cluster.controllers[victim].store.scan = nothing
+        cluster.controllers[stuck].elector.transfer_leadership(victim, "a test")
+        await cluster.until(lambda: cluster.leader() == victim, most=10)
+        await cluster.until(lambda: cluster.leader() not in (None, victim), most=120)
 
     run(main())
--- a/dappledrum/learning/learned_estimates.py
+++ b/dappledrum/learning/learned_estimates.py
@@ -9,11 +9,11 @@
 from collections.abc import Mapping
 from datetime import UTC, datetime, timedelta
 
-from dappledrum.fleet.boot_times import SHORTEST, Boot, Boots
+from dappledrum.fleet.boot_times import SHORTEST, BootTime, BootTimes
 from dappledrum.learning.messages import BootRow, ClassRow, LearnedRecord
 from dappledrum.scheduling.estimates import Estimates, Sample
-from dappledrum.scheduling.timeline import Kind
-from dappledrum.store.advisory_record import Hint
+from dappledrum.scheduling.timeline import InstanceKind
+from dappledrum.store.advisory_record import AdvisoryRecord
 from dappledrum.timing.clock import ZERO, Clock
 
 log = logging.getLogger(__name__)
@@ -25,11 +25,15 @@
 ROW_BYTES = 100  # of the value for each row, at most
 
 
-class LearnedMemory:
+class LearnedEstimates:
     """Writes the record when it has changed, during one term."""
 
     def __init__(
-        self, hint: Hint[LearnedRecord], estimates: Estimates, boots: Boots, clock: Clock
+        self,
+        hint: AdvisoryRecord[LearnedRecord],
+        estimates: Estimates,
+        boots: BootTimes,
+        clock: Clock,
     ) -> None:
         self.hint = hint
         self.estimates = estimates
@@ -77,9 +81,9 @@
         for row in record.boots[:BOOTS]:
             age = max(today - datetime.fromtimestamp(row.up_at_ms / 1000, UTC), ZERO)
             if age < KEPT and row.type in nominal:
-                kind = Kind(row.type, row.zone, row.spot)
+                kind = InstanceKind(row.type, row.zone, row.spot)
                 took = max(timedelta(seconds=row.took_s), SHORTEST)
                 ratio = took / max(nominal[row.type], SHORTEST)
-                boots.append(Boot(kind, ratio, now - age - took, now - age))
+                boots.append(BootTime(kind, ratio, now - age - took, now - age))
         self.boots.remember(boots)
         log.info("learned before: %d classes, %d boots", len(record.classes), len(record.boots))
--- a/dappledrum/learning/test_learning.py
+++ b/dappledrum/learning/test_learning.py
@@ -3,12 +3,12 @@
 import msgspec
 import pytest
 
-from dappledrum.fleet.boot_times import Boots
-from dappledrum.learning.learned_estimates import LearnedMemory
+from dappledrum.fleet.boot_times import BootTimes
+from dappledrum.learning.learned_estimates import LearnedEstimates
 from dappledrum.learning.messages import LearnedRecord
 from dappledrum.scheduling.estimates import Estimates
-from dappledrum.scheduling.timeline import Kind
-from dappledrum.simulation.cluster import World, job
+from dappledrum.scheduling.timeline import InstanceKind
+from dappledrum.simulation.cluster import SimulatedCluster, job
 from dappledrum.simulation.virtual_time import run
 from dappledrum.timing.clock import seconds
 
@@ -29,21 +29,21 @@
 
 def test_a_successor_expects_what_its_predecessor_did():
     async def main():
-        world = World(seed=1, members=("drummer-0",))
-        clock, hint = world.nodes["drummer-0"].clock, Kept()
-        estimates, boots = Estimates(), Boots()
-        kind = Kind("small", "a", True)
+        cluster = SimulatedCluster(seed=1, members=("drummer-0",))
+        clock, hint = cluster.controllers["drummer-0"].clock, Kept()
+        estimates, boots = Estimates(), BootTimes()
+        kind = InstanceKind("small", "a", True)
         boots.nominal = {"small": seconds(10)}
-        await world.wait(100)
+        await cluster.wait(100)
         for number in range(200):
             name = f"class-{number % 40}"
             estimates.learn(f"j-{number}", name, seconds(10), seconds(10 + number % 40))
             boots.finished(kind, clock.now() - seconds(25), clock.now())
-        before = LearnedMemory(hint, estimates, boots, clock)
+        before = LearnedEstimates(hint, estimates, boots, clock)
         await hint.keep(before.record())
-        later, other = Estimates(), Boots()
+        later, other = Estimates(), BootTimes()
         other.nominal = boots.nominal
-        await LearnedMemory(hint, later, other, clock).recall(boots.nominal)
+        await LearnedEstimates(hint, later, other, clock).recall(boots.nominal)
         known = [name for name in estimates.classes if name in later.classes]
         assert len(known) >= 10
         for name in known:
@@ -55,29 +55,27 @@
 
 def test_estimates_are_there_after_a_takeover_and_damage_is_survived():
     async def main():
-        world = World(seed=71)
-        await world.until(lambda: world.leader() is not None)
+        cluster = SimulatedCluster(seed=71)
+        await cluster.until(lambda: cluster.leader() is not None)
         for number in range(3):
-            await world.submit(job(number, beats=8, expectedS=20.0, runS=5.0))
-        await world.finish([f"j-{n:06d}" for n in range(3)])
-        await world.wait(12)
-        assert world.state.keys["learned"][0]["classes"]
-        await world.restart(world.leader())
-        await world.until(lambda: world.leader() is not None)
-        await world.wait(2)
-        leader = world.nodes[world.leader()].leader
+            await cluster.submit(job(number, beats=8, expectedS=20.0, runS=5.0))
+        await cluster.finish([f"j-{n:06d}" for n in range(3)])
+        await cluster.wait(12)
+        assert cluster.store.keys["learned"][0]["classes"]
+        await cluster.restart(cluster.leader())
+        await cluster.until(lambda: cluster.leader() is not None)
+        await cluster.wait(2)
+        leader = cluster.controllers[cluster.leader()].leader
         assert leader.estimates.ratio("plain") < 0.7
-        assert leader.fleet_manager.boots.seen
-        for boot in leader.fleet_manager.boots.seen:
+        assert leader.autoscaler.boots.seen
+        for boot in leader.autoscaler.boots.seen:
             took = boot.up_at - boot.asked_at
-            assert (
-                abs(took / boot.ratio / leader.fleet_manager.types[boot.kind.type].boot - 1) < 0.01
-            )
+            assert abs(took / boot.ratio / leader.autoscaler.types[boot.kind.type].boot - 1) < 0.01
         for damaged in ({"classes": 7}, {"classes": [["x", -1, 0, 0]]}, [], "x", None):
-            world.state.keys["learned"] = (damaged, *world.state.keys["learned"][1:])
-            await world.restart(world.leader())
-            await world.until(lambda: world.leader() is not None)
-        await world.submit(job(9))
-        await world.finish(["j-000009"])
+            cluster.store.keys["learned"] = (damaged, *cluster.store.keys["learned"][1:])
+            await cluster.restart(cluster.leader())
+            await cluster.until(lambda: cluster.leader() is not None)
+        await cluster.submit(job(9))
+        await cluster.finish(["j-000009"])
 
     run(main())
--- a/dappledrum/main.py
+++ b/dappledrum/main.py
@@ -82,11 +82,11 @@
 
 def serve(settings: Settings, options: argparse.Namespace) -> int:
     """Run the controller until it is killed."""
-    from dappledrum.controller.wiring import run_node
+    from dappledrum.controller.wiring import run_controller
 
     tuning = Tuning(timedelta(seconds=options.interval_s), options.ready_share, options.reach)
     try:
-        asyncio.run(run_node(settings, tuning))
+        asyncio.run(run_controller(settings, tuning))
     except KeyboardInterrupt:
         return 130
     except OSError as error:
--- a/dappledrum/membership/heartbeat_forwarding.py
+++ b/dappledrum/membership/heartbeat_forwarding.py
@@ -77,7 +77,7 @@
         return lost
 
 
-class ReportForwarder:
+class HeartbeatForwarder:
     """Sends reports to the leader in batches, and returns each answer to its report."""
 
     def __init__(self, send: Send) -> None:
--- a/dappledrum/membership/leader_placement.py
+++ b/dappledrum/membership/leader_placement.py
@@ -9,8 +9,8 @@
 from datetime import timedelta
 from typing import NamedTuple
 
-from dappledrum.membership.messages import Heartbeat
-from dappledrum.membership.peer_table import Known, Table, reached_at, span
+from dappledrum.membership.messages import PeerHeartbeat
+from dappledrum.membership.peer_table import PeerTable, ReceivedHeartbeat, reached_at, span
 from dappledrum.timing.clock import ZERO
 
 #: A difference between two links that is worth a move: what moving costs (docs/reach.md).
@@ -30,10 +30,10 @@
     epoch: int
     member: str | None
     at: timedelta
-    strong: bool  # by the leader itself, or by one that the state service serves
+    strong: bool  # by the leader itself, or by one that the store serves
 
 
-def claims(known: Iterable[Known], own: Claim | None) -> list[Claim]:
+def claims(known: Iterable[ReceivedHeartbeat], own: Claim | None) -> list[Claim]:
     """All claims, our own knowledge included."""
     result = [] if own is None else [own]
     for one in known:
@@ -50,12 +50,12 @@
     return result
 
 
-def late(heartbeat: Heartbeat) -> bool:
-    """Whether the state service answers a controller more slowly than a transfer would take."""
+def late(heartbeat: PeerHeartbeat) -> bool:
+    """Whether the store answers a controller more slowly than a transfer would take."""
     return heartbeat.state_ms is None or span(heartbeat.state_ms) > MIN_GAIN
 
 
-def who_leads(claimed: Iterable[Claim], heartbeats: Mapping[str, Heartbeat]) -> str | None:
+def who_leads(claimed: Iterable[Claim], heartbeats: Mapping[str, PeerHeartbeat]) -> str | None:
     """The controller to which workers are redirected; None: not known.
 
     Never one of a lower epoch than the highest known, and never one that says it does not lead.
@@ -81,7 +81,7 @@
     """What a leader knows about its own links."""
 
     now: timedelta
-    state: timedelta  # what a request to the state service would take
+    state: timedelta  # what a request to the store would take
     state_since: timedelta | None  # nothing was served since
     cloud: timedelta  # the same of the cloud
     cloud_since: timedelta | None
@@ -93,16 +93,16 @@
 
 
 def successor(
-    ours: Situation, table: Table, heartbeat_peers: Iterable[str]
+    ours: Situation, table: PeerTable, heartbeat_peers: Iterable[str]
 ) -> tuple[str, str] | None:
     """A controller that would clearly be a better leader, and why; None: the leader stays.
 
-    The state service counts first, then workers, then the cloud. Only a controller qualifies that
+    The store counts first, then workers, then the cloud. Only a controller qualifies that
     has sent a heartbeat itself since the fault began, and that was not paused just before. So if
     all controllers have the same fault the leader stays, and so does a controller that is the only
     one left.
     """
-    able: list[Known] = []
+    able: list[ReceivedHeartbeat] = []
     for member in sorted(heartbeat_peers):
         known = table.known.get(member)
         if (
@@ -138,12 +138,12 @@
     return None
 
 
-def _since(known: Known, age: int | None, since: timedelta) -> bool:
+def _since(known: ReceivedHeartbeat, age: int | None, since: timedelta) -> bool:
     at = reached_at(known.at, age)
     return at is not None and at > since
 
 
-def _reached(known: Known, ours: Situation) -> set[str]:
+def _reached(known: ReceivedHeartbeat, ours: Situation) -> set[str]:
     """Zones whose workers this controller reaches: of those that we have lost, the ones from which
     it has heard since; of the others, those that it does not report as lost.
 
@@ -163,13 +163,13 @@
     return back | {zone for zone in ours.heard if zone not in heartbeat.lost}
 
 
-def candidacy_delay(own: Heartbeat, others: Iterable[Heartbeat]) -> timedelta:
+def candidacy_delay(own: PeerHeartbeat, others: Iterable[PeerHeartbeat]) -> timedelta:
     """How long to let a better candidate stand for leader first; zero among equals."""
     mine = _rank(own)
     return CANDIDACY_DELAY if any(_rank(heartbeat) < mine for heartbeat in others) else ZERO
 
 
-def _rank(heartbeat: Heartbeat) -> tuple[bool, int, bool]:
+def _rank(heartbeat: PeerHeartbeat) -> tuple[bool, int, bool]:
     return (
         late(heartbeat),
         len(heartbeat.lost),
