--- a/dappledrum/membership/link_health.py
+++ b/dappledrum/membership/link_health.py
@@ -10,7 +10,7 @@
 SMOOTH = 0.2
 
 
-class Link:
+class LinkHealth:
     """Estimates how long a request over one link would take now.
 
     A link is neither up nor down: a slow link counts by its delay, and one without answers by how
@@ -52,7 +52,7 @@
         return self.served_at is None or self.clock.now() - self.served_at > span
 
 
-class Zone:
+class ZoneHealth:
     """The workers of one zone, as far as this controller has contact with them."""
 
     def __init__(self) -> None:
--- a/dappledrum/membership/messages.py
+++ b/dappledrum/membership/messages.py
@@ -18,7 +18,7 @@
 Text = Annotated[str, Meta(min_length=1, max_length=200)]
 
 
-class Heartbeat(msgspec.Struct, omit_defaults=True):
+class PeerHeartbeat(msgspec.Struct, omit_defaults=True):
     """What one controller knew about its own links at one moment.
 
     `age_ms` is how long ago that moment was, as far as the sender knows; all other ages count from
@@ -39,7 +39,7 @@
     leader: Text | None = None
     holds: bool = False
     term_ms: Age = 0
-    #: What a request to the state service would take, by what the last ones took and by how long
+    #: What a request to the store would take, by what the last ones took and by how long
     #: the oldest without an answer waits; and when it was last served.
     state_ms: Age | None = None
     served_ms: Age | None = None
@@ -54,27 +54,27 @@
     samples: dict[Text, list[Address]] = {}
 
 
-class Heartbeats(msgspec.Struct, tag="reach", tag_field="kind"):
+class PeerHeartbeats(msgspec.Struct, tag="reach", tag_field="kind"):
     """A controller's own heartbeat, and those that it has received directly from others."""
 
-    own: Heartbeat
-    heard: list[Heartbeat] = []
+    own: PeerHeartbeat
+    heard: list[PeerHeartbeat] = []
 
 
-class HeartbeatsReply(msgspec.Struct):
+class PeerHeartbeatsReply(msgspec.Struct):
     """The same from the controller that was asked."""
 
-    own: Heartbeat
-    heard: list[Heartbeat] = []
+    own: PeerHeartbeat
+    heard: list[PeerHeartbeat] = []
 
 
-class ForwardedReports(msgspec.Struct, tag="passed", tag_field="kind"):
+class ForwardedHeartbeats(msgspec.Struct, tag="passed", tag_field="kind"):
     """Reports of workers that do not reach the leader, unchanged, for the leader to answer."""
 
     reports: list[bytes]
 
 
-class ForwardedReportsReply(msgspec.Struct):
+class ForwardedHeartbeatsReply(msgspec.Struct):
     """The bodies of the leader's answers, in the same order; None: it gives no answer."""
 
     answers: list[bytes | None]
--- a/dappledrum/membership/peer_table.py
+++ b/dappledrum/membership/peer_table.py
@@ -5,17 +5,17 @@
 
 import msgspec
 
-from dappledrum.membership.messages import Heartbeat
+from dappledrum.membership.messages import PeerHeartbeat
 from dappledrum.timing.clock import DRIFT, ZERO
 
 FRESH = timedelta(seconds=3.5)  # three heartbeats of a second, with a margin
 MAX_AGE = timedelta(seconds=10)
 
 
-class Known:
+class ReceivedHeartbeat:
     """The newest heartbeat of one controller, and the moment on our clock that it describes."""
 
-    def __init__(self, heartbeat: Heartbeat, at: timedelta, direct: bool) -> None:
+    def __init__(self, heartbeat: PeerHeartbeat, at: timedelta, direct: bool) -> None:
         self.heartbeat = heartbeat
         self.at = at
         self.direct = direct
@@ -38,15 +38,15 @@
     return timedelta(milliseconds=value)
 
 
-class Table:
+class PeerTable:
     """The heartbeats of the other controllers, by member."""
 
     def __init__(self, member: str, members: Iterable[str]) -> None:
         self.member = member
         self.members = frozenset(members)
-        self.known: dict[str, Known] = {}
+        self.known: dict[str, ReceivedHeartbeat] = {}
 
-    def note(self, heartbeat: Heartbeat, now: timedelta, direct: bool) -> None:
+    def note(self, heartbeat: PeerHeartbeat, now: timedelta, direct: bool) -> None:
         """Store a heartbeat unless a newer one is known. Heartbeats of unknown members are
         ignored."""
         if heartbeat.member not in self.members or heartbeat.member == self.member:
@@ -58,7 +58,7 @@
                 known.direct_at = max(said, known.direct_at or said)
             return
         at = now - span(heartbeat.age_ms)
-        new = Known(heartbeat, at, direct)
+        new = ReceivedHeartbeat(heartbeat, at, direct)
         if known is not None and known.heartbeat.born == heartbeat.born:
             # A message may be held back for minutes and still tell an age of nothing. It comes
             # later than its tick says by the quickest one before it, drift allowed for.
@@ -72,7 +72,7 @@
 
     def heartbeat(
         self, member: str, now: timedelta, within: timedelta = FRESH
-    ) -> Heartbeat | None:
+    ) -> PeerHeartbeat | None:
         """The heartbeat of a controller, if it is not older than `within`."""
         known = self.known.get(member)
         return known.heartbeat if known is not None and now - known.at <= within else None
@@ -88,11 +88,11 @@
             known is not None and known.direct_at is not None and now - known.direct_at <= within
         )
 
-    def fresh(self, now: timedelta) -> list[Heartbeat]:
+    def fresh(self, now: timedelta) -> list[PeerHeartbeat]:
         """All heartbeats that are not old."""
         return [known.heartbeat for known in self.known.values() if now - known.at <= FRESH]
 
-    def to_forward(self, now: timedelta) -> list[Heartbeat]:
+    def to_forward(self, now: timedelta) -> list[PeerHeartbeat]:
         """Heartbeats that were received directly: each is passed on once, with its present age."""
         return [
             msgspec.structs.replace(known.heartbeat, age_ms=ms(now - known.at), samples={})
--- a/dappledrum/membership/service.py
+++ b/dappledrum/membership/service.py
@@ -12,7 +12,7 @@
 from datetime import timedelta
 
 from dappledrum.election.elector import Elector
-from dappledrum.membership.heartbeat_forwarding import ForwardedWorkers, ReportForwarder
+from dappledrum.membership.heartbeat_forwarding import ForwardedWorkers, HeartbeatForwarder
 from dappledrum.membership.leader_placement import (
     MIN_GAIN,
     Claim,
@@ -23,14 +23,14 @@
     successor,
     who_leads,
 )
-from dappledrum.membership.link_health import Link, Zone
-from dappledrum.membership.messages import Heartbeat, Heartbeats, HeartbeatsReply
-from dappledrum.membership.peer_table import Table, ms, span
+from dappledrum.membership.link_health import LinkHealth, ZoneHealth
+from dappledrum.membership.messages import PeerHeartbeat, PeerHeartbeats, PeerHeartbeatsReply
+from dappledrum.membership.peer_table import PeerTable, ms, span
 from dappledrum.peers.client import Peers
 from dappledrum.settings import WorkerLimits
 from dappledrum.timing.clock import ZERO, Clock
 from dappledrum.timing.timeouts import PauseDetector
-from dappledrum.workers.messages import Report
+from dappledrum.workers.messages import WorkerHeartbeat
 
 log = logging.getLogger(__name__)
 
@@ -60,7 +60,7 @@
 Probe = Callable[[str, timedelta], Awaitable[bool]]
 
 
-class Reach:
+class Membership:
     """Loops and answers about links; one for each controller."""
 
     def __init__(
@@ -72,8 +72,8 @@
         elector: Elector,
         limits: WorkerLimits,
         pause_detector: PauseDetector,
-        state: Link,
-        cloud: Link,
+        state: LinkHealth,
+        cloud: LinkHealth,
         reporting: Callable[[], Mapping[str, int]],
         probe: Probe,
         ask_state: Callable[[], Awaitable[None]],
@@ -95,10 +95,10 @@
         self.ask_state = ask_state
         self.ask_cloud = ask_cloud
         self.transfer_leadership = transfer_leadership
-        self.table = Table(member, peers.callers)
-        self.zones: dict[str, Zone] = {}
+        self.table = PeerTable(member, peers.callers)
+        self.zones: dict[str, ZoneHealth] = {}
         self.forwarded_workers = ForwardedWorkers(clock)
-        self.forwarder = ReportForwarder(self._send_reports)
+        self.forwarder = HeartbeatForwarder(self._send_reports)
         self.began = clock.now()
         self.born = int(clock.today().timestamp() * 1000)
         self.silent: dict[str, timedelta] = {}
@@ -127,23 +127,23 @@
                 log.exception("a loop about links failed, going on")
                 await asyncio.sleep(1)
 
-    def zone(self, name: str) -> Zone:
+    def zone(self, name: str) -> ZoneHealth:
         """The state of a zone, created if necessary."""
         if name not in self.zones:
             while len(self.zones) >= MAX_ZONES:
                 self.zones.pop(next(iter(self.zones)))
-            self.zones[name] = Zone()
+            self.zones[name] = ZoneHealth()
         return self.zones[name]
 
     # words
 
-    def own(self) -> Heartbeat:
+    def own(self) -> PeerHeartbeat:
         """This controller's own heartbeat."""
         now = self.clock.now()
         term = self.elector.holding()
         leader = self.elector.leader
         state, cloud = self.state.cost(), self.cloud.cost()
-        heartbeat = Heartbeat(
+        heartbeat = PeerHeartbeat(
             self.member,
             self.born,
             ms(now - self.began),
@@ -176,7 +176,7 @@
         """Zones without reports whose workers do not answer probes either."""
         return {n: at for n, at in self.silent.items() if self.zone(n).unreachable_since(at)}
 
-    def receive(self, heartbeats: Heartbeats | HeartbeatsReply) -> None:
+    def receive(self, heartbeats: PeerHeartbeats | PeerHeartbeatsReply) -> None:
         """Take over the heartbeats of a peer."""
         now = self.clock.now()
         self.heard_at = now
@@ -186,7 +186,7 @@
                 self._supersede_former_process(heartbeat)
             self.table.note(heartbeat, now, direct=False)
 
-    def _supersede_former_process(self, heartbeat: Heartbeat) -> None:
+    def _supersede_former_process(self, heartbeat: PeerHeartbeat) -> None:
         """Make sure that this process counts as newer than a former process of this controller.
 
         Clocks are not exact: of two processes that begin a moment apart, the later one may have
@@ -200,13 +200,13 @@
             self.born = heartbeat.born + 1
             self.announce()
 
-    def answer(self, heartbeats: Heartbeats) -> HeartbeatsReply:
+    def answer(self, heartbeats: PeerHeartbeats) -> PeerHeartbeatsReply:
         """Answer a peer's heartbeats with ours. A peer that sends heartbeats supports them,
         whatever its version was before."""
         if heartbeats.own.member in self.table.members:
             self.heartbeat_peers.add(heartbeats.own.member)
         self.receive(heartbeats)
-        return HeartbeatsReply(self.own(), self.table.to_forward(self.clock.now()))
+        return PeerHeartbeatsReply(self.own(), self.table.to_forward(self.clock.now()))
 
     def announce(self) -> None:
         """Send heartbeats at once, since something has changed that others should know."""
@@ -224,7 +224,7 @@
             self._news[peer].clear()
             if peer not in self.heartbeat_peers:
                 continue
-            heartbeats = Heartbeats(self.own(), self.table.to_forward(self.clock.now()))
+            heartbeats = PeerHeartbeats(self.own(), self.table.to_forward(self.clock.now()))
             reply = await self.peers.heartbeats(peer, heartbeats, ASK_TIME)
             if reply is not None:
                 self.receive(reply)
@@ -290,7 +290,7 @@
 
     # conclusions
 
-    def _recent_heartbeats(self) -> list[Heartbeat]:
+    def _recent_heartbeats(self) -> list[PeerHeartbeat]:
         return self.table.fresh(self.clock.now())
 
     def redirect_target(self) -> str | None:
@@ -313,7 +313,7 @@
         return any(self.table.is_connected(peer, now) for peer in self.heartbeat_peers)
 
     def served_peers(self) -> list[str]:
-        """Peers that reach the state service, the quickest first."""
+        """Peers that reach the store, the quickest first."""
         now = self.clock.now()
         able = [
             w
@@ -330,7 +330,9 @@
             [w for w in self._recent_heartbeats() if self.table.is_connected(w.member, now)],
         )
 
-    async def forward_report(self, report: Report, leader: str, body: bytes) -> bytes | None:
+    async def forward_report(
+        self, report: WorkerHeartbeat, leader: str, body: bytes
+    ) -> bytes | None:
         """The leader's answer to a worker that does not reach it; None: the worker should go there
         itself, or the leader gives no answer."""
         now = self.clock.now()
--- a/dappledrum/membership/test_heartbeats.py
+++ b/dappledrum/membership/test_heartbeats.py
@@ -16,9 +16,9 @@
     successor,
     who_leads,
 )
-from dappledrum.membership.link_health import Link, Zone
-from dappledrum.membership.messages import Heartbeat, Heartbeats
-from dappledrum.membership.peer_table import Known, Table
+from dappledrum.membership.link_health import LinkHealth, ZoneHealth
+from dappledrum.membership.messages import PeerHeartbeat, PeerHeartbeats
+from dappledrum.membership.peer_table import PeerTable, ReceivedHeartbeat
 from dappledrum.peers.messages import MalformedError, decode, encode
 from dappledrum.simulation.virtual_time import SkewedClock, run
 
@@ -29,13 +29,13 @@
 
 def heartbeat(member="b", tick=0, age=0, **changes):
     fields = {"awake_ms": 60_000, "state_ms": 5, "served_ms": 100} | changes
-    return Heartbeat(member, fields.pop("born", 1), tick, age, **fields)
+    return PeerHeartbeat(member, fields.pop("born", 1), tick, age, **fields)
 
 
 def test_a_word_that_was_held_back_is_neither_new_nor_fresh():
     """A cut that heals delivers what was held back for half a minute, and all of it says that it
     is of now."""
-    table = Table("a", ["b", "c"])
+    table = PeerTable("a", ["b", "c"])
     table.note(heartbeat(tick=0), at(100), direct=True)
     table.note(heartbeat(tick=40_000, epoch=7), at(140), direct=True)
     table.note(heartbeat(tick=10_000, epoch=6), at(141), direct=True)  # 31 s late, and older
@@ -47,7 +47,7 @@
 
 
 def test_words_go_on_once_and_strangers_have_none():
-    table = Table("a", ["b", "c"])
+    table = PeerTable("a", ["b", "c"])
     table.note(heartbeat("b", 1), at(1), direct=True)
     table.note(heartbeat("c", 1, age=500), at(1), direct=False)
     table.note(heartbeat("a", 1), at(1), direct=True)
@@ -96,7 +96,7 @@
             )
             for name in rng.sample("bcd", rng.randint(0, 3))
         }
-        known = [Known(one, at(rng.random() * 9), True) for one in heartbeats.values()]
+        known = [ReceivedHeartbeat(one, at(rng.random() * 9), True) for one in heartbeats.values()]
         own = Claim(rng.randint(0, 3), rng.choice([None, "a", "c"]), at(9.5), rng.random() < 0.5)
         claimed = claims(known, own)
         result = who_leads(claimed, heartbeats)
@@ -111,7 +111,7 @@
 
 
 def known_to(heartbeats, now=100.0):
-    table = Table("a", [one.member for one in heartbeats])
+    table = PeerTable("a", [one.member for one in heartbeats])
     for one in heartbeats:
         table.note(one, at(now), direct=True)
     return table, [one.member for one in heartbeats]
@@ -156,7 +156,7 @@
 def test_a_link_counts_by_what_it_delays():
     async def main():
         clock = SkewedClock()
-        link = Link(clock)
+        link = LinkHealth(clock)
         assert link.cost() is None
 
         sent = link.sent()
@@ -172,7 +172,7 @@
 
 
 def test_a_zone_is_apart_only_by_a_probe_that_began_after_the_silence():
-    zone = Zone()
+    zone = ZoneHealth()
     zone.probed(at(5), at(6), False)
     assert not zone.unreachable_since(at(7)) and not zone.lost()
     zone.probed(at(8), at(9), False)
@@ -215,5 +215,5 @@
     assert asyncio.run(_worker_answers("127.0.0.1:99999", at(1))) is False
     for bad in ({"samples": {"x": ["nowhere"]}}, {"heard_ms": {"x": -1}}, {"epoch": -1}):
         with pytest.raises(MalformedError):
-            decode(encode(Heartbeats(heartbeat(**bad))), Heartbeats)
-    assert decode(encode(Heartbeats(heartbeat(epoch=3))), Heartbeats).own.epoch == 3
+            decode(encode(PeerHeartbeats(heartbeat(**bad))), PeerHeartbeats)
+    assert decode(encode(PeerHeartbeats(heartbeat(epoch=3))), PeerHeartbeats).own.epoch == 3
--- a/dappledrum/membership/test_link_health.py
+++ b/dappledrum/membership/test_link_health.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from dappledrum.simulation.fault_combinations import FIVE
-from dappledrum.simulation.scenario import busy_world
+from dappledrum.simulation.scenario import busy_cluster
 from dappledrum.simulation.virtual_time import run
 
 GROUPS = 3
@@ -33,7 +33,7 @@
         return self.frozen | self.dead
 
     def served(self, controller: int) -> bool:
-        """Whether the state service serves it."""
+        """Whether the store serves it."""
         return not {(controller, False), (controller, True)} & self.state
 
     def talk(self, a: int, b: int) -> bool:
@@ -89,15 +89,15 @@
     return int(worker.name.rpartition("-")[2]) % GROUPS
 
 
-def apply(world, phase):
-    network = world.network
+def apply(cluster, phase):
+    network = cluster.network
     blocked = set()
     for controller, answers in phase.state:
         pair = (FIVE[controller], "state")
         blocked.add(pair[::-1] if answers else pair)
     blocked |= {(FIVE[a], FIVE[b]) for a, b in phase.peers}
     for controller, which, answers in phase.workers:
-        for name in world.cloud.machines:
+        for name in cluster.cloud.machines:
             if int(name.rpartition("-")[2]) % GROUPS == which:
                 pair = (name, FIVE[controller])
                 blocked.add(pair[::-1] if answers else pair)
@@ -106,20 +106,20 @@
 
 
 async def play(drawn, length=40.0):
-    world = await busy_world(seed=7)
-    world.cloud.most = len(world.cloud.machines)  # none comes that the drawn links do not name
+    cluster = await busy_cluster(seed=7)
+    cluster.cloud.most = len(cluster.cloud.machines)  # none comes that the drawn links do not name
     for phase in drawn:
-        apply(world, phase)
+        apply(cluster, phase)
         for number in phase.dead:
-            world.kill(FIVE[number])
+            cluster.kill(FIVE[number])
         for number in phase.frozen - phase.dead:
-            world.freeze(FIVE[number])
-        for worker in world.cloud.workers()[: phase.dying]:
-            world.cloud.take(worker.name)
+            cluster.freeze(FIVE[number])
+        for worker in cluster.cloud.workers()[: phase.dying]:
+            cluster.cloud.take(worker.name)
         began = asyncio.get_running_loop().time()
         while (now := asyncio.get_running_loop().time()) < began + length:
-            await world.wait(0.25)
-            for worker in world.cloud.workers():
+            await cluster.wait(0.25)
+            for worker in cluster.cloud.workers():
                 which = group(worker)
                 if not phase.way(which):
                     continue
@@ -128,15 +128,15 @@
                     gap = now - worker.answered
                     assert gap <= least, (
                         f"{worker.name} has had no answer for {gap:.1f} s of {now - began:.1f}"
-                        f" in {phase}, {world.leader()} leads"
+                        f" in {phase}, {cluster.leader()} leads"
                     )
         for number in phase.frozen - phase.dead:
-            world.thaw(FIVE[number])
-        apply(world, Phase())
+            cluster.thaw(FIVE[number])
+        apply(cluster, Phase())
         for number in phase.dead:
-            world.start(FIVE[number])
-        await world.wait(4)
-    assert not world.rules.broken
+            cluster.start(FIVE[number])
+        await cluster.wait(4)
+    assert not cluster.rules.broken
 
 
 @pytest.mark.long
--- a/dappledrum/model/allotments.py
+++ b/dappledrum/model/allotments.py
@@ -2,7 +2,7 @@
 
 The design is in docs/design.md ("At ten thousand"); no partition is built yet, so this is a model
 alone. Each partition has a leader of its own, whose writes name its key, and an allotment in the
-state service, under one version for all partitions of a team. A leader starts tasks only within
+store, under one version for all partitions of a team. A leader starts tasks only within
 its allotment, takes more from what nobody has, and gives back what it does not need.
 
 Transactions are carried out at once or late, also when their sender has ended, and their answers
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True)
 class Transaction:
-    """On its way to the state service, maybe without anybody that waits for the answer."""
+    """On its way to the store, maybe without anybody that waits for the answer."""
 
     change: Change
     partition: int
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True)
 class Region:
-    """The state service, the leaders, and what is on the machines."""
+    """The store, the leaders, and what is on the machines."""
 
     limit: int
     allotted: tuple[int, ...] = (0,) * PARTITIONS
--- a/dappledrum/model/election.py
+++ b/dappledrum/model/election.py
@@ -1,9 +1,9 @@
 """Leaders that go on for promises, and candidates that ask before silence is a proof to them.
 
-The peers' part is the real `VoteState`; leader and candidate are the plainest that follow the
+The peers' part is the real `Voter`; leader and candidate are the plainest that follow the
 rules of docs/reach.md. A schedule is drawn from a seed: messages come late, in any order, or
 never, processes end and begin again without memory, at any moment and at once, transactions are
-executed late, also when the process that sent them has ended, and the state service serves whom it
+executed late, also when the process that sent them has ended, and the store serves whom it
 likes. Users cancel jobs at whoever is served, and are told so there, or later by another. After
 each event: once a leader takes silence for a proof, nobody of a lower epoch answers workers; and
 nobody answers workers who does not know of a cancellation that is too old for the lease that this
@@ -18,8 +18,8 @@
 from dataclasses import dataclass, field
 from datetime import timedelta
 
-from dappledrum.election.messages import PromiseRequest
-from dappledrum.election.voter import PROMISE, VoteState
+from dappledrum.election.messages import LeaseGrantRequest
+from dappledrum.election.voter import LEASE_GRANT, Voter
 from dappledrum.jobs.confirmed_cancellations import (
     CancellationWindow,
     ConfirmedCancellations,
@@ -33,7 +33,7 @@
 WAITING = LIFE / 2  # for the answer to the transaction of an election
 PRE_VOTE_TIME = 1.5  # longer than in the program, so that more fits in between
 ALONE = 6.0  # how long a leader goes on for the promises of a majority that is not all
-PROMISED = PROMISE.total_seconds()
+PROMISED = LEASE_GRANT.total_seconds()
 LEASE = 4.0  # of workers
 CANCEL = 11.0  # what runs must be gone so long after a user was told
 KNOWN = CANCEL - LEASE - MARGIN  # how long a leader answers after it knew of all cancellations
@@ -100,7 +100,7 @@
         self.without = without
         self.now = 10.0
         self.events: list[tuple[float, int, Callable[[], None]]] = []
-        self.votes = [VoteState(timedelta(0)) for _ in self.members]
+        self.voter = [Voter(timedelta(0)) for _ in self.members]
         self.process = [0] * members
         # Who is served changes rarely; the first leader is not, and the others mostly not.
         self.served = [False] + [rng.random() < 0.3 for _ in self.members[1:]]
@@ -165,9 +165,9 @@
             self.confirmed[member] = ConfirmedCancellations(self._clock())
         else:  # it says that it is complete, though it has forgotten all
             self.confirmed[member] = ConfirmedCancellations(timedelta(0))
-        votes = self.votes[member] = VoteState(self._clock())
+        voter = self.voter[member] = Voter(self._clock())
         if not self._has("one that has just begun promises weakly"):
-            votes.unremembered_until = timedelta(0)
+            voter.unremembered_until = timedelta(0)
 
     def _end_hold(self, epoch: int) -> None:
         """The next process of a member ends the hold that the former one had."""
@@ -194,13 +194,13 @@
         if not known and not self._may_campaign(member):
             return
         confirmed = known or not self._has("a successor is told whether it is clear")
-        self.votes[member].tried = self.epoch
+        self.voter[member].tried = self.epoch
         self._lead(member, self.epoch + 1, confirmed)
 
     def _send(self, one: Round) -> None:
         """The transaction of an election is on its way: executed at once, or a while later."""
         if self._has("who has stood does not promise"):
-            self.votes[one.asker].tried = self.epoch
+            self.voter[one.asker].tried = self.epoch
         clear, sent = self._all_confirm(one), self.now
         wait = self.rng.choice((0.0, 0.0, self.rng.uniform(0, LIFE)))
         self._after(wait, lambda: self._apply(one, sent, clear))
@@ -293,7 +293,7 @@
                 self._ask(member, "clear", term.epoch, PRE_VOTE_TIME)
 
     def _may_campaign(self, member: int) -> bool:
-        free = self.votes[member].free_at() <= self._clock()
+        free = self.voter[member].free_at() <= self._clock()
         return free or not self._has("who has promised does not stand")
 
     def _ask(self, member: int, kind: str, epoch: int, limit: float) -> None:
@@ -302,7 +302,7 @@
         if term is not None and term.known is not None:
             one.span = self.now - term.known + WINDOW_MARGIN
         if kind != "promise":
-            free = self.votes[member].pre_vote(epoch, self._clock(), False).free
+            free = self.voter[member].pre_vote(epoch, self._clock(), False).free
             one.free = free or not self._has("who has promised does not stand")
         for peer in self.members:
             if peer != member and self.rng.random() >= self.lost:
@@ -312,14 +312,14 @@
     # what becomes of it
 
     def _arrive(self, one: Round, peer: int) -> None:
-        votes = self.votes[peer]
+        voter = self.voter[peer]
         if frozenset((one.asker, peer)) in self.cut:
             return
         if one.kind == "promise":
             if self.served[peer]:
                 return
-            request = PromiseRequest(str(one.asker), one.epoch, int(PROMISED * 1000))
-            reply = votes.promise(request, self._clock(), peer in self.terms, 0)
+            request = LeaseGrantRequest(str(one.asker), one.epoch, int(PROMISED * 1000))
+            reply = voter.promise(request, self._clock(), peer in self.terms, 0)
             one.answers[peer] = (reply.granted, reply.granted and not reply.weak)
             one.confirmed[peer] = self.confirmed[peer].within(
                 timedelta(seconds=one.span), self._clock()
@@ -327,10 +327,10 @@
         elif not self._has("a promise is told to candidates"):
             one.answers[peer] = (True, True)
         else:
-            least_epoch = votes.least_epoch
-            free = votes.pre_vote(one.epoch, self._clock(), self.holding(peer)).free
+            least_epoch = voter.least_epoch
+            free = voter.pre_vote(one.epoch, self._clock(), self.holding(peer)).free
             if not self._has("free leaves a bar"):
-                votes.least_epoch = least_epoch
+                voter.least_epoch = least_epoch
             one.answers[peer] = (free, free)
 
     def _gather(self, one: Round) -> None:
--- a/dappledrum/model/history.py
+++ b/dappledrum/model/history.py
@@ -64,7 +64,7 @@
     at: float
     request: UserRequest
     job: str
-    node: str | None = None
+    controller: str | None = None
     fault: Fault | None = None  # of a submission
 
 
@@ -279,8 +279,8 @@
         earlier: Answer | None = None,
         what: str = "",
     ) -> None:
-        node = question.node or "some controller"
-        text = f"{question.job}, {question.request} at {question.at:.3f} to {node}, answered"
+        controller = question.controller or "some controller"
+        text = f"{question.job}, {question.request} at {question.at:.3f} to {controller}, answered"
         text += f" {answer.status} {answer.state} ({answer.done} done, {answer.running} running)"
         if earlier is not None:
             text += f", though {earlier.status} {earlier.state} came at {earlier.at:.3f}"
--- a/dappledrum/model/invariants.py
+++ b/dappledrum/model/invariants.py
@@ -45,7 +45,7 @@
 
 
 @dataclass
-class Rules:
+class Invariants:
     """Collects broken rules."""
 
     cancel_s: float
--- a/dappledrum/model/limit_moves.py
+++ b/dappledrum/model/limit_moves.py
@@ -1,8 +1,8 @@
-"""A team's limit divided between regions that share no state service; all interleavings.
+"""A team's limit divided between regions that share no store; all interleavings.
 
 Within a region the limit is shared by allotments (`model/allotments.py`). Between regions a mover,
 a person or a slow loop, lowers the limit of one region and raises that of another, each by a
-transaction in the region's own state service. Transactions are carried out at once or late,
+transaction in the region's own store. Transactions are carried out at once or late,
 answers are lost, a transaction without an answer is sent again, and the mover may begin anew
 without memory: then what it had in hand is lost to all regions, which breaks nothing. Every state
 that can be reached is visited; `without` leaves one condition out.
--- a/dappledrum/model/test_election.py
+++ b/dappledrum/model/test_election.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from dappledrum.election.messages import PromiseRequest
-from dappledrum.election.voter import VoteState
+from dappledrum.election.messages import LeaseGrantRequest
+from dappledrum.election.voter import Voter
 from dappledrum.model.election import GUARDS, search
 
 RARE = (
@@ -41,13 +41,13 @@
         return timedelta(seconds=seconds)
 
     def promise(peer, seconds):
-        return peer.promise(PromiseRequest("leader", 1, 2000), at(seconds), False, 1)
+        return peer.promise(LeaseGrantRequest("leader", 1, 2000), at(seconds), False, 1)
 
-    a, b, d = (VoteState(at(-10)) for _ in range(3))
+    a, b, d = (Voter(at(-10)) for _ in range(3))
     assert not promise(a, 0.0).weak and not promise(d, 0.0).weak  # the leader goes on until 1.9
     assert b.pre_vote(2, at(1.70), False).free
     if restarted:
-        b = VoteState(at(1.74))
+        b = Voter(at(1.74))
     if not guarded:
         b.least_epoch, b.unremembered_until = 0, at(0)
     assert not promise(d, 1.80).weak
@@ -61,10 +61,10 @@
     """All four peers promise, three of them weakly, while the transaction of one is on its way: it
     would lead, and be clear. When its process has ended nobody leads by that transaction, and the
     next process may promise."""
-    peer = VoteState(timedelta(seconds=-10))
+    peer = Voter(timedelta(seconds=-10))
     assert peer.pre_vote(2, timedelta(0), False).free
     peer.tried = 1
     if ended:
-        peer = VoteState(timedelta(0))
-    reply = peer.promise(PromiseRequest("leader", 1, 2000), timedelta(seconds=0.1), False, 1)
+        peer = Voter(timedelta(0))
+    reply = peer.promise(LeaseGrantRequest("leader", 1, 2000), timedelta(seconds=0.1), False, 1)
     assert reply.granted is ended and (reply.weak or not ended)
--- a/dappledrum/model/test_history.py
+++ b/dappledrum/model/test_history.py
@@ -42,7 +42,7 @@
 
 
 @dataclass
-class World:
+class SimulatedCluster:
     """The facts, as the events of a history tell them."""
 
     ended: dict = field(default_factory=dict)
@@ -116,8 +116,8 @@
             register.done += 1
             events.append((at, TaskEnd(at, JOB)))
     for number, (status, state, done) in answers.items():
-        request, node, at, effect, delay, heard = requests[number]
-        events.append((at, Question(number, at, request, JOB, node)))
+        request, controller, at, effect, delay, heard = requests[number]
+        events.append((at, Question(number, at, request, JOB, controller)))
         end = at + effect + delay
         reported = Answer(number, end, status, state, done) if heard else Answer(number, end, None)
         events.append((end, reported))
@@ -132,13 +132,13 @@
     return play([first, *more], draw(st.lists(MOMENTS, max_size=5)), cancels)
 
 
-def check(events, world=None):
+def check(events, cluster=None):
     """The clauses that the checker finds broken."""
-    broken, world = [], world or World()
-    history = History(world, lambda clause, at, what: broken.append(clause))
+    broken, cluster = [], cluster or SimulatedCluster()
+    history = History(cluster, lambda clause, at, what: broken.append(clause))
     for event in events:
         if isinstance(event, TaskEnd):
-            world.ended[event.job] = world.ended.get(event.job, 0) + 1
+            cluster.ended[event.job] = cluster.ended.get(event.job, 0) + 1
         else:
             history.record(event)
     return broken
@@ -326,7 +326,7 @@
 def test_a_job_about_which_no_question_is_answered_is_forgotten(since, quiet, every, answered):
     """Counted from the last trouble, and from the last answer of any kind."""
     broken = []
-    history = History(World(), lambda clause, at, what: broken.append((clause, at)))
+    history = History(SimulatedCluster(), lambda clause, at, what: broken.append((clause, at)))
 
     def ask(request, at, status, state=None):
         number = history.next_number()
--- a/dappledrum/model/test_invariants.py
+++ b/dappledrum/model/test_invariants.py
@@ -3,14 +3,14 @@
 import pytest
 
 from dappledrum.model.history import Answer, Question, UserRequest
-from dappledrum.model.invariants import JobEvent, Rules
+from dappledrum.model.invariants import Invariants, JobEvent
 from dappledrum.simulation.cluster import job
 
 HERE, THERE, ORDINARY = ("small", "a", True), ("small", "b", True), ("small", "a", False)
 
 
 def rules(*specs):
-    result = Rules(30.0, {"red": (4.0, 0.0)})
+    result = Invariants(30.0, {"red": (4.0, 0.0)})
     for spec in specs:
         result.submitted(spec)
         result.submit_answer(0, spec["id"], 201, "pending")
@@ -183,7 +183,7 @@
 
 
 def test_a_job_about_which_no_question_is_answered_is_forgotten():
-    rules = known(Rules(30.0, {}))
+    rules = known(Invariants(30.0, {}))
     rules.not_answered(10.0, "j-000001")
     rules.not_answered(200.0, "j-000001")
     assert not rules.broken, "while troubles last nothing counts"
@@ -199,7 +199,7 @@
 
 
 def test_the_largest_jobs_that_do_not_begin_are_starved():
-    rules = Rules(30.0, {})
+    rules = Invariants(30.0, {})
     for number in range(12):
         rules.submitted(job(number, beats=number + 1, vcpus=4.0 if number == 3 else 1.0), 10.0)
         rules.submit_answer(10.0, f"j-{number:06d}", 201, "pending")
@@ -217,7 +217,7 @@
 
 @pytest.mark.parametrize(("status", "broken"), [(422, 0), (None, 0), (400, 1), (200, 1), (201, 1)])
 def test_what_can_never_run_is_refused_with_its_status(status, broken):
-    rules = Rules(30.0, {})
+    rules = Invariants(30.0, {})
     rules.submitted(job(1))
     rules.invalid_answered(1.0, "j-000001", status, 422)
     assert len(rules.broken) == broken
@@ -240,7 +240,7 @@
 def reported(state, *answers):
     """Rules of a job that runs to its end in 1 s and is cancelled, too; of which a user was told
     this state at 2 s, and then these answers."""
-    rules = Rules(30.0, {})
+    rules = Invariants(30.0, {})
     rules.submitted(job(1, beats=1))
     rules.submit_answer(0.0, "j-000001", 201, "pending")
     rules.started(0.5, "m", HERE, "j-000001", 0)
@@ -263,7 +263,7 @@
 def test_a_job_is_unknown_only_to_questions_from_before_its_acceptance():
     accepted = (4.9, 5.0, SUBMISSION, 201, "pending")
     for asked, broken in ((4.99, False), (5.0, True)):
-        rules = Rules(30.0, {})
+        rules = Invariants(30.0, {})
         rules.submitted(job(1))
         play_answers(rules, accepted, (asked, 5.1, QUESTION, 404, None))
         assert bool(rules.broken) is broken
@@ -273,7 +273,7 @@
 def test_repeated_submissions_are_compared_by_when_they_were_sent():
     before = (0.9, 1.0, SUBMISSION, 201, "pending"), (1.9, 2.0, QUESTION, 200, "cancelled")
     for asked, broken in ((1.95, False), (2.0, True)):
-        rules = Rules(30.0, {})
+        rules = Invariants(30.0, {})
         rules.submitted(job(1))
         rules.cancel_asked("j-000001")
         play_answers(rules, *before, (asked, 2.1, SUBMISSION, 200, "pending"))
@@ -282,7 +282,7 @@
 
 
 def test_listeners_are_told_each_event_once():
-    rules = Rules(30.0, {})
+    rules = Invariants(30.0, {})
     reported = []
     rules.listeners.append(lambda *event: reported.append(event))
     for number in (1, 2):
--- a/dappledrum/model/test_queueing.py
+++ b/dappledrum/model/test_queueing.py
@@ -4,7 +4,7 @@
 
 from dappledrum.model.admissible import fault
 from dappledrum.model.history import Fault
-from dappledrum.model.invariants import Rules
+from dappledrum.model.invariants import Invariants
 from dappledrum.model.queueing import WAITING_S, Amount, FreeMachine
 from dappledrum.simulation.cluster import TYPES, job
 
@@ -17,7 +17,7 @@
 
 
 def rules(*specs, limits=None):
-    checker = Rules(30.0, limits or {"blue": (0.0, 0.0), "red": (4.0, 0.0)})
+    checker = Invariants(30.0, limits or {"blue": (0.0, 0.0), "red": (4.0, 0.0)})
     for spec in specs:
         checker.submitted(spec)
         checker.submit_answer(0.0, spec["id"], 201, "pending")
--- a/dappledrum/peers/client.py
+++ b/dappledrum/peers/client.py
@@ -6,10 +6,10 @@
 from typing import Any
 
 from dappledrum.election.messages import (
+    LeaseGrantReply,
+    LeaseGrantRequest,
     PreVote,
     PreVoteReply,
-    PromiseReply,
-    PromiseRequest,
     TransferLeadership,
     TransferLeadershipReply,
 )
@@ -17,23 +17,23 @@
 from dappledrum.http.client import Caller, NoResponseError
 from dappledrum.jobs.confirmed_cancellations import CancellationWindow, merge_windows
 from dappledrum.membership.messages import (
-    ForwardedReports,
-    ForwardedReportsReply,
-    Heartbeats,
-    HeartbeatsReply,
+    ForwardedHeartbeats,
+    ForwardedHeartbeatsReply,
+    PeerHeartbeats,
+    PeerHeartbeatsReply,
 )
 from dappledrum.peers.messages import (
-    HoldingQuestion,
-    HoldingReply,
+    HeartbeatAttemptsReply,
+    HeartbeatAttemptsRequest,
+    HoldsTermReply,
+    HoldsTermRequest,
+    LeaseGrantCall,
     MalformedError,
-    Promise,
-    Question,
+    PeerRequest,
     Relay,
     RelayReply,
-    ReportAttemptsQuestion,
-    ReportAttemptsReply,
-    VersionQuestion,
     VersionReply,
+    VersionRequest,
     decode,
     encode,
 )
@@ -49,7 +49,9 @@
         self.callers = callers
         self.refusals: dict[str, str] = {}  # why each refused its newest promise, as logged
 
-    async def _ask(self, member: str, question: Question, kind: type, timeout: timedelta) -> Any:  # noqa: ANN401
+    async def _ask(
+        self, member: str, question: PeerRequest, kind: type, timeout: timedelta
+    ) -> Any:  # noqa: ANN401
         try:
             reply = await self.callers[member].request("POST", "/peer", encode(question), timeout)
             return decode(reply.body, kind) if reply.status == 200 else None
@@ -57,13 +59,14 @@
             log.debug("peer %s gave no usable answer: %s", member, error)
             return None
 
-    async def promise(self, request: PromiseRequest, timeout: timedelta) -> Answers:
+    async def promise(self, request: LeaseGrantRequest, timeout: timedelta) -> Answers:
         """How many of the other controllers promise not to stand.
 
         One that does not answer has not promised.
         """
         asked = [
-            self._ask(member, Promise(request), PromiseReply, timeout) for member in self.callers
+            self._ask(member, LeaseGrantCall(request), LeaseGrantReply, timeout)
+            for member in self.callers
         ]
         replies = await asyncio.gather(*asked)
         for member, reply in zip(self.callers, replies, strict=True):
@@ -84,10 +87,10 @@
         confirmed.append(CancellationWindow(frozenset(), ALWAYS))
         return Answers(len(granted), len(replies), strong, confirmed=merge_windows(confirmed))
 
-    async def is_served(self, member: str, request: PromiseRequest, timeout: timedelta) -> bool:
-        """Whether the state service serves a peer now: asked for a promise, a peer makes a request
+    async def is_served(self, member: str, request: LeaseGrantRequest, timeout: timedelta) -> bool:
+        """Whether the store serves a peer now: asked for a promise, a peer makes a request
         of its own, and refuses if that is answered."""
-        reply = await self._ask(member, Promise(request), PromiseReply, timeout)
+        reply = await self._ask(member, LeaseGrantCall(request), LeaseGrantReply, timeout)
         return reply is not None and not reply.granted
 
     async def pre_vote(self, question: PreVote, timeout: timedelta) -> Answers:
@@ -123,9 +126,9 @@
     async def report_attempts(self, within: timedelta, timeout: timedelta) -> dict[str, int]:
         """Machines that have tried to report to another controller, and how often each came to the
         same one."""
-        question = ReportAttemptsQuestion(int(within.total_seconds() * 1000))
+        question = HeartbeatAttemptsRequest(int(within.total_seconds() * 1000))
         replies = await asyncio.gather(
-            *(self._ask(m, question, ReportAttemptsReply, timeout) for m in self.callers)
+            *(self._ask(m, question, HeartbeatAttemptsReply, timeout) for m in self.callers)
         )
         result: dict[str, int] = {}
         for reply in replies:
@@ -147,13 +150,13 @@
             spans.append(shorter(timedelta(milliseconds=reply.quiet_ms)))
         return min(spans, default=None)
 
-    async def _holders(self, timeout: timedelta) -> list[HoldingReply | None]:
-        asked = [self._ask(m, HoldingQuestion(), HoldingReply, timeout) for m in self.callers]
+    async def _holders(self, timeout: timedelta) -> list[HoldsTermReply | None]:
+        asked = [self._ask(m, HoldsTermRequest(), HoldsTermReply, timeout) for m in self.callers]
         return await asyncio.gather(*asked)
 
     async def version(self, member: str, timeout: timedelta) -> str | None:
         """The version that a peer runs; None if it does not answer."""
-        reply = await self._ask(member, VersionQuestion(), VersionReply, timeout)
+        reply = await self._ask(member, VersionRequest(), VersionReply, timeout)
         return None if reply is None else reply.version
 
     async def relay(self, member: str, request: Relay, timeout: timedelta) -> RelayReply | None:
@@ -162,11 +165,11 @@
         return reply
 
     async def heartbeats(
-        self, member: str, heartbeats: Heartbeats, timeout: timedelta
-    ) -> HeartbeatsReply | None:
+        self, member: str, heartbeats: PeerHeartbeats, timeout: timedelta
+    ) -> PeerHeartbeatsReply | None:
         """Exchange heartbeats with a peer."""
-        reply: HeartbeatsReply | None = await self._ask(
-            member, heartbeats, HeartbeatsReply, timeout
+        reply: PeerHeartbeatsReply | None = await self._ask(
+            member, heartbeats, PeerHeartbeatsReply, timeout
         )
         return reply
 
@@ -174,7 +177,9 @@
         self, member: str, reports: list[bytes], timeout: timedelta
     ) -> list[bytes | None] | None:
         """Let the leader answer reports of workers that do not reach it."""
-        reply = await self._ask(member, ForwardedReports(reports), ForwardedReportsReply, timeout)
+        reply = await self._ask(
+            member, ForwardedHeartbeats(reports), ForwardedHeartbeatsReply, timeout
+        )
         return None if reply is None else reply.answers
 
     async def transfer_leadership(
--- a/dappledrum/peers/messages.py
+++ b/dappledrum/peers/messages.py
@@ -10,23 +10,23 @@
 
 from dappledrum.election.messages import (
     Age,
+    LeaseGrantReply,
+    LeaseGrantRequest,
     PreVote,
     PreVoteReply,
-    PromiseReply,
-    PromiseRequest,
     TransferLeadership,
     TransferLeadershipReply,
 )
 from dappledrum.membership.messages import (
-    ForwardedReports,
-    ForwardedReportsReply,
-    Heartbeats,
-    HeartbeatsReply,
+    ForwardedHeartbeats,
+    ForwardedHeartbeatsReply,
+    PeerHeartbeats,
+    PeerHeartbeatsReply,
 )
 
 
 class Relay(msgspec.Struct, tag="relay", tag_field="kind"):
-    """A user's request that the sender can't serve because it does not reach the state service."""
+    """A user's request that the sender can't serve because it does not reach the store."""
 
     method: str
     path: str
@@ -41,25 +41,25 @@
     retry_after: int | None = None
 
 
-class ReportAttemptsQuestion(msgspec.Struct, tag="knocks", tag_field="kind"):
+class HeartbeatAttemptsRequest(msgspec.Struct, tag="knocks", tag_field="kind"):
     """Asked by a leader that gets no reports: whether workers report elsewhere."""
 
     within_ms: int
 
 
-class ReportAttemptsReply(msgspec.Struct):
+class HeartbeatAttemptsReply(msgspec.Struct):
     """How often each machine tried to report here within that time."""
 
     machines: dict[str, int]
 
 
-class Promise(msgspec.Struct, tag="promise", tag_field="kind"):
+class LeaseGrantCall(msgspec.Struct, tag="promise", tag_field="kind"):
     """A request not to stand for leader for a limited time; see `election/`."""
 
-    request: PromiseRequest
+    request: LeaseGrantRequest
 
 
-class VersionQuestion(msgspec.Struct, tag="version", tag_field="kind"):
+class VersionRequest(msgspec.Struct, tag="version", tag_field="kind"):
     """Asked of every controller until it answers; versions up to 0.2.0 refuse it."""
 
 
@@ -69,12 +69,12 @@
     version: str
 
 
-class HoldingQuestion(msgspec.Struct, tag="holding", tag_field="kind"):
+class HoldsTermRequest(msgspec.Struct, tag="holding", tag_field="kind"):
     """Asked by a controller that has just started: whether a leader may rely on a promise of its
     former process. Versions before 0.4.0 refuse it."""
 
 
-class HoldingReply(msgspec.Struct):
+class HoldsTermReply(msgspec.Struct):
     """Whether the controller holds a term, by its lease or by promises.
 
     `quiet_ms` is for how long it has certainly answered no worker in a term of its own: since its
@@ -86,25 +86,25 @@
     quiet_ms: Age | None = None
 
 
-Question = (
+PeerRequest = (
     Relay
-    | ReportAttemptsQuestion
-    | Promise
-    | VersionQuestion
-    | HoldingQuestion
-    | Heartbeats
-    | ForwardedReports
+    | HeartbeatAttemptsRequest
+    | LeaseGrantCall
+    | VersionRequest
+    | HoldsTermRequest
+    | PeerHeartbeats
+    | ForwardedHeartbeats
     | TransferLeadership
     | PreVote
 )
-Reply = (
+PeerReply = (
     RelayReply
-    | ReportAttemptsReply
-    | PromiseReply
+    | HeartbeatAttemptsReply
+    | LeaseGrantReply
     | VersionReply
-    | HoldingReply
-    | HeartbeatsReply
-    | ForwardedReportsReply
+    | HoldsTermReply
+    | PeerHeartbeatsReply
+    | ForwardedHeartbeatsReply
     | TransferLeadershipReply
     | PreVoteReply
 )
@@ -114,7 +114,7 @@
     """The data are no valid message."""
 
 
-def encode(message: Question | Reply) -> bytes:
+def encode(message: PeerRequest | PeerReply) -> bytes:
     """Encode a message for sending."""
     return cbor2.dumps(msgspec.to_builtins(message, builtin_types=(bytes,)))
 
--- a/dappledrum/recovery/progress.py
+++ b/dappledrum/recovery/progress.py
@@ -7,7 +7,7 @@
 from datetime import timedelta
 
 from dappledrum.timing.clock import Clock
-from dappledrum.workers.machine_registry import Machine, Roster
+from dappledrum.workers.machine_registry import Machine, MachineRegistry
 
 log = logging.getLogger(__name__)
 
@@ -18,9 +18,9 @@
     """Watches the recovery of one term; it changes nothing."""
 
     def __init__(
-        self, roster: Roster, clock: Clock, lease: timedelta, listed: Callable[[], bool]
+        self, registry: MachineRegistry, clock: Clock, lease: timedelta, listed: Callable[[], bool]
     ) -> None:
-        self.roster = roster
+        self.registry = registry
         self.clock = clock
         self.most = lease * LEASES
         self.listed = listed
@@ -31,7 +31,7 @@
     def begin(self) -> None:
         """Start when the records are read."""
         self.began = self.clock.now()
-        self.placed = {machine.name for machine in self.roster if machine.placements}
+        self.placed = {machine.name for machine in self.registry if machine.placements}
 
     def lost(self, why: str) -> None:
         """Count a placement that was given up."""
@@ -42,12 +42,12 @@
         if self.began is None:
             return
         waited = self.clock.now() - self.began
-        awaited = [machine for machine in self.roster if self._awaited(machine)]
+        awaited = [machine for machine in self.registry if self._awaited(machine)]
         if (awaited or not self.listed()) and waited <= self.most:
             return
-        back = [m for m in self.roster if m.up and (m.listed_up or m.name in self.placed)]
+        back = [m for m in self.registry if m.up and (m.listed_up or m.name in self.placed)]
         at = max((m.up_at for m in back if m.up_at is not None), default=self.began)
-        missing = len(awaited) + sum(self.roster.get(name) is None for name in self.placed)
+        missing = len(awaited) + sum(self.registry.get(name) is None for name in self.placed)
         gone = "; ".join(f"{count} for {why}" for why, count in self.gone.most_common())
         log.info(
             "the start is over: %d machines back within %.1f s, %d missing; tasks given up: %s",
--- a/dappledrum/recovery/test_last_answers.py
+++ b/dappledrum/recovery/test_last_answers.py
@@ -7,9 +7,9 @@
 import pytest
 
 from dappledrum.membership.test_outages import two_sides
-from dappledrum.simulation.cluster import World, job
+from dappledrum.simulation.cluster import SimulatedCluster, job
 from dappledrum.simulation.virtual_time import run
-from dappledrum.workers.reconciler import Bookkeeper
+from dappledrum.workers.reconciler import Reconciler
 
 FIVE = tuple(f"drummer-{index}" for index in range(5))
 LEASE = 9.0
@@ -19,11 +19,11 @@
 def proofs(monkeypatch):
     """Each proof by silence is told with its time, and checked against what is on the machine: a
     loop of the leader would only log a failure and go on."""
-    found, worlds, wrong = [], [], []
-    lost = Bookkeeper._lost
+    found, clusters, wrong = [], [], []
+    lost = Reconciler._lost
 
     def checked(self, machine, placement, why, entry):
-        rented = worlds[-1].cloud.machines.get(machine.name)
+        rented = clusters[-1].cloud.machines.get(machine.name)
         key = (f"{placement.page.job.id}/{placement.task}", placement.attempt)
         if "silent" in why:
             found.append((asyncio.get_running_loop().time(), machine.name))
@@ -32,48 +32,48 @@
                 wrong.append(f"{key} is on {machine.name}")
         lost(self, machine, placement, why, entry)
 
-    monkeypatch.setattr(Bookkeeper, "_lost", checked)
-    yield found, worlds
+    monkeypatch.setattr(Reconciler, "_lost", checked)
+    yield found, clusters
     assert not wrong
 
 
-async def busy(worlds, seed):
-    world = World(seed=seed, members=FIVE, lease_s=LEASE)
-    worlds.append(world)
-    await world.until(lambda: world.leader() is not None)
+async def busy(clusters, seed):
+    cluster = SimulatedCluster(seed=seed, members=FIVE, lease_s=LEASE)
+    clusters.append(cluster)
+    await cluster.until(lambda: cluster.leader() is not None)
     for number in range(6):
-        await world.submit(job(number, beats=6, runS=40.0, expectedS=40.0, dueS=None))
-    await world.until(lambda: world.rules.starts >= 16)
-    await world.wait(3)
-    return world
+        await cluster.submit(job(number, beats=6, runS=40.0, expectedS=40.0, dueS=None))
+    await cluster.until(lambda: cluster.rules.starts >= 16)
+    await cluster.wait(3)
+    return cluster
 
 
-def hang(world, share):
-    for worker in world.cloud.workers()[::share]:
+def hang(cluster, share):
+    for worker in cluster.cloud.workers()[::share]:
         worker.hung = True
 
 
 def test_what_died_with_all_controllers_is_proven_gone_a_lease_after_they_are_back(proofs):
     """They come back in an outage, so the next leader begins seconds later."""
-    found, worlds = proofs
+    found, clusters = proofs
 
     async def main():
-        world = await busy(worlds, 1)
-        world.state.out = True
-        await world.wait(1)
-        hang(world, 2)
-        await world.restart_all(3.0)
+        cluster = await busy(clusters, 1)
+        cluster.store.out = True
+        await cluster.wait(1)
+        hang(cluster, 2)
+        await cluster.restart_all(3.0)
         back = asyncio.get_running_loop().time()
-        await world.wait(5)
-        world.state.end_outage()
-        await world.until(lambda: world.leader() is not None)
+        await cluster.wait(5)
+        cluster.store.end_outage()
+        await cluster.until(lambda: cluster.leader() is not None)
         began = asyncio.get_running_loop().time()
         assert began > back + 5
-        await world.wait(back + LEASE + 2.5 - began)
+        await cluster.wait(back + LEASE + 2.5 - began)
         assert found and max(at for at, _ in found) < back + LEASE + 2.5
-        for worker in world.cloud.workers():
+        for worker in cluster.cloud.workers():
             worker.hung = False
-        await world.finish([f"j-{n:06d}" for n in range(6)], most=400)
+        await cluster.finish([f"j-{n:06d}" for n in range(6)], most=400)
 
     run(main())
 
@@ -82,36 +82,36 @@
 def test_nothing_is_taken_for_gone_that_is_there(proofs, seed):
     """Leaders that end, stand still, go on for promises and are cut off, while machines are cut
     off too, and go on at any moment: at each proof nothing is on the machine."""
-    _, worlds = proofs
+    _, clusters = proofs
 
     async def main():
-        world = await busy(worlds, seed)
+        cluster = await busy(clusters, seed)
         rng = random.Random(seed)
         for _ in range(5):
-            for name in rng.sample(sorted(world.cloud.machines), 2):
+            for name in rng.sample(sorted(cluster.cloud.machines), 2):
                 for member in FIVE:
-                    world.network.cut(member, name)
-            await world.wait(rng.uniform(0, 2))
-            leader = world.leader()
+                    cluster.network.cut(member, name)
+            await cluster.wait(rng.uniform(0, 2))
+            leader = cluster.leader()
             what = rng.choice(("end", "end", "all", "outage", "freeze"))
             if what == "end" and leader is not None:
-                await world.restart(leader, rng.choice((0.0, 0.3, 2.0)))
+                await cluster.restart(leader, rng.choice((0.0, 0.3, 2.0)))
             elif what == "all":
-                await world.restart_all(rng.uniform(0, 4))
+                await cluster.restart_all(rng.uniform(0, 4))
             elif what == "freeze" and leader is not None:
-                world.freeze(leader)
-                await world.wait(rng.uniform(2, 8))
-                world.thaw(leader)
+                cluster.freeze(leader)
+                await cluster.wait(rng.uniform(2, 8))
+                cluster.thaw(leader)
             else:
-                world.state.out = True
-                await world.wait(rng.uniform(1, 3))
-                await world.restart(rng.choice(FIVE), 0.3)
-                await world.wait(rng.uniform(1, 6))
-                world.state.end_outage()
-            await world.wait(rng.uniform(1, LEASE + 2))
-            world.network.heal()
-            await world.wait(2)
-        await world.finish([f"j-{n:06d}" for n in range(6)], most=600)
+                cluster.store.out = True
+                await cluster.wait(rng.uniform(1, 3))
+                await cluster.restart(rng.choice(FIVE), 0.3)
+                await cluster.wait(rng.uniform(1, 6))
+                cluster.store.end_outage()
+            await cluster.wait(rng.uniform(1, LEASE + 2))
+            cluster.network.heal()
+            await cluster.wait(2)
+        await cluster.finish([f"j-{n:06d}" for n in range(6)], most=600)
 
     run(main())
 
@@ -119,40 +119,40 @@
 def test_a_leader_that_others_know_nothing_of_may_still_answer(proofs):
     """Leader and two others are refused and go on for promises, two are served and lead, and the
     two sides can't talk: what the two hear of each other says nothing of the three."""
-    _, worlds = proofs
+    _, clusters = proofs
 
     async def main():
-        world = await busy(worlds, 3)
-        leader, others = two_sides(world)
-        for worker in world.cloud.workers()[::2]:  # these reach only the former leader
+        cluster = await busy(clusters, 3)
+        leader, others = two_sides(cluster)
+        for worker in cluster.cloud.workers()[::2]:  # these reach only the former leader
             for member in others:
-                world.network.cut(member, worker.name)
-        await world.until(lambda: world.leader() not in (None, leader), most=10)
-        assert world.nodes[leader].elector.holding() is not None
-        await world.wait(5)
-        world.network.heal()
-        world.state.refused.clear()
-        await world.finish([f"j-{n:06d}" for n in range(6)], most=400)
+                cluster.network.cut(member, worker.name)
+        await cluster.until(lambda: cluster.leader() not in (None, leader), most=10)
+        assert cluster.controllers[leader].elector.holding() is not None
+        await cluster.wait(5)
+        cluster.network.heal()
+        cluster.store.refused.clear()
+        await cluster.finish([f"j-{n:06d}" for n in range(6)], most=400)
 
     run(main())
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_a_leader_that_has_handed_over_answered_until_then(proofs, seed):
-    _, worlds = proofs
+    _, clusters = proofs
 
     async def main():
-        world = await busy(worlds, seed)
-        await world.wait(12)
-        leader = world.leader()
-        for worker in world.cloud.workers()[::2]:
+        cluster = await busy(clusters, seed)
+        await cluster.wait(12)
+        leader = cluster.leader()
+        for worker in cluster.cloud.workers()[::2]:
             for member in FIVE:
-                world.network.cut(member, worker.name)
-        world.state.refused.add(leader)
-        await world.until(lambda: world.leader() not in (None, leader), most=10)
-        await world.wait(LEASE - 4)
-        world.network.heal()
-        world.state.refused.clear()
-        await world.finish([f"j-{n:06d}" for n in range(6)], most=400)
+                cluster.network.cut(member, worker.name)
+        cluster.store.refused.add(leader)
+        await cluster.until(lambda: cluster.leader() not in (None, leader), most=10)
+        await cluster.wait(LEASE - 4)
+        cluster.network.heal()
+        cluster.store.refused.clear()
+        await cluster.finish([f"j-{n:06d}" for n in range(6)], most=400)
 
     run(main())
--- a/dappledrum/recovery/test_progress.py
+++ b/dappledrum/recovery/test_progress.py
@@ -1,6 +1,6 @@
 """What a new leader says of its start."""
 
-from dappledrum.simulation.cluster import World, job
+from dappledrum.simulation.cluster import SimulatedCluster, job
 from dappledrum.simulation.virtual_time import run
 
 
@@ -12,24 +12,24 @@
     """Machines that come back, one that is dead, and one that hangs: each is told once."""
 
     async def main():
-        world = World(seed=3, lease_s=9.0)
-        await world.until(lambda: world.leader() is not None)
-        await world.wait(25)
+        cluster = SimulatedCluster(seed=3, lease_s=9.0)
+        await cluster.until(lambda: cluster.leader() is not None)
+        await cluster.wait(25)
         assert len(said(caplog)) == 1 and " 0 machines back" in said(caplog)[0]
-        await world.submit(job(1, beats=24, runS=60.0, expectedS=60.0, dueS=75.0))
-        await world.until(lambda: world.rules.starts >= 12)
-        await world.wait(12)
-        working = [w for w in world.cloud.workers() if w.attempts]
+        await cluster.submit(job(1, beats=24, runS=60.0, expectedS=60.0, dueS=75.0))
+        await cluster.until(lambda: cluster.rules.starts >= 12)
+        await cluster.wait(12)
+        working = [w for w in cluster.cloud.workers() if w.attempts]
         assert len(working) >= 3
         dead = len(working[0].attempts)
-        world.network.services.pop(working[0].name)
+        cluster.network.services.pop(working[0].name)
         working[0].hung = True
-        await world.restart_all(1.0)
-        await world.until(lambda: len(said(caplog)) == 2, most=40)
+        await cluster.restart_all(1.0)
+        await cluster.until(lambda: len(said(caplog)) == 2, most=40)
         assert f"{len(working) - 1} machines back within" in said(caplog)[1]
         assert f"{dead} for the machine is silent for longer than its lease" in said(caplog)[1]
         working[0].hung = False
-        await world.finish(["j-000001"], most=400)
+        await cluster.finish(["j-000001"], most=400)
         assert len(said(caplog)) == 2
 
     caplog.set_level("INFO")
--- a/dappledrum/recovery/test_reconciliation.py
+++ b/dappledrum/recovery/test_reconciliation.py
@@ -15,9 +15,9 @@
 from dappledrum.simulation.cluster import job
 from dappledrum.simulation.virtual_time import run
 from dappledrum.timing.clock import Clock
-from dappledrum.workers.machine_registry import Roster
-from dappledrum.workers.messages import Report, TaskReport
-from dappledrum.workers.reconciler import Bookkeeper
+from dappledrum.workers.machine_registry import MachineRegistry
+from dappledrum.workers.messages import TaskStatus, WorkerHeartbeat
+from dappledrum.workers.reconciler import Reconciler
 
 TOKEN = 5
 
@@ -105,9 +105,9 @@
             page.place(0, "m", case.recorded[1], "a", datetime.now(UTC), case.recorded[0])
         page.saved = page.revision
         own.cancelled = case.cancelled
-        books = Bookkeeper(
+        books = Reconciler(
             {own.id: own},
-            Roster(),
+            MachineRegistry(),
             Estimates(),
             WorkerLimits(1.0, 9.0, 30.0),
             Clock(),
@@ -116,9 +116,11 @@
             lambda why: None,
         )
         books.restore(own)
-        tasks = [] if case.shown is None else [TaskReport("j-000001/0", *case.shown)]
+        tasks = [] if case.shown is None else [TaskStatus("j-000001/0", *case.shown)]
         token = TOKEN - 1 if case.held_back else TOKEN
-        report = Report("m", "10.1.0.1:1", "small", "a", True, case.session, 7, token, None, tasks)
+        report = WorkerHeartbeat(
+            "m", "10.1.0.1:1", "small", "a", True, case.session, 7, token, None, tasks
+        )
         machine = books.take(report)
         assert machine is not None
         instruction = ", ".join(
--- a/dappledrum/recovery/test_return_times.py
+++ b/dappledrum/recovery/test_return_times.py
@@ -5,7 +5,7 @@
 import pytest
 
 from dappledrum.recovery.return_times import expected_report_in
-from dappledrum.simulation.cluster import World, job
+from dappledrum.simulation.cluster import SimulatedCluster, job
 from dappledrum.simulation.virtual_time import run
 
 FIVE = tuple(f"drummer-{index}" for index in range(5))
@@ -28,11 +28,11 @@
     the seconds in which their workers came. Those that don't come are replaced soon."""
 
     async def main():
-        world = World(seed=1, members=FIVE, lease_s=12.0)
-        world.cloud.most = 200
+        cluster = SimulatedCluster(seed=1, members=FIVE, lease_s=12.0)
+        cluster.cloud.most = 200
         for _ in range(30):
-            world.cloud.add(("small", "a", True))
-        await world.until(lambda: world.leader() is not None)
+            cluster.cloud.add(("small", "a", True))
+        await cluster.until(lambda: cluster.leader() is not None)
         # One on each, with room for one of the others beside it.
         long = job(
             1,
@@ -44,28 +44,28 @@
             expectedS=160.0,
             dueS=400.0,
         )
-        await world.submit(long)
-        await world.wait(100)
-        up, rented = len(world.cloud.workers()), world.cloud.next
+        await cluster.submit(long)
+        await cluster.wait(100)
+        up, rented = len(cluster.cloud.workers()), cluster.cloud.next
         assert up >= 30
-        for worker in world.cloud.workers():
+        for worker in cluster.cloud.workers():
             worker.hung = True
-        await world.restart_all(1.0)
-        await world.until(lambda: world.leader() is not None)
-        assert await world.submit(job(2, beats=30, dueS=50.0)) == 201
-        await world.wait(2.5)
-        assert world.cloud.next == rented, "they may be back any moment"
+        await cluster.restart_all(1.0)
+        await cluster.until(lambda: cluster.leader() is not None)
+        assert await cluster.submit(job(2, beats=30, dueS=50.0)) == 201
+        await cluster.wait(2.5)
+        assert cluster.cloud.next == rented, "they may be back any moment"
         if comes:
-            for worker in world.cloud.workers():
+            for worker in cluster.cloud.workers():
                 worker.hung = False
-            await world.finish(["j-000001", "j-000002"])
-            assert world.cloud.next <= rented + 3
+            await cluster.finish(["j-000001", "j-000002"])
+            assert cluster.cloud.next <= rented + 3
         else:
-            await world.wait(20)
-            assert world.cloud.next > rented + 5, "they don't come"
-            for worker in world.cloud.workers():
+            await cluster.wait(20)
+            assert cluster.cloud.next > rented + 5, "they don't come"
+            for worker in cluster.cloud.workers():
                 worker.hung = False
-            await world.finish(["j-000001", "j-000002"])
+            await cluster.finish(["j-000001", "j-000002"])
 
     run(main())
 
@@ -78,21 +78,21 @@
     what comes back; 20 to 26 if that is not waited for."""
 
     async def main():
-        world = World(seed=seed, members=FIVE, lease_s=12.0)
-        world.cloud.most = 200
-        await world.until(lambda: world.leader() is not None)
+        cluster = SimulatedCluster(seed=seed, members=FIVE, lease_s=12.0)
+        cluster.cloud.most = 200
+        await cluster.until(lambda: cluster.leader() is not None)
         names = []
         for number in range(8):
             spec = job(number, beats=60, runS=9.0, expectedS=9.0, dueS=200.0)
             names.append(spec["id"])
-            assert await world.submit(spec) == 201
-        await world.until(lambda: world.rules.starts >= 200)
-        await world.wait(6)
-        rented, up = world.cloud.next, len(world.cloud.workers())
-        await world.restart_all(8.0)
-        await world.until(lambda: world.leader() is not None)
-        await world.wait(8)
-        assert up >= 20 and world.cloud.next - rented <= 13
-        await world.finish(names, most=600)
+            assert await cluster.submit(spec) == 201
+        await cluster.until(lambda: cluster.rules.starts >= 200)
+        await cluster.wait(6)
+        rented, up = cluster.cloud.next, len(cluster.cloud.workers())
+        await cluster.restart_all(8.0)
+        await cluster.until(lambda: cluster.leader() is not None)
+        await cluster.wait(8)
+        assert up >= 20 and cluster.cloud.next - rented <= 13
+        await cluster.finish(names, most=600)
 
     run(main())
--- a/dappledrum/scale/capacity.py
+++ b/dappledrum/scale/capacity.py
@@ -24,7 +24,7 @@
 
 
 class Hardware(NamedTuple):
-    """What one control machine has, and what a region's state service serves."""
+    """What one control machine has, and what a region's store serves."""
 
     cores: float = 1.0  # a controller is one process that runs on one core
     memory_mb: float = 1024.0
--- a/dappledrum/scale/fleet.py
+++ b/dappledrum/scale/fleet.py
@@ -3,7 +3,7 @@
 import random
 from typing import Any
 
-from dappledrum.model.invariants import Rules
+from dappledrum.model.invariants import Invariants
 from dappledrum.scale.messages import Boot, CutZone, Describe, Vanish
 from dappledrum.scale.processes import Companion
 from dappledrum.simulation.fleet import CloudService, Timing, Worker
@@ -29,7 +29,7 @@
     def __init__(
         self,
         types: list[dict[str, Any]],
-        rules: Rules,
+        rules: Invariants,
         timing: Timing,
         rng: random.Random,
         lag_s: float,
--- a/dappledrum/scale/hollow.py
+++ b/dappledrum/scale/hollow.py
@@ -101,8 +101,10 @@
                 self.events.send(self._counters())
 
     async def _boot(self, name: str, kind: tuple[str, str, bool], size: dict[str, float]) -> None:
-        nodes = list(self.settings.controllers)
-        worker = Worker(name, kind, size, self.network, self.rules, self.timing, nodes, self.rng)
+        controllers = list(self.settings.controllers)
+        worker = Worker(
+            name, kind, size, self.network, self.rules, self.timing, controllers, self.rng
+        )
         self.workers[name] = worker
         await self.network.listen(name, worker.address)
 
--- a/dappledrum/scale/messages.py
+++ b/dappledrum/scale/messages.py
@@ -86,7 +86,7 @@
 
 
 class StateCounters(msgspec.Struct):
-    """What the state service has served since it began."""
+    """What the store has served since it began."""
 
     requests: int
     changes: int
--- a/dappledrum/scale/order.py
+++ b/dappledrum/scale/order.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from functools import partial
 
-from dappledrum.model.invariants import Rules
+from dappledrum.model.invariants import Invariants
 from dappledrum.scale.messages import Ended, Event, Started
 
 WAIT_S = 2.0  # how late an event may come behind one of another process
@@ -13,7 +13,7 @@
 class OrderedEvents:
     """Holds events back until no earlier one can come any more, then tells the rules."""
 
-    def __init__(self, rules: Rules, began: Callable[[float, str, int], None]) -> None:
+    def __init__(self, rules: Invariants, began: Callable[[float, str, int], None]) -> None:
         self.rules = rules
         self.began = began
         self._heap: list[tuple[float, int, Callable[[], None]]] = []
--- a/dappledrum/scale/run.py
+++ b/dappledrum/scale/run.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from dappledrum import __version__
-from dappledrum.model.invariants import Rules
+from dappledrum.model.invariants import Invariants
 from dappledrum.scale.addresses import free_address
 from dappledrum.scale.controllers import Controllers
 from dappledrum.scale.fleet import RemoteCloud
@@ -68,7 +68,7 @@
         self.say = say
         self.rng = random.Random(options.seed)
         teams = [{"name": f"team-{number}"} for number in range(4)]
-        self.rules = Rules(CANCEL_S, {team["name"]: (0.0, 0.0) for team in teams})
+        self.rules = Invariants(CANCEL_S, {team["name"]: (0.0, 0.0) for team in teams})
         self.ordered = OrderedEvents(self.rules, self._began)
         self.start_ms = {urgency: histogram() for urgency in URGENCIES}
         self.first_start_after: float | None = None
--- a/dappledrum/scale/state_service.py
+++ b/dappledrum/scale/state_service.py
@@ -1,4 +1,4 @@
-"""The stand-in of the state service in a process of its own, with rates and latency.
+"""The stand-in of the store in a process of its own, with rates and latency.
 
     python3 -m dappledrum.scale.state_service SETTINGS.json
 
@@ -17,7 +17,7 @@
 from dappledrum.scale.messages import Command, Counters, StateCounters
 from dappledrum.scale.sockets import HEAD_BYTES, served
 from dappledrum.settings import split_address
-from dappledrum.simulation.state_service import StateService
+from dappledrum.simulation.key_value_store import KeyValueStore
 
 
 class StateSettings(msgspec.Struct):
@@ -37,7 +37,7 @@
 
     def __init__(self, settings: StateSettings) -> None:
         self.settings = settings
-        self.service = StateService()
+        self.service = KeyValueStore()
         self.service.rps = settings.requests_per_s
         self.service.write_rps = settings.changes_per_s
         self.service.value_bytes = int(settings.value_kb * 1024)
--- a/dappledrum/scale/test_scale.py
+++ b/dappledrum/scale/test_scale.py
@@ -11,7 +11,7 @@
 import psutil
 import pytest
 
-from dappledrum.model.invariants import Rules
+from dappledrum.model.invariants import Invariants
 from dappledrum.scale.__main__ import checked, parser
 from dappledrum.scale.messages import Ended, Started
 from dappledrum.scale.order import WAIT_S, OrderedEvents
@@ -57,7 +57,7 @@
         parent = psutil.Process(process.pid)
         deadline = time.monotonic() + 60
         while len(parent.children()) < 5 and time.monotonic() < deadline:
-            time.sleep(0.1)  # three controllers, the state service, one host
+            time.sleep(0.1)  # three controllers, the store, one host
         children = parent.children(recursive=True)
         os.kill(process.pid, number)
         assert process.wait(60) == 130
@@ -90,7 +90,7 @@
 
 def test_events_of_several_processes_are_told_in_the_order_of_their_times():
     """A start on a second machine arrives before the end on the first."""
-    rules = Rules(30.0, {})
+    rules = Invariants(30.0, {})
     rules.submitted(job(1))
     ordered = OrderedEvents(rules, lambda *_: None)
     ordered.add(Started(1.0, "host-1", KIND, "j-000001", 0))
--- a/dappledrum/scheduling/backfill.py
+++ b/dappledrum/scheduling/backfill.py
@@ -6,7 +6,7 @@
 
 from dappledrum.scheduling.bags import Bag
 from dappledrum.scheduling.capacity import Row
-from dappledrum.scheduling.plan_builder import Draft
+from dappledrum.scheduling.plan_builder import PlanBuilder
 from dappledrum.scheduling.timeline import FetchTimes, Gap, MachineTimeline
 from dappledrum.timing.clock import ZERO
 
@@ -15,10 +15,10 @@
 _Candidate = tuple[timedelta, float, timedelta, int, Gap | None]
 
 
-class PaidTime:
+class Backfill:
     """Places tasks on the machines of a draft without adding billed intervals."""
 
-    def __init__(self, draft: Draft) -> None:
+    def __init__(self, draft: PlanBuilder) -> None:
         self.draft = draft
 
     def fill(self, bag: Bag, count: int, zones: set[str] | None, cheap: bool = False) -> int:
--- a/dappledrum/scheduling/bags.py
+++ b/dappledrum/scheduling/bags.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 from datetime import timedelta
 
-from dappledrum.scheduling.timeline import Kind, Size
+from dappledrum.scheduling.timeline import InstanceKind, Size
 from dappledrum.timing.clock import ZERO
 
 
@@ -21,7 +21,7 @@
     due: timedelta
     image: str
     image_gb: float
-    allowed: Callable[[Kind], bool]
+    allowed: Callable[[InstanceKind], bool]
     rank: tuple[float, ...] = ()  # smaller goes first; decides before the order of the paper
     one_zone: bool = False
     zone_capacity: dict[str, int] | None = None  # spread: how many more tasks each zone may take
--- a/dappledrum/scheduling/capacity.py
+++ b/dappledrum/scheduling/capacity.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable, Sequence
 from datetime import timedelta
 
-from dappledrum.scheduling.timeline import Gap, Kind, MachineTimeline, Size
+from dappledrum.scheduling.timeline import Gap, InstanceKind, MachineTimeline, Size
 
 Row = tuple[timedelta, int]  # first moment with free capacity, index of the machine
 
@@ -19,8 +19,8 @@
 
     def __init__(self, timelines: Iterable[MachineTimeline]) -> None:
         self.timelines: list[MachineTimeline] = []
-        self.by_kind: dict[Kind, list[int]] = {}
-        self._orders: dict[Kind, dict[Size, list[Row]]] = {}
+        self.by_kind: dict[InstanceKind, list[int]] = {}
+        self._orders: dict[InstanceKind, dict[Size, list[Row]]] = {}
         for one in timelines:
             self.add(one)
 
@@ -32,7 +32,7 @@
         for size, rows in self._orders.get(timeline.kind, {}).items():
             insort(rows, (timeline.first(size), timeline.index))
 
-    def order(self, kind: Kind, size: Size) -> Sequence[Row]:
+    def order(self, kind: InstanceKind, size: Size) -> Sequence[Row]:
         """Machines of a kind, ordered by the first moment at which a task of this size fits;
         `reserve` keeps the returned list up to date."""
         orders = self._orders.setdefault(kind, {})
--- a/dappledrum/scheduling/gang_placement.py
+++ b/dappledrum/scheduling/gang_placement.py
@@ -2,8 +2,8 @@
 
 from dappledrum.gangs.search import Gang, GangSlot, Search
 from dappledrum.scheduling.bags import Bag
-from dappledrum.scheduling.plan_builder import Draft
-from dappledrum.scheduling.timeline import Gap, Kind
+from dappledrum.scheduling.plan_builder import PlanBuilder
+from dappledrum.scheduling.timeline import Gap, InstanceKind
 
 GANGS_SOUGHT = 4  # gangs for which one plan searches more than the free capacity of now
 
@@ -11,7 +11,7 @@
 class GangPlacement:
     """Finds room for the gangs of a draft."""
 
-    def __init__(self, draft: Draft) -> None:
+    def __init__(self, draft: PlanBuilder) -> None:
         self.draft = draft
         self._sought = 0  # gangs looked at closely
 
@@ -41,7 +41,9 @@
         closely = self._sought <= GANGS_SOUGHT
         return search.best(rent=not bag.held) if closely else search.at_once()
 
-    def _rent(self, bag: Bag, slot: GangSlot, kind: Kind, machines: int, tasks: int) -> None:
+    def _rent(
+        self, bag: Bag, slot: GangSlot, kind: InstanceKind, machines: int, tasks: int
+    ) -> None:
         """Rent machines of one kind, and reserve room on them for some tasks of the gang."""
         offer = self.draft.offer_of(kind)
         assert offer is not None
--- a/dappledrum/scheduling/plan.py
+++ b/dappledrum/scheduling/plan.py
@@ -9,11 +9,11 @@
 from collections.abc import Collection, Iterator, Sequence
 from datetime import timedelta
 
-from dappledrum.scheduling.backfill import PaidTime
+from dappledrum.scheduling.backfill import Backfill
 from dappledrum.scheduling.bags import Bag, TeamCapacity
 from dappledrum.scheduling.gang_placement import GangPlacement
-from dappledrum.scheduling.plan_builder import Draft, Plan
-from dappledrum.scheduling.scale_out import Renting
+from dappledrum.scheduling.plan_builder import Plan, PlanBuilder
+from dappledrum.scheduling.scale_out import ScaleOut
 from dappledrum.scheduling.timeline import MachineTimeline, Offer
 
 
@@ -28,14 +28,14 @@
         ready_share: float,
         team_capacity: TeamCapacity,
     ) -> None:
-        self.draft = Draft(now, timelines, offers)
+        self.draft = PlanBuilder(now, timelines, offers)
         self.plan = self.draft.plan
         self.ready_share = ready_share
         self.team_capacity = team_capacity
         self.left: list[tuple[Bag, int]] = []  # bags for which nothing was found yet, how many
         self._gangs = GangPlacement(self.draft)
-        self._paid_time = PaidTime(self.draft)
-        self._renting = Renting(self.draft)
+        self._paid_time = Backfill(self.draft)
+        self._renting = ScaleOut(self.draft)
 
     @property
     def examined(self) -> int:
--- a/dappledrum/scheduling/plan_builder.py
+++ b/dappledrum/scheduling/plan_builder.py
@@ -6,7 +6,7 @@
 
 from dappledrum.scheduling.bags import Bag
 from dappledrum.scheduling.capacity import CapacityIndex
-from dappledrum.scheduling.timeline import Gap, Kind, MachineTimeline, Offer
+from dappledrum.scheduling.timeline import Gap, InstanceKind, MachineTimeline, Offer
 
 
 @dataclass
@@ -16,14 +16,14 @@
     starts: list[tuple[str, str, int]] = field(
         default_factory=list
     )  # bag, machine, number of tasks
-    rentals: dict[Kind, int] = field(default_factory=dict)
+    rentals: dict[InstanceKind, int] = field(default_factory=dict)
     needed: set[str] = field(default_factory=set)  # machines with work to come
     late: dict[str, int] = field(
         default_factory=dict
     )  # tasks of each bag that are planned too late, or not at all
 
 
-class Draft:
+class PlanBuilder:
     """The plan so far, and the machines and offers that are left for the rest of it."""
 
     def __init__(
@@ -37,7 +37,7 @@
         self.examined = 0  # machines looked at closely: what a plan costs
         self._rented = 0
 
-    def offer_of(self, kind: Kind) -> Offer | None:
+    def offer_of(self, kind: InstanceKind) -> Offer | None:
         """The offer of a kind of machine, if it can be rented."""
         return next((offer for offer in self.offers if offer.kind == kind), None)
 
--- a/dappledrum/scheduling/scale_out.py
+++ b/dappledrum/scheduling/scale_out.py
@@ -9,8 +9,15 @@
 
 from dappledrum.scheduling.bags import Bag
 from dappledrum.scheduling.capacity import Row
-from dappledrum.scheduling.plan_builder import Draft
-from dappledrum.scheduling.timeline import SLACK, FetchTimes, Gap, Kind, MachineTimeline, Offer
+from dappledrum.scheduling.plan_builder import PlanBuilder
+from dappledrum.scheduling.timeline import (
+    SLACK,
+    FetchTimes,
+    Gap,
+    InstanceKind,
+    MachineTimeline,
+    Offer,
+)
 from dappledrum.timing.clock import ZERO
 
 # tasks of one bag that one plan distributes; the others wait for the next plan
@@ -24,10 +31,10 @@
 _Outcome = tuple[int, timedelta, float, int]
 
 
-class Renting:
+class ScaleOut:
     """Decides which machines the remaining tasks of a draft wait for, and which are rented."""
 
-    def __init__(self, draft: Draft) -> None:
+    def __init__(self, draft: PlanBuilder) -> None:
         self.draft = draft
 
     def rent(self, bag: Bag, count: int) -> None:
@@ -106,7 +113,7 @@
     """The tasks of one bag distributed over machines of one kind, without changing the draft."""
 
     def __init__(
-        self, draft: Draft, bag: Bag, kind: Kind, order: int, best: _Outcome | None
+        self, draft: PlanBuilder, bag: Bag, kind: InstanceKind, order: int, best: _Outcome | None
     ) -> None:
         self.draft = draft
         self.bag = bag
--- a/dappledrum/scheduling/test_plan.py
+++ b/dappledrum/scheduling/test_plan.py
@@ -11,7 +11,7 @@
 from dappledrum.scheduling.deadlines import closing_deadlines, next_deadline, stage_deadlines
 from dappledrum.scheduling.estimates import Estimates, Sample
 from dappledrum.scheduling.plan import Bag, Planner, TeamCapacity
-from dappledrum.scheduling.timeline import Kind, MachineTimeline, Offer, Size
+from dappledrum.scheduling.timeline import InstanceKind, MachineTimeline, Offer, Size
 from dappledrum.settings import Objective
 from dappledrum.timing.clock import seconds
 
@@ -52,7 +52,7 @@
         )
         timeline = MachineTimeline(
             f"m{index}",
-            Kind(kind, "z", SPOT[kind]),
+            InstanceKind(kind, "z", SPOT[kind]),
             Size(cpus, 0, 100),
             seconds(at),
             seconds(NOW - age),
@@ -96,7 +96,7 @@
     ]
     offers = [
         Offer(
-            Kind(kind, "z", SPOT[kind]),
+            InstanceKind(kind, "z", SPOT[kind]),
             Size(cpus, 0, 100),
             hourly,
             seconds(boot),
@@ -219,7 +219,7 @@
         timelines = [
             MachineTimeline(
                 f"m{i}",
-                Kind("p", zone, True),
+                InstanceKind("p", zone, True),
                 Size(4, 0, 100),
                 seconds(NOW),
                 seconds(NOW - 1),
--- a/dappledrum/scheduling/test_timeline.py
+++ b/dappledrum/scheduling/test_timeline.py
@@ -3,7 +3,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from dappledrum.scheduling.timeline import Kind, MachineTimeline, Size
+from dappledrum.scheduling.timeline import InstanceKind, MachineTimeline, Size
 from dappledrum.timing.clock import seconds
 
 READY = 1_000
@@ -24,7 +24,7 @@
 
 
 def timeline():
-    kind = Kind("large", "a", True)
+    kind = InstanceKind("large", "a", True)
     return MachineTimeline(
         "m", kind, CAPACITY, seconds(READY), seconds(READY - 130), 1.0, 1.0, seconds(60)
     )
--- a/dappledrum/scheduling/timeline.py
+++ b/dappledrum/scheduling/timeline.py
@@ -57,7 +57,7 @@
         return self.minus(other, -1)
 
 
-class Kind(NamedTuple):
+class InstanceKind(NamedTuple):
     """What can be rented: a machine type in a zone, as a spot or an ordinary machine."""
 
     type: str
@@ -69,7 +69,7 @@
 class Offer:
     """A kind of machine that can be rented now."""
 
-    kind: Kind
+    kind: InstanceKind
     capacity: Size
     hourly: float
     boot: timedelta
@@ -112,7 +112,7 @@
     def __init__(
         self,
         machine: str,
-        kind: Kind,
+        kind: InstanceKind,
         free: Size,
         ready_at: timedelta,
         rented_at: timedelta,
--- a/dappledrum/settings.py
+++ b/dappledrum/settings.py
@@ -83,7 +83,7 @@
 
 
 class NextLimits(msgspec.Struct, frozen=True):
-    """Limits that the state service will have from some moment on, without notice; a limit that is
+    """Limits that the store will have from some moment on, without notice; a limit that is
     left out does not change."""
 
     rps: Positive | None = None
@@ -93,7 +93,7 @@
 
 
 class StateLimits(msgspec.Struct, frozen=True):
-    """Rates and sizes that the state service allows."""
+    """Rates and sizes that the store allows."""
 
     rps: Positive
     write_rps: Positive
--- a/dappledrum/simulation/cluster.py
+++ b/dappledrum/simulation/cluster.py
@@ -12,11 +12,11 @@
 
 import msgspec
 
-from dappledrum.controller.controller import Node
+from dappledrum.controller.controller import Controller
 from dappledrum.http.client import Caller, NoResponseError, Reply
 from dappledrum.http.server import Handler, Request, Response
 from dappledrum.model.history import ACCEPTED, REFUSED
-from dappledrum.model.invariants import Rules
+from dappledrum.model.invariants import Invariants
 from dappledrum.settings import (
     CloudLimits,
     External,
@@ -31,8 +31,8 @@
 )
 from dappledrum.simulation import history_recording
 from dappledrum.simulation.fleet import CloudService, Timing
+from dappledrum.simulation.key_value_store import KeyValueStore
 from dappledrum.simulation.network import Link, Network, Service
-from dappledrum.simulation.state_service import StateService
 from dappledrum.simulation.virtual_time import PROCESS, SkewedClock, VirtualLoop
 
 TYPES = [
@@ -122,7 +122,7 @@
 
 
 @dataclass
-class World:
+class SimulatedCluster:
     """Everything, with handles for what can go wrong."""
 
     seed: int = 1
@@ -131,12 +131,12 @@
     lease_s: float = 9.0
     rps: float = 200.0
     write_rps: float = 100.0
-    limited: bool = False  # the state service refuses what exceeds these rates
+    limited: bool = False  # the store refuses what exceeds these rates
     next: NextLimits | None = None
     reach: bool = True
     old: set[str] = field(default_factory=set)  # controllers that run the version before chains
     rng: random.Random = field(init=False)
-    nodes: dict[str, Node] = field(default_factory=dict)
+    controllers: dict[str, Controller] = field(default_factory=dict)
     processes: dict[str, asyncio.Task[None]] = field(default_factory=dict)
     links: dict[str, list[Link]] = field(default_factory=dict)  # of each controller's process
     acting: set[asyncio.Task[None]] = field(default_factory=set)  # users that troubles have added
@@ -145,19 +145,19 @@
     def __post_init__(self) -> None:
         self.rng = random.Random(self.seed)
         self.network = Network(self.rng)
-        self.rules = Rules(
+        self.rules = Invariants(
             30.0, {team.name: (team.cpus_max, team.gpus_max) for team in self.teams}
         )
-        self.state = StateService()
+        self.store = KeyValueStore()
         if self.limited:
-            self.state.rps, self.state.write_rps = self.rps, self.write_rps
+            self.store.rps, self.store.write_rps = self.rps, self.write_rps
         timing = Timing(1.0, self.lease_s)
         self.timing = timing
         types = [dict(kind) for kind in TYPES]
         self.cloud = CloudService(
             types, self.network, self.rules, timing, list(self.members), self.rng, 4.0
         )
-        self.network.services["state"] = self.state
+        self.network.services["state"] = self.store
         self.network.services["cloud"] = self.cloud
         self.params = Params(
             teams=list(self.teams),
@@ -189,7 +189,7 @@
         )
         self.links[member] = []
         callers = {peer.member: self._link(member, "back-" + peer.member) for peer in peers}
-        node = Node(
+        controller = Controller(
             settings,
             Tuning(reach=self.reach and member not in self.old),
             clock,
@@ -199,13 +199,15 @@
             dict(callers),
             partial(self._probe, member),
         )
-        self.nodes[member] = node
+        self.controllers[member] = controller
         context = contextvars.copy_context()
         context.run(PROCESS.set, member)
         loop = asyncio.get_running_loop()
-        self.processes[member] = loop.create_task(node.run(), context=context)
-        self.network.services[member] = self._service(node.serve, context)
-        self.network.services["back-" + member] = self._service(self._peer(node, member), context)
+        self.processes[member] = loop.create_task(controller.run(), context=context)
+        self.network.services[member] = self._service(controller.serve, context)
+        self.network.services["back-" + member] = self._service(
+            self._peer(controller, member), context
+        )
 
     def _link(self, member: str, target: str) -> Link:
         link = self.network.caller(member, target)
@@ -227,16 +229,16 @@
             self.params, state=msgspec.structs.replace(self.params.state, next=None)
         )
 
-    def _peer(self, node: Node, member: str) -> Handler:
+    def _peer(self, controller: Controller, member: str) -> Handler:
         """What peers reach; the version before refuses questions that it does not know."""
         if member not in self.old:
-            return node.serve_peer
+            return controller.serve_peer
 
         async def refuse(request: Request) -> Response:
             news = (b"version", b"holding", b"reach", b"passed", b"hand_over")
             if any(kind in request.body for kind in news):
                 return Response(400)
-            return await node.serve_peer(request)
+            return await controller.serve_peer(request)
 
         return refuse
 
@@ -258,11 +260,11 @@
         await self.restart(member, after)
 
     def drop_limits(self) -> None:
-        """The state service takes less from now on, and tells nobody."""
+        """The store takes less from now on, and tells nobody."""
         assert self.next is not None
-        self.state.value_bytes = int((self.next.value_kb or 8.0) * 1024)
-        self.state.txn_ops = self.next.txn_ops or 24
-        self.state.write_rps = self.next.write_rps
+        self.store.value_bytes = int((self.next.value_kb or 8.0) * 1024)
+        self.store.txn_ops = self.next.txn_ops or 24
+        self.store.write_rps = self.next.write_rps
 
     @staticmethod
     def _service(handler: Handler, context: contextvars.Context) -> Service:
@@ -310,8 +312,8 @@
         """The controller that leads at this moment."""
         leading = [
             member
-            for member, node in self.nodes.items()
-            if self.alive(member) and node.elector.leading()
+            for member, controller in self.controllers.items()
+            if self.alive(member) and controller.elector.leading()
         ]
         assert len(leading) <= 1, f"two leaders: {leading}"
         return leading[0] if leading else None
@@ -331,7 +333,7 @@
             self.network.cut("back-" + member, target)
 
     def isolate(self, member: str) -> None:
-        """Cut a controller off from the state service and the other controllers, not from its
+        """Cut a controller off from the store and the other controllers, not from its
         workers."""
         self.cut_off(member, "state")
         self.cut_from_peers(member)
@@ -492,8 +494,8 @@
         return asyncio.get_running_loop().time() - began
 
 
-async def led_world(seed: int = 1, **settings: Any) -> World:  # noqa: ANN401 - any field of a world
+async def led_cluster(seed: int = 1, **settings: Any) -> SimulatedCluster:  # noqa: ANN401 - any field of a world
     """A world in which some controller leads already."""
-    world = World(seed=seed, **settings)
-    await world.until_led()
-    return world
+    cluster = SimulatedCluster(seed=seed, **settings)
+    await cluster.until_led()
+    return cluster
--- a/dappledrum/simulation/crash_points.py
+++ b/dappledrum/simulation/crash_points.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from dappledrum.simulation.cluster import World, job, led_world
+from dappledrum.simulation.cluster import SimulatedCluster, job, led_cluster
 from dappledrum.simulation.fault_combinations import FIVE
 from dappledrum.simulation.network import Sent, host
 
@@ -68,23 +68,25 @@
 }
 
 
-class Ends:
+class CrashPoints:
     """Ends controllers of a world at one step, now and then."""
 
-    def __init__(self, world: World, step: Step, rng: random.Random, most: int) -> None:
-        self.world = world
+    def __init__(
+        self, cluster: SimulatedCluster, step: Step, rng: random.Random, most: int
+    ) -> None:
+        self.cluster = cluster
         self.step = step
         self.rng = rng
         self.most = most
         self.next = rng.randint(1, 2)  # of those that come by, until one is chosen
         self.fates: Counter[str] = Counter()
-        world.network.watcher = self._sees
+        cluster.network.watcher = self._sees
 
     def _sees(self, sent: Sent) -> float | None:
         if self.fates.total() >= self.most or not self.step.matches(sent):
             return None
         member = host(sent.target if self.step.answering else sent.source)
-        if member not in self.world.members or not self.world.alive(member):
+        if member not in self.cluster.members or not self.cluster.alive(member):
             return None
         self.next -= 1
         if self.next > 0:
@@ -102,53 +104,55 @@
         return self.rng.uniform(0.0, MAX_LATENESS) if fate == "late" else 3600.0
 
     def _end(self, member: str) -> None:
-        if self.world.alive(member):
-            self.world.kill(member)
-            asyncio.get_running_loop().call_later(self.rng.choice(BACK), self.world.start, member)
+        if self.cluster.alive(member):
+            self.cluster.kill(member)
+            asyncio.get_running_loop().call_later(
+                self.rng.choice(BACK), self.cluster.start, member
+            )
 
 
 async def play_ends(step: str, seed: int) -> int:
     """Play five controllers at work that end at one step, now and then, until every job is over;
     how often one did."""
     rng = random.Random(f"{step} {seed}")
-    world = await led_world(seed, members=FIVE)
-    ends = Ends(world, STEPS[step], rng, most=10)
+    cluster = await led_cluster(seed, members=FIVE)
+    ends = CrashPoints(cluster, STEPS[step], rng, most=10)
     names = []
     for number in range(6):
         spec = job(number, beats=6, dueS=None, crew="red" if number == 5 else "blue")
         names.append(spec["id"])
-        assert await world.submit(spec) in (200, 201)
-    await world.until(lambda: world.rules.starts >= 4)
-    names.append(await _make_each_step_come_by(world, rng))
-    world.network.watcher = None
-    await world.wait(2)
-    await world.finish(names, most=400)
+        assert await cluster.submit(spec) in (200, 201)
+    await cluster.until(lambda: cluster.rules.starts >= 4)
+    names.append(await _make_each_step_come_by(cluster, rng))
+    cluster.network.watcher = None
+    await cluster.wait(2)
+    await cluster.finish(names, most=400)
     return ends.fates.total()
 
 
-async def _make_each_step_come_by(world: World, rng: random.Random) -> str:
+async def _make_each_step_come_by(cluster: SimulatedCluster, rng: random.Random) -> str:
     """An outage, leaders that end or must hand over, machines taken; the name of a job that was
     submitted meanwhile."""
     for _ in range(2):
-        await world.wait(rng.uniform(1, 3))
-        if world.leader() is not None:
-            await world.restart(world.leader(), rng.uniform(0, 4))
-    world.state.out = True
-    await world.wait(rng.uniform(2, 4))
-    world.state.end_outage()
-    await world.wait(rng.uniform(14, 16))  # a term that is long enough to be handed over
-    leader = world.leader()
+        await cluster.wait(rng.uniform(1, 3))
+        if cluster.leader() is not None:
+            await cluster.restart(cluster.leader(), rng.uniform(0, 4))
+    cluster.store.out = True
+    await cluster.wait(rng.uniform(2, 4))
+    cluster.store.end_outage()
+    await cluster.wait(rng.uniform(14, 16))  # a term that is long enough to be handed over
+    leader = cluster.leader()
     if leader is not None:
-        world.state.refused.add(leader)
-    for name in list(world.cloud.machines)[::3]:
-        world.cloud.take(name)
-    await world.wait(rng.uniform(5, 8))
-    world.state.refused.clear()
+        cluster.store.refused.add(leader)
+    for name in list(cluster.cloud.machines)[::3]:
+        cluster.cloud.take(name)
+    await cluster.wait(rng.uniform(5, 8))
+    cluster.store.refused.clear()
     late = job(900, dueS=None)
-    assert await world.submit(late) in (200, 201)
-    await world.wait(60)  # and idle machines for long enough to be returned
-    if world.leader() is not None:
-        world.state.refused.add(world.leader())
-    await world.wait(6)
-    world.state.refused.clear()
+    assert await cluster.submit(late) in (200, 201)
+    await cluster.wait(60)  # and idle machines for long enough to be returned
+    if cluster.leader() is not None:
+        cluster.store.refused.add(cluster.leader())
+    await cluster.wait(6)
+    cluster.store.refused.clear()
     return str(late["id"])
--- a/dappledrum/simulation/day_file.py
+++ b/dappledrum/simulation/day_file.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from dappledrum.simulation.faults import TroubleError, convert
+from dappledrum.simulation.faults import FaultError, convert
 from dappledrum.simulation.faults.base import FaultLog
 
 
@@ -39,5 +39,5 @@
     try:
         file = msgspec.convert(tomllib.loads(path.read_text(encoding="utf-8")), _DayFile)
         return Day(file.name, [convert(fault) for fault in file.faults], file.seed)
-    except (OSError, ValueError, TroubleError) as error:
+    except (OSError, ValueError, FaultError) as error:
         raise DayError(f"{path}: {error}") from error
--- a/dappledrum/simulation/experiment.py
+++ b/dappledrum/simulation/experiment.py
@@ -19,7 +19,7 @@
 
 import msgspec
 
-from dappledrum.simulation.cluster import World, job
+from dappledrum.simulation.cluster import SimulatedCluster, job
 from dappledrum.simulation.day_file import Day, DayError, load
 from dappledrum.simulation.faults.base import FaultLog
 from dappledrum.simulation.trace import MessageTrace
@@ -72,8 +72,8 @@
 class _Watch:
     """Looks at a world every quarter of a second."""
 
-    def __init__(self, world: World, day: Day, back: float) -> None:
-        self.world = world
+    def __init__(self, cluster: SimulatedCluster, day: Day, back: float) -> None:
+        self.cluster = cluster
         self.back = back
         self.left: list[FaultLog] = sorted(day.faults, key=lambda fault: fault.at_s)
         self.after: list[tuple[After, float, int]] = []
@@ -83,21 +83,21 @@
 
     def look(self, now: float) -> None:
         """Let troubles begin that are due, and note what is to be seen."""
-        world = self.world
-        running = len(world.rules.running)
+        cluster = self.cluster
+        running = len(cluster.rules.running)
         while self.left and self.left[0].at_s <= now:
             fault = self.left.pop(0)
             one = After(fault.at_s, fault.kind, running)
-            self.after.append((one, now, world.cloud.next))
-            fault.begin(world, self.back)
-        self.no_leader += STEP * (world.leader() is None)
-        for worker in world.cloud.workers():
+            self.after.append((one, now, cluster.cloud.next))
+            fault.begin(cluster, self.back)
+        self.no_leader += STEP * (cluster.leader() is None)
+        for worker in cluster.cloud.workers():
             gap = now - worker.answered
             self.gaps[worker.name] = max(self.gaps.get(worker.name, 0.0), gap)
             self.sessions[worker.name] = worker.session
         for one, began, rented in self.after:
             if now - began <= RENTED_WITHIN:
-                one.rented = world.cloud.next - rented
+                one.rented = cluster.cloud.next - rented
         if self.after:  # until the next trouble
             one, began, _ = self.after[-1]
             if running < one.running_before * BACK_SHARE:
@@ -115,17 +115,17 @@
     trace: MessageTrace | None = None,
 ) -> Report:
     """One day; ends with an assertion when a rule is broken. The trace records all messages."""
-    world = World(seed=seed, members=FIVE, lease_s=15.0)
+    cluster = SimulatedCluster(seed=seed, members=FIVE, lease_s=15.0)
     if trace is not None:
         trace.resume()
-        world.network.trace = trace  # before any controller has run
-    world.cloud.most = machines
+        cluster.network.trace = trace  # before any controller has run
+    cluster.cloud.most = machines
     for _ in range(machines):
-        world.cloud.add(("small", "a", True))
-    await world.until(lambda: world.leader() is not None)
+        cluster.cloud.add(("small", "a", True))
+    await cluster.until(lambda: cluster.leader() is not None)
     capacity = machines * 4.0 / CPUS
     pause = TASKS * RUN_S / (capacity * BUSY)
-    watch = _Watch(world, day, back)
+    watch = _Watch(cluster, day, back)
     users: list[asyncio.Task[int | None]] = []
     names: list[str] = []
     due = 0.0
@@ -146,19 +146,19 @@
                 skin=f"img-{number % 4}",
             )
             names.append(spec["id"])
-            users.append(asyncio.ensure_future(world.submit(spec, TRIES)))
+            users.append(asyncio.ensure_future(cluster.submit(spec, TRIES)))
         watch.look(now)
-        await world.wait(STEP)
+        await cluster.wait(STEP)
     taken = await asyncio.gather(*users)
-    starts = world.rules.starts
+    starts = cluster.rules.starts
     accepted = [name for name, status in zip(names, taken, strict=True) if status is not None]
-    world.rules.faults_over_at = asyncio.get_running_loop().time()
-    await world.finish(accepted, most=600)
+    cluster.rules.faults_over_at = asyncio.get_running_loop().time()
+    await cluster.finish(accepted, most=600)
     if trace is not None:
         trace.stop()
     waits = [
         (facts.begun_at or 0.0) - (facts.submitted_at or 0.0)
-        for facts in world.rules.jobs.values()
+        for facts in cluster.rules.jobs.values()
         if facts.accepted
     ]
     gaps = sorted(watch.gaps.values())
@@ -174,11 +174,11 @@
         sum(session - 1 for session in watch.sessions.values()),
         starts,
         len(names) * TASKS,
-        world.cloud.next - machines,
-        round(world.state.requests / until, 1),
-        round(world.state.writes / until, 1),
+        cluster.cloud.next - machines,
+        round(cluster.store.requests / until, 1),
+        round(cluster.store.writes / until, 1),
         round(max(waits, default=0.0), 2),
-        round(world.rules.longest_s, 2),
+        round(cluster.rules.longest_s, 2),
         [one for one, _, _ in watch.after],
     )
 
--- a/dappledrum/simulation/fault_combinations.py
+++ b/dappledrum/simulation/fault_combinations.py
@@ -18,7 +18,7 @@
 import sys
 from typing import Any
 
-from dappledrum.simulation.cluster import World, job
+from dappledrum.simulation.cluster import SimulatedCluster, job
 from dappledrum.simulation.faults import KINDS, convert, end_all
 from dappledrum.simulation.faults.base import FaultLog
 from dappledrum.simulation.logged_failures import LoggedFailures
@@ -120,23 +120,25 @@
     return job(number, **changes)
 
 
-async def user(world: World, spec: dict[str, object], rng: random.Random) -> str | None:
+async def user(
+    cluster: SimulatedCluster, spec: dict[str, object], rng: random.Random
+) -> str | None:
     """Submits a job, asks about it at any controller, and may cancel it; its name if accepted."""
     name = str(spec["id"])
     await asyncio.sleep(rng.uniform(0, FAULTS_BEGIN[1]))
-    status = await world.submit(spec, 60)
+    status = await cluster.submit(spec, 60)
     if status not in (200, 201):
         return None
     cancels = spec["form"] == "service" or rng.random() < 0.5
     at = asyncio.get_running_loop().time() + rng.uniform(0, 60)
     while (now := asyncio.get_running_loop().time()) < at:
-        if await world.poll(name) in ("done", "cancelled"):
+        if await cluster.poll(name) in ("done", "cancelled"):
             break
         await asyncio.sleep(min(rng.uniform(0.5, 3), max(0.1, at - now)))
     if cancels:
-        await world.cancel(name, 200)
+        await cluster.cancel(name, 200)
     if rng.random() < 0.3:
-        await world.submit(spec, 60)  # a late retry
+        await cluster.submit(spec, 60)  # a late retry
     return name
 
 
@@ -159,40 +161,40 @@
     broken. Says what was drawn."""
     rng = random.Random(seed)
     chosen = kinds if exactly else tuple(rng.choice(kinds or DRAWN) for _ in range(2))
-    world = World(seed=seed, members=FIVE)
-    world.cloud.most = MACHINES + 4
+    cluster = SimulatedCluster(seed=seed, members=FIVE)
+    cluster.cloud.most = MACHINES + 4
     for _ in range(MACHINES):
-        world.cloud.add(("small", rng.choice(("a", "b")), rng.random() < 0.8))
+        cluster.cloud.add(("small", rng.choice(("a", "b")), rng.random() < 0.8))
     troubles = draw_troubles(chosen, triple, rng)
     said = "; ".join(str(fault) for fault in troubles)
     back = rng.choice(BACK)
-    await world.until(lambda: world.leader() is not None)
+    await cluster.until(lambda: cluster.leader() is not None)
     users = []
     for number in range(USERS):
         one = random.Random(f"{seed} {number}")
-        users.append(asyncio.ensure_future(user(world, submission(number, one), one)))
-    await _bring_about(world, troubles, back)
-    assert not (world.state.out or world.state.refused or world.network.late_writes), said
-    end_all(world)
-    while world.acting or not all(one.done() for one in users):
-        await world.wait(1)
+        users.append(asyncio.ensure_future(user(cluster, submission(number, one), one)))
+    await _bring_about(cluster, troubles, back)
+    assert not (cluster.store.out or cluster.store.refused or cluster.network.late_writes), said
+    end_all(cluster)
+    while cluster.acting or not all(one.done() for one in users):
+        await cluster.wait(1)
     names = [name for one in users if (name := one.result()) is not None]
-    await world.finish(names, most=600)
+    await cluster.finish(names, most=600)
     for name in names:  # once over, the same at each controller
         for member in FIVE:
-            await world.poll(name, member)
-    assert not world.rules.broken, world.rules.broken
+            await cluster.poll(name, member)
+    assert not cluster.rules.broken, cluster.rules.broken
     return said
 
 
-async def _bring_about(world: World, troubles: list[FaultLog], back: float) -> None:
+async def _bring_about(cluster: SimulatedCluster, troubles: list[FaultLog], back: float) -> None:
     """Let troubles begin at their times, and wait until they are over."""
     left = list(troubles)
     end = max(fault.at_s + fault.lasts_s for fault in troubles) + back + 8
-    while world.now() < end:
-        while left and left[0].at_s <= world.now():
-            left.pop(0).begin(world, back)
-        await world.wait(0.25)
+    while cluster.now() < end:
+        while left and left[0].at_s <= cluster.now():
+            left.pop(0).begin(cluster, back)
+        await cluster.wait(0.25)
 
 
 def main(argv: list[str] | None = None) -> int:
--- a/dappledrum/simulation/faults/__init__.py
+++ b/dappledrum/simulation/faults/__init__.py
@@ -1,7 +1,7 @@
 """Troubles that days and drawn scenarios bring about, one typed class for each kind.
 
 A trouble is written `{ at_s = 60.0, kind = "node_crash", … }` as in `days/*.toml`. A kind takes
-only its own options; a value that it can't use is a `TroubleError` that names the kind and the
+only its own options; a value that it can't use is a `FaultError` that names the kind and the
 option.
 """
 
@@ -9,12 +9,12 @@
 
 import msgspec
 
-from dappledrum.simulation.cluster import World
-from dappledrum.simulation.faults import controllers, machines, state_service, users
+from dappledrum.simulation.cluster import SimulatedCluster
+from dappledrum.simulation.faults import controllers, key_value_store, machines, users
 from dappledrum.simulation.faults.base import FaultLog
 
 
-class TroubleError(Exception):
+class FaultError(Exception):
     """A trouble can't be brought about; the text names its kind and what is wrong with it."""
 
 
@@ -28,15 +28,15 @@
         controllers.NodeFreeze,
         controllers.NodeCut,
         controllers.LeaderTransfer,
-        state_service.StateOutage,
-        state_service.LateWritesTrouble,
+        key_value_store.StateOutage,
+        key_value_store.LateWritesFault,
         machines.MachineDie,
         machines.MachineHang,
         machines.MachineDeaf,
         machines.MachineMute,
         machines.CloudOutage,
         machines.LateReports,
-        machines.LateCommandsTrouble,
+        machines.LateCommandsFault,
         users.CancelNow,
         users.CancelAtEnd,
         users.OddRequests,
@@ -46,37 +46,35 @@
 
 
 def convert(options: dict[str, Any]) -> FaultLog:
-    """The trouble that these options describe, or TroubleError."""
+    """The trouble that these options describe, or FaultError."""
     kind = options.get("kind")
     if not isinstance(kind, str):
-        raise TroubleError(f"no `kind` in {options}")
+        raise FaultError(f"no `kind` in {options}")
     if kind not in KINDS:
-        raise TroubleError(
-            f"kind `{kind}` is not known over the stand-ins, only {', '.join(KINDS)}"
-        )
+        raise FaultError(f"kind `{kind}` is not known over the stand-ins, only {', '.join(KINDS)}")
     try:
         return msgspec.convert(options, KINDS[kind])
     except msgspec.ValidationError as error:
-        raise TroubleError(f"{kind}: {error}") from error
+        raise FaultError(f"{kind}: {error}") from error
 
 
-def end_all(world: World) -> None:
+def end_all(cluster: SimulatedCluster) -> None:
     """End every trouble that still lasts; the rules' quiet time begins."""
-    network = world.network
+    network = cluster.network
     network.heal()
     network.copies = network.late_writes = network.late_commands = network.watcher = None
     network.kept.clear()
-    world.state.refused.clear()
-    if world.state.out:
-        world.state.end_outage()
-    world.cloud.out = False
-    for worker in world.cloud.workers():
+    cluster.store.refused.clear()
+    if cluster.store.out:
+        cluster.store.end_outage()
+    cluster.cloud.out = False
+    for worker in cluster.cloud.workers():
         worker.hung = False
-    for member in world.members:
-        world.thaw(member)
-        if not world.alive(member):
-            world.start(member)
-    world.rules.listeners.clear()
-    for task in world.odd_users:
+    for member in cluster.members:
+        cluster.thaw(member)
+        if not cluster.alive(member):
+            cluster.start(member)
+    cluster.rules.listeners.clear()
+    for task in cluster.odd_users:
         task.cancel()
-    world.rules.faults_over_at = world.now()
+    cluster.rules.faults_over_at = cluster.now()
--- a/dappledrum/simulation/faults/base.py
+++ b/dappledrum/simulation/faults/base.py
@@ -7,7 +7,7 @@
 import msgspec
 from msgspec import Meta
 
-from dappledrum.simulation.cluster import World
+from dappledrum.simulation.cluster import SimulatedCluster
 
 Seconds = Annotated[float, Meta(ge=0, le=86_400)]
 Share = Annotated[float, Meta(ge=0, le=1)]
@@ -29,13 +29,13 @@
         """For how long it goes on."""
         return 0.0
 
-    def begin(self, world: World, back: float) -> None:
+    def begin(self, cluster: SimulatedCluster, back: float) -> None:
         """Let it begin; processes that it ends are there again after `back` seconds or after
         their own time, whichever is longer."""
         raise NotImplementedError
 
 
-class LastingTrouble(FaultLog):
+class LastingFault(FaultLog):
     """A trouble that lasts for a given time."""
 
     for_s: Seconds
--- a/dappledrum/simulation/faults/controllers.py
+++ b/dappledrum/simulation/faults/controllers.py
@@ -2,28 +2,28 @@
 
 from typing import Literal
 
-from dappledrum.simulation.cluster import World
-from dappledrum.simulation.faults.base import Count, FaultLog, LastingTrouble, Seconds, later
+from dappledrum.simulation.cluster import SimulatedCluster
+from dappledrum.simulation.faults.base import Count, FaultLog, LastingFault, Seconds, later
 
 
-def _chosen(world: World, count: int, busiest: bool) -> list[str]:
+def _chosen(cluster: SimulatedCluster, count: int, busiest: bool) -> list[str]:
     """Running controllers, drawn, or with the leader first."""
-    alive = [member for member in world.members if world.alive(member)]
-    leader = world.leader()
-    world.rng.shuffle(alive)
+    alive = [member for member in cluster.members if cluster.alive(member)]
+    leader = cluster.leader()
+    cluster.rng.shuffle(alive)
     if busiest:
         alive.sort(key=lambda member: member != leader)
     return alive[:count]
 
 
-def _start(world: World, member: str) -> None:
-    if not world.alive(member):
-        world.start(member)
+def _start(cluster: SimulatedCluster, member: str) -> None:
+    if not cluster.alive(member):
+        cluster.start(member)
 
 
-def _kill(world: World, member: str) -> None:
-    if world.alive(member):
-        world.kill(member)
+def _kill(cluster: SimulatedCluster, member: str) -> None:
+    if cluster.alive(member):
+        cluster.kill(member)
 
 
 class NodeCrash(FaultLog, tag="node_crash"):
@@ -37,10 +37,10 @@
     def lasts_s(self) -> float:
         return self.for_s
 
-    def begin(self, world: World, back: float) -> None:
-        for member in _chosen(world, self.count, self.busiest):
-            world.kill(member)
-            later(max(back, self.for_s), _start, world, member)
+    def begin(self, cluster: SimulatedCluster, back: float) -> None:
+        for member in _chosen(cluster, self.count, self.busiest):
+            cluster.kill(member)
+            later(max(back, self.for_s), _start, cluster, member)
 
 
 class NodeDown(NodeCrash, tag="node_down"):
@@ -58,27 +58,27 @@
     def lasts_s(self) -> float:
         return 5 * self.every_s  # as many controllers as drawn scenarios have
 
-    def begin(self, world: World, back: float) -> None:
-        for turn, member in enumerate(world.members):
+    def begin(self, cluster: SimulatedCluster, back: float) -> None:
+        for turn, member in enumerate(cluster.members):
             at = turn * self.every_s
-            later(at, _kill, world, member)
-            later(at + back, _start, world, member)
+            later(at, _kill, cluster, member)
+            later(at + back, _start, cluster, member)
 
 
-class NodeFreeze(LastingTrouble, tag="node_freeze"):
+class NodeFreeze(LastingFault, tag="node_freeze"):
     """Controllers stand still, and go on where they stopped."""
 
     count: Count = 1
     busiest: bool = False
 
-    def begin(self, world: World, back: float) -> None:
-        for member in _chosen(world, self.count, self.busiest):
-            world.freeze(member)
-            later(self.for_s, world.thaw, member)
+    def begin(self, cluster: SimulatedCluster, back: float) -> None:
+        for member in _chosen(cluster, self.count, self.busiest):
+            cluster.freeze(member)
+            later(self.for_s, cluster.thaw, member)
 
 
-class NodeCut(LastingTrouble, tag="node_cut"):
-    """Controllers lose the state service, the workers, the other controllers, or everything."""
+class NodeCut(LastingFault, tag="node_cut"):
+    """Controllers lose the store, the workers, the other controllers, or everything."""
 
     count: Count = 1
     busiest: bool = False
@@ -87,35 +87,35 @@
     from_peers: bool = False
     mode: Literal["hold", "refuse"] = "hold"
 
-    def begin(self, world: World, back: float) -> None:
+    def begin(self, cluster: SimulatedCluster, back: float) -> None:
         from_state_alone = self.from_state and not (self.from_workers or self.from_peers)
         if from_state_alone and self.mode == "refuse":
-            self._refuse(world)
+            self._refuse(cluster)
         else:
-            self._cut(world)
+            self._cut(cluster)
 
-    def _refuse(self, world: World) -> None:
-        """The state service answers them with 503, and serves all others."""
-        chosen = set(_chosen(world, self.count, self.busiest))
-        world.state.refused |= chosen
-        later(self.for_s, world.state.refused.difference_update, chosen)
+    def _refuse(self, cluster: SimulatedCluster) -> None:
+        """The store answers them with 503, and serves all others."""
+        chosen = set(_chosen(cluster, self.count, self.busiest))
+        cluster.store.refused |= chosen
+        later(self.for_s, cluster.store.refused.difference_update, chosen)
 
-    def _cut(self, world: World) -> None:
+    def _cut(self, cluster: SimulatedCluster) -> None:
         """Requests are held back, or connections refused."""
         pairs: set[frozenset[str]] = set()
-        for member in _chosen(world, self.count, self.busiest):
-            for target in self._targets(world, member):
+        for member in _chosen(cluster, self.count, self.busiest):
+            for target in self._targets(cluster, member):
                 pairs |= {frozenset((member, target)), frozenset(("back-" + member, target))}
-        (world.network.cuts if self.mode == "hold" else world.network.refusing).update(pairs)
-        later(self.for_s, world.network.mend, pairs)
+        (cluster.network.cuts if self.mode == "hold" else cluster.network.refusing).update(pairs)
+        later(self.for_s, cluster.network.mend, pairs)
 
-    def _targets(self, world: World, member: str) -> list[str]:
+    def _targets(self, cluster: SimulatedCluster, member: str) -> list[str]:
         """Hosts that a controller loses."""
         everything = not (self.from_state or self.from_workers or self.from_peers)
         targets = ["state"] if self.from_state or everything else []
-        targets += list(world.cloud.machines) if self.from_workers or everything else []
+        targets += list(cluster.cloud.machines) if self.from_workers or everything else []
         if self.from_peers or everything:
-            others = [other for other in world.members if other != member]
+            others = [other for other in cluster.members if other != member]
             targets += [*others, *("back-" + other for other in others)]
         targets += ["cloud"] if everything else []
         return targets
@@ -124,10 +124,10 @@
 class LeaderTransfer(FaultLog, tag="leader_transfer"):
     """The leader hands over to another controller. Known over the stand-ins only."""
 
-    def begin(self, world: World, back: float) -> None:
-        leader = world.leader()
-        others = [m for m in world.members if world.alive(m) and m != leader]
+    def begin(self, cluster: SimulatedCluster, back: float) -> None:
+        leader = cluster.leader()
+        others = [m for m in cluster.members if cluster.alive(m) and m != leader]
         if leader is not None and others:
-            world.nodes[leader].elector.transfer_leadership(
-                world.rng.choice(others), "a drawn trouble"
+            cluster.controllers[leader].elector.transfer_leadership(
+                cluster.rng.choice(others), "a drawn trouble"
             )
--- a/dappledrum/simulation/faults/machines.py
+++ b/dappledrum/simulation/faults/machines.py
@@ -1,8 +1,8 @@
 """Troubles of machines and of the cloud: they fail, hang, hear or reach nobody, and what they send
 or are sent arrives late."""
 
-from dappledrum.simulation.cluster import World
-from dappledrum.simulation.faults.base import Count, FaultLog, LastingTrouble, Share, later
+from dappledrum.simulation.cluster import SimulatedCluster
+from dappledrum.simulation.faults.base import Count, FaultLog, LastingFault, Share, later
 from dappledrum.simulation.fleet import Worker
 from dappledrum.simulation.network import Copies, LateCommands
 
@@ -20,21 +20,21 @@
     def lasts_s(self) -> float:
         return LISTED_S
 
-    def begin(self, world: World, back: float) -> None:
-        workers = world.cloud.workers()
-        for worker in world.rng.sample(workers, min(self.count, len(workers))):
+    def begin(self, cluster: SimulatedCluster, back: float) -> None:
+        workers = cluster.cloud.workers()
+        for worker in cluster.rng.sample(workers, min(self.count, len(workers))):
             worker.vanish()
-            later(LISTED_S, world.cloud.take, worker.name)
+            later(LISTED_S, cluster.cloud.take, worker.name)
 
 
-class MachineHang(LastingTrouble, tag="machine_hang"):
+class MachineHang(LastingFault, tag="machine_hang"):
     """Machines stand still, and go on."""
 
     count: Count = 1
 
-    def begin(self, world: World, back: float) -> None:
-        workers = world.cloud.workers()
-        hang(world.rng.sample(workers, min(self.count, len(workers))), self.for_s)
+    def begin(self, cluster: SimulatedCluster, back: float) -> None:
+        workers = cluster.cloud.workers()
+        hang(cluster.rng.sample(workers, min(self.count, len(workers))), self.for_s)
 
 
 def hang(workers: list[Worker], for_s: float) -> None:
@@ -44,7 +44,7 @@
         later(for_s, setattr, worker, "hung", False)
 
 
-class _ChosenMachines(LastingTrouble):
+class _ChosenMachines(LastingFault):
     """A trouble of a number of the machines, of a share of all or of those of a zone, or of all of
     a zone; of one machine if nothing is given."""
 
@@ -56,60 +56,60 @@
         if self.count is not None and (self.share is not None or self.zone is not None):
             raise ValueError("`count` excludes `share` and `zone`")
 
-    def chosen(self, world: World) -> list[str]:
+    def chosen(self, cluster: SimulatedCluster) -> list[str]:
         """Names of machines that are up."""
-        workers = [w for w in world.cloud.workers() if self.zone in (None, w.kind[1])]
+        workers = [w for w in cluster.cloud.workers() if self.zone in (None, w.kind[1])]
         if self.share is not None:
             count = round(self.share * len(workers))
         else:
             count = len(workers) if self.zone is not None else self.count or 1
-        return [worker.name for worker in world.rng.sample(workers, min(count, len(workers)))]
+        return [worker.name for worker in cluster.rng.sample(workers, min(count, len(workers)))]
 
 
 class MachineDeaf(_ChosenMachines, tag="machine_deaf"):
     """Their reports arrive; answers and direct commands to them are lost."""
 
-    def begin(self, world: World, back: float) -> None:
-        pairs = world.drop_answers(self.chosen(world))
-        later(self.for_s, world.network.blocked.difference_update, pairs)
+    def begin(self, cluster: SimulatedCluster, back: float) -> None:
+        pairs = cluster.drop_answers(self.chosen(cluster))
+        later(self.for_s, cluster.network.blocked.difference_update, pairs)
 
 
 class MachineMute(_ChosenMachines, tag="machine_mute"):
     """They reach no controller, while direct commands reach them."""
 
-    def begin(self, world: World, back: float) -> None:
-        pairs = world.drop_reports(self.chosen(world))
-        later(self.for_s, world.network.muted.difference_update, pairs)
+    def begin(self, cluster: SimulatedCluster, back: float) -> None:
+        pairs = cluster.drop_reports(self.chosen(cluster))
+        later(self.for_s, cluster.network.muted.difference_update, pairs)
 
 
-class CloudOutage(LastingTrouble, tag="cloud_outage"):
+class CloudOutage(LastingFault, tag="cloud_outage"):
     """The cloud answers everybody with 503."""
 
-    def begin(self, world: World, back: float) -> None:
-        world.cloud.out = True
-        later(self.for_s, setattr, world.cloud, "out", False)
+    def begin(self, cluster: SimulatedCluster, back: float) -> None:
+        cluster.cloud.out = True
+        later(self.for_s, setattr, cluster.cloud, "out", False)
 
 
-class LateReports(LastingTrouble, tag="late_reports"):
+class LateReports(LastingFault, tag="late_reports"):
     """Copies of reports arrive again at any controller, up to leases later, or `for_next` at the
     next leader."""
 
     share: Share
     for_next: bool = False
 
-    def begin(self, world: World, back: float) -> None:
+    def begin(self, cluster: SimulatedCluster, back: float) -> None:
         least_s, leases = LATE_REPORTS
-        world.network.copies = Copies(
-            self.share, least_s, leases * world.lease_s, world.members, for_next=self.for_next
+        cluster.network.copies = Copies(
+            self.share, least_s, leases * cluster.lease_s, cluster.members, for_next=self.for_next
         )
-        later(self.for_s, setattr, world.network, "copies", None)
+        later(self.for_s, setattr, cluster.network, "copies", None)
 
 
-class LateCommandsTrouble(LastingTrouble, tag="late_commands"):
+class LateCommandsFault(LastingFault, tag="late_commands"):
     """Direct commands are held up on their way, unanswered, and carried out once, later."""
 
     share: Share
 
-    def begin(self, world: World, back: float) -> None:
-        world.network.late_commands = LateCommands(self.share, *LATE_COMMANDS)
-        later(self.for_s, setattr, world.network, "late_commands", None)
+    def begin(self, cluster: SimulatedCluster, back: float) -> None:
+        cluster.network.late_commands = LateCommands(self.share, *LATE_COMMANDS)
+        later(self.for_s, setattr, cluster.network, "late_commands", None)
--- a/dappledrum/simulation/faults/users.py
+++ b/dappledrum/simulation/faults/users.py
@@ -8,11 +8,11 @@
 from collections.abc import Callable
 
 from dappledrum.model.invariants import JobEvent
-from dappledrum.simulation.cluster import World, job
+from dappledrum.simulation.cluster import SimulatedCluster, job
 from dappledrum.simulation.faults.base import (
     Count,
     FaultLog,
-    LastingTrouble,
+    LastingFault,
     Seconds,
     Share,
     later,
@@ -45,68 +45,72 @@
     def lasts_s(self) -> float:
         return CANCEL_WITHIN_S + self.hang_s
 
-    def begin(self, world: World, back: float) -> None:
-        jobs = _jobs_with_long_to_go(world)
-        chosen = world.rng.sample(jobs, min(self.count, len(jobs)))
+    def begin(self, cluster: SimulatedCluster, back: float) -> None:
+        jobs = _jobs_with_long_to_go(cluster)
+        chosen = cluster.rng.sample(jobs, min(self.count, len(jobs)))
         if self.hang_s > 0:
-            workers = [w for w in world.cloud.workers() if any(_runs(w, name) for name in chosen)]
-            hang(world.rng.sample(workers, min(MAX_HUNG, len(workers))), self.hang_s)
+            workers = [
+                w for w in cluster.cloud.workers() if any(_runs(w, name) for name in chosen)
+            ]
+            hang(cluster.rng.sample(workers, min(MAX_HUNG, len(workers))), self.hang_s)
         for name in chosen:
-            after = world.rng.uniform(0, CANCEL_WITHIN_S)
-            world.act(_cancel(world, name, after))
+            after = cluster.rng.uniform(0, CANCEL_WITHIN_S)
+            cluster.act(_cancel(cluster, name, after))
 
 
-class CancelAtEnd(LastingTrouble, tag="cancel_at_end"):
+class CancelAtEnd(LastingFault, tag="cancel_at_end"):
     """A share of the jobs is called off at the moment at which their last task ends."""
 
     share: Share
 
-    def begin(self, world: World, back: float) -> None:
+    def begin(self, cluster: SimulatedCluster, back: float) -> None:
         def listen(name: str, event: JobEvent) -> None:
-            if event is JobEvent.COMPLETED and world.rng.random() < self.share:
-                after = world.rng.choice((0.0, world.rng.uniform(0, AT_END_S)))
-                world.act(_cancel(world, name, after))
+            if event is JobEvent.COMPLETED and cluster.rng.random() < self.share:
+                after = cluster.rng.choice((0.0, cluster.rng.uniform(0, AT_END_S)))
+                cluster.act(_cancel(cluster, name, after))
 
-        _listen(world, listen, self.for_s)
+        _listen(cluster, listen, self.for_s)
 
 
-class OddRequests(LastingTrouble, tag="odd_requests"):
+class OddRequests(LastingFault, tag="odd_requests"):
     """Users repeat submissions of unfinished jobs, cancel jobs that are done, and send jobs that
     fit no machine or lack a field."""
 
-    def begin(self, world: World, back: float) -> None:
-        task = world.act(self._ask(world))
-        world.odd_users.add(task)
-        task.add_done_callback(world.odd_users.discard)
+    def begin(self, cluster: SimulatedCluster, back: float) -> None:
+        task = cluster.act(self._ask(cluster))
+        cluster.odd_users.add(task)
+        task.add_done_callback(cluster.odd_users.discard)
 
-    async def _ask(self, world: World) -> None:
-        end = world.now() + self.for_s
-        while world.now() < end:
-            ask = world.rng.choice((_repeat_submission, _cancel_done, _submit_invalid))
-            world.act(ask(world))
-            await asyncio.sleep(world.rng.uniform(*ODD_PAUSE_S))
+    async def _ask(self, cluster: SimulatedCluster) -> None:
+        end = cluster.now() + self.for_s
+        while cluster.now() < end:
+            ask = cluster.rng.choice((_repeat_submission, _cancel_done, _submit_invalid))
+            cluster.act(ask(cluster))
+            await asyncio.sleep(cluster.rng.uniform(*ODD_PAUSE_S))
 
 
-class CloseLooks(LastingTrouble, tag="close_looks"):
+class CloseLooks(LastingFault, tag="close_looks"):
     """Users ask at all controllers within milliseconds after a job was accepted, ended or was
     cancelled; some repeat the submission, and some cancel at once."""
 
-    def begin(self, world: World, back: float) -> None:
+    def begin(self, cluster: SimulatedCluster, back: float) -> None:
         def listen(name: str, event: JobEvent) -> None:
-            for member in world.members:
+            for member in cluster.members:
                 for _ in range(LOOKS):
-                    world.act(_look(world, name, member))
-            if world.rng.random() < REPEATED:
-                world.act(_submit_again(world, name))
-            if event is JobEvent.ACCEPTED and world.rng.random() < CANCELLED_AT_ONCE:
-                world.act(_cancel(world, name, world.rng.uniform(0, LOOK_WITHIN_S)))
+                    cluster.act(_look(cluster, name, member))
+            if cluster.rng.random() < REPEATED:
+                cluster.act(_submit_again(cluster, name))
+            if event is JobEvent.ACCEPTED and cluster.rng.random() < CANCELLED_AT_ONCE:
+                cluster.act(_cancel(cluster, name, cluster.rng.uniform(0, LOOK_WITHIN_S)))
 
-        _listen(world, listen, self.for_s)
+        _listen(cluster, listen, self.for_s)
 
 
-def _listen(world: World, listen: Callable[[str, JobEvent], None], for_s: float) -> None:
+def _listen(
+    cluster: SimulatedCluster, listen: Callable[[str, JobEvent], None], for_s: float
+) -> None:
     """Be told of what happens to jobs for some time."""
-    listeners = world.rules.listeners
+    listeners = cluster.rules.listeners
     listeners.append(listen)
     later(for_s, lambda: listen in listeners and listeners.remove(listen))
 
@@ -116,65 +120,65 @@
     return any(a.job == name and a.state != "ended" for a in worker.attempts.values())
 
 
-def _left_s(world: World, name: str, number: int, progress: float) -> float:
+def _left_s(cluster: SimulatedCluster, name: str, number: int, progress: float) -> float:
     """How long a running task still takes."""
-    spec = world.rules.jobs[name].spec
+    spec = cluster.rules.jobs[name].spec
     if spec["form"] == "service":
         return math.inf
     run_s = spec["runS"]
     return (run_s[number] if isinstance(run_s, list) else run_s) - progress
 
 
-def _jobs_with_long_to_go(world: World) -> list[str]:
+def _jobs_with_long_to_go(cluster: SimulatedCluster) -> list[str]:
     """Jobs that run, that nobody has cancelled, and that take a while yet."""
     jobs = {
         attempt.job
-        for worker in world.cloud.workers()
+        for worker in cluster.cloud.workers()
         for attempt in worker.attempts.values()
         if attempt.state == "running"
-        and _left_s(world, attempt.job, attempt.number, attempt.progress) >= LONG_TO_GO_S
+        and _left_s(cluster, attempt.job, attempt.number, attempt.progress) >= LONG_TO_GO_S
     }
-    rules = world.rules
+    rules = cluster.rules
     facts = [rules.jobs[name] for name in sorted(jobs)]
     return [one.spec["id"] for one in facts if one.accepted and not rules.called_off(one)]
 
 
-async def _cancel(world: World, name: str, after: float) -> None:
+async def _cancel(cluster: SimulatedCluster, name: str, after: float) -> None:
     await asyncio.sleep(after)
-    await world.cancel(name)
+    await cluster.cancel(name)
 
 
-async def _look(world: World, name: str, member: str) -> None:
-    await asyncio.sleep(world.rng.uniform(0, LOOK_WITHIN_S))
-    await world.poll(name, member)
+async def _look(cluster: SimulatedCluster, name: str, member: str) -> None:
+    await asyncio.sleep(cluster.rng.uniform(0, LOOK_WITHIN_S))
+    await cluster.poll(name, member)
 
 
-async def _submit_again(world: World, name: str) -> None:
-    await asyncio.sleep(world.rng.uniform(0, LOOK_WITHIN_S))
-    await world.submit(world.rules.jobs[name].spec, ODD_TRIES)
+async def _submit_again(cluster: SimulatedCluster, name: str) -> None:
+    await asyncio.sleep(cluster.rng.uniform(0, LOOK_WITHIN_S))
+    await cluster.submit(cluster.rules.jobs[name].spec, ODD_TRIES)
 
 
-async def _repeat_submission(world: World) -> None:
-    facts = world.rules.jobs
+async def _repeat_submission(cluster: SimulatedCluster) -> None:
+    facts = cluster.rules.jobs
     names = [name for name in facts if facts[name].accepted and facts[name].reported is None]
     if names:
-        await world.submit(facts[world.rng.choice(names)].spec, ODD_TRIES)
+        await cluster.submit(facts[cluster.rng.choice(names)].spec, ODD_TRIES)
 
 
-async def _cancel_done(world: World) -> None:
-    names = [name for name, facts in world.rules.jobs.items() if facts.reported == "done"]
+async def _cancel_done(cluster: SimulatedCluster) -> None:
+    names = [name for name, facts in cluster.rules.jobs.items() if facts.reported == "done"]
     if names:
-        await world.cancel(world.rng.choice(names), ODD_TRIES)
+        await cluster.cancel(cluster.rng.choice(names), ODD_TRIES)
 
 
-async def _submit_invalid(world: World) -> None:
+async def _submit_invalid(cluster: SimulatedCluster) -> None:
     """A job that can never run (422), or one without a field (400)."""
-    spec = job(500_000 + len(world.rules.jobs))
-    if world.rng.random() < 0.5:
+    spec = job(500_000 + len(cluster.rules.jobs))
+    if cluster.rng.random() < 0.5:
         spec["vcpus"], expected = TOO_MANY_CPUS, 422
     else:
         required = sorted(spec.keys() - set(OPTIONAL))
-        del spec[world.rng.choice(required)]
+        del spec[cluster.rng.choice(required)]
         expected = 400
-    status = await world.submit(spec, ODD_TRIES)
-    world.rules.invalid_answered(world.now(), spec["id"], status, expected)
+    status = await cluster.submit(spec, ODD_TRIES)
+    cluster.rules.invalid_answered(cluster.now(), spec["id"], status, expected)
--- a/dappledrum/simulation/fleet.py
+++ b/dappledrum/simulation/fleet.py
@@ -9,10 +9,10 @@
 from typing import Any
 
 from dappledrum.http.client import NoResponseError, Reply
-from dappledrum.model.invariants import Rules
+from dappledrum.model.invariants import Invariants
 from dappledrum.model.queueing import Amount, FreeMachine
+from dappledrum.simulation.key_value_store import reply
 from dappledrum.simulation.network import Network
-from dappledrum.simulation.state_service import reply
 
 LIST_LAGS = 2  # the list is older than its usual age by so much at the most
 
@@ -73,9 +73,9 @@
         kind: tuple[str, str, bool],
         size: dict[str, float],
         network: Network,
-        rules: Rules,
+        rules: Invariants,
         timing: Timing,
-        nodes: list[str],
+        controllers: list[str],
         rng: random.Random,
     ) -> None:
         self.name, self.kind, self.size = name, kind, size
@@ -83,14 +83,14 @@
         self.address = f"{timing.subnet}.{number // 250}.{number % 250}:9000"
         network.services[name] = self._serve
         network.addresses[self.address] = name
-        self.network, self.rules, self.timing, self.nodes, self.rng = (
+        self.network, self.rules, self.timing, self.controllers, self.rng = (
             network,
             rules,
             timing,
-            nodes,
+            controllers,
             rng,
         )
-        self.node = rng.choice(nodes)
+        self.controller = rng.choice(controllers)
         self.session, self.sequence, self.token = 1, 0, 0
         self.attempts: dict[tuple[str, int], Attempt] = {}
         self.done: set[str] = set()
@@ -138,7 +138,7 @@
             self.network,
             self.rules,
             self.timing,
-            self.nodes,
+            self.controllers,
             self.rng,
         )
 
@@ -208,7 +208,7 @@
             await asyncio.sleep(0.1)
         sent, session = self.now(), self.session
         body = self._next_report()
-        link = self.network.caller(self.name, self.node)
+        link = self.network.caller(self.name, self.controller)
         try:
             answer = await link.request(
                 "POST", "/hello", json.dumps(body).encode(), timedelta(seconds=4)
@@ -223,12 +223,14 @@
             self._accept(json.loads(answer.body), sent, session)
             return
         target = json.loads(answer.body).get("conductor") if answer.status == 421 else None
-        if target in self.nodes and target != self.node:
-            self.node = target
+        if target in self.controllers and target != self.controller:
+            self.controller = target
             self.changed.set()
             return
         await asyncio.sleep(1)
-        self.node = self.nodes[(self.nodes.index(self.node) + 1) % len(self.nodes)]
+        self.controller = self.controllers[
+            (self.controllers.index(self.controller) + 1) % len(self.controllers)
+        ]
         self.changed.set()
 
     def _accept(self, answer: dict[str, Any], sent: float, session: int) -> None:
@@ -408,18 +410,18 @@
         self,
         types: list[dict[str, Any]],
         network: Network,
-        rules: Rules,
+        rules: Invariants,
         timing: Timing,
-        nodes: list[str],
+        controllers: list[str],
         rng: random.Random,
         lag_s: float,
     ) -> None:
         self.types = types
-        self.network, self.rules, self.timing, self.nodes, self.rng, self.lag_s = (
+        self.network, self.rules, self.timing, self.controllers, self.rng, self.lag_s = (
             network,
             rules,
             timing,
-            nodes,
+            controllers,
             rng,
             lag_s,
         )
@@ -483,7 +485,7 @@
     ) -> Worker:
         """The worker of a machine that is up."""
         return Worker(
-            name, kind, size, self.network, self.rules, self.timing, self.nodes, self.rng
+            name, kind, size, self.network, self.rules, self.timing, self.controllers, self.rng
         )
 
     def take(self, name: str) -> None:
--- a/dappledrum/simulation/ground_truth.py
+++ b/dappledrum/simulation/ground_truth.py
@@ -14,17 +14,17 @@
 from dappledrum.jobs.job import Placement
 from dappledrum.simulation.fleet import CloudService
 from dappledrum.workers.machine_registry import Machine
-from dappledrum.workers.messages import Report
-from dappledrum.workers.reconciler import Bookkeeper
+from dappledrum.workers.messages import WorkerHeartbeat
+from dappledrum.workers.reconciler import Reconciler
 
 
-class Truth:
+class GroundTruth:
     """Which machines are gone, and what was wrongly concluded of any."""
 
     def __init__(self) -> None:
         self.clouds: list[CloudService] = []
         self.gone_at: dict[str, float] = {}
-        self.began_at: dict[Bookkeeper, float] = {}  # of each term
+        self.began_at: dict[Reconciler, float] = {}  # of each term
         self.proofs = 0
         self.wrong: list[str] = []
 
@@ -43,7 +43,7 @@
                 return True
         return False
 
-    def check_alive(self, books: Bookkeeper, machine: Machine) -> None:
+    def check_alive(self, books: Reconciler, machine: Machine) -> None:
         """A leader has taken a report of a machine."""
         gone = self.gone_at.get(machine.name)
         if machine.up and gone is not None and gone < self.began_at[books]:
@@ -62,18 +62,18 @@
 
 
 @contextmanager
-def watched() -> Iterator[Truth]:
+def watched() -> Iterator[GroundTruth]:
     """Watch all leaders and clouds until the end of the block."""
-    truth = Truth()
-    begin, take, lose = Bookkeeper.__init__, Bookkeeper.take, Bookkeeper._lost
+    truth = GroundTruth()
+    begin, take, lose = Reconciler.__init__, Reconciler.take, Reconciler._lost
     open_cloud, remove = CloudService.__init__, CloudService.take
 
-    def begun(books: Bookkeeper, *parts: Any, **more: Any) -> None:  # noqa: ANN401 - passed on
+    def begun(books: Reconciler, *parts: Any, **more: Any) -> None:  # noqa: ANN401 - passed on
         begin(books, *parts, **more)
         truth.began_at[books] = asyncio.get_running_loop().time()
 
-    def taken(books: Bookkeeper, report: Report) -> Machine | None:
-        known = books.roster.get(report.machine)
+    def taken(books: Reconciler, report: WorkerHeartbeat) -> Machine | None:
+        known = books.registry.get(report.machine)
         placements = known.placements.values() if known is not None else ()
         lost_before = {placement for placement in placements if placement.lost}
         machine = take(books, report)
@@ -83,7 +83,7 @@
         return machine
 
     def lost(
-        books: Bookkeeper, machine: Machine, placement: Placement, why: str, entry: Entry
+        books: Reconciler, machine: Machine, placement: Placement, why: str, entry: Entry
     ) -> None:
         task = placement.name
         truth.check_gone(machine.name, task, placement.attempt, why)
@@ -98,9 +98,9 @@
         remove(cloud, name)
 
     with (
-        patch.object(Bookkeeper, "__init__", begun),
-        patch.object(Bookkeeper, "take", taken),
-        patch.object(Bookkeeper, "_lost", lost),
+        patch.object(Reconciler, "__init__", begun),
+        patch.object(Reconciler, "take", taken),
+        patch.object(Reconciler, "_lost", lost),
         patch.object(CloudService, "__init__", opened),
         patch.object(CloudService, "take", removed),
     ):
--- a/dappledrum/simulation/history_recording.py
+++ b/dappledrum/simulation/history_recording.py
@@ -9,21 +9,26 @@
 
 
 def question(
-    number: int, at: float, path: str, body: bytes | None, node: str | None, cloud: CloudService
+    number: int,
+    at: float,
+    path: str,
+    body: bytes | None,
+    controller: str | None,
+    cloud: CloudService,
 ) -> Question | None:
     """A user's request, or None if it is not about a job."""
     match path.removeprefix("/").split("/"):
         case ["submissions"] if body:
-            return _submission(number, at, body, node, cloud)
+            return _submission(number, at, body, controller, cloud)
         case ["submissions", job]:
-            return Question(number, at, UserRequest.QUESTION, job, node)
+            return Question(number, at, UserRequest.QUESTION, job, controller)
         case ["submissions", job, "cancel"]:
-            return Question(number, at, UserRequest.CANCELLATION, job, node)
+            return Question(number, at, UserRequest.CANCELLATION, job, controller)
     return None
 
 
 def _submission(
-    number: int, at: float, body: bytes, node: str | None, cloud: CloudService
+    number: int, at: float, body: bytes, controller: str | None, cloud: CloudService
 ) -> Question:
     try:
         spec = json.loads(body)
@@ -31,7 +36,7 @@
         spec = None
     name = spec.get("id") if isinstance(spec, dict) else None
     wrong = fault(spec, cloud.types, cloud.rules.limits)
-    return Question(number, at, UserRequest.SUBMISSION, str(name), node, wrong)
+    return Question(number, at, UserRequest.SUBMISSION, str(name), controller, wrong)
 
 
 def answer(number: int, at: float, reply: Reply | None) -> Answer:
--- a/dappledrum/simulation/invalid_requests.py
+++ b/dappledrum/simulation/invalid_requests.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from dappledrum.http.server import Request, Response
-from dappledrum.simulation.cluster import World, job
+from dappledrum.simulation.cluster import SimulatedCluster, job
 from dappledrum.simulation.users import sent_form
 
 ABSENT = object()  # a field that is left out
@@ -44,23 +44,23 @@
 class OddRequests:
     """Requests about a finished, a running and an unknown job, and jobs that can never run."""
 
-    def __init__(self, world: World) -> None:
-        self.world = world
+    def __init__(self, cluster: SimulatedCluster) -> None:
+        self.cluster = cluster
         self.longest_s = 0.0  # that any answer took
 
     async def prepare(self) -> None:
         """One job is done, one runs for long."""
-        await self.world.submit(job(960, beats=1, runS=1.0, dueS=None))
-        await self.world.submit(job(961, beats=1, runS=300.0, expectedS=300.0, dueS=None))
-        await self.world.until(lambda: "ended/j-000960" in self.world.state.keys)
+        await self.cluster.submit(job(960, beats=1, runS=1.0, dueS=None))
+        await self.cluster.submit(job(961, beats=1, runS=300.0, expectedS=300.0, dueS=None))
+        await self.cluster.until(lambda: "ended/j-000960" in self.cluster.store.keys)
 
     async def ask(
         self, member: str, method: str, path: str, body: bytes = b""
     ) -> tuple[Response, str | None]:
         """One request to one controller; the answer as it goes over the wire, and the state."""
-        node = self.world.nodes[member]
+        controller = self.cluster.controllers[member]
         asked = asyncio.get_running_loop().time()
-        response = await node.serve(Request(method, path, body))
+        response = await controller.serve(Request(method, path, body))
         self.longest_s = max(self.longest_s, asyncio.get_running_loop().time() - asked)
         state = None
         if response.status in (200, 201):
--- a/dappledrum/simulation/state_service.py
+++ b/dappledrum/simulation/key_value_store.py
@@ -1,4 +1,4 @@
-"""The state service: keys with versions, guarded transactions, leases and watches."""
+"""The store: keys with versions, guarded transactions, leases and watches."""
 
 import asyncio
 import bisect
@@ -34,7 +34,7 @@
         return True
 
 
-class StateService:
+class KeyValueStore:
     """All in memory.
 
     `out` stands for an outage; hosts in `refused` get 503 while others are served.
--- a/dappledrum/simulation/network_partitions.py
+++ b/dappledrum/simulation/network_partitions.py
@@ -12,7 +12,7 @@
 import sys
 from collections.abc import Callable
 
-from dappledrum.simulation.cluster import World, job
+from dappledrum.simulation.cluster import SimulatedCluster, job
 from dappledrum.simulation.virtual_time import run
 
 FIVE = tuple(f"drummer-{n}" for n in range(5))
@@ -25,51 +25,51 @@
     return FIVE[(FIVE.index(member) + places) % len(FIVE)]
 
 
-def from_workers(world: World, *members: str) -> None:
+def from_workers(cluster: SimulatedCluster, *members: str) -> None:
     """Nothing passes between these controllers and any worker."""
     for member in members:
-        for name in world.cloud.machines:
-            world.network.cut(member, name)
+        for name in cluster.cloud.machines:
+            cluster.network.cut(member, name)
 
 
-def leader_from_state(world: World, leader: str) -> None:
-    world.cut_off(leader, "state")
+def leader_from_state(cluster: SimulatedCluster, leader: str) -> None:
+    cluster.cut_off(leader, "state")
 
 
-def four_from_state(world: World, leader: str) -> None:
+def four_from_state(cluster: SimulatedCluster, leader: str) -> None:
     for member in FIVE:
         if member != after(leader, 3):
-            world.cut_off(member, "state")
+            cluster.cut_off(member, "state")
 
 
-def four_refused(world: World, leader: str) -> None:
-    world.state.refused = {member for member in FIVE if member != after(leader, 3)}
+def four_refused(cluster: SimulatedCluster, leader: str) -> None:
+    cluster.store.refused = {member for member in FIVE if member != after(leader, 3)}
 
 
-def leader_from_workers(world: World, leader: str) -> None:
-    from_workers(world, leader)
+def leader_from_workers(cluster: SimulatedCluster, leader: str) -> None:
+    from_workers(cluster, leader)
 
 
-def three_from_workers(world: World, leader: str) -> None:
-    from_workers(world, leader, after(leader, 2), after(leader, 4))
+def three_from_workers(cluster: SimulatedCluster, leader: str) -> None:
+    from_workers(cluster, leader, after(leader, 2), after(leader, 4))
 
 
-def state_here_workers_there(world: World, leader: str) -> None:
+def state_here_workers_there(cluster: SimulatedCluster, leader: str) -> None:
     """The leader alone is served, and another one alone is reached by workers."""
     for member in FIVE:
         if member != leader:
-            world.cut_off(member, "state")
-    from_workers(world, *(member for member in FIVE if member != after(leader, 1)))
+            cluster.cut_off(member, "state")
+    from_workers(cluster, *(member for member in FIVE if member != after(leader, 1)))
 
 
-def outage_without_one(world: World, leader: str) -> None:
+def outage_without_one(cluster: SimulatedCluster, leader: str) -> None:
     """For a third of the time, which is longer than a lease."""
-    world.kill(after(leader, 2))
-    world.state.out = True
-    asyncio.get_running_loop().call_later(LENGTH / 3, world.state.end_outage)
+    cluster.kill(after(leader, 2))
+    cluster.store.out = True
+    asyncio.get_running_loop().call_later(LENGTH / 3, cluster.store.end_outage)
 
 
-CUTS: tuple[Callable[[World, str], None], ...] = (
+CUTS: tuple[Callable[[SimulatedCluster, str], None], ...] = (
     leader_from_state,
     four_from_state,
     four_refused,
@@ -81,29 +81,29 @@
 
 
 async def play(
-    cut: Callable[[World, str], None], seed: int, reach: bool
+    cut: Callable[[SimulatedCluster, str], None], seed: int, reach: bool
 ) -> tuple[float, list[float], int]:
     """Seconds without a leader, the longest gap of each machine, sessions that ended."""
-    world = World(seed=seed, members=FIVE, lease_s=15.0, reach=reach)
-    await world.until(lambda: world.leader() is not None)
+    cluster = SimulatedCluster(seed=seed, members=FIVE, lease_s=15.0, reach=reach)
+    await cluster.until(lambda: cluster.leader() is not None)
     for number in range(3):
-        await world.submit(job(number, beats=6, runS=300.0, expectedS=300.0, dueS=600.0))
-    await world.until(lambda: len(world.rules.running) == 18)
-    await world.wait(3)
-    leader = world.leader()
+        await cluster.submit(job(number, beats=6, runS=300.0, expectedS=300.0, dueS=600.0))
+    await cluster.until(lambda: len(cluster.rules.running) == 18)
+    await cluster.wait(3)
+    leader = cluster.leader()
     assert leader is not None
-    sessions = {worker.name: worker.session for worker in world.cloud.workers()}
+    sessions = {worker.name: worker.session for worker in cluster.cloud.workers()}
     gaps = dict.fromkeys(sessions, 0.0)
-    cut(world, leader)
+    cut(cluster, leader)
     alone = 0.0
     for _ in range(int(LENGTH / STEP)):
-        await world.wait(STEP)
-        alone += STEP * (world.leader() is None and not world.state.out)
+        await cluster.wait(STEP)
+        alone += STEP * (cluster.leader() is None and not cluster.store.out)
         now = asyncio.get_running_loop().time()
-        for worker in world.cloud.workers():
+        for worker in cluster.cloud.workers():
             if worker.name in gaps:
                 gaps[worker.name] = max(gaps[worker.name], now - worker.answered)
-    ended = sum(w.session - sessions.get(w.name, w.session) for w in world.cloud.workers())
+    ended = sum(w.session - sessions.get(w.name, w.session) for w in cluster.cloud.workers())
     return alone, list(gaps.values()), ended
 
 
--- a/dappledrum/simulation/scenario.py
+++ b/dappledrum/simulation/scenario.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from dappledrum.simulation.cluster import World, job, led_world
+from dappledrum.simulation.cluster import SimulatedCluster, job, led_cluster
 from dappledrum.simulation.fault_combinations import FIVE, submission, user
 from dappledrum.simulation.faults import end_all
 from dappledrum.simulation.virtual_time import run
@@ -37,41 +37,41 @@
 class Scenario:
     """A world in which something goes wrong, and the jobs that the test itself submitted."""
 
-    world: World
+    cluster: SimulatedCluster
     rng: random.Random
     names: list[str] = field(default_factory=list)
 
     def others(self) -> list[str]:
         """Controllers that do not lead."""
-        return [member for member in FIVE if member != self.world.leader()]
+        return [member for member in FIVE if member != self.cluster.leader()]
 
     async def submit_long(self, *numbers: int, **changes: Any) -> None:  # noqa: ANN401 - any field
         """Submit jobs whose three tasks end after 2 s, 25 s and 60 s."""
         for number in numbers:
             spec = job(900 + number, beats=3, runS=[2.0, 25.0, 60.0], expectedS=60.0, dueS=None)
             self.names.append(spec["id"])
-            assert await self.world.submit(spec | changes, 60) in (200, 201)
+            assert await self.cluster.submit(spec | changes, 60) in (200, 201)
 
     async def cancel(self, number: int, member: str) -> None:
         """Cancel one of these jobs at a controller that must answer at once."""
         path = f"/submissions/j-{900 + number:06d}/cancel"
-        reply = await self.world._ask("POST", path, b"", member)
+        reply = await self.cluster._ask("POST", path, b"", member)
         assert reply is not None and reply.status == 200 and b'"cancelled"' in reply.body
 
     def machines_of(self, number: int) -> set[str]:
         """Machines on which tasks of one of these jobs run."""
         name = f"j-{900 + number:06d}"
-        running = self.world.rules.running.items()
+        running = self.cluster.rules.running.items()
         return {machine for (job_id, _), where in running if job_id == name for machine in where}
 
     async def until_led(self, *besides: str) -> None:
         """Wait until somebody leads who is none of these."""
-        await self.world.until(lambda: self.world.leader() not in (None, *besides), most=60)
+        await self.cluster.until(lambda: self.cluster.leader() not in (None, *besides), most=60)
 
 
-def end_faults(world: World) -> None:
+def end_faults(cluster: SimulatedCluster) -> None:
     """End everything that a test may have left broken; the rules' quiet time begins."""
-    end_all(world)
+    end_all(cluster)
 
 
 def play(
@@ -79,75 +79,75 @@
     act: Callable[[Scenario], Awaitable[None]],
     machines: int = MACHINES,
     users: int = USERS,
-    **of_world: Any,  # noqa: ANN401 - any field of the world
+    **of_cluster: Any,  # noqa: ANN401 - any field of the world
 ) -> None:
     """Play one scenario to its end, at which all jobs are over and the same at each controller."""
 
     async def main() -> None:
-        world = World(seed=seed, members=FIVE, lease_s=LEASE_S, **of_world)
-        world.cloud.most = machines + 4
+        cluster = SimulatedCluster(seed=seed, members=FIVE, lease_s=LEASE_S, **of_cluster)
+        cluster.cloud.most = machines + 4
         rng = random.Random(f"meeting {seed}")
         for _ in range(machines):
-            world.cloud.add(("small", rng.choice(("a", "b")), rng.random() < 0.8))
-        await world.until(lambda: world.leader() is not None)
+            cluster.cloud.add(("small", rng.choice(("a", "b")), rng.random() < 0.8))
+        await cluster.until(lambda: cluster.leader() is not None)
         asking = []
         for number in range(users):
             one = random.Random(f"{seed} {number}")
-            asking.append(asyncio.ensure_future(user(world, submission(number, one), one)))
-        scenario = Scenario(world, rng)
-        await world.wait(10)
+            asking.append(asyncio.ensure_future(user(cluster, submission(number, one), one)))
+        scenario = Scenario(cluster, rng)
+        await cluster.wait(10)
         await act(scenario)
-        end_faults(world)
-        while world.acting or not all(one.done() for one in asking):
-            await world.wait(1)
+        end_faults(cluster)
+        while cluster.acting or not all(one.done() for one in asking):
+            await cluster.wait(1)
         accepted = [name for one in asking if (name := one.result()) is not None]
         names = accepted + scenario.names
-        await world.finish(names, most=500)
+        await cluster.finish(names, most=500)
         for name in names:
             for member in FIVE:
-                await world.poll(name, member)
-        assert not world.rules.broken, world.rules.broken
+                await cluster.poll(name, member)
+        assert not cluster.rules.broken, cluster.rules.broken
 
     run(main())
 
 
 async def day(
-    world: World,
-    fault: Callable[[World], Awaitable[None]],
+    cluster: SimulatedCluster,
+    fault: Callable[[SimulatedCluster], Awaitable[None]],
     jobs: int = 6,
     **changes: Any,  # noqa: ANN401 - any field of the jobs
 ) -> None:
     """Submit jobs, let something go wrong while they run, submit more, and see them all end."""
-    await world.until_led()
-    names = await world.accept_jobs(jobs, **changes)
-    await world.until(lambda: world.rules.starts >= 4)
-    await fault(world)
-    world.network.heal()
+    await cluster.until_led()
+    names = await cluster.accept_jobs(jobs, **changes)
+    await cluster.until(lambda: cluster.rules.starts >= 4)
+    await fault(cluster)
+    cluster.network.heal()
     late = job(900)
-    assert await world.submit(late) in (200, 201)
-    await world.finish([*names, late["id"]])
+    assert await cluster.submit(late) in (200, 201)
+    await cluster.finish([*names, late["id"]])
     for name in names:
-        for member in world.members:
-            assert await world.poll(name, member) in ("done", None)
+        for member in cluster.members:
+            assert await cluster.poll(name, member) in ("done", None)
 
 
-async def busy_world(**settings: Any) -> World:  # noqa: ANN401 - any field of a world
+async def busy_cluster(**settings: Any) -> SimulatedCluster:  # noqa: ANN401 - any field of a world
     """Five controllers, and machines with work that lasts longer than any trouble."""
-    world = await led_world(members=FIVE, **settings)
-    await world.accept_jobs(3, beats=6, runS=200.0, expectedS=200.0, dueS=400.0)
-    await world.until(lambda: len(world.rules.running) == 18)
-    await world.wait(3)
-    return world
+    cluster = await led_cluster(members=FIVE, **settings)
+    await cluster.accept_jobs(3, beats=6, runS=200.0, expectedS=200.0, dueS=400.0)
+    await cluster.until(lambda: len(cluster.rules.running) == 18)
+    await cluster.wait(3)
+    return cluster
 
 
-def sessions(world: World) -> dict[str, int]:
+def sessions(cluster: SimulatedCluster) -> dict[str, int]:
     """The sessions of all workers: one that has lost its lease is in a later one."""
-    return {worker.name: worker.session for worker in world.cloud.workers()}
+    return {worker.name: worker.session for worker in cluster.cloud.workers()}
 
 
-async def nothing_lost(world: World, seconds: float) -> None:
+async def nothing_lost(cluster: SimulatedCluster, seconds: float) -> None:
     """Let time pass, in which no worker may lose its lease."""
-    before = sessions(world)
-    await world.wait(seconds)
-    lost = [name for name, session in sessions(world).items() if session > before.get(name, 1)]
+    before = sessions(cluster)
+    await cluster.wait(seconds)
+    lost = [name for name, session in sessions(cluster).items() if session > before.get(name, 1)]
     assert lost == []
--- a/dappledrum/simulation/test_costs.py
+++ b/dappledrum/simulation/test_costs.py
@@ -6,17 +6,17 @@
 
 from dappledrum.scheduling.estimates import Estimates
 from dappledrum.scheduling.plan import Bag, Planner, TeamCapacity
-from dappledrum.scheduling.timeline import Kind, MachineTimeline, Offer, Size
+from dappledrum.scheduling.timeline import InstanceKind, MachineTimeline, Offer, Size
 from dappledrum.settings import WorkerLimits
-from dappledrum.simulation.cluster import World
+from dappledrum.simulation.cluster import SimulatedCluster
 from dappledrum.simulation.costs import calls, main
 from dappledrum.simulation.virtual_time import run
 from dappledrum.timing.clock import Clock
-from dappledrum.workers.machine_registry import Roster
-from dappledrum.workers.messages import Report
-from dappledrum.workers.reconciler import Bookkeeper
+from dappledrum.workers.machine_registry import MachineRegistry
+from dappledrum.workers.messages import WorkerHeartbeat
+from dappledrum.workers.reconciler import Reconciler
 
-SPOT, ORDINARY = Kind("small", "a", True), Kind("small", "a", False)
+SPOT, ORDINARY = InstanceKind("small", "a", True), InstanceKind("small", "a", False)
 SIZE = Size(1.0, 0.0, 1.0)
 
 
@@ -86,10 +86,10 @@
 
 def test_a_report_costs_no_more_for_all_the_other_machines():
     async def one(machines):
-        roster = Roster()
-        books = Bookkeeper(
+        registry = MachineRegistry()
+        books = Reconciler(
             {},
-            roster,
+            registry,
             Estimates(),
             WorkerLimits(1.0, 10.0, 30.0),
             Clock(),
@@ -99,7 +99,7 @@
         )
 
         def comes(name, tick):
-            report = Report(name, "10.1.0.1:1", "small", "a", True, 1, tick, 5)
+            report = WorkerHeartbeat(name, "10.1.0.1:1", "small", "a", True, 1, tick, 5)
             machine = books.take(report)
             return books.commands.of_records(machine, report)
 
@@ -112,20 +112,20 @@
 
 def test_machines_are_not_counted_while_all_are_heard():
     async def main():
-        world = World(seed=1)
-        world.cloud.add(("small", "a", True))
-        await world.until(lambda: world.leader() is not None and world.cloud.workers())
-        await world.wait(10)
-        reach = world.nodes[world.leader()].reach
-        count, counted = reach.reporting, []
-        reach.reporting = lambda: counted.append(1) or count()
-        await world.wait(10)
+        cluster = SimulatedCluster(seed=1)
+        cluster.cloud.add(("small", "a", True))
+        await cluster.until(lambda: cluster.leader() is not None and cluster.cloud.workers())
+        await cluster.wait(10)
+        membership = cluster.controllers[cluster.leader()].membership
+        count, counted = membership.reporting, []
+        membership.reporting = lambda: counted.append(1) or count()
+        await cluster.wait(10)
         assert 3 <= len(counted) <= 12, "40 times, at each look"
         counted.clear()
-        for worker in world.cloud.workers():
+        for worker in cluster.cloud.workers():
             worker.hung = True
-        await world.wait(4)
-        assert len(counted) > 8 and reach.silent, "it looks closely where nothing comes"
+        await cluster.wait(4)
+        assert len(counted) > 8 and membership.silent, "it looks closely where nothing comes"
 
     run(main())
 
--- a/dappledrum/simulation/test_days.py
+++ b/dappledrum/simulation/test_days.py
@@ -9,7 +9,7 @@
 
 from dappledrum.http.client import NoResponseError
 from dappledrum.model.invariants import JobEvent
-from dappledrum.simulation.cluster import World, job
+from dappledrum.simulation.cluster import SimulatedCluster, job
 from dappledrum.simulation.day_file import DayError, load
 from dappledrum.simulation.faults import KINDS, convert, end_all
 from dappledrum.simulation.virtual_time import run
@@ -23,32 +23,32 @@
     that goes on running there."""
 
     async def main():
-        world = World(seed=3)
-        world.cloud.most = 5
+        cluster = SimulatedCluster(seed=3)
+        cluster.cloud.most = 5
         for index in range(5):
-            world.cloud.add(("small", "ab"[index % 2], True))
-        await world.until(lambda: world.leader() is not None)
+            cluster.cloud.add(("small", "ab"[index % 2], True))
+        await cluster.until(lambda: cluster.leader() is not None)
         spec = job(1, form="service", beats=5, vcpus=3.0, expectedS=0.0, dueS=None)
-        assert await world.submit(spec) == 201
-        await world.until(lambda: len(world.rules.running) == 5)
-        await check(world)
-        assert not world.rules.broken, world.rules.broken
+        assert await cluster.submit(spec) == 201
+        await cluster.until(lambda: len(cluster.rules.running) == 5)
+        await check(cluster)
+        assert not cluster.rules.broken, cluster.rules.broken
 
     run(main())
 
 
-def begin(world, kind, **options):
+def begin(cluster, kind, **options):
     """Let a trouble begin now."""
     fault = convert({"kind": kind, "at_s": 0.0} | options)
-    fault.begin(world, BACK_S)
+    fault.begin(cluster, BACK_S)
     return fault
 
 
-async def answered(world, source, target, method="GET", path="/inspect", body=None):
+async def answered(cluster, source, target, method="GET", path="/inspect", body=None):
     """The status of one request, or None."""
     try:
         return (
-            await world.network.caller(source, target).request(method, path, body, SECOND)
+            await cluster.network.caller(source, target).request(method, path, body, SECOND)
         ).status
     except NoResponseError:
         return None
@@ -63,37 +63,37 @@
     ],
 )
 def test_controllers_end_and_come_back(kind, options, away_s):
-    async def check(world):
-        leader = world.leader()
-        begin(world, kind, busiest=True, **options)
-        assert not world.alive(leader)
-        await world.wait(away_s - 0.25)
-        assert not world.alive(leader)
-        await world.wait(0.5)
-        assert world.alive(leader)
+    async def check(cluster):
+        leader = cluster.leader()
+        begin(cluster, kind, busiest=True, **options)
+        assert not cluster.alive(leader)
+        await cluster.wait(away_s - 0.25)
+        assert not cluster.alive(leader)
+        await cluster.wait(0.5)
+        assert cluster.alive(leader)
 
     play(check)
 
 
 def test_a_roll_restarts_one_after_the_other():
-    async def check(world):
-        begin(world, "node_roll", every_s=4.0)
-        for member in world.members:
-            await world.wait(0.5)
-            assert [m for m in world.members if not world.alive(m)] == [member]
-            await world.wait(3.5)
-        assert all(world.alive(member) for member in world.members)
+    async def check(cluster):
+        begin(cluster, "node_roll", every_s=4.0)
+        for member in cluster.members:
+            await cluster.wait(0.5)
+            assert [m for m in cluster.members if not cluster.alive(m)] == [member]
+            await cluster.wait(3.5)
+        assert all(cluster.alive(member) for member in cluster.members)
 
     play(check)
 
 
 def test_a_frozen_controller_answers_when_it_goes_on():
-    async def check(world):
-        leader = world.leader()
-        begin(world, "node_freeze", busiest=True, for_s=5.0)
-        assert await answered(world, "user", leader, path="/ready") is None
-        await world.wait(5)
-        assert await answered(world, "user", leader, path="/ready") == 200
+    async def check(cluster):
+        leader = cluster.leader()
+        begin(cluster, "node_freeze", busiest=True, for_s=5.0)
+        assert await answered(cluster, "user", leader, path="/ready") is None
+        await cluster.wait(5)
+        assert await answered(cluster, "user", leader, path="/ready") == 200
 
     play(check)
 
@@ -110,31 +110,31 @@
 )
 @pytest.mark.parametrize("mode", ["hold", "refuse"])
 def test_a_cut_takes_what_it_names(options, lost, mode):
-    async def check(world):
-        leader = world.leader()
-        begin(world, "node_cut", busiest=True, for_s=3.0, mode=mode, **options)
-        peer = next(member for member in world.members if member != leader)
+    async def check(cluster):
+        leader = cluster.leader()
+        begin(cluster, "node_cut", busiest=True, for_s=3.0, mode=mode, **options)
+        peer = next(member for member in cluster.members if member != leader)
         targets = {
             "state": ("state", "/keys?prefix=leader"),
-            "worker": (world.cloud.workers()[0].name, "/inspect"),
+            "worker": (cluster.cloud.workers()[0].name, "/inspect"),
             "peer": (peer, "/ready"),
         }
         for name, (target, path) in targets.items():
-            status = await answered(world, leader, target, path=path)
+            status = await answered(cluster, leader, target, path=path)
             assert (status == 200) is (name not in lost), name
-        await world.wait(3)
+        await cluster.wait(3)
         for target, path in targets.values():
-            assert await answered(world, leader, target, path=path) == 200
+            assert await answered(cluster, leader, target, path=path) == 200
 
     play(check)
 
 
 def test_a_transfer_gives_leadership_to_another_process_that_runs():
-    async def check(world):
-        leader = world.leader()
-        begin(world, "leader_transfer")
-        await world.until(lambda: world.leader() not in (None, leader), most=2)
-        assert world.alive(leader)
+    async def check(cluster):
+        leader = cluster.leader()
+        begin(cluster, "leader_transfer")
+        await cluster.until(lambda: cluster.leader() not in (None, leader), most=2)
+        assert cluster.alive(leader)
 
     play(check)
 
@@ -144,48 +144,48 @@
     [("state_outage", "state", "/keys?prefix=leader"), ("cloud_outage", "cloud", "/catalog")],
 )
 def test_an_outage_refuses_everybody(kind, target, path):
-    async def check(world):
-        begin(world, kind, for_s=2.0)
-        assert await answered(world, "user", target, path=path) == 503
-        await world.wait(2)
-        assert await answered(world, "user", target, path=path) == 200
+    async def check(cluster):
+        begin(cluster, kind, for_s=2.0)
+        assert await answered(cluster, "user", target, path=path) == 503
+        await cluster.wait(2)
+        assert await answered(cluster, "user", target, path=path) == 200
 
     play(check)
 
 
 @pytest.mark.parametrize(("at_once", "after_s"), [(True, 2.0), (False, 12.0)])
 def test_transactions_without_an_answer_are_carried_out(at_once, after_s):
-    async def check(world):
-        begin(world, "late_writes", share=1.0, for_s=2.0, at_once=at_once)
+    async def check(cluster):
+        begin(cluster, "late_writes", share=1.0, for_s=2.0, at_once=at_once)
         body = json.dumps({"guards": [], "then": [{"write": "a", "value": 1}]}).encode()
-        asked = asyncio.ensure_future(answered(world, "user", "state", "POST", "/multi", body))
+        asked = asyncio.ensure_future(answered(cluster, "user", "state", "POST", "/multi", body))
         await asyncio.sleep(0.25)
-        assert ("a" in world.state.keys) is at_once
+        assert ("a" in cluster.store.keys) is at_once
         assert await asked is None
-        await world.wait(after_s)
-        assert "a" in world.state.keys and world.network.late_writes is None
+        await cluster.wait(after_s)
+        assert "a" in cluster.store.keys and cluster.network.late_writes is None
 
     play(check)
 
 
 def test_machines_die_and_stay_listed():
-    async def check(world):
-        before = set(world.cloud.machines)
-        begin(world, "machine_die", count=2)
-        dead = [w.name for w in world.cloud.workers() if w.name not in world.network.services]
-        assert len(dead) == 2 and before == set(world.cloud.machines)
-        await world.wait(31)
-        assert not set(dead) & set(world.cloud.machines)
+    async def check(cluster):
+        before = set(cluster.cloud.machines)
+        begin(cluster, "machine_die", count=2)
+        dead = [w.name for w in cluster.cloud.workers() if w.name not in cluster.network.services]
+        assert len(dead) == 2 and before == set(cluster.cloud.machines)
+        await cluster.wait(31)
+        assert not set(dead) & set(cluster.cloud.machines)
 
     play(check)
 
 
 def test_machines_hang():
-    async def check(world):
-        begin(world, "machine_hang", count=2, for_s=3.0)
-        assert sum(worker.hung for worker in world.cloud.workers()) == 2
-        await world.wait(3.25)
-        assert not any(worker.hung for worker in world.cloud.workers())
+    async def check(cluster):
+        begin(cluster, "machine_hang", count=2, for_s=3.0)
+        assert sum(worker.hung for worker in cluster.cloud.workers()) == 2
+        await cluster.wait(3.25)
+        assert not any(worker.hung for worker in cluster.cloud.workers())
 
     play(check)
 
@@ -202,53 +202,53 @@
 )
 @pytest.mark.parametrize("kind", ["machine_deaf", "machine_mute"])
 def test_machines_that_are_reached_one_way_only(kind, chosen, count):
-    async def check(world):
-        fault = begin(world, kind, for_s=9.0, **chosen)
+    async def check(cluster):
+        fault = begin(cluster, kind, for_s=9.0, **chosen)
         to_worker = {
-            w.name: await answered(world, "drummer-0", w.name) for w in world.cloud.workers()
+            w.name: await answered(cluster, "drummer-0", w.name) for w in cluster.cloud.workers()
         }
         lost = [name for name, status in to_worker.items() if status != 200]
-        heard = {pair[0] for pair in world.network.muted} | {
-            pair[1] for pair in world.network.blocked
+        heard = {pair[0] for pair in cluster.network.muted} | {
+            pair[1] for pair in cluster.network.blocked
         }
         assert len(heard) == count
         assert len(lost) == (count if kind == "machine_deaf" else 0)
         for name in heard:
-            assert await answered(world, name, "drummer-0", path="/ready") is None
+            assert await answered(cluster, name, "drummer-0", path="/ready") is None
             if fault.zone is not None:
-                assert world.cloud.machines[name].kind[1] == fault.zone
-        await world.wait(9)
-        assert not world.network.muted and not world.network.blocked
+                assert cluster.cloud.machines[name].kind[1] == fault.zone
+        await cluster.wait(9)
+        assert not cluster.network.muted and not cluster.network.blocked
 
     play(check)
 
 
 def test_a_deaf_machine_reports_and_a_mute_one_does_not():
-    async def check(world):
+    async def check(cluster):
         reports = []
-        names = [worker.name for worker in world.cloud.workers()]
-        world.network.watcher = lambda sent: (
+        names = [worker.name for worker in cluster.cloud.workers()]
+        cluster.network.watcher = lambda sent: (
             reports.append(sent) if sent.path == "/hello" else None
         )
-        unreachable = begin(world, "machine_deaf", count=1, for_s=4.0)
-        await world.wait(unreachable.for_s)
+        unreachable = begin(cluster, "machine_deaf", count=1, for_s=4.0)
+        await cluster.wait(unreachable.for_s)
         assert {sent.source for sent in reports} == set(names)
-        await world.wait(4)
-        begin(world, "machine_mute", count=1, for_s=4.0)
-        mute = {name for name, _ in world.network.muted}
-        served = {worker.name: worker.answered for worker in world.cloud.workers()}
-        await world.wait(3.75)
-        for worker in world.cloud.workers():
+        await cluster.wait(4)
+        begin(cluster, "machine_mute", count=1, for_s=4.0)
+        mute = {name for name, _ in cluster.network.muted}
+        served = {worker.name: worker.answered for worker in cluster.cloud.workers()}
+        await cluster.wait(3.75)
+        for worker in cluster.cloud.workers():
             assert (worker.answered == served[worker.name]) is (worker.name in mute)
 
     play(check)
 
 
 def test_copies_of_reports_arrive_anywhere():
-    async def check(world):
-        begin(world, "late_reports", share=1.0, for_s=3.0)
-        await world.wait(3)
-        assert world.network.copied > 5 and world.network.copies is None
+    async def check(cluster):
+        begin(cluster, "late_reports", share=1.0, for_s=3.0)
+        await cluster.wait(3)
+        assert cluster.network.copied > 5 and cluster.network.copies is None
 
     play(check)
 
@@ -256,23 +256,23 @@
 def test_copies_are_kept_for_the_next_leader():
     """Each arrives there once, and none before."""
 
-    async def check(world):
-        late, deliver = [], world.network._late
+    async def check(cluster):
+        late, deliver = [], cluster.network._late
 
         def record(source, target, *arguments):
             late.append(target)
             return deliver(source, target, *arguments)
 
-        world.network._late = record
-        begin(world, "late_reports", share=1.0, for_s=3.0, for_next=True)
-        await world.wait(5)
-        kept = len(world.network.kept)
-        assert kept == world.network.copied > 5 and not late
-        former = world.leader()
-        world.kill(former)
-        await world.until(lambda: world.leader() not in (None, former))
-        await world.wait(3)
-        assert late == [world.leader()] * kept and not world.network.kept
+        cluster.network._late = record
+        begin(cluster, "late_reports", share=1.0, for_s=3.0, for_next=True)
+        await cluster.wait(5)
+        kept = len(cluster.network.kept)
+        assert kept == cluster.network.copied > 5 and not late
+        former = cluster.leader()
+        cluster.kill(former)
+        await cluster.until(lambda: cluster.leader() not in (None, former))
+        await cluster.wait(3)
+        assert late == [cluster.leader()] * kept and not cluster.network.kept
 
     play(check)
 
@@ -280,116 +280,116 @@
 def test_direct_commands_are_held_up_and_executed_once():
     """Nothing of the service sends any: a stop by hand, which its machine executes late."""
 
-    async def check(world):
-        worker = world.cloud.workers()[0]
+    async def check(cluster):
+        worker = cluster.cloud.workers()[0]
         attempt = next(iter(worker.attempts.values()))
         call = {"call": "stop", "beat": attempt.name, "take": attempt.take, "fadeS": 0}
         command = json.dumps({"baton": worker.token, "set": worker.session, "calls": [call]})
-        begin(world, "late_commands", share=1.0, for_s=1.0)
+        begin(cluster, "late_commands", share=1.0, for_s=1.0)
         sent = ("drummer-0", worker.name, "POST", "/do")
-        assert await answered(world, *sent, command.encode()) is None
+        assert await answered(cluster, *sent, command.encode()) is None
         assert attempt.state == "running"
-        await world.wait(16)
+        await cluster.wait(16)
         assert attempt.cause == "stopped"
-        assert await answered(world, *sent, b'{"calls": []}') == 400
+        assert await answered(cluster, *sent, b'{"calls": []}') == 400
         for baton, session, status in ((0, 0, 200), (0, 1, 409), (-1, 0, 409), (1, 0, 200)):
             body = {"baton": worker.token + baton, "set": worker.session + session, "calls": []}
-            assert await answered(world, *sent, json.dumps(body).encode()) == status
+            assert await answered(cluster, *sent, json.dumps(body).encode()) == status
 
     play(check)
 
 
 @pytest.mark.parametrize("hang_s", [0.0, 4.0])
 def test_users_cancel_what_has_long_to_go(hang_s):
-    async def check(world):
-        await world.submit(job(2, beats=1, vcpus=0.5, runS=4.0))  # is over soon
-        await world.submit(job(3, beats=1, vcpus=0.5, runS=60.0))
-        await world.until(lambda: {"j-000002", "j-000003"} <= running(world))
-        fault = begin(world, "cancel_now", count=5, hang_s=hang_s)
-        hung = [worker for worker in world.cloud.workers() if worker.hung]
+    async def check(cluster):
+        await cluster.submit(job(2, beats=1, vcpus=0.5, runS=4.0))  # is over soon
+        await cluster.submit(job(3, beats=1, vcpus=0.5, runS=60.0))
+        await cluster.until(lambda: {"j-000002", "j-000003"} <= running(cluster))
+        fault = begin(cluster, "cancel_now", count=5, hang_s=hang_s)
+        hung = [worker for worker in cluster.cloud.workers() if worker.hung]
         assert bool(hung) is (hang_s > 0)
-        await world.wait(0.25)
-        assert cancelled(world) == {"j-000001", "j-000003"}
-        await world.wait(fault.lasts_s)
-        assert not any(worker.hung for worker in world.cloud.workers())
-        await world.finish(["j-000001", "j-000002", "j-000003"])
+        await cluster.wait(0.25)
+        assert cancelled(cluster) == {"j-000001", "j-000003"}
+        await cluster.wait(fault.lasts_s)
+        assert not any(worker.hung for worker in cluster.cloud.workers())
+        await cluster.finish(["j-000001", "j-000002", "j-000003"])
 
-    def running(world):
-        return {name for name, _ in world.rules.running}
+    def running(cluster):
+        return {name for name, _ in cluster.rules.running}
 
     play(check)
 
 
-def cancelled(world):
+def cancelled(cluster):
     """Jobs whose users have asked to cancel them."""
-    rules = world.rules
+    rules = cluster.rules
     return {name for name, facts in rules.jobs.items() if rules.called_off(facts)}
 
 
 def test_users_cancel_at_the_end():
-    async def check(world):
-        begin(world, "cancel_at_end", share=1.0, for_s=60.0)
+    async def check(cluster):
+        begin(cluster, "cancel_at_end", share=1.0, for_s=60.0)
         names = [f"j-{number:06d}" for number in range(2, 6)]
         for number in range(2, 6):
-            await world.submit(job(number, beats=2, vcpus=0.5, runS=[2.0, 5.0]))
-        await world.wait(2)
-        assert not cancelled(world)
-        await world.until(lambda: set(names) <= cancelled(world))
-        assert all(len(world.rules.jobs[name].done) == 2 for name in names)
-        await world.finish(names)
+            await cluster.submit(job(number, beats=2, vcpus=0.5, runS=[2.0, 5.0]))
+        await cluster.wait(2)
+        assert not cancelled(cluster)
+        await cluster.until(lambda: set(names) <= cancelled(cluster))
+        assert all(len(cluster.rules.jobs[name].done) == 2 for name in names)
+        await cluster.finish(names)
 
     play(check)
 
 
 def test_odd_requests():
-    async def check(world):
-        assert await world.submit(job(2, beats=1, vcpus=0.5, runS=1.0)) == 201
-        await world.finish(["j-000002"])
-        asked, told = [], world.rules.invalid_answered
-        world.network.watcher = lambda sent: (
+    async def check(cluster):
+        assert await cluster.submit(job(2, beats=1, vcpus=0.5, runS=1.0)) == 201
+        await cluster.finish(["j-000002"])
+        asked, told = [], cluster.rules.invalid_answered
+        cluster.network.watcher = lambda sent: (
             asked.append(sent.path) if sent.source == "user" else None
         )
-        world.rules.invalid_answered = lambda *answer: (statuses.add(answer[2]), told(*answer))
+        cluster.rules.invalid_answered = lambda *answer: (statuses.add(answer[2]), told(*answer))
         statuses = set()
-        begin(world, "odd_requests", for_s=30.0)
-        await world.wait(30)
+        begin(cluster, "odd_requests", for_s=30.0)
+        await cluster.wait(30)
         assert "/submissions/j-000002/cancel" in asked
-        assert asked.count("/submissions") > len(world.rules.jobs) - 2  # repeated ones, too
+        assert asked.count("/submissions") > len(cluster.rules.jobs) - 2  # repeated ones, too
         assert {400, 422} <= statuses
-        await world.wait(5)
-        assert not world.odd_users and not world.acting
+        await cluster.wait(5)
+        assert not cluster.odd_users and not cluster.acting
 
     play(check)
 
 
 def test_users_look_closely():
-    async def check(world):
+    async def check(cluster):
         events, asked = [], []
-        begin(world, "close_looks", for_s=60.0)
-        world.rules.listeners.append(lambda name, event: events.append(event))
-        world.network.watcher = lambda sent: (
+        begin(cluster, "close_looks", for_s=60.0)
+        cluster.rules.listeners.append(lambda name, event: events.append(event))
+        cluster.network.watcher = lambda sent: (
             asked.append(sent.target) if sent.path == "/submissions/j-000002" else None
         )
-        assert await world.submit(job(2, beats=1, vcpus=0.5, runS=1.0)) == 201
-        await world.wait(0.05)
-        assert set(asked) == set(world.members)
-        await world.finish(["j-000002"])
-        await world.cancel("j-000001")
-        await world.wait(0.05)
+        assert await cluster.submit(job(2, beats=1, vcpus=0.5, runS=1.0)) == 201
+        await cluster.wait(0.05)
+        assert set(asked) == set(cluster.members)
+        await cluster.finish(["j-000002"])
+        await cluster.cancel("j-000001")
+        await cluster.wait(0.05)
         assert set(events) == set(JobEvent)
-        assert len(asked) >= 3 * 2 * len(world.members)
+        assert len(asked) >= 3 * 2 * len(cluster.members)
 
     play(check)
 
 
 def test_a_user_that_fails_breaks_the_rules():
-    async def check(world):
+    async def check(cluster):
         async def fail():
             raise ValueError("of a user")
 
-        world.act(fail())
+        cluster.act(fail())
         await asyncio.sleep(0.01)
-        assert len(world.rules.broken) == 1 and "of a user" in world.rules.broken.pop()
+        assert len(cluster.rules.broken) == 1 and "of a user" in cluster.rules.broken.pop()
 
     play(check)
 
@@ -404,18 +404,21 @@
         name: value for name, value in options.items() if name in KINDS[kind].__struct_fields__
     }
 
-    async def check(world):
-        begin(world, kind, **taken)
-        await world.wait(8)
-        end_all(world)
-        await world.wait(20)
-        network = world.network
-        assert not (world.state.out or world.state.refused or world.cloud.out)
+    async def check(cluster):
+        begin(cluster, kind, **taken)
+        await cluster.wait(8)
+        end_all(cluster)
+        await cluster.wait(20)
+        network = cluster.network
+        assert not (cluster.store.out or cluster.store.refused or cluster.cloud.out)
         assert not (network.late_writes or network.late_commands or network.copies or network.kept)
         assert not (network.cuts or network.refusing or network.blocked or network.muted)
-        assert not (world.rules.listeners or world.odd_users or world.acting)
-        assert not any(worker.hung for worker in world.cloud.workers())
-        assert all(world.alive(member) for member in world.members) and world.leader() is not None
+        assert not (cluster.rules.listeners or cluster.odd_users or cluster.acting)
+        assert not any(worker.hung for worker in cluster.cloud.workers())
+        assert (
+            all(cluster.alive(member) for member in cluster.members)
+            and cluster.leader() is not None
+        )
 
     play(check)
 
--- a/dappledrum/simulation/test_history_recording.py
+++ b/dappledrum/simulation/test_history_recording.py
@@ -6,7 +6,7 @@
 import pytest
 
 from dappledrum.http.client import Reply
-from dappledrum.simulation.cluster import World, job
+from dappledrum.simulation.cluster import SimulatedCluster, job
 from dappledrum.simulation.virtual_time import run
 
 NAME = "j-000001"
@@ -14,41 +14,41 @@
 
 
 async def world_with_a_job():
-    world = World(seed=1)
-    world.cloud.add(("small", "a", False))
-    await world.until(lambda: world.leader() is not None)
-    assert await world.submit(job(1, beats=2, vcpus=1.0, runS=400.0, dueS=None)) == 201
-    await world.until(lambda: world.rules.starts == 2)
-    return world
+    cluster = SimulatedCluster(seed=1)
+    cluster.cloud.add(("small", "a", False))
+    await cluster.until(lambda: cluster.leader() is not None)
+    assert await cluster.submit(job(1, beats=2, vcpus=1.0, runS=400.0, dueS=None)) == 201
+    await cluster.until(lambda: cluster.rules.starts == 2)
+    return cluster
 
 
-def lie(world, status, **body):
+def lie(cluster, status, **body):
     """One controller answers all its users with this."""
 
     async def answer(source, method, path, request):
         return Reply(status, json.dumps({"id": NAME} | body).encode())
 
-    world.network.services[LIAR] = answer
+    cluster.network.services[LIAR] = answer
 
 
-async def ask(world):
-    await world.poll(NAME, LIAR)
+async def ask(cluster):
+    await cluster.poll(NAME, LIAR)
 
 
-async def submit(world):
-    await world.submit(job(1, beats=2), 1, LIAR)
+async def submit(cluster):
+    await cluster.submit(job(1, beats=2), 1, LIAR)
 
 
-async def by_hand(world):
-    await world._ask("POST", f"/submissions/{NAME}/cancel", b"", LIAR)
+async def by_hand(cluster):
+    await cluster._ask("POST", f"/submissions/{NAME}/cancel", b"", LIAR)
 
 
-async def submit_what_lacks_a_field(world):
-    await world._ask("POST", "/submissions", b'{"id":"j-000009","crew":"blue"}', LIAR)
+async def submit_what_lacks_a_field(cluster):
+    await cluster._ask("POST", "/submissions", b'{"id":"j-000009","crew":"blue"}', LIAR)
 
 
-async def submit_what_fits_nowhere(world):
-    await world.submit(job(9, vcpus=64.0), 1, LIAR)
+async def submit_what_fits_nowhere(cluster):
+    await cluster.submit(job(9, vcpus=64.0), 1, LIAR)
 
 
 LIES = [
@@ -70,24 +70,24 @@
 @pytest.mark.parametrize(("request_by", "status", "body", "rule"), LIES)
 def test_a_wrong_answer_of_one_controller_ends_the_test(request_by, status, body, rule):
     async def main():
-        world = await world_with_a_job()
-        lie(world, status, **body)
-        await request_by(world)
+        cluster = await world_with_a_job()
+        lie(cluster, status, **body)
+        await request_by(cluster)
         with pytest.raises(AssertionError, match=rule):
-            await world.wait(0.25)
+            await cluster.wait(0.25)
 
     run(main())
 
 
 def test_a_job_that_is_left_waiting_beside_room_ends_the_test():
     async def main():
-        world = await world_with_a_job()
-        world.rules.submitted(job(2, vcpus=1.0))  # the service knows nothing of it
-        world.rules.submit_answer(world.now(), "j-000002", 201, "pending")
-        world.rules.faults_over_at = world.now() + 5
-        await world.wait(94)
+        cluster = await world_with_a_job()
+        cluster.rules.submitted(job(2, vcpus=1.0))  # the service knows nothing of it
+        cluster.rules.submit_answer(cluster.now(), "j-000002", 201, "pending")
+        cluster.rules.faults_over_at = cluster.now() + 5
+        await cluster.wait(94)
         with pytest.raises(AssertionError, match="left_waiting"):
-            await world.wait(4)
+            await cluster.wait(4)
 
     run(main())
 
@@ -95,15 +95,15 @@
 @pytest.mark.parametrize("unwell", ["hung", "faulty", "to be taken"])
 def test_a_machine_that_is_not_well_has_no_room(unwell):
     async def main():
-        world = await world_with_a_job()
-        worker = world.cloud.workers()[0]
+        cluster = await world_with_a_job()
+        worker = cluster.cloud.workers()[0]
         assert [
-            (capacity.machine, capacity.free.cpus) for capacity in world.cloud.free_machines()
+            (capacity.machine, capacity.free.cpus) for capacity in cluster.cloud.free_machines()
         ] == [(worker.name, 2.0)]
         worker.hung = unwell == "hung"
         worker.recall_at = 500.0 if unwell == "to be taken" else None
         if unwell == "faulty":
-            world.timing.faulty.add(worker.name)
-        assert not world.cloud.free_machines()
+            cluster.timing.faulty.add(worker.name)
+        assert not cluster.cloud.free_machines()
 
     run(main())
--- a/dappledrum/simulation/test_users.py
+++ b/dappledrum/simulation/test_users.py
@@ -5,7 +5,7 @@
 import pytest
 
 from dappledrum.http.client import Reply
-from dappledrum.simulation.cluster import World, job
+from dappledrum.simulation.cluster import SimulatedCluster, job
 from dappledrum.simulation.virtual_time import run
 
 NAME = "j-000001"
@@ -24,20 +24,20 @@
         return PENDING
 
     async def main():
-        world = World()
-        world._request = ask
+        cluster = SimulatedCluster()
+        cluster._request = ask
 
         def begin():
-            asked = world.poll(NAME) if question == "poll" else world.submit(job(1))
+            asked = cluster.poll(NAME) if question == "poll" else cluster.submit(job(1))
             return asyncio.ensure_future(asked)
 
-        await world.submit(job(1))
+        await cluster.submit(job(1))
         on_its_way = begin()
         await asyncio.sleep(0.5)
-        await world.cancel(NAME)
+        await cluster.cancel(NAME)
         await on_its_way
-        assert not world.rules.broken
+        assert not cluster.rules.broken
         await begin()
-        assert "went_back" in world.rules.broken[0]
+        assert "went_back" in cluster.rules.broken[0]
 
     run(main())
