--- a/dappledrum/simulation/users.py
+++ b/dappledrum/simulation/users.py
@@ -14,7 +14,7 @@
 
 from dappledrum.http.client import NoResponseError, Reply
 from dappledrum.simulation import history_recording
-from dappledrum.simulation.cluster import World, job
+from dappledrum.simulation.cluster import SimulatedCluster, job
 
 REQUEST_TIMEOUT = timedelta(seconds=2)
 UNKNOWN, ACCEPTED, FINAL = range(3)
@@ -68,9 +68,13 @@
     """Submits one job, and looks at it closely around its acceptance, cancellation and end."""
 
     def __init__(
-        self, world: World, order: AnswerOrder, spec: dict[str, Any], rng: random.Random
+        self,
+        cluster: SimulatedCluster,
+        order: AnswerOrder,
+        spec: dict[str, Any],
+        rng: random.Random,
     ) -> None:
-        self.world = world
+        self.cluster = cluster
         self.order = order
         self.spec = spec
         self.name = str(spec["id"])
@@ -79,22 +83,24 @@
 
     def alive(self) -> list[str]:
         """Controllers that can be asked."""
-        return [m for m in self.world.members if m in self.world.network.services]
+        return [m for m in self.cluster.members if m in self.cluster.network.services]
 
     async def _request(self, method: str, path: str, body: bytes, member: str) -> Reply | None:
         """Ask one controller; the history is told when the question began and what came of it."""
-        history = self.world.rules.history
+        history = self.cluster.rules.history
         asked, number = _now(), history.next_number()
-        question = history_recording.question(number, asked, path, body, member, self.world.cloud)
+        question = history_recording.question(
+            number, asked, path, body, member, self.cluster.cloud
+        )
         assert question is not None
-        self.world.rules.record(question)
+        self.cluster.rules.record(question)
         try:
-            caller = self.world.network.caller("user", member)
+            caller = self.cluster.network.caller("user", member)
             reply = await caller.request(method, path, body, REQUEST_TIMEOUT)
         except NoResponseError:
-            self.world.rules.record(history_recording.answer(number, _now(), None))
+            self.cluster.rules.record(history_recording.answer(number, _now(), None))
             return None
-        self.world.rules.record(history_recording.answer(number, _now(), reply))
+        self.cluster.rules.record(history_recording.answer(number, _now(), reply))
         self._note(reply, asked, member)
         return reply
 
@@ -114,19 +120,19 @@
 
     async def submit(self, member: str) -> Reply | None:
         """Send the job to one controller, for the first time or again."""
-        self.world.rules.submitted(self.spec, _now())
+        self.cluster.rules.submitted(self.spec, _now())
         return await self._request("POST", "/submissions", sent_form(self.spec), member)
 
     async def cancel(self, member: str) -> Reply | None:
         """Cancel it at one controller."""
         self.cancels = True
-        self.world.rules.cancel_asked(self.name)
+        self.cluster.rules.cancel_asked(self.name)
         return await self._request("POST", f"/submissions/{self.name}/cancel", b"", member)
 
     async def until(self, ask: Callable[[str], Awaitable[Reply | None]], *good: int) -> str | None:
         """Ask until a controller gives one of these answers; the state told."""
         while True:
-            reply = await ask(self.rng.choice(self.alive() or list(self.world.members)))
+            reply = await ask(self.rng.choice(self.alive() or list(self.cluster.members)))
             if reply is not None and reply.status in good:
                 return str(json.loads(reply.body)["stance"])
             await asyncio.sleep(self.rng.uniform(0.05, 1.0))
@@ -145,7 +151,7 @@
     async def until_tasks_end(self, share: float = 1.0, most: float = 90.0) -> None:
         """Wait until so many of its tasks have completed, as only the world knows."""
         end = _now() + most
-        facts = self.world.rules.jobs[self.name]
+        facts = self.cluster.rules.jobs[self.name]
         while len(facts.done) < share * self.spec["beats"] and _now() < end:
             await asyncio.sleep(0.003)
 
@@ -153,8 +159,14 @@
         """Wait until the leader is about to write the job's end."""
         end = _now() + most
         while _now() < end:
-            leaders = [node.leader for node in self.world.nodes.values() if node.leader]
-            if any(job.id == self.name for leader in leaders for job in leader.recorder.ending):
+            leaders = [
+                controller.leader
+                for controller in self.cluster.controllers.values()
+                if controller.leader
+            ]
+            if any(
+                job.id == self.name for leader in leaders for job in leader.record_writer.ending
+            ):
                 return
             await asyncio.sleep(0.001)
 
@@ -199,32 +211,36 @@
 
 
 async def one_task_user(
-    world: World, number: int, rng: random.Random, accepted_after: list[float], cancelled: float
+    cluster: SimulatedCluster,
+    number: int,
+    rng: random.Random,
+    accepted_after: list[float],
+    cancelled: float,
 ) -> str | None:
     """Submits a job of one task; cancels that share of them within some seconds, and asks about
     the others every few seconds; the final state."""
     run_s = rng.uniform(2, 15)
     spec = job(number, beats=1, vcpus=0.5, memGb=0.5, runS=run_s, expectedS=8.0, dueS=None)
     began = _now()
-    if await world.submit(spec, 60) not in (OK, CREATED):
+    if await cluster.submit(spec, 60) not in (OK, CREATED):
         return None
     accepted_after.append(_now() - began)
     if rng.random() < cancelled:
         await asyncio.sleep(rng.uniform(0, 12))
-        return await world.cancel(spec["id"], 60)
+        return await cluster.cancel(spec["id"], 60)
     while True:
         await asyncio.sleep(rng.uniform(4, 6))
-        if (state := await world.poll(spec["id"])) in FINAL_STATES:
+        if (state := await cluster.poll(spec["id"])) in FINAL_STATES:
             return state
 
 
 async def wandering_latency(
-    world: World, rng: random.Random, hosts: Iterable[str], most: float
+    cluster: SimulatedCluster, rng: random.Random, hosts: Iterable[str], most: float
 ) -> None:
-    """Let the way to the state service and back take longer or shorter from one request to the
+    """Let the way to the store and back take longer or shorter from one request to the
     next, so that a later one may overtake an earlier one; until cancelled."""
     members = list(hosts)
-    slow = world.network.slow
+    slow = cluster.network.slow
     try:
         while True:
             for member in members:
--- a/dappledrum/store/__init__.py
+++ b/dappledrum/store/__init__.py
@@ -1,2 +1,2 @@
-"""Client of the state service: keys, transactions, holds and watches, within this controller's
+"""Client of the store: keys, transactions, holds and watches, within this controller's
 share of its limits."""
--- a/dappledrum/store/advisory_record.py
+++ b/dappledrum/store/advisory_record.py
@@ -9,22 +9,28 @@
 
 import msgspec
 
-from dappledrum.store.client import State, StateError, raw
+from dappledrum.store.client import StoreClient, StoreError, raw
 from dappledrum.store.messages import Guard, Put
-from dappledrum.store.rate_limiter import Rank
+from dappledrum.store.rate_limiter import RequestPriority
 
 log = logging.getLogger(__name__)
 
 T = TypeVar("T")
 
 
-class Hint(Generic[T]):
+class AdvisoryRecord(Generic[T]):
     """One key, written by the leader under its guard when the value has changed."""
 
     def __init__(
-        self, state: State, guard: Guard, key: str, kind: type[T], value_bytes: int, rank: Rank
+        self,
+        store: StoreClient,
+        guard: Guard,
+        key: str,
+        kind: type[T],
+        value_bytes: int,
+        rank: RequestPriority,
     ) -> None:
-        self.state = state
+        self.store = store
         self.guard = guard
         self.key = key
         self.kind = kind
@@ -41,9 +47,9 @@
             log.warning("%s is too large to be kept", self.key)
             return
         try:
-            await self.state.commit([self.guard], [Put(self.key, value)], self.rank)
+            await self.store.commit([self.guard], [Put(self.key, value)], self.rank)
             self.stored = record
-        except StateError as error:
+        except StoreError as error:
             log.debug("%s not written: %s", self.key, error)
 
     async def follow(self, make: Callable[[], T], pause: timedelta) -> None:
@@ -55,8 +61,8 @@
     async def recall(self) -> T | None:
         """The record of a predecessor; None if there is none, or none that can be used."""
         try:
-            entry = await self.state.get(self.key, Rank.RECORD)
+            entry = await self.store.get(self.key, RequestPriority.RECORD)
             return None if entry is None else msgspec.json.decode(entry.value, type=self.kind)
-        except (StateError, msgspec.DecodeError, UnicodeDecodeError) as error:
+        except (StoreError, msgspec.DecodeError, UnicodeDecodeError) as error:
             log.info("%s not read: %s", self.key, error)
             return None
--- a/dappledrum/store/client.py
+++ b/dappledrum/store/client.py
@@ -1,4 +1,4 @@
-"""Requests to the state service.
+"""Requests to the store.
 
 Three kinds of failure are kept apart, since the rules rest on the difference: refused (certainly
 not executed), conflict (executed, conditions failed) and unknown (it may have been executed, or
@@ -15,7 +15,7 @@
 import msgspec
 
 from dappledrum.http.client import Caller, NoResponseError, NotSentError, Reply
-from dappledrum.membership.link_health import Link
+from dappledrum.membership.link_health import LinkHealth
 from dappledrum.settings import StateLimits
 from dappledrum.store.messages import (
     Conflict,
@@ -31,7 +31,7 @@
     TimeToLive,
     Transaction,
 )
-from dappledrum.store.rate_limiter import Budget, Rank
+from dappledrum.store.rate_limiter import RateLimiter, RequestPriority
 from dappledrum.timing.clock import ZERO, Clock
 from dappledrum.timing.fault_log import FaultLog
 
@@ -44,19 +44,19 @@
 FAILING_AFTER = timedelta(milliseconds=400)
 
 
-class StateError(Exception):
-    """The state service did not serve the request."""
+class StoreError(Exception):
+    """The store did not serve the request."""
 
 
-class RefusedError(StateError):
+class RefusedError(StoreError):
     """Certainly not executed: no connection, 429 or 503."""
 
 
-class UnknownError(StateError):
+class UnknownError(StoreError):
     """No usable answer: executed or not, now or later."""
 
 
-class ConflictError(StateError):
+class ConflictError(StoreError):
     """The conditions of a transaction failed; nothing was changed."""
 
     def __init__(self, failed: list[str]) -> None:
@@ -68,15 +68,15 @@
     """Certainly not executed: a value or the transaction is larger than the service takes."""
 
 
-class LeaseLostError(StateError):
+class LeaseLostError(StoreError):
     """The lease does not exist any more."""
 
 
-class CompactedError(StateError):
+class CompactedError(StoreError):
     """A watch asked for changes that the service no longer keeps."""
 
 
-class State:
+class StoreClient:
     """Client with budgets; one for each controller."""
 
     def __init__(
@@ -86,14 +86,14 @@
         self.limits = limits
         self.clock = clock
         self.rng = rng
-        self.requests = Budget(limits.rps * 0.2, clock.now())
-        self.writes = Budget(limits.write_rps * 0.2, clock.now())
+        self.requests = RateLimiter(limits.rps * 0.2, clock.now())
+        self.writes = RateLimiter(limits.write_rps * 0.2, clock.now())
         self.blocked_until = ZERO
         self.backoff = ZERO
         self.failing_since: timedelta | None = None
         self.last_hung = False
         self.reached = False  # served at least once
-        self.link = Link(clock)
+        self.link = LinkHealth(clock)
         self.fault = FaultLog(log, clock, "the state service does not serve this controller")
 
     def is_failing(self) -> bool:
@@ -120,13 +120,13 @@
         rate = self.limits.write_rps * share
         self.writes.resize(rate, now, max(burst, min(CHAIN, self.limits.write_rps / 2) / rate))
 
-    def busy_for(self, rank: Rank, writes: int = 0) -> timedelta:
+    def busy_for(self, rank: RequestPriority, writes: int = 0) -> timedelta:
         """How long a request of this rank would have to wait; zero means that it can go now."""
         now = self.clock.now()
         wait = self.requests.wait(1, rank, now)
         if writes:
             wait = max(wait, self.writes.wait(writes, rank, now))
-        if rank is not Rank.LEASE:
+        if rank is not RequestPriority.LEASE:
             wait = max(wait, self.blocked_until - now)
         return wait
 
@@ -135,13 +135,15 @@
         method: str,
         path: str,
         body: bytes | None,
-        rank: Rank,
+        rank: RequestPriority,
         timeout: timedelta = REQUEST_TIMEOUT,
         writes: int = 0,
     ) -> Reply:
         wait = self.busy_for(rank, writes)
         if wait > ZERO:
-            if rank in (Rank.POLL, Rank.INTAKE) and wait > timedelta(seconds=0.5):
+            if rank in (RequestPriority.POLL, RequestPriority.INTAKE) and wait > timedelta(
+                seconds=0.5
+            ):
                 raise RefusedError("over this controller's share of requests")
             await asyncio.sleep(wait.total_seconds())
         now = self.clock.now()
@@ -197,7 +199,7 @@
             raise UnknownError(f"unusable answer: {error}") from error
 
     async def get(
-        self, key: str, rank: Rank, timeout: timedelta = REQUEST_TIMEOUT
+        self, key: str, rank: RequestPriority, timeout: timedelta = REQUEST_TIMEOUT
     ) -> Entry | None:
         """Read one key; None when it does not exist."""
         reply = await self._call("GET", f"/keys/{key}", None, rank, timeout)
@@ -208,7 +210,7 @@
             raise UnknownError(f"status {reply.status} for a read")
         return self._decode(reply, Entry)
 
-    async def scan(self, prefix: str, rank: Rank) -> tuple[list[Entry], int]:
+    async def scan(self, prefix: str, rank: RequestPriority) -> tuple[list[Entry], int]:
         """Read all keys with a prefix, and the revision from which a watch must start."""
         entries: list[Entry] = []
         start: int | None = None
@@ -230,7 +232,7 @@
         self,
         guards: Sequence[Guard],
         changes: Sequence[Put | Delete],
-        rank: Rank,
+        rank: RequestPriority,
         timeout: timedelta = REQUEST_TIMEOUT,
     ) -> int:
         """Run a transaction and return its revision."""
@@ -251,14 +253,16 @@
     async def open_lease(self, life: timedelta) -> int:
         """Get a new lease."""
         body = msgspec.json.encode(TimeToLive(int(life.total_seconds() * 1000)))
-        reply = await self._call("POST", "/holds", body, Rank.LEASE)
+        reply = await self._call("POST", "/holds", body, RequestPriority.LEASE)
         if reply.status != 200:
             raise UnknownError(f"status {reply.status} for a lease")
         return self._decode(reply, Lease).lease
 
     async def renew_lease(self, lease: int, timeout: timedelta) -> None:
         """Renew a lease, or raise LeaseLostError."""
-        reply = await self._call("POST", f"/holds/{lease}/touch", b"{}", Rank.LEASE, timeout)
+        reply = await self._call(
+            "POST", f"/holds/{lease}/touch", b"{}", RequestPriority.LEASE, timeout
+        )
         if reply.status == 404:
             raise LeaseLostError("lease ended")
         if reply.status != 200:
@@ -266,10 +270,10 @@
 
     async def close_lease(self, lease: int) -> None:
         """End a lease at once, with the keys attached to it."""
-        await self._call("DELETE", f"/holds/{lease}", None, Rank.LEASE)
+        await self._call("DELETE", f"/holds/{lease}", None, RequestPriority.LEASE)
 
     async def watch(
-        self, prefix: str, after: int, wait: timedelta, rank: Rank
+        self, prefix: str, after: int, wait: timedelta, rank: RequestPriority
     ) -> tuple[list[Event], int]:
         """Changes after a revision; an empty list when nothing changed in time."""
         path = f"/watch?prefix={prefix}&from={after}&waitMs={int(wait.total_seconds() * 1000)}"
--- a/dappledrum/store/hedged_commit.py
+++ b/dappledrum/store/hedged_commit.py
@@ -14,9 +14,9 @@
 
 import msgspec
 
-from dappledrum.store.client import REQUEST_TIMEOUT, ConflictError, State, StateError
+from dappledrum.store.client import REQUEST_TIMEOUT, ConflictError, StoreClient, StoreError
 from dappledrum.store.messages import Delete, Entry, Guard, Put
-from dappledrum.store.rate_limiter import Rank
+from dappledrum.store.rate_limiter import RequestPriority
 from dappledrum.timing.clock import ZERO
 
 log = logging.getLogger(__name__)
@@ -45,23 +45,23 @@
 
 
 async def commit_or_find(
-    state: State,
+    store: StoreClient,
     guards: Sequence[Guard],
     changes: Sequence[Put | Delete],
-    rank: Rank,
+    rank: RequestPriority,
     find: Callable[[], Awaitable[T | None]],
     timeout: timedelta = REQUEST_TIMEOUT,
 ) -> int | T:
     """Run a transaction and return its revision, or what `find` has read of its outcome.
 
     `find` returns None as long as nothing is proven. It is called only while the answer is late,
-    the state service serves this controller, and the budget allows a request at once.
+    the store serves this controller, and the budget allows a request at once.
     """
-    queued = state.busy_for(rank, len(changes))
+    queued = store.busy_for(rank, len(changes))
     found: list[T] = []
 
     async def read() -> None:
-        result = await _read(state, rank, find, queued, timeout)
+        result = await _read(store, rank, find, queued, timeout)
         if result is not None:
             found.append(result)
             waiting.reschedule(asyncio.get_running_loop().time())
@@ -70,7 +70,7 @@
         async with asyncio.timeout(None) as waiting:
             reads = asyncio.ensure_future(read())
             try:
-                return await state.commit(guards, changes, rank, timeout)
+                return await store.commit(guards, changes, rank, timeout)
             finally:
                 reads.cancel()
     except TimeoutError:
@@ -81,10 +81,10 @@
 
 
 async def commit_idempotent(
-    state: State,
+    store: StoreClient,
     guards: Sequence[Guard],
     changes: Sequence[Put | Delete],
-    rank: Rank,
+    rank: RequestPriority,
     timeout: timedelta = REQUEST_TIMEOUT,
 ) -> int:
     """Run a transaction that may be carried out twice, and once more while its answer is late:
@@ -92,34 +92,34 @@
 
     async def again() -> int | ConflictError:
         try:
-            return await state.commit(guards, changes, rank, timeout)
+            return await store.commit(guards, changes, rank, timeout)
         except ConflictError as error:
             return error
 
-    answer = await commit_or_find(state, guards, changes, rank, again, timeout)
+    answer = await commit_or_find(store, guards, changes, rank, again, timeout)
     if isinstance(answer, ConflictError):
         raise answer
     return answer
 
 
 async def _read(
-    state: State,
-    rank: Rank,
+    store: StoreClient,
+    rank: RequestPriority,
     find: Callable[[], Awaitable[T | None]],
     queued: timedelta,
     timeout: timedelta,
 ) -> T | None:
     """Read until something is proven; None when it is not worth while any more."""
-    delay = max(MIN_DELAY, state.link.usual * DELAY_FACTOR)
+    delay = max(MIN_DELAY, store.link.usual * DELAY_FACTOR)
     await asyncio.sleep(queued.total_seconds())
     for _ in range(READS):
         if delay > timeout / 2:
             return None  # the answer would not be back sooner than that of the transaction
         await asyncio.sleep(delay.total_seconds())
-        if not state.is_failing() and state.busy_for(rank) == ZERO:
+        if not store.is_failing() and store.busy_for(rank) == ZERO:
             try:
                 found = await find()
-            except StateError as error:
+            except StoreError as error:
                 log.debug("the outcome of a transaction could not be read: %s", error)
             else:
                 if found is not None:
--- a/dappledrum/store/messages.py
+++ b/dappledrum/store/messages.py
@@ -1,4 +1,4 @@
-"""What the state service says, under the field's usual names."""
+"""What the store says, under the field's usual names."""
 
 from typing import Any
 
--- a/dappledrum/store/rate_limiter.py
+++ b/dappledrum/store/rate_limiter.py
@@ -1,4 +1,4 @@
-"""Token buckets that keep this controller within its share of the state service's rates.
+"""Token buckets that keep this controller within its share of the store's rates.
 
 Requests are taken in the order of their importance: each kind leaves a reserve that only more
 important kinds may use, so polls can starve neither intake nor the renewal of the leader's lease.
@@ -10,7 +10,7 @@
 from dappledrum.timing.clock import ZERO
 
 
-class Rank(IntEnum):
+class RequestPriority(IntEnum):
     """Importance of a request; the lower, the more important."""
 
     LEASE = 0
@@ -20,10 +20,15 @@
 
 
 #: Part of the bucket that each rank must leave to the more important ones.
-RESERVE = {Rank.LEASE: 0.0, Rank.INTAKE: 0.08, Rank.RECORD: 0.16, Rank.POLL: 0.3}
+RESERVE = {
+    RequestPriority.LEASE: 0.0,
+    RequestPriority.INTAKE: 0.08,
+    RequestPriority.RECORD: 0.16,
+    RequestPriority.POLL: 0.3,
+}
 
 
-class Budget:
+class RateLimiter:
     """One bucket that holds a second's worth, or a burst of some seconds."""
 
     def __init__(self, rate: float, now: timedelta) -> None:
@@ -44,11 +49,11 @@
         self.size = max(rate * burst, 1.0)
         self.level = min(self.level, self.size)
 
-    def wait(self, amount: float, rank: Rank, now: timedelta) -> timedelta:
+    def wait(self, amount: float, rank: RequestPriority, now: timedelta) -> timedelta:
         """How long until this amount may be taken; zero means now."""
         self._fill(now)
         missing = min(amount, self.size) + RESERVE[rank] * self.size - self.level
-        if rank is Rank.LEASE:
+        if rank is RequestPriority.LEASE:
             return ZERO  # a lease renewal goes out even when the bucket is empty
         return timedelta(seconds=missing / self.rate) if missing > 1e-6 else ZERO
 
--- a/dappledrum/store/test_client.py
+++ b/dappledrum/store/test_client.py
@@ -14,29 +14,29 @@
     ConflictError,
     LeaseLostError,
     RefusedError,
-    State,
+    StoreClient,
     TooLargeError,
     UnknownError,
     raw,
 )
 from dappledrum.store.messages import Guard, Put
-from dappledrum.store.rate_limiter import Budget, Rank
+from dappledrum.store.rate_limiter import RateLimiter, RequestPriority
 from dappledrum.timing.clock import ZERO, Clock, seconds
 
 
 def test_a_budget_keeps_the_rate_and_its_reserves():
-    budget = Budget(10, ZERO)
+    budget = RateLimiter(10, ZERO)
     taken = 0
     now = ZERO
     for step in range(10_000):
         now = seconds(step / 1000)
-        if budget.wait(1, Rank.POLL, now) == ZERO:
+        if budget.wait(1, RequestPriority.POLL, now) == ZERO:
             budget.take(1, now)
             taken += 1
     assert 100 <= taken <= 110
-    assert budget.wait(1, Rank.INTAKE, now) == ZERO
-    assert budget.wait(1, Rank.LEASE, now) == ZERO
-    assert budget.wait(1, Rank.POLL, now) > ZERO
+    assert budget.wait(1, RequestPriority.INTAKE, now) == ZERO
+    assert budget.wait(1, RequestPriority.LEASE, now) == ZERO
+    assert budget.wait(1, RequestPriority.POLL, now) > ZERO
 
 
 class Canned:
@@ -72,25 +72,27 @@
 @pytest.mark.parametrize(("answer", "error"), ANSWERS)
 def test_failures_of_a_transaction(answer, error):
     async def main():
-        state = State(Canned(answer), StateLimits(100, 100, 8, 24), Clock(), random.Random(1))
+        state = StoreClient(
+            Canned(answer), StateLimits(100, 100, 8, 24), Clock(), random.Random(1)
+        )
         with pytest.raises(error):
-            await state.commit([Guard("a", 0)], [Put("a", raw(1))], Rank.RECORD)
+            await state.commit([Guard("a", 0)], [Put("a", raw(1))], RequestPriority.RECORD)
 
     run(main())
 
 
 def test_a_404_that_is_not_the_services_proves_nothing():
     async def main():
-        state = State(
+        state = StoreClient(
             Canned(Reply(404, b"<html>")), StateLimits(100, 100, 8, 24), Clock(), random.Random(1)
         )
         with pytest.raises(UnknownError):
-            await state.get("job/j-1", Rank.POLL)
+            await state.get("job/j-1", RequestPriority.POLL)
         state.caller = Canned(Reply(404, b'{"tally":3}'))
-        assert await state.get("job/j-1", Rank.POLL) is None
+        assert await state.get("job/j-1", RequestPriority.POLL) is None
         state.caller = Canned(Reply(410, b"{}"))
         with pytest.raises(CompactedError):
-            await state.watch("job/", 1, ZERO, Rank.POLL)
+            await state.watch("job/", 1, ZERO, RequestPriority.POLL)
 
     run(main())
 
@@ -98,17 +100,17 @@
 def test_trouble_is_known_after_failures_and_over_after_an_answer():
     async def main():
         caller = Canned(Reply(503, b"{}"))
-        state = State(caller, StateLimits(100, 100, 8, 24), Clock(), random.Random(1))
+        state = StoreClient(caller, StateLimits(100, 100, 8, 24), Clock(), random.Random(1))
         for _ in range(3):
             with pytest.raises(RefusedError):
-                await state.get("x", Rank.RECORD)
+                await state.get("x", RequestPriority.RECORD)
             await asyncio.sleep(0.4)
         assert state.is_failing()
         caller.answer = Reply(200, b'{"tally":1,"events":[]}')
-        await state.watch("x", 1, timedelta(seconds=1), Rank.RECORD)
+        await state.watch("x", 1, timedelta(seconds=1), RequestPriority.RECORD)
         assert state.is_failing()  # an open watch may end in an outage, too
         caller.answer = Reply(404, b'{"tally":1}')
-        await state.get("x", Rank.RECORD)
+        await state.get("x", RequestPriority.RECORD)
         assert not state.is_failing()
 
     run(main())
--- a/dappledrum/store/test_guards.py
+++ b/dappledrum/store/test_guards.py
@@ -8,7 +8,7 @@
 import pytest
 
 from dappledrum.settings import NextLimits
-from dappledrum.simulation.cluster import World, job
+from dappledrum.simulation.cluster import SimulatedCluster, job
 from dappledrum.simulation.fault_combinations import FIVE, submission, user
 from dappledrum.simulation.network import LateWrites
 from dappledrum.simulation.virtual_time import run
@@ -56,8 +56,8 @@
 @pytest.mark.parametrize("seed", range(2))
 def test_each_change_has_its_guards(seed):
     async def main():
-        world = World(seed=seed, members=FIVE, next=NextLimits(value_kb=2.0))
-        world.cloud.most = 14
+        cluster = SimulatedCluster(seed=seed, members=FIVE, next=NextLimits(value_kb=2.0))
+        cluster.cloud.most = 14
         kinds, bad = set(), []
 
         def look(sent):
@@ -68,28 +68,28 @@
                     kinds.add(("write " if "write" in change else "remove ") + key.split("/")[0])
                 bad.extend((key, sent.body) for key in unguarded(body))
 
-        world.network.watcher = look
-        await world.until(lambda: world.leader() is not None)
-        await world.wait(4)
+        cluster.network.watcher = look
+        await cluster.until(lambda: cluster.leader() is not None)
+        await cluster.wait(4)
         users = []
         for number in range(8):
             one = random.Random(f"{seed} {number}")
-            users.append(asyncio.ensure_future(user(world, submission(number, one), one)))
+            users.append(asyncio.ensure_future(user(cluster, submission(number, one), one)))
         # Pages of their own, rows in parts, specifications in parts.
         many = job(90, beats=300, vcpus=0.5, runS=5.0, expectedS=5.0, dueS=None)
         long = job(91, builds=["small"] + [f"{n:04d}" * 10 for n in range(30)], dueS=None)
         for spec in (many, long):
-            assert await world.submit(spec, 60) in (200, 201)
-        world.network.late_writes = LateWrites(0.2, 2.0, 12.0)
+            assert await cluster.submit(spec, 60) in (200, 201)
+        cluster.network.late_writes = LateWrites(0.2, 2.0, 12.0)
         for _ in range(5):
-            await world.wait(world.rng.uniform(4, 12))
-            if world.leader() is not None:
-                await world.restart(world.leader(), 0.3)
-        world.network.late_writes = None
+            await cluster.wait(cluster.rng.uniform(4, 12))
+            if cluster.leader() is not None:
+                await cluster.restart(cluster.leader(), 0.3)
+        cluster.network.late_writes = None
         while not all(one.done() for one in users):
-            await world.wait(1)
-        await world.finish([many["id"], long["id"]], most=400)
-        await world.wait(5)
+            await cluster.wait(1)
+        await cluster.finish([many["id"], long["id"]], most=400)
+        await cluster.wait(5)
         assert not bad, bad[0]
         expected = ("leader", "epoch", "job", "page", "spec", "ended", *OWN_ONCE, *HINTS)
         assert kinds >= {f"write {kind}" for kind in expected} | {"remove job", "remove page"}
--- a/dappledrum/store/test_hedged_commit.py
+++ b/dappledrum/store/test_hedged_commit.py
@@ -9,22 +9,22 @@
 import pytest
 
 from dappledrum.election.elector import Elector
-from dappledrum.election.lease_keeper import TermKeeper
+from dappledrum.election.lease_keeper import LeaseKeeper
 from dappledrum.election.quorum import Answers
 from dappledrum.election.terms import Term
-from dappledrum.jobs.api import Intake
+from dappledrum.jobs.api import JobApi
 from dappledrum.jobs.job import Job, head_key
 from dappledrum.jobs.messages import JobRecord, PageRecord, Spec
-from dappledrum.jobs.record_writer import Recorder
+from dappledrum.jobs.record_writer import RecordWriter
 from dappledrum.settings import CloudLimits, Params, StateLimits, Team, WorkerLimits
 from dappledrum.simulation.cluster import job
+from dappledrum.simulation.key_value_store import KeyValueStore
 from dappledrum.simulation.network import LateWrites, Network
-from dappledrum.simulation.state_service import StateService
 from dappledrum.simulation.virtual_time import run
-from dappledrum.store.client import ConflictError, State, UnknownError, raw
+from dappledrum.store.client import ConflictError, StoreClient, UnknownError, raw
 from dappledrum.store.hedged_commit import READS, commit_idempotent, commit_or_find
 from dappledrum.store.messages import Guard, Put
-from dappledrum.store.rate_limiter import Rank
+from dappledrum.store.rate_limiter import RequestPriority
 from dappledrum.store.value_limit import ValueLimit
 from dappledrum.timing.clock import ZERO, Clock, seconds
 
@@ -37,15 +37,17 @@
 
 
 class Store:
-    """A state service behind a network, and one client of it."""
+    """A store behind a network, and one client of it."""
 
     def __init__(self, seed=1):
         self.rng = random.Random(seed)
         self.network = Network(self.rng)
-        self.service = StateService()
+        self.service = KeyValueStore()
         self.network.services["state"] = self.service
         self.clock = Clock()
-        self.client = State(self.network.caller("node", "state"), LIMITS, self.clock, self.rng)
+        self.client = StoreClient(
+            self.network.caller("node", "state"), LIMITS, self.clock, self.rng
+        )
 
     def write(self, key, value):
         """As another controller would."""
@@ -69,11 +71,13 @@
         """Write a key with a hedge; what came of it."""
 
         async def find():
-            entry = await self.client.get("key", Rank.INTAKE)
+            entry = await self.client.get("key", RequestPriority.INTAKE)
             return "found" if entry is not None else None
 
         changes = [Put("key", raw(value))]
-        return await commit_or_find(self.client, [Guard("key", 0)], changes, Rank.INTAKE, find)
+        return await commit_or_find(
+            self.client, [Guard("key", 0)], changes, RequestPriority.INTAKE, find
+        )
 
 
 def test_an_answer_in_time_costs_no_read():
@@ -126,7 +130,7 @@
 def test_no_read_where_it_would_not_help(why):
     async def main():
         store = Store()
-        await store.client.get("key", Rank.POLL)
+        await store.client.get("key", RequestPriority.POLL)
         if why == "budget":
             asyncio.get_running_loop().call_later(0.01, lambda: use_up(store.client.requests))
         elif why == "slow":
@@ -152,10 +156,10 @@
         guards = [Guard("key", version)]
         if version:
             with pytest.raises(ConflictError) as error:
-                await commit_idempotent(store.client, guards, [], Rank.POLL)
+                await commit_idempotent(store.client, guards, [], RequestPriority.POLL)
             assert error.value.failed == ["key"]
         else:
-            await commit_idempotent(store.client, guards, [], Rank.POLL)
+            await commit_idempotent(store.client, guards, [], RequestPriority.POLL)
         assert now() < 0.1
 
     run(main())
@@ -174,8 +178,10 @@
         super().__init__()
         self.term = Term(1, self.write("leader", {"member": "node", "epoch": 1}), 1)
         self.term.valid_until = self.clock.now() + timedelta(seconds=lease_s)
-        self.recorder = Recorder(self.client, self.term, LIMITS, ValueLimit(LIMITS), self.clock)
-        self.recorder.on_saved = self.check
+        self.record_writer = RecordWriter(
+            self.client, self.term, LIMITS, ValueLimit(LIMITS), self.clock
+        )
+        self.record_writer.on_saved = self.check
         self.saved = 0
         self.wrong = []
         self.jobs = []
@@ -198,11 +204,11 @@
     def finish(self, number, task):
         page = self.jobs[number].page(0)
         page.finish(task)
-        self.recorder.mark(page)
+        self.record_writer.mark(page)
 
     async def write_for(self, seconds):
         """Let the recorder write, and look at all that it took for stored."""
-        writing = asyncio.ensure_future(self.recorder.run())
+        writing = asyncio.ensure_future(self.record_writer.run())
         await asyncio.sleep(seconds)
         writing.cancel()
         self.check()
@@ -217,7 +223,7 @@
         leader.finish(1, 0)
         await leader.write_for(0.2)
         assert leader.saved >= 2
-        assert not leader.recorder.dirty
+        assert not leader.record_writer.dirty
 
     run(main())
 
@@ -247,7 +253,7 @@
         leader = Leader()
         leader.delay(1.2)
         leader.jobs[0].page(0).touch()
-        leader.recorder.mark(leader.jobs[0].page(0))
+        leader.record_writer.mark(leader.jobs[0].page(0))
         leader.finish(1, 0)
         await leader.write_for(8)
         assert leader.saved >= 2
@@ -264,13 +270,13 @@
         leader = Leader()
         one = leader.jobs[0]
         one.page(0).place(0, "host-1", 1, "a", leader.clock.today())
-        leader.recorder.mark(one.page(0))
+        leader.record_writer.mark(one.page(0))
         await leader.write_for(0.1)
         one.cancelled = True
         record = json.loads(msgspec.json.encode(one.head_record(one.page(0).to_record())))
         one.cancelled = known
         one.page(0).touch()
-        leader.recorder.mark(one.page(0))
+        leader.record_writer.mark(one.page(0))
         leader.finish(1, 0)
         leader.delay(0.5)
         asyncio.get_running_loop().call_later(0.03, leader.write, head_key(one.id), record)
@@ -309,12 +315,12 @@
         super().__init__()
         workers, cloud = WorkerLimits(1.0, 9.0, 30.0), CloudLimits(1.0, 4.0)
         params = Params([Team("blue")], workers, LIMITS, cloud)
-        self.intake = Intake(self.client, params, self.clock)
+        self.job_api = JobApi(self.client, params, self.clock)
 
     async def admit(self, *numbers):
         """Jobs that come together; what became of each."""
         puts = {f"j-{n:06d}": [Put(head_key(f"j-{n:06d}"), raw(stored_job(n)))] for n in numbers}
-        admit = self.intake.admission.admit
+        admit = self.job_api.admission.admit
         return await asyncio.gather(
             *(admit(name, put) for name, put in puts.items()), return_exceptions=True
         )
@@ -362,7 +368,7 @@
             asyncio.get_running_loop().call_later(
                 0.03, controller.write, head_key("j-000001"), msgspec.to_builtins(record)
             )
-        reply = await controller.intake.cancel("j-000001")
+        reply = await controller.job_api.cancel("j-000001")
         stored = controller.service.keys["job/j-000001"][0].get("cancelled", False)
         assert stored == (what != "written by the leader")
         assert reply.status == (200 if stored else 503)
@@ -378,7 +384,7 @@
         names = ["j-000001", "j-000002"]
         for number, name in enumerate(names):
             controller.write(head_key(name), msgspec.to_builtins(stored_job(number + 1)))
-        polls, lookup = controller.intake.polls, controller.intake.lookup
+        polls, lookup = controller.job_api.polls, controller.job_api.lookup
         for name in names:
             await polls.ask(name)
         await asyncio.sleep(1)
@@ -398,10 +404,10 @@
         leader = Leader()
         leader.lose_first(0.04)
         leader.write("page/j-000009/1", {})
-        leader.recorder.garbage["page/j-000009/1"] = None
-        leader.recorder.wake.set()
+        leader.record_writer.garbage["page/j-000009/1"] = None
+        leader.record_writer.wake.set()
         await leader.write_for(0.2)
-        assert not leader.recorder.garbage
+        assert not leader.record_writer.garbage
         assert "page/j-000009/1" not in leader.service.keys
 
     run(main())
@@ -419,9 +425,11 @@
 
         span = timedelta(seconds=20)
         life = timedelta(seconds=3)
-        keeper = TermKeeper("node", store.client, store.clock, store.rng, life, None, span, span)
-        elector = Elector(keeper, pre_vote, None)
-        elector.votes.unknown_until = ZERO
+        lease_keeper = LeaseKeeper(
+            "node", store.client, store.clock, store.rng, life, None, span, span
+        )
+        elector = Elector(lease_keeper, pre_vote, None)
+        elector.voter.unknown_until = ZERO
         standing_for = asyncio.ensure_future(elector._campaign())
         if own:
             store.delay(0.0)
--- a/dappledrum/store/value_limit.py
+++ b/dappledrum/store/value_limit.py
@@ -1,6 +1,6 @@
 """How large a value may be written at this moment.
 
-The settings may announce limits that the state service will have after some upgrade, without
+The settings may announce limits that the store will have after some upgrade, without
 notice. Versions before this one can't read values that are split into parts. So values are written
 whole, up to the present limit, as long as such a controller may still become leader; the limits do
 not drop before all controllers are upgraded. Once all are, or the service has refused a value,
@@ -28,12 +28,12 @@
         return self.least if self.settled else self.now
 
     def refused(self, largest: int, why: str) -> bool:
-        """Note that the state service refused values of which the largest has this size; returns
+        """Note that the store refused values of which the largest has this size; returns
         whether that shows that its limits have dropped. Smaller values must have been refused for
         another reason, and show nothing about what other controllers can read."""
         dropped = not self.settled and largest > self.least
         if dropped:
-            log.warning("the limits of the state service have dropped")
+            log.warning("the limits of the store have dropped")
             self.settle(why)
         return dropped
 
--- a/dappledrum/workers/commands.py
+++ b/dappledrum/workers/commands.py
@@ -7,7 +7,13 @@
 from dappledrum.jobs.job import Job, Placement
 from dappledrum.timing.clock import Clock
 from dappledrum.workers.machine_registry import Machine
-from dappledrum.workers.messages import Command, Report, TaskReport, TaskState, job_and_number
+from dappledrum.workers.messages import (
+    Command,
+    TaskState,
+    TaskStatus,
+    WorkerHeartbeat,
+    job_and_number,
+)
 
 #: No line of an answer may be longer than 64 KiB.
 MAX_COMMANDS = 400
@@ -41,7 +47,7 @@
         self.jobs = jobs
         self.clock = clock
 
-    def of_cancellations(self, machine: Machine, report: Report) -> list[Command]:
+    def of_cancellations(self, machine: Machine, report: WorkerHeartbeat) -> list[Command]:
         """All that a leader commands that only holds on to its term: tasks of cancelled jobs are
         stopped. Whoever leads next would do the same, as a cancellation is final; what an end
         means for the records is left until they can be written."""
@@ -55,7 +61,7 @@
                 result.append(command)
         return result
 
-    def of_records(self, machine: Machine, report: Report) -> list[Command]:
+    def of_records(self, machine: Machine, report: WorkerHeartbeat) -> list[Command]:
         """Commands that follow from the records, for a leader whose lease is valid."""
         result: list[Command] = []
         active: set[tuple[str, int]] = set()
@@ -76,7 +82,7 @@
                 result.append(Command("start", placement.name, placement.attempt))
         return result
 
-    def _for_item(self, machine: Machine, item: TaskReport) -> Command | None:
+    def _for_item(self, machine: Machine, item: TaskStatus) -> Command | None:
         """Stop what is not wanted, forget ends that are stored."""
         name, number = job_and_number(item.task)
         job = self.jobs.get(name)
--- a/dappledrum/workers/heartbeat_attempts.py
+++ b/dappledrum/workers/heartbeat_attempts.py
@@ -8,13 +8,13 @@
 from collections import deque
 from datetime import timedelta
 
-from dappledrum.workers.machine_registry import Roster
+from dappledrum.workers.machine_registry import MachineRegistry
 
 KEPT = timedelta(seconds=60)
 MAX_KEPT = 2_000
 
 
-class ReportAttempts:
+class HeartbeatAttempts:
     """Recent attempts to report, oldest first."""
 
     def __init__(self) -> None:
@@ -41,7 +41,7 @@
         return result
 
 
-def reporting_elsewhere(elsewhere: dict[str, int], roster: Roster) -> list[str]:
+def reporting_elsewhere(elsewhere: dict[str, int], registry: MachineRegistry) -> list[str]:
     """Machines that the leader should have had reports from by now.
 
     These are machines that have reported to this leader before, or that came to the same peer
@@ -50,7 +50,7 @@
     """
     result = []
     for name, count in elsewhere.items():
-        machine = roster.get(name)
+        machine = registry.get(name)
         if count >= 2 or (machine is not None and machine.up):
             result.append(name)
     return result
--- a/dappledrum/workers/machine_registry.py
+++ b/dappledrum/workers/machine_registry.py
@@ -6,7 +6,7 @@
 from datetime import timedelta
 
 from dappledrum.jobs.job import Placement
-from dappledrum.scheduling.timeline import Kind
+from dappledrum.scheduling.timeline import InstanceKind
 from dappledrum.timing.clock import longer
 from dappledrum.workers.reachability import GONE_MARGIN, Reachability
 
@@ -16,7 +16,7 @@
 class Machine:
     """One rented machine."""
 
-    def __init__(self, name: str, kind: Kind | None, now: timedelta) -> None:
+    def __init__(self, name: str, kind: InstanceKind | None, now: timedelta) -> None:
         self.name = name
         self.kind = (
             kind  # None until somebody says: a placement by a predecessor names only the zone
@@ -94,7 +94,7 @@
             self.images.popitem(last=False)
 
 
-class Roster:
+class MachineRegistry:
     """All machines, and the names of those that are gone."""
 
     def __init__(self) -> None:
@@ -108,7 +108,7 @@
         """A machine that is known."""
         return self.machines.get(name)
 
-    def ensure(self, name: str, kind: Kind | None, now: timedelta) -> Machine:
+    def ensure(self, name: str, kind: InstanceKind | None, now: timedelta) -> Machine:
         """A machine, created if necessary; its kind is set once it is known."""
         machine = self.machines.get(name)
         if machine is None:
--- a/dappledrum/workers/messages.py
+++ b/dappledrum/workers/messages.py
@@ -54,7 +54,7 @@
     return name, int(number)
 
 
-class TaskReport(
+class TaskStatus(
     msgspec.Struct,
     rename={"task": "beat", "attempt": "take", "state": "stance", "saved": "stored"},
 ):
@@ -70,7 +70,7 @@
     saved: bool | None = None
 
 
-class Report(
+class WorkerHeartbeat(
     msgspec.Struct,
     rename={
         "machine": "drum",
@@ -96,7 +96,7 @@
     sequence: Count
     token: Count
     notice_s: Annotated[float, Meta(ge=0, le=1e9)] | None = None
-    tasks: list[TaskReport] = []
+    tasks: list[TaskStatus] = []
 
 
 class Command(
--- a/dappledrum/workers/reconciler.py
+++ b/dappledrum/workers/reconciler.py
@@ -24,13 +24,19 @@
 from dappledrum.jobs.job import Job, Page, Placement
 from dappledrum.jobs.messages import Form
 from dappledrum.scheduling.estimates import Estimates
-from dappledrum.scheduling.timeline import Kind
+from dappledrum.scheduling.timeline import InstanceKind
 from dappledrum.settings import WorkerLimits
 from dappledrum.timing.clock import ZERO, Clock, longer
 from dappledrum.workers.commands import WorkerCommands, wanted
 from dappledrum.workers.failure_attribution import Verdict, failed, judge, suspected
-from dappledrum.workers.machine_registry import GONE_MARGIN, Machine, Roster
-from dappledrum.workers.messages import Cause, Report, TaskReport, TaskState, job_and_number
+from dappledrum.workers.machine_registry import GONE_MARGIN, Machine, MachineRegistry
+from dappledrum.workers.messages import (
+    Cause,
+    TaskState,
+    TaskStatus,
+    WorkerHeartbeat,
+    job_and_number,
+)
 
 log = logging.getLogger(__name__)
 
@@ -39,13 +45,13 @@
 MAX_RETRY_PAUSE = timedelta(seconds=60)
 
 
-class Bookkeeper:
+class Reconciler:
     """Keeps placements and machines in step with the reports."""
 
     def __init__(
         self,
         jobs: dict[str, Job],
-        roster: Roster,
+        registry: MachineRegistry,
         estimates: Estimates,
         limits: WorkerLimits,
         clock: Clock,
@@ -59,9 +65,9 @@
         self.awake_since = awake_since
         # nobody else has answered since; None: not known
         self.others_stopped_at = others_stopped_at
-        self.ledger = ledger or Ledger(roster, clock)
+        self.ledger = ledger or Ledger(registry, clock)
         self.jobs = jobs
-        self.roster = roster
+        self.registry = registry
         self.estimates = estimates
         self.limits = limits
         self.clock = clock
@@ -76,18 +82,18 @@
 
     # reports
 
-    def take(self, report: Report) -> Machine | None:
+    def take(self, report: WorkerHeartbeat) -> Machine | None:
         """Note a report.
 
         None: it is older than what is known, or the machine is gone.
         """
         now = self.clock.now()
-        if report.machine in self.roster.gone:
+        if report.machine in self.registry.gone:
             return None
-        known = self.roster.get(report.machine)
+        known = self.registry.get(report.machine)
         vague = known is None or known.kind is None  # a record names a machine, and no more
-        machine = self.roster.ensure(
-            report.machine, Kind(report.type, report.zone, report.spot), now
+        machine = self.registry.ensure(
+            report.machine, InstanceKind(report.type, report.zone, report.spot), now
         )
         if vague:
             machine.unconfirmed = report.token != self.token
@@ -119,7 +125,7 @@
             self._leave_in_time(machine, machine.recall_at - now, now)
         return machine
 
-    def _copied(self, machine: Machine, report: Report, now: timedelta) -> bool:
+    def _copied(self, machine: Machine, report: WorkerHeartbeat, now: timedelta) -> bool:
         """Whether a report can only be a late copy, or one that was held back.
 
         It is if a newer one has come, which is so for all with an older token than one that was
@@ -140,7 +146,9 @@
             clear + longer(self.limits.lease) + GONE_MARGIN
         )
 
-    def _update_reachability(self, machine: Machine, report: Report, now: timedelta) -> None:
+    def _update_reachability(
+        self, machine: Machine, report: WorkerHeartbeat, now: timedelta
+    ) -> None:
         """Whether the machine hears this controller."""
         reachability, lease = machine.reachability, self.limits.lease
         heard = False
@@ -180,7 +188,7 @@
                 placement.lost = True
                 log.info("%s/%d leaves %s in time", job.id, placement.task, machine.name)
 
-    def _compare(self, machine: Machine, report: Report, now: timedelta) -> None:
+    def _compare(self, machine: Machine, report: WorkerHeartbeat, now: timedelta) -> None:
         """Bring the placements in step with what the report shows."""
         shown: set[tuple[str, int, int]] = set()
         for item in report.tasks:
@@ -224,7 +232,7 @@
                 placement.lost |= not placement.seen
 
     def _item(
-        self, machine: Machine, job: Job, task: int, item: TaskReport, now: timedelta
+        self, machine: Machine, job: Job, task: int, item: TaskStatus, now: timedelta
     ) -> None:
         page = job.page_of(task)
         placement = machine.placements.get((job.id, task))
@@ -259,7 +267,7 @@
         page: Page,
         task: int,
         placement: Placement | None,
-        item: TaskReport,
+        item: TaskStatus,
         now: timedelta,
     ) -> None:
         if item.cause == Cause.DONE and not page.is_done(task):
@@ -290,7 +298,7 @@
             return
         if suspected(job):
             log.warning("%s no longer fails everywhere", job.id)
-        elsewhere = [m for name in job.errors if (m := self.roster.get(name)) is not None]
+        elsewhere = [m for name in job.errors if (m := self.registry.get(name)) is not None]
         job.errors.clear()
         for other in elsewhere:
             if other is not machine:
@@ -328,7 +336,7 @@
             self.mark(page)
 
     @staticmethod
-    def _worth(job: Job, item: TaskReport) -> Entry:
+    def _worth(job: Job, item: TaskStatus) -> Entry:
         """Whether the time of an attempt that has ended was kept."""
         if item.cause == Cause.DONE or item.saved:
             return Entry.KEPT
@@ -355,7 +363,7 @@
         clear = self.others_stopped_at()
         if clear is None or now <= clear + longer(self.limits.lease) + GONE_MARGIN:
             return
-        for machine in self.roster:
+        for machine in self.registry:
             if machine.placements and machine.expired(now, self.limits.lease):
                 for placement in list(machine.placements.values()):
                     why = "the machine is silent for longer than its lease"
@@ -365,7 +373,7 @@
         """The cloud has confirmed that the machine, with all that was on it, is gone."""
         for placement in list(machine.placements.values()):
             self._lost(machine, placement, "the machine was returned", Entry.LOST_TAKEN)
-        self.roster.drop(machine.name)
+        self.registry.drop(machine.name)
 
     def evict(self, placement: Placement) -> None:
         """Have a task stopped; it counts as on its machine until that is proven otherwise."""
@@ -374,7 +382,7 @@
     def no_answers_since(self, moment: timedelta) -> None:
         """No predecessor has answered any worker after this."""
         self.last_foreign_answer = moment
-        for machine in self.roster:
+        for machine in self.registry:
             if machine.last_report is None:
                 machine.last_answer = min(machine.last_answer, moment)
 
@@ -383,7 +391,7 @@
         now."""
         now = self.clock.now()
         for placement in job.placements():
-            machine = self.roster.ensure(placement.machine, None, now)
+            machine = self.registry.ensure(placement.machine, None, now)
             machine.last_answer = (
                 now if self.last_foreign_answer is None else min(now, self.last_foreign_answer)
             )
--- a/dappledrum/workers/test_failure_attribution.py
+++ b/dappledrum/workers/test_failure_attribution.py
@@ -4,7 +4,7 @@
 
 from dappledrum.jobs.job import Job
 from dappledrum.jobs.messages import JobRecord, PageRecord, Spec
-from dappledrum.scheduling.timeline import Kind
+from dappledrum.scheduling.timeline import InstanceKind
 from dappledrum.simulation.cluster import job
 from dappledrum.timing.clock import ZERO
 from dappledrum.workers.failure_attribution import Verdict, failed, judge, suspected
@@ -20,7 +20,7 @@
 
 
 def machine(name):
-    return Machine(name, Kind("small", "a", True), ZERO)
+    return Machine(name, InstanceKind("small", "a", True), ZERO)
 
 
 def table(*jobs):
--- a/dappledrum/workers/test_reachability.py
+++ b/dappledrum/workers/test_reachability.py
@@ -9,10 +9,10 @@
 from dappledrum.settings import WorkerLimits
 from dappledrum.simulation.virtual_time import run
 from dappledrum.timing.clock import Clock
-from dappledrum.workers.machine_registry import Roster
-from dappledrum.workers.messages import Report
+from dappledrum.workers.machine_registry import MachineRegistry
+from dappledrum.workers.messages import WorkerHeartbeat
 from dappledrum.workers.reachability import Reachability
-from dappledrum.workers.reconciler import Bookkeeper
+from dappledrum.workers.reconciler import Reconciler
 
 LEASE = timedelta(seconds=10)
 
@@ -56,13 +56,13 @@
     )
 
 
-def desk(roster, clock):
+def desk(registry, clock):
     """A leader that has taken over now, with token 5, and knows nothing."""
     began = clock.now()
     limits = WorkerLimits(1.0, 10.0, 30.0)
-    return Bookkeeper(
+    return Reconciler(
         {},
-        roster,
+        registry,
         Estimates(),
         limits,
         clock,
@@ -105,19 +105,19 @@
     async def main():
         clock = Clock()
         began = clock.now()
-        roster = Roster()
-        books = desk(roster, clock)
+        registry = MachineRegistry()
+        books = desk(registry, clock)
         for tick in range(40):
-            report = Report("m", "10.1.0.1:1", "small", "a", True, 1, tick, 4)
+            report = WorkerHeartbeat("m", "10.1.0.1:1", "small", "a", True, 1, tick, 4)
             if books.take(report) is not None:
-                roster.get("m").reachability.answered(clock.now(), LEASE)
-                roster.get("m").last_answer = clock.now()
+                registry.get("m").reachability.answered(clock.now(), LEASE)
+                registry.get("m").last_answer = clock.now()
             await asyncio.sleep(1)
-        machine = roster.get("m")
+        machine = registry.get("m")
         assert not machine.up and machine.unconfirmed
         assert seconds(9) < machine.last_report - began < seconds(12)
         assert machine.expired(clock.now(), LEASE)
-        back = Report("m", "10.1.0.1:1", "small", "a", True, 2, 41, 4)
+        back = WorkerHeartbeat("m", "10.1.0.1:1", "small", "a", True, 2, 41, 4)
         assert books.take(back) is machine, "a new session was begun by somebody"
 
     run(main())
@@ -131,7 +131,7 @@
         rng = random.Random(seed)
         clock = Clock()
         began = clock.now()
-        books = desk(Roster(), clock)
+        books = desk(MachineRegistry(), clock)
         worker = Plain(rng)
         for _ in range(rng.randint(0, 20)):  # under the predecessor
             worker.step(-rng.uniform(0, 30))
@@ -141,7 +141,7 @@
 
         def comes(report, copy):
             at, session, sequence, token = report
-            text = Report("m", "10.1.0.1:1", "small", "a", True, session, sequence, token)
+            text = WorkerHeartbeat("m", "10.1.0.1:1", "small", "a", True, session, sequence, token)
             machine = books.take(text)
             if machine is None:
                 return
@@ -157,7 +157,7 @@
                 comes(worker.step(now), False)
             for report in rng.sample(worker.sent, min(len(worker.sent), rng.randint(0, 3))):
                 comes(report, True)
-            machine = books.roster.get("m")
+            machine = books.registry.get("m")
             shown |= machine is not None and machine.reachability.token_shown
             assert machine is None or machine.up == shown, "no copy of a former term's is life"
             assert shown <= (worker.token == 5)
@@ -176,11 +176,11 @@
 
 
 def test_when_most_seem_deaf_it_is_the_controller_that_is_not_heard():
-    roster = Roster()
+    registry = MachineRegistry()
     for number in range(5):
-        machine = roster.ensure(f"m{number}", None, seconds(0))
+        machine = registry.ensure(f"m{number}", None, seconds(0))
         machine.up_at = seconds(1) if number < 4 else None
         machine.reachability.unreachable = number < 2
-    assert not roster.mostly_unreachable()
-    roster.get("m2").reachability.unreachable = True
-    assert roster.mostly_unreachable()
+    assert not registry.mostly_unreachable()
+    registry.get("m2").reachability.unreachable = True
+    assert registry.mostly_unreachable()
--- a/dappledrum/workers/test_reconciler.py
+++ b/dappledrum/workers/test_reconciler.py
@@ -13,9 +13,9 @@
 from dappledrum.simulation.cluster import job
 from dappledrum.timing.clock import Clock
 from dappledrum.workers.heartbeat_attempts import reporting_elsewhere
-from dappledrum.workers.machine_registry import Roster
-from dappledrum.workers.messages import Report, TaskReport
-from dappledrum.workers.reconciler import Bookkeeper
+from dappledrum.workers.machine_registry import MachineRegistry
+from dappledrum.workers.messages import TaskStatus, WorkerHeartbeat
+from dappledrum.workers.reconciler import Reconciler
 
 TOKEN = 5
 
@@ -27,11 +27,11 @@
     def __init__(self):
         spec = {key: value for key, value in job(1).items() if key != "runS"}
         self.job = Job(JobRecord(msgspec.convert(spec, Spec), 0, 256, PageRecord()), 1)
-        self.roster = Roster()
+        self.registry = MachineRegistry()
         limits = WorkerLimits(1.0, 9.0, 30.0)
-        self.books = Bookkeeper(
+        self.books = Reconciler(
             {self.job.id: self.job},
-            self.roster,
+            self.registry,
             Estimates(),
             limits,
             Clock(),
@@ -41,7 +41,7 @@
         )
         self.page = self.job.page(0)
         self.report(1)
-        machine = self.roster.get("m")
+        machine = self.registry.get("m")
         self.placement = self.page.place(0, "m", 1, "a", datetime.now(UTC))
         machine.placements[(self.job.id, 0)] = self.placement
 
@@ -51,9 +51,9 @@
     def report(self, sequence, *tasks, session=1, token=TOKEN):
         """Take a report and return the answer's commands."""
         items = [
-            TaskReport("j-000001/0", attempt, state, cause) for attempt, state, cause in tasks
+            TaskStatus("j-000001/0", attempt, state, cause) for attempt, state, cause in tasks
         ]
-        report = Report(
+        report = WorkerHeartbeat(
             "m", "10.1.0.1:1", "small", "a", True, session, sequence, token, None, items
         )
         machine = self.books.take(report)
@@ -174,7 +174,7 @@
 async def test_a_predecessor_may_have_answered_until_now():
     desk = stored_desk()
     await asyncio.sleep(100)
-    desk.roster.machines.clear()
+    desk.registry.machines.clear()
     desk.books.restore(desk.job)
     await asyncio.sleep(8.9)
     desk.books.sweep()
@@ -186,10 +186,10 @@
 
 async def test_returned_machines_stay_gone():
     desk = Desk()
-    desk.books.returned(desk.roster.get("m"))
+    desk.books.returned(desk.registry.get("m"))
     assert desk.gone
     assert desk.report(9, RUNNING) is None
-    assert desk.roster.get("m") is None
+    assert desk.registry.get("m") is None
 
 
 async def test_faults_are_laid_on_the_machine_or_on_the_job():
@@ -197,12 +197,14 @@
     for attempt in range(1, 4):
         desk.report(attempt * 2, (attempt, "ended", "error"))
         desk.placement = desk.page.place(0, "m", 1, "a", datetime.now(UTC))
-        desk.roster.get("m").placements[(desk.job.id, 0)] = desk.placement
-    machine = desk.roster.get("m")
+        desk.registry.get("m").placements[(desk.job.id, 0)] = desk.placement
+    machine = desk.registry.get("m")
     assert not machine.draining and machine.blocked_until > desk.books.clock.now()
     assert desk.job.retry_at == timedelta(0)
-    done = [TaskReport("j-000001/1", 9, "ended", "done")]
-    desk.books.take(Report("n", "10.1.0.2:1", "small", "a", True, 1, 1, TOKEN, None, done))
+    done = [TaskStatus("j-000001/1", 9, "ended", "done")]
+    desk.books.take(
+        WorkerHeartbeat("n", "10.1.0.2:1", "small", "a", True, 1, 1, TOKEN, None, done)
+    )
     assert machine.draining
 
 
@@ -210,18 +212,18 @@
     """A first knock elsewhere of a machine that has just come up made leaders resign for
     nothing."""
     desk = Desk()
-    assert reporting_elsewhere({"new": 1}, desk.roster) == []
-    assert reporting_elsewhere({"new": 2}, desk.roster) == ["new"]
-    assert reporting_elsewhere({"m": 1}, desk.roster) == ["m"]
+    assert reporting_elsewhere({"new": 1}, desk.registry) == []
+    assert reporting_elsewhere({"new": 2}, desk.registry) == ["new"]
+    assert reporting_elsewhere({"m": 1}, desk.registry) == ["m"]
 
 
 async def test_a_machine_that_boots_for_longer_than_a_lease_is_not_silent():
     """Its first tasks were given up, or the machine was returned, in the moment between its report
     and the answer."""
     desk = Desk()
-    machine = desk.roster.ensure("slow", None, desk.books.clock.now())
+    machine = desk.registry.ensure("slow", None, desk.books.clock.now())
     await asyncio.sleep(60)
-    report = Report("slow", "10.1.0.1:1", "small", "a", True, 1, 1, 0)
+    report = WorkerHeartbeat("slow", "10.1.0.1:1", "small", "a", True, 1, 1, 0)
     assert desk.books.take(report) is machine
     placement = desk.page.place(1, "slow", 1, "a", datetime.now(UTC))
     machine.placements[(desk.job.id, 1)] = placement
@@ -232,7 +234,7 @@
 
 async def test_an_answer_stays_short():
     desk = Desk()
-    machine = desk.roster.get("m")
+    machine = desk.registry.get("m")
     big = Job(JobRecord(desk.job.spec, 0, 5000, PageRecord()), 1)
     page = big.page(0)
     page.count = 5000
@@ -240,7 +242,7 @@
         placement = page.place(task, "m", 1, "a", datetime.now(UTC))
         machine.placements[(big.id, task)] = placement
     page.saved = page.revision
-    report = Report("m", "10.1.0.1:1", "small", "a", True, 1, 2, TOKEN)
+    report = WorkerHeartbeat("m", "10.1.0.1:1", "small", "a", True, 1, 2, TOKEN)
     desk.books.take(report)
     first = desk.books.commands.of_records(machine, report)
     assert len(first) == 400 and len(msgspec.json.encode(first)) < 64 * 1024
@@ -251,7 +253,7 @@
     desk = stored_desk()
     for tick in (2, 3):
         assert desk.report(tick) == [("start", 1)]
-    assert desk.report(4) == [] and desk.roster.get("m").reachability.unreachable
+    assert desk.report(4) == [] and desk.registry.get("m").reachability.unreachable
     assert not desk.gone, "the answer to report 3 may have been heard"
     desk.report(5)
     assert desk.gone
@@ -262,10 +264,10 @@
     """They show neither the new token nor the task, so the machine may be taken for deaf; what it
     is then thought never to have begun was stopped when its next report showed it."""
     desk = Desk()
-    machine = desk.roster.get("m")
-    desk.roster.machines.clear()
+    machine = desk.registry.get("m")
+    desk.registry.machines.clear()
     desk.books.restore(desk.job)
-    assert desk.roster.get("m") is not machine
+    assert desk.registry.get("m") is not machine
     desk.save()
     for sequence in range(2, 2 + copies):
         desk.report(sequence, token=TOKEN - 1)
