--- a/dappledrum/accounting/entries.py
+++ b/dappledrum/accounting/entries.py
@@ -46,12 +46,12 @@
     team_has_capacity: bool
 
 
-def why_idle(kind: InstanceKind, free: Size, empty: bool, wants: Sequence[Demand]) -> Entry:
+def why_idle(kind: InstanceKind, free: Size, empty: bool, demands: Sequence[Demand]) -> Entry:
     """Why free capacity of a machine is not used."""
-    if not wants:
+    if not demands:
         return Entry.IDLE if empty else Entry.REST
     found = Entry.NO_KIND
-    for want in wants:
+    for want in demands:
         if not want.allowed(kind):
             continue
         if not want.team_has_capacity:
--- a/dappledrum/accounting/ledger.py
+++ b/dappledrum/accounting/ledger.py
@@ -77,7 +77,7 @@
     def step(
         self,
         types: Mapping[str, MachineType],
-        wants: Sequence[Demand],
+        demands: Sequence[Demand],
         available: Iterable[str] | None = None,
     ) -> None:
         """Book the time since the last step; `available`: machines that new work may use."""
@@ -96,7 +96,7 @@
             account.at = now
             money = span / timedelta(hours=1) * model.hourly(machine.kind.spot)
             free = usable is None or machine.name in usable
-            self._book(account, machine, model, money, wants, free)
+            self._book(account, machine, model, money, demands, free)
         for name in [name for name in self.accounts if name not in self.registry.machines]:
             account = self.accounts.pop(name)
             total = sum(account.lines.values())
@@ -108,7 +108,7 @@
         machine: Machine,
         model: MachineType,
         money: float,
-        wants: Sequence[Demand],
+        demands: Sequence[Demand],
         usable: bool,
     ) -> None:
         if machine.returning:
@@ -134,7 +134,7 @@
             if share > 0:
                 self._add(account, entry, money * share)
         if left > 1e-9:
-            reason = why_idle(machine.kind, free, not machine.placements, wants)
+            reason = why_idle(machine.kind, free, not machine.placements, demands)
             if not usable and reason not in (Entry.IDLE, Entry.REST):
                 reason = Entry.UNUSABLE
             self._add(account, reason, money * left)
--- a/dappledrum/accounting/test_accounting.py
+++ b/dappledrum/accounting/test_accounting.py
@@ -96,8 +96,8 @@
 def test_why_a_machine_is_idle():
     free = Size(4, 0, 16)
 
-    def why(*wants, empty=True):
-        return why_idle(KIND, free, empty, wants)
+    def why(*demands, empty=True):
+        return why_idle(KIND, free, empty, demands)
 
     fits = Demand(Size(2, 0, 2), lambda kind: True, True)
     large = Demand(Size(8, 0, 2), lambda kind: True, True)
--- a/dappledrum/dispatch/candidate_machines.py
+++ b/dappledrum/dispatch/candidate_machines.py
@@ -11,9 +11,11 @@
 from dappledrum.timing.clock import ZERO, Clock
 from dappledrum.workers.machine_registry import Machine, MachineRegistry
 
-LONG = timedelta(days=1)  # services run until they are cancelled
-IDLE_SPARED = 0.25  # share of the spot machines that idle jobs leave free
-IDLE_RENTED = 0.05  # share of the fleet that one plan may rent for them while nothing is late
+SERVICE_RUN_TIME = timedelta(days=1)  # services run until they are cancelled
+BEST_EFFORT_RESERVE = 0.25  # share of the spot machines that idle jobs leave free
+BEST_EFFORT_RENTAL_SHARE = (
+    0.05  # share of the fleet that one plan may rent for them while nothing is late
+)
 
 
 class CandidateMachines:
@@ -121,7 +123,7 @@
         for placement in machine.placements.values():
             job = placement.page.job
             tasks.append((self._finish(placement, timeline, now), job.size))
-            timeline.expect(job.spec.image, job.spec.image_gb, now)
+            timeline.expect_image(job.spec.image, job.spec.image_gb, now)
         timeline.occupy(tasks)
         return timeline
 
@@ -133,7 +135,7 @@
         if placement.lost or job.cancelled:
             return now + self.params.workers.report * 2
         if job.spec.form is Form.SERVICE:
-            return now + LONG
+            return now + SERVICE_RUN_TIME
         known = self._moments.get(job.id)
         if known is None:
             known = self._moments[job.id] = self.estimates.moments(
@@ -147,7 +149,7 @@
         left = mean + deviation - (now - placement.running_at)
         return now + max(left, deviation / 2, timedelta(seconds=1))
 
-    def idle_capacity(self, timelines: list[MachineTimeline], nothing_late: bool) -> float:
+    def best_effort_capacity(self, timelines: list[MachineTimeline], nothing_late: bool) -> float:
         """CPUs that jobs without any deadline may take in this plan: what is free on machines that
         are paid for anyway, less a reserve for work that may come; and a few machines more while
         nothing is late. Such jobs run for minutes, so they would fit into no billed interval, and
@@ -160,8 +162,10 @@
         more = 0.0
         if nothing_late:
             largest = max((model.cpus for model in self.autoscaler.types.values()), default=0.0)
-            more = max(IDLE_RENTED * sum(view.capacity for view in timelines), largest)
-        return max(0.0, free - IDLE_SPARED * total) + more
+            more = max(
+                BEST_EFFORT_RENTAL_SHARE * sum(view.capacity for view in timelines), largest
+            )
+        return max(0.0, free - BEST_EFFORT_RESERVE * total) + more
 
     def offers(self) -> list[Offer]:
         """The kinds of machines that can be rented now."""
--- a/dappledrum/dispatch/dispatcher.py
+++ b/dappledrum/dispatch/dispatcher.py
@@ -17,8 +17,10 @@
 from dappledrum.timing.clock import Clock
 from dappledrum.workers.machine_registry import MachineRegistry
 
-TURN = timedelta(milliseconds=15)  # planning time before the event loop runs other tasks
-IDLE_EVERY = timedelta(seconds=3)
+EVENT_LOOP_SLICE = timedelta(
+    milliseconds=15
+)  # planning time before the event loop runs other tasks
+BEST_EFFORT_INTERVAL = timedelta(seconds=3)
 #: Time limit of one plan; bags it has not reached by then come first in the next one.
 MAX_PLAN_TIME = timedelta(milliseconds=700)
 
@@ -45,10 +47,10 @@
         self.tuning = tuning
         self.work = PendingWork(jobs, estimates, autoscaler, params, clock, tuning)
         self.machines = CandidateMachines(jobs, registry, estimates, autoscaler, params, clock)
-        self.placing = Placer(self.work, registry, params, clock, mark, backlog, page_bytes)
+        self.placer = Placer(self.work, registry, params, clock, mark, backlog, page_bytes)
         self.preemption = Preemption(registry, autoscaler, params)
-        self.savings = ScaleIn(jobs, registry, self.machines, autoscaler, params)
-        self.idle_at = -IDLE_EVERY
+        self.scale_in = ScaleIn(jobs, registry, self.machines, autoscaler, params)
+        self.best_effort_planned_at = -BEST_EFFORT_INTERVAL
         self.postponed: set[str] = set()  # bags that the newest plan did not reach
         self.nothing_late = False  # the newest plan had nothing late and rented nothing
 
@@ -65,10 +67,10 @@
         self.work.refresh()
         timelines = self.machines.timelines(now)
         # Not with every plan: thousands of idle tasks cost as much as all others together.
-        due = now - self.idle_at >= IDLE_EVERY
-        self.idle_at = now if due else self.idle_at
+        due = now - self.best_effort_planned_at >= BEST_EFFORT_INTERVAL
+        self.best_effort_planned_at = now if due else self.best_effort_planned_at
         bags = self.work.bags(
-            now, self.machines.idle_capacity(timelines, self.nothing_late) if due else 0.0
+            now, self.machines.best_effort_capacity(timelines, self.nothing_late) if due else 0.0
         )
         planner = Planner(
             now,
@@ -81,20 +83,25 @@
         await self._step(planner.fill(bags), plan)
         await self._step(planner.rent(self.postponed), plan, now + MAX_PLAN_TIME)
         self.postponed = {bag.id for bag, _ in planner.left}
-        guaranteed, yielding = self.work.guaranteed, self.work.yielding()
+        guaranteed, preemptible = self.work.guaranteed, self.work.preemptible()
         for bag in bags:
-            if bag.id in plan.late and not bag.held and not bag.cheap_only and bag.id in self.jobs:
+            if (
+                bag.id in plan.late
+                and not bag.free_capacity_only
+                and not bag.cheapest_kind_only
+                and bag.id in self.jobs
+            ):
                 job, late = self.jobs[bag.id], plan.late[bag.id]
-                self.preemption.free_capacity(job, bag, late, now, guaranteed, yielding)
+                self.preemption.free_capacity(job, bag, late, now, guaranteed, preemptible)
         self.nothing_late = not plan.late and not plan.rentals and not self.postponed
         needed = plan.needed
         if self.postponed:
             # What the postponed bags need is not known yet, so no needed machine is dropped.
             needed = needed | self.autoscaler.needed
         else:
-            self.savings.release_from_idle(plan, now, yielding)
+            self.scale_in.retire_best_effort_machines(plan, now, preemptible)
             if self.autoscaler.listed:
-                self.savings.cheapen(plan, timelines, bags)
+                self.scale_in.retire_ordinary_machines(plan, timelines, bags)
         # Before the first list it is not known what the predecessor has rented.
         self.autoscaler.order(plan.rentals if self.autoscaler.listed else {}, needed, now)
         return plan
@@ -107,11 +114,11 @@
         turn = self.clock.now()
         placed = len(plan.starts)
         for _ in steps:
-            self.placing.start(plan.starts[placed:])
+            self.placer.start(plan.starts[placed:])
             placed = len(plan.starts)
             now = self.clock.now()
             if until is not None and now > until:
                 return
-            if now - turn > TURN:
+            if now - turn > EVENT_LOOP_SLICE:
                 await asyncio.sleep(0)
                 turn = self.clock.now()
--- a/dappledrum/dispatch/pending_work.py
+++ b/dappledrum/dispatch/pending_work.py
@@ -13,9 +13,9 @@
 from dappledrum.jobs.job import Job
 from dappledrum.jobs.messages import RANKS, Form, Priority
 from dappledrum.scheduling.bags import Bag
-from dappledrum.scheduling.deadlines import closing_deadlines, next_deadline, stage_deadlines
+from dappledrum.scheduling.deadlines import next_deadline, owner_deadlines, stage_deadlines
 from dappledrum.scheduling.estimates import Estimates
-from dappledrum.scheduling.stages import Link, Stage, stages
+from dappledrum.scheduling.stages import Stage, WorkflowJob, stages
 from dappledrum.scheduling.timeline import InstanceKind, Size, fetch_time
 from dappledrum.settings import Params, Tuning
 from dappledrum.timing.clock import ZERO, Clock
@@ -23,17 +23,19 @@
 
 log = logging.getLogger(__name__)
 
-MAX_READY = 2_000  # tasks of one job that a plan looks at
-NO_LIMIT = 1e18
-SMALL = 4  # tasks of a job that may share a bag with others
-ALIKE = 1.3  # factor up to which run times count as alike
+MAX_READY_TASKS = 2_000  # tasks of one job that a plan looks at
+UNLIMITED = 1e18
+MAX_COMBINED_JOB_TASKS = 4  # tasks of a job that may share a bag with others
+SIMILAR_RUN_TIME_FACTOR = 1.3  # factor up to which run times count as alike
 #: A job of which nothing has begun for so long gets its first task before all others. Users count
 #: on the start of every job within four minutes, and this leaves as much again for room to come.
-BEGIN_BY = timedelta(seconds=120)
+MAX_WAIT_UNSTARTED = timedelta(seconds=120)
 #: A job of which nothing has begun for so long uses room that is there, though that costs another
 #: billed interval: operators count on no job being left waiting for 90 s while there is room.
-FREE_CAPACITY_BY = timedelta(seconds=60)
-OPTIMISM = 0.8  # a deadline counts as missed only if tasks of 0.8 times the estimate miss it
+MAX_WAIT_FOR_PAID_CAPACITY = timedelta(seconds=60)
+OPTIMISTIC_RUN_TIME_SHARE = (
+    0.8  # a deadline counts as missed only if tasks of 0.8 times the estimate miss it
+)
 
 
 class PendingWork:
@@ -55,22 +57,22 @@
         self.clock = clock
         self.tuning = tuning
         self.stages: dict[str, Stage] = {}  # of jobs in chains
-        self.ring: set[str] = set()  # jobs that wait for each other in a cycle
+        self.cycle: set[str] = set()  # jobs that wait for each other in a cycle
         self.members: dict[str, list[Job]] = {}  # jobs of bags that combine several
         self.guaranteed: set[str] = set()  # jobs within their teams' guarantees
-        self._idle_cpus = 0.0  # that idle jobs may take in one plan
+        self._best_effort_cpus = 0.0  # that idle jobs may take in one plan
 
     def refresh(self) -> None:
         """Compute what all bags of one plan have in common."""
-        self._chain()
+        self._compute_stages()
         self.guaranteed = self._guaranteed()
 
-    def yielding(self) -> set[str]:
+    def preemptible(self) -> set[str]:
         """Jobs that lose no work when they are stopped."""
         return {
             job.id
             for job in self.jobs.values()
-            if job.spec.checkpoint_s > 0 and self._is_idle(job)
+            if job.spec.checkpoint_s > 0 and self._is_best_effort(job)
         }
 
     def task_time(self, job: Job) -> timedelta:
@@ -82,7 +84,7 @@
     def _in_order(self) -> list[Job]:
         return sorted(self.jobs.values(), key=lambda job: (job.accepted_at, job.id))
 
-    def _chain(self) -> None:
+    def _compute_stages(self) -> None:
         """What follows for each job from the jobs that wait for it, directly or indirectly."""
         waiting = [job for job in self.jobs.values() if job.unmet]
         links = {}
@@ -90,19 +92,19 @@
             job = self.jobs.get(name)
             if job is None or job.cancelled or job.over:
                 continue
-            links[name] = Link(
+            links[name] = WorkflowJob(
                 job.unmet,
                 job.depth,
                 self.task_time(job) + self._fetch(job),
-                self._closing(job),
+                self._owner_deadlines(job),
                 RANKS[job.spec.priority],
                 job.spec.tasks - job.done,
                 0 if job.unmet else job.waiting(),
             )
-        self.stages, ring = stages(links, OPTIMISM)
-        if ring - self.ring:
-            log.error("these wait for each other, and stay pending: %s", ", ".join(sorted(ring)))
-        self.ring = ring
+        self.stages, cycle = stages(links, OPTIMISTIC_RUN_TIME_SHARE)
+        if cycle - self.cycle:
+            log.error("these wait for each other, and stay pending: %s", ", ".join(sorted(cycle)))
+        self.cycle = cycle
         for job in self.jobs.values():
             stage = self.stages.get(job.id)
             job.rank = RANKS[job.spec.priority] if stage is None else stage.rank
@@ -112,7 +114,7 @@
         rates = [m.fetch_gb_per_s for m in self.autoscaler.types.values() if allowed(job.spec, m)]
         return fetch_time(job.spec.image_gb, max(rates, default=1.0))
 
-    def wants(self) -> list[Demand]:
+    def demands(self) -> list[Demand]:
         """What waits for capacity, for the accounts; similar jobs are listed once."""
         capacity = self.team_capacity()
         now = self.clock.now()
@@ -123,20 +125,20 @@
                 continue
             types = None if spec.types is None else tuple(spec.types)
             size = Size(spec.cpus, spec.gpus, spec.memory_gb)
-            likeness = (size, types, spec.zone, spec.spot, spec.team)
-            if likeness not in result:
+            similarity_key = (size, types, spec.zone, spec.spot, spec.team)
+            if similarity_key not in result:
                 left = capacity.get(spec.team)
                 has = left is None or left.times(Size(spec.cpus, spec.gpus, 0.0)) >= 1
-                result[likeness] = Demand(size, self._allowed(job, set()), has)
+                result[similarity_key] = Demand(size, self._allowed(job, set()), has)
         return list(result.values())
 
-    def _closing(self, job: Job) -> list[timedelta]:
+    def _owner_deadlines(self, job: Job) -> list[timedelta]:
         """The owner's deadlines, from now on. For the last job of a chain also the later ones that
         the objectives name; single jobs did no better with those (docs/limits.md)."""
         own = None if job.spec.deadline_s is None else timedelta(seconds=job.spec.deadline_s)
         objectives = self.params.objectives if job.spec.needs else ()
         age = max(self.clock.today() - job.accepted_at, ZERO) + self.params.workers.report
-        return [limit - age for limit in closing_deadlines(objectives, job.spec.job_class, own)]
+        return [limit - age for limit in owner_deadlines(objectives, job.spec.job_class, own)]
 
     def bags(self, now: timedelta, idle_cpus: float) -> list[Bag]:
         """The ready tasks; very small jobs that are similar are combined in one bag.
@@ -145,7 +147,7 @@
         seconds, though in the terms of the paper they are one bag of tasks.
         """
         self.members = {}
-        self._idle_cpus = idle_cpus
+        self._best_effort_cpus = idle_cpus
         result: list[Bag] = []
         groups: dict[tuple[Hashable, ...], Bag] = {}
         for job in self._in_order():
@@ -154,22 +156,22 @@
                 continue
             spec = job.spec
             if (
-                spec.tasks > SMALL
+                spec.tasks > MAX_COMBINED_JOB_TASKS
                 or bag.gang
-                or bag.held
+                or bag.free_capacity_only
                 or bag.unready
                 or spec.one_zone
                 or spec.spread
             ):
                 result.append(bag)
                 continue
-            likeness = (
+            similarity_key = (
                 *(spec.team, spec.priority, spec.image, spec.spot, spec.zone, spec.form),
                 *(None if spec.types is None else tuple(spec.types), bag.size, *bag.rank[:3]),
-                round(math.log(max(bag.run.total_seconds(), 0.1), ALIKE)),
-                int(bag.due / max(bag.run * (ALIKE - 1), timedelta(seconds=5))),
+                round(math.log(max(bag.run.total_seconds(), 0.1), SIMILAR_RUN_TIME_FACTOR)),
+                int(bag.due / max(bag.run * (SIMILAR_RUN_TIME_FACTOR - 1), timedelta(seconds=5))),
             )
-            first = groups.setdefault(likeness, bag)
+            first = groups.setdefault(similarity_key, bag)
             self.members.setdefault(first.id, []).append(job)
             if first is bag:
                 result.append(bag)
@@ -180,35 +182,35 @@
             first.due = min(first.due, bag.due)
             first.rank = min(first.rank, bag.rank)
             first.waited = max(first.waited, bag.waited)
-            first.use_free_capacity |= bag.use_free_capacity
+            first.uses_free_capacity |= bag.uses_free_capacity
         return result
 
     def _bag(self, job: Job, now: timedelta) -> Bag | None:
         spec = job.spec
         gang = is_gang(job)
-        ready = job.waiting() if gang else min(job.waiting(), MAX_READY)
+        ready = job.waiting() if gang else min(job.waiting(), MAX_READY_TASKS)
         if gang and job.on_machines():
             return None  # complete on machines, or being stopped
         if ready <= 0 or job.cancelled or job.over or now < job.retry_at or job.unmet:
             return None
-        held = suspected(job)
-        if held and any(not p.lost for p in job.placements()):
+        free_capacity_only = suspected(job)
+        if free_capacity_only and any(not p.lost for p in job.placements()):
             return None  # what runs already will tell
         run = self.task_time(job)
         today = self.clock.today()
         waited = max(today - job.begun_at, ZERO)
         age = waited + self.params.workers.report
         expected = stage_deadlines(self.params.objectives, spec.job_class, run)
-        limits = sorted([limit - age for limit in expected] + self._closing(job))
+        limits = sorted([limit - age for limit in expected] + self._owner_deadlines(job))
         stage = self.stages.get(job.id)
         if stage is not None and stage.due is not None:
             limits = sorted([*limits, stage.due])
-        idle = self._is_idle(job)
-        if idle:
-            ready = min(ready, int(self._idle_cpus / max(spec.cpus, 0.1)))
+        best_effort = self._is_best_effort(job)
+        if best_effort:
+            ready = min(ready, int(self._best_effort_cpus / max(spec.cpus, 0.1)))
             if ready <= 0:
                 return None
-            self._idle_cpus -= ready * spec.cpus
+            self._best_effort_cpus -= ready * spec.cpus
         if not limits:
             time_limit = (
                 run + timedelta(seconds=30)
@@ -216,17 +218,17 @@
                 else run * 4 + self.tuning.interval
             )
             limits = [time_limit - age]
-        limit = next_deadline(limits, run * OPTIMISM)
-        if idle:
+        limit = next_deadline(limits, run * OPTIMISTIC_RUN_TIME_SHARE)
+        if best_effort:
             limit = ZERO  # as soon as there is room, however long it has waited
         # Too late for everything: what can still be in time goes first, and nothing dear is rented
         # for it.
-        missed = limit is None or idle
+        missed = limit is None or best_effort
         due = now + (limits[-1] if limit is None else limit)
         # In order of deadlines what is late already waits for all that can still be in time, and
         # in a flood it waited for ever.
-        unbegun = not held and job.done == 0 and not job.on_machines()
-        overdue = waited > BEGIN_BY and unbegun and not idle
+        unbegun = not free_capacity_only and job.done == 0 and not job.on_machines()
+        overdue = waited > MAX_WAIT_UNSTARTED and unbegun and not best_effort
         if overdue:
             missed, due = False, now + run
             ready = ready if gang else 1
@@ -234,7 +236,7 @@
         return Bag(
             id=job.id,
             size=job.size,
-            ready=1 if held and not gang else ready,
+            ready=1 if free_capacity_only and not gang else ready,
             unready=0 if stage is None else stage.tasks - stage.ready,
             ready_siblings=0 if stage is None else max(0, stage.ready - job.waiting()),
             total=spec.tasks if stage is None else stage.tasks,
@@ -245,18 +247,22 @@
             allowed=self._allowed(
                 job,
                 zones if spec.one_zone else set(),
-                idle and spec.spot and spec.checkpoint_s <= 0,
+                best_effort and spec.spot and spec.checkpoint_s <= 0,
+            ),
+            rank=self._rank(
+                job,
+                2 if free_capacity_only or best_effort else -1 if overdue else int(missed),
+                due - run,
             ),
-            rank=self._rank(job, 2 if held or idle else -1 if overdue else int(missed), due - run),
             one_zone=spec.one_zone and not zones,
             zone_capacity=self._zone_capacity(job) if spec.spread else None,
             team=spec.team,
-            held=held,
+            free_capacity_only=free_capacity_only,
             waited=waited,
-            cheap_only=missed,
-            idle=idle,
+            cheapest_kind_only=missed,
+            best_effort=best_effort,
             gang=gang,
-            use_free_capacity=waited > FREE_CAPACITY_BY and unbegun,
+            uses_free_capacity=waited > MAX_WAIT_FOR_PAID_CAPACITY and unbegun,
         )
 
     def _rank(self, job: Job, missed: int, latest_start: timedelta) -> tuple[float, ...]:
@@ -273,7 +279,7 @@
             urgency,
         )
 
-    def _is_idle(self, job: Job) -> bool:
+    def _is_best_effort(self, job: Job) -> bool:
         """Whether a job has no deadline of any sort: low urgency, no deadline, no objective."""
         spec = job.spec
         return (
@@ -322,9 +328,9 @@
                 capacity[team.name] = None
                 continue
             capacity[team.name] = Size(
-                team.cpus_max - cpus if team.cpus_max > 0 else NO_LIMIT,
-                team.gpus_max - gpus if team.gpus_max > 0 else NO_LIMIT,
-                NO_LIMIT,
+                team.cpus_max - cpus if team.cpus_max > 0 else UNLIMITED,
+                team.gpus_max - gpus if team.gpus_max > 0 else UNLIMITED,
+                UNLIMITED,
             )
         return capacity
 
--- a/dappledrum/dispatch/placement.py
+++ b/dappledrum/dispatch/placement.py
@@ -13,7 +13,7 @@
 
 log = logging.getLogger(__name__)
 
-RECORDS_AHEAD = 1.0  # seconds of writing that starts of low urgency may queue up
+MAX_RECORD_BACKLOG_S = 1.0  # seconds of writing that starts of low urgency may queue up
 
 
 class Placer:
@@ -46,11 +46,11 @@
             if job is not None and is_gang(job):
                 gangs.setdefault(bag, []).append((name, count))
             else:
-                self._place_some(bag, name, count)
+                self._place_bag(bag, name, count)
         for bag, shares in gangs.items():
-            self._place_whole(self.jobs[bag], shares)
+            self._place_gang(self.jobs[bag], shares)
 
-    def _place_whole(self, job: Job, shares: list[tuple[str, int]]) -> None:
+    def _place_gang(self, job: Job, shares: list[tuple[str, int]]) -> None:
         """Place all tasks of a gang, or none. Nothing of it is written in between, because the
         event loop runs nothing else meanwhile."""
         if job.on_machines() or sum(count for _, count in shares) < job.waiting():
@@ -67,7 +67,7 @@
                 machine.placements.pop((job.id, placement.task), None)
             placement.page.remove(placement.task)
 
-    def _place_some(self, bag: str, name: str, count: int) -> None:
+    def _place_bag(self, bag: str, name: str, count: int) -> None:
         """Place tasks of a bag, which may belong to several jobs."""
         members = self.work.members.get(bag)
         if members is None:
@@ -87,7 +87,7 @@
             return 0
         if job is None or job.cancelled or job.over or job.unmet:
             return 0
-        if job.rank >= RANKS[Priority.LOW] and self._records_late():
+        if job.rank >= RANKS[Priority.LOW] and self._record_backlog_too_long():
             return 0  # capacity held for a start that can't be recorded yet is wasted
         asked = count
         today = self.clock.today()
@@ -109,6 +109,6 @@
                 break
         return asked - count
 
-    def _records_late(self) -> bool:
+    def _record_backlog_too_long(self) -> bool:
         """Whether more starts wait to be recorded than can be written in a short time."""
-        return self.backlog() > max(8.0, self.params.state.write_rps * RECORDS_AHEAD)
+        return self.backlog() > max(8.0, self.params.state.write_rps * MAX_RECORD_BACKLOG_S)
--- a/dappledrum/dispatch/preemption.py
+++ b/dappledrum/dispatch/preemption.py
@@ -4,19 +4,19 @@
 from datetime import timedelta
 
 from dappledrum.fleet.autoscaler import Autoscaler
-from dappledrum.gangs.all_or_nothing import give_up, is_gang
+from dappledrum.gangs.all_or_nothing import is_gang, stop_gang
 from dappledrum.jobs.job import Job, Placement
 from dappledrum.jobs.messages import RANKS, Priority
 from dappledrum.scheduling.bags import Bag
 from dappledrum.scheduling.timeline import Size
-from dappledrum.scheduling.victim_selection import Host, Victim, choose
+from dappledrum.scheduling.victim_selection import Host, Victim, choose_victims
 from dappledrum.settings import Params
 from dappledrum.timing.clock import ZERO
 from dappledrum.workers.machine_registry import MachineRegistry
 
 log = logging.getLogger(__name__)
 
-MAX_STOPPED = 16  # tasks of one job for which one plan stops others
+MAX_PREEMPTING_TASKS = 16  # tasks of one job for which one plan stops others
 
 
 class Preemption:
@@ -34,15 +34,15 @@
         late: int,
         now: timedelta,
         guaranteed: set[str],
-        yielding: set[str],
+        preemptible: set[str],
     ) -> None:
         """Stop tasks so that late ones can start: for jobs within their team's guarantee those
-        beyond theirs, for `prod` jobs those of lower urgency. `yielding` jobs may always be
+        beyond theirs, for `prod` jobs those of lower urgency. `preemptible` jobs may always be
         stopped, as they lose no work."""
         # High urgency may stop lower work, too, but what it gained the stopped work lost twice;
         # unless the work keeps its progress, and nobody waits for it.
         gentle = job.id not in guaranteed and job.rank != RANKS[Priority.PRODUCTION]
-        if gentle and not yielding:
+        if gentle and not preemptible:
             return
         # A stop takes one report to be sent, and one more to be confirmed.
         if now + self.params.workers.report * 2 + bag.run > bag.due and job.id not in guaranteed:
@@ -67,9 +67,9 @@
                 other = placement.page.job
                 size = Size(other.spec.cpus, other.spec.gpus, other.spec.memory_gb)
                 free = free.minus(size)
-                if placement.lost or (gentle and other.id not in yielding):
+                if placement.lost or (gentle and other.id not in preemptible):
                     continue
-                if self._yields(other, job, guaranteed):
+                if self._may_preempt(other, job, guaranteed):
                     ran = ZERO if placement.running_at is None else now - placement.running_at
                     if other.spec.checkpoint_s > 0:
                         ran = min(ran, other.spec.save)
@@ -77,16 +77,16 @@
                     ran *= other.on_machines() if is_gang(other) else 1
                     victims.append(Victim(placement, size, ran))
             hosts.append(Host(machine.name, free, victims))
-        most = late if bag.gang else min(late, MAX_STOPPED)
-        for victim in choose(bag.size, most, hosts, whole=bag.gang):
+        most = late if bag.gang else min(late, MAX_PREEMPTING_TASKS)
+        for victim in choose_victims(bag.size, most, hosts, whole=bag.gang):
             assert isinstance(victim, Placement)
             log.info("stopping %s/%d for %s", victim.page.job.id, victim.task, job.id)
             victim.lost = True
             if is_gang(victim.page.job):
-                give_up(victim.page.job)
+                stop_gang(victim.page.job)
 
     @staticmethod
-    def _yields(other: Job, job: Job, guaranteed: set[str]) -> bool:
+    def _may_preempt(other: Job, job: Job, guaranteed: set[str]) -> bool:
         """Whether the protocol allows a task of the one job to be stopped for the other."""
         if other.id in guaranteed and job.id not in guaranteed:
             return False
--- a/dappledrum/dispatch/scale_in.py
+++ b/dappledrum/dispatch/scale_in.py
@@ -17,8 +17,8 @@
 
 log = logging.getLogger(__name__)
 
-HEADROOM = 0.1  # share of the spot machines that stays free when ordinary ones are retired
-SWAPPED = 0.1  # share of the fleet for which cheaper machines are rented at a time
+SPOT_HEADROOM = 0.1  # share of the spot machines that stays free when ordinary ones are retired
+REPLACEMENT_SHARE = 0.1  # share of the fleet for which cheaper machines are rented at a time
 
 
 class ScaleIn:
@@ -38,7 +38,9 @@
         self.autoscaler = autoscaler
         self.params = params
 
-    def cheapen(self, plan: Plan, timelines: list[MachineTimeline], bags: list[Bag]) -> None:
+    def retire_ordinary_machines(
+        self, plan: Plan, timelines: list[MachineTimeline], bags: list[Bag]
+    ) -> None:
         """Retire ordinary machines whose work fits on spot machines.
 
         While small tasks come and go, a large machine is never idle at the end of its interval,
@@ -50,27 +52,29 @@
         used.
         """
         retiring = [machine for machine in self.registry if machine.retiring]
-        spare = self._spare(timelines) - sum(self._used(machine) for machine in retiring)
+        spare = self._spare_spot_cpus(timelines) - sum(
+            self._used_cpus(machine) for machine in retiring
+        )
         spare -= sum(bag.size.cpus * plan.late.get(bag.id, 0) for bag in bags)
         bound = any(not job.spec.spot for job in self.jobs.values())
         if bound or (plan.late and spare <= 0):
             for machine in retiring:
                 machine.retiring = False
             return
-        self._keep_what_fits(plan, timelines, bags, retiring)
+        self._keep_machines_in_demand(plan, timelines, bags, retiring)
         ordinary = [
             (view, machine)
             for view in timelines
             if not view.kind.spot
             and not view.booting
             and (machine := self.registry.get(view.machine)) is not None
-            and self._has_spot(self.autoscaler.types.get(view.kind.type))
+            and self._has_cheaper_spot(self.autoscaler.types.get(view.kind.type))
             and all(p.page.job.spec.form is not Form.SERVICE for p in machine.placements.values())
         ]
         ordinary.sort(key=lambda pair: (-pair[0].hourly_cpu, len(pair[1].placements)))
         left = 0.0
         for _, machine in ordinary:
-            used = self._used(machine)
+            used = self._used_cpus(machine)
             if used < spare:
                 log.info("%s gets no new work: spot machines have room for it", machine.name)
                 machine.retiring = True
@@ -80,9 +84,9 @@
         # What would go back is worth more as room for what ordinary machines still do.
         self.autoscaler.keep_spot = bool(ordinary)
         if left > 0 and not plan.late and not plan.rentals:
-            plan.rentals.update(self._swap(left - spare, timelines))
+            plan.rentals.update(self._spot_replacements(left - spare, timelines))
 
-    def _keep_what_fits(
+    def _keep_machines_in_demand(
         self,
         plan: Plan,
         timelines: list[MachineTimeline],
@@ -98,7 +102,7 @@
             return
         started = {bag_id for bag_id, _, _ in plan.starts}
         for bag in bags:
-            waits = bag.id not in started and (bag.id in plan.late or bag.use_free_capacity)
+            waits = bag.id not in started and (bag.id in plan.late or bag.uses_free_capacity)
             if not waits or any(self._can_start(bag, view) for view in timelines):
                 continue
             for machine in retiring:
@@ -122,13 +126,17 @@
             free = free.minus(placement.page.job.size)
         return free.times(bag.size) >= 1
 
-    def _swap(self, cpus: float, timelines: list[MachineTimeline]) -> dict[InstanceKind, int]:
+    def _spot_replacements(
+        self, cpus: float, timelines: list[MachineTimeline]
+    ) -> dict[InstanceKind, int]:
         """Spot machines to rent for work that now runs on ordinary ones: the cheapest type on
         which all live tasks fit, a tenth of the fleet at a time."""
         coming = sum(view.capacity for view in timelines if view.booting and view.kind.spot)
-        cpus = min(cpus, SWAPPED * sum(view.capacity for view in timelines)) - coming
+        cpus = min(cpus, REPLACEMENT_SHARE * sum(view.capacity for view in timelines)) - coming
         result: dict[InstanceKind, int] = {}
-        models = [m for m in self.autoscaler.types.values() if m.cpus > 0 and self._has_spot(m)]
+        models = [
+            m for m in self.autoscaler.types.values() if m.cpus > 0 and self._has_cheaper_spot(m)
+        ]
         for model in sorted(models, key=lambda m: m.hourly(True) / m.cpus):
             whole = Size(model.cpus, model.gpus, model.memory_gb)
             if any(whole.times(size) < 1 for size in self.machines.sizes):
@@ -142,18 +150,18 @@
         return result
 
     @staticmethod
-    def _used(machine: Machine) -> float:
+    def _used_cpus(machine: Machine) -> float:
         """CPUs used by tasks on a machine."""
         return sum(p.page.job.spec.cpus for p in machine.placements.values())
 
     @staticmethod
-    def _has_spot(model: MachineType | None) -> bool:
+    def _has_cheaper_spot(model: MachineType | None) -> bool:
         """Whether a spot machine of this type costs less than an ordinary one."""
         return (
             model is not None and model.spot_price is not None and model.spot_price < model.price
         )
 
-    def _spare(self, timelines: list[MachineTimeline]) -> float:
+    def _spare_spot_cpus(self, timelines: list[MachineTimeline]) -> float:
         """CPUs on running spot machines that the plan does not use, counted in units of the
         largest tasks, less the reserve. Machines that the cloud is about to take do not count."""
         spot = [
@@ -168,9 +176,11 @@
             fitting = [size for size in self.machines.sizes if whole.times(size) >= 1]
             size = max(fitting, key=lambda one: one.cpus, default=whole)
             free += view.free[0].times(size) * size.cpus
-        return free - HEADROOM * sum(view.capacity for view in spot)
+        return free - SPOT_HEADROOM * sum(view.capacity for view in spot)
 
-    def release_from_idle(self, plan: Plan, now: timedelta, yielding: set[str]) -> None:
+    def retire_best_effort_machines(
+        self, plan: Plan, now: timedelta, preemptible: set[str]
+    ) -> None:
         """Return an ordinary machine that only idle jobs use, as if it were idle.
 
         Only jobs that save their progress are placed there, and they are stopped early enough to
@@ -181,7 +191,7 @@
             if machine.kind is None or machine.kind.spot or machine.name in plan.needed:
                 continue
             jobs = [p.page.job for p in machine.placements.values()]
-            if not jobs or machine.retiring or any(j.id not in yielding for j in jobs):
+            if not jobs or machine.retiring or any(j.id not in preemptible for j in jobs):
                 continue
             interval = self.autoscaler.interval(machine.kind)
             left = interval - (now - machine.rented_at) % interval
--- a/dappledrum/dispatch/test_scale_in.py
+++ b/dappledrum/dispatch/test_scale_in.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from dappledrum.dispatch.scale_in import HEADROOM, ScaleIn
+from dappledrum.dispatch.scale_in import SPOT_HEADROOM, ScaleIn
 from dappledrum.scheduling.timeline import InstanceKind, MachineTimeline, Size
 from dappledrum.timing.clock import seconds
 
@@ -31,12 +31,16 @@
         until=until,
         booting=booting,
     )
-    return ScaleIn({}, None, machines, autoscaler, None)._spare([view])
+    return ScaleIn({}, None, machines, autoscaler, None)._spare_spot_cpus([view])
 
 
 @pytest.mark.parametrize(
     ("until", "booting", "expected"),
-    [(None, False, CPUS * (1 - HEADROOM)), (NOW + seconds(20), False, 0.0), (None, True, 0.0)],
+    [
+        (None, False, CPUS * (1 - SPOT_HEADROOM)),
+        (NOW + seconds(20), False, 0.0),
+        (None, True, 0.0),
+    ],
     ids=["up", "about to be taken", "booting"],
 )
 def test_only_machines_that_are_up_and_stay_have_room(until, booting, expected):
--- a/dappledrum/gangs/all_or_nothing.py
+++ b/dappledrum/gangs/all_or_nothing.py
@@ -21,13 +21,13 @@
     return job.spec.form is Form.GANG
 
 
-def give_up(job: Job) -> None:
+def stop_gang(job: Job) -> None:
     """Stop every task of a job; each counts as placed until it is proven gone."""
     for placement in job.placements():
         placement.lost = True
 
 
-def split(job: Job) -> bool:
+def is_incomplete(job: Job) -> bool:
     """Whether some tasks of a gang count as placed while others neither do nor are done, or must
     go."""
     if job.on_machines() == 0:
@@ -38,8 +38,8 @@
 def stop_broken_gangs(jobs: Iterable[Job]) -> None:
     """Give up the remaining tasks of gangs that have lost a member."""
     for job in jobs:
-        if is_gang(job) and not job.cancelled and not job.over and split(job):
+        if is_gang(job) and not job.cancelled and not job.over and is_incomplete(job):
             left = [p for p in job.placements() if not p.lost]
             if left:
                 log.info("%s has lost a part, %d tasks are stopped with it", job.id, len(left))
-                give_up(job)
+                stop_gang(job)
--- a/dappledrum/gangs/test_gangs.py
+++ b/dappledrum/gangs/test_gangs.py
@@ -7,11 +7,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from dappledrum.gangs.all_or_nothing import split
-from dappledrum.gangs.search import Gang, Search, capacity_at
+from dappledrum.gangs.all_or_nothing import is_incomplete
 from dappledrum.jobs.job import Job
 from dappledrum.jobs.messages import JobRecord, PageRecord, Spec
 from dappledrum.peers.versions import GANGS, at_least
+from dappledrum.scheduling.gang_search import Gang, GangSearch, capacity_at
 from dappledrum.scheduling.plan import Bag, Planner, TeamCapacity
 from dappledrum.scheduling.timeline import InstanceKind, MachineTimeline, Offer, Size
 from dappledrum.settings import Team
@@ -67,11 +67,11 @@
     page = gang.page(0)
     for task in range(3):
         page.place(task, f"host-{task}", 1, "a", datetime.now(UTC))
-    assert not split(gang)
+    assert not is_incomplete(gang)
     page.finish(0)  # in an earlier attempt, as a late report shows
-    assert not split(gang)
+    assert not is_incomplete(gang)
     page.remove(2)
-    assert split(gang)
+    assert is_incomplete(gang)
 
 
 @settings(max_examples=200, derandomize=True, deadline=None)
@@ -81,7 +81,7 @@
     gang = Gang(
         *(Size(cpus, 0, 1), count, seconds(span), seconds(NOW + 500), "i", 0.0, lambda kind: True)
     )
-    found = Search(gang, timelines, [], seconds(NOW)).without_renting()
+    found = GangSearch(gang, timelines, [], seconds(NOW)).without_renting()
     moments = sorted({NOW, *(int(t.total_seconds()) for one in timelines for t in one.times)})
     enough = [
         at
@@ -139,10 +139,10 @@
         Offer(InstanceKind("q", "z", True), Size(16, 0, 9), 1.0, seconds(5), 1.0, seconds(60), 2),
     ]
     assert plan([], [bag("a", 4)], [*offers]).rentals == {InstanceKind("p", "z", True): 2}
-    offers[0].most = offers[1].most = 2
+    offers[0].max_count = offers[1].max_count = 2
     both = plan([], [bag("a", 11)], offers)
     assert both.rentals == {InstanceKind("p", "z", True): 2, InstanceKind("q", "z", True): 2}
-    offers[0].most = offers[1].most = 2
+    offers[0].max_count = offers[1].max_count = 2
     assert not plan([], [bag("a", 13)], offers).rentals  # nothing is rented for a part
 
 
--- a/dappledrum/leader/leader.py
+++ b/dappledrum/leader/leader.py
@@ -386,7 +386,7 @@
                 await asyncio.sleep(STEP.total_seconds())
                 self.ledger.step(
                     self.autoscaler.types,
-                    self.dispatcher.work.wants(),
+                    self.dispatcher.work.demands(),
                     self.dispatcher.machines.available(),
                 )
                 self._log_totals()
--- a/dappledrum/learning/learned_estimates.py
+++ b/dappledrum/learning/learned_estimates.py
@@ -11,7 +11,7 @@
 
 from dappledrum.fleet.boot_times import SHORTEST, BootTime, BootTimes
 from dappledrum.learning.messages import BootRow, ClassRow, LearnedRecord
-from dappledrum.scheduling.estimates import Estimates, Sample
+from dappledrum.scheduling.estimates import Estimates, RunningStatistics
 from dappledrum.scheduling.timeline import InstanceKind
 from dappledrum.store.advisory_record import AdvisoryRecord
 from dappledrum.timing.clock import ZERO, Clock
@@ -74,7 +74,7 @@
         if record is None:
             return
         for seen in record.classes[:CLASSES]:
-            sample = self.estimates.classes.setdefault(seen.job_class, Sample())
+            sample = self.estimates.classes.setdefault(seen.job_class, RunningStatistics())
             sample.count, sample.mean, sample.square = seen.count, seen.mean, seen.square
         now, today = self.clock.now(), self.clock.today()
         boots = []
--- a/dappledrum/learning/test_learning.py
+++ b/dappledrum/learning/test_learning.py
@@ -37,7 +37,7 @@
         await cluster.wait(100)
         for number in range(200):
             name = f"class-{number % 40}"
-            estimates.learn(f"j-{number}", name, seconds(10), seconds(10 + number % 40))
+            estimates.record_task_time(f"j-{number}", name, seconds(10), seconds(10 + number % 40))
             boots.finished(kind, clock.now() - seconds(25), clock.now())
         before = LearnedEstimates(hint, estimates, boots, clock)
         await hint.keep(before.record())
--- a/dappledrum/model/dds.py
+++ b/dappledrum/model/dds.py
@@ -134,12 +134,12 @@
     kinds = sorted({m.kind for m in machines} | {o.kind for o, _ in offers})
     for kind in kinds:
         mine = [copied(m) for m in machines if m.kind == kind]
-        blank = next(((o, most) for o, most in offers if o.kind == kind), None)
+        new_machine = next(((o, most) for o, most in offers if o.kind == kind), None)
         rented, cost, worst, done = 0, 0.0, -math.inf, 0
         for _ in range(count):
             candidates = list(mine)
-            if blank is not None and rented < blank[1]:
-                candidates.append(copied(blank[0]))
+            if new_machine is not None and rented < new_machine[1]:
+                candidates.append(copied(new_machine[0]))
             scored = []
             for index, machine in enumerate(candidates):
                 gap = machine.gap(cpus, run)
@@ -209,9 +209,9 @@
         largest = max(len(group) for group in groups)
         return next(group for group in groups if len(group) == largest)
 
-    def way(name: str) -> float:
+    def longest_path(name: str) -> float:
         weight = max(jobs[other]["run"] for other in stage(name))
-        return weight + max((way(need) for need in jobs[name]["needs"]), default=0.0)
+        return weight + max((longest_path(need) for need in jobs[name]["needs"]), default=0.0)
 
     def after(name: str) -> set[str]:
         result = {name}
@@ -224,12 +224,12 @@
     for name in jobs:
         ratios = []
         for last in after(name):
-            kept = [due for due in jobs[last]["dues"] if due >= way(last) * optimism]
-            if kept and way(last) > 0:
-                ratios.append(kept[0] / way(last))
+            kept = [due for due in jobs[last]["dues"] if due >= longest_path(last) * optimism]
+            if kept and longest_path(last) > 0:
+                ratios.append(kept[0] / longest_path(last))
         members = stage(name)
         result[name] = (
-            min(ratios) * way(name) if ratios else None,
+            min(ratios) * longest_path(name) if ratios else None,
             min(jobs[last]["rank"] for last in after(name)),
             sum(jobs[member]["ready"] for member in members),
             sum(jobs[member]["tasks"] for member in members),
--- a/dappledrum/scheduling/backfill.py
+++ b/dappledrum/scheduling/backfill.py
@@ -18,8 +18,8 @@
 class Backfill:
     """Places tasks on the machines of a draft without adding billed intervals."""
 
-    def __init__(self, draft: PlanBuilder) -> None:
-        self.draft = draft
+    def __init__(self, builder: PlanBuilder) -> None:
+        self.builder = builder
 
     def fill(self, bag: Bag, count: int, zones: set[str] | None, cheap: bool = False) -> int:
         """Place up to `count` tasks, each where it finishes earliest without adding a billed
@@ -43,22 +43,22 @@
             if index < 0:
                 heappop(heap)
                 rows, at = rest[-1 - index]
-                at = self._take_up(bag, rows, at, cheap, heap, fetch)
+                at = self._push_candidates(bag, rows, at, cheap, heap, fetch)
                 if at < len(rows):
                     rest[-1 - index] = (rows, at)
                     heappush(heap, (rows[at][0] + bag.run, -1.0, ZERO, index, None))
                 continue
-            timeline = self.draft.timelines[index]
+            timeline = self.builder.timelines[index]
             if gap is not None:
                 most = min(gap.count, count - placed)
-                take = self.draft.zone_limit(bag, timeline.kind.zone, most)
+                take = self.builder.zone_limit(bag, timeline.kind.zone, most)
                 if take <= 0:
                     heappop(heap)
                     continue
-                self.draft.commit(bag, timeline, gap, take)
+                self.builder.commit(bag, timeline, gap, take)
                 placed += take
             gap = timeline.earliest(bag.size, bag.run, bag.image, bag.image_gb)
-            self.draft.examined += 1
+            self.builder.examined_machines += 1
             if gap is not None and self._fits(bag, timeline, gap, cheap):
                 heapreplace(
                     heap, (gap.finish, timeline.hourly_cpu, -timeline.committed, index, gap)
@@ -72,7 +72,7 @@
     ) -> list[tuple[Sequence[Row], int]]:
         """The machines of each kind that the bag may use, and the index of the first one to look
         at."""
-        capacity_index = self.draft.capacity_index
+        capacity_index = self.builder.capacity_index
         return [
             (tuple(capacity_index.order(kind, bag.size)), 0)
             for kind in capacity_index.by_kind
@@ -81,7 +81,7 @@
             and (zones is None or kind.zone in zones)
         ]
 
-    def _take_up(
+    def _push_candidates(
         self,
         bag: Bag,
         rows: Sequence[Row],
@@ -96,9 +96,9 @@
 
         Inlined by hand like `KindTrial._bounds`: most machines that it looks at are not usable.
         """
-        now, run, due, image = self.draft.now, bag.run, bag.due, bag.image
+        now, run, due, image = self.builder.now, bag.run, bag.due, bag.image
         waited = ZERO if cheap else bag.waited
-        timelines = self.draft.timelines
+        timelines = self.builder.timelines
         last = now if cheap else max(now, due - run)  # what starts later is late
         first = heap[0][0] if heap else None
         rate, fetching = -1.0, ZERO
@@ -117,7 +117,7 @@
                 finish = start + run + fetching
             else:
                 finish = run + (start if there <= start else there)
-            if finish > timeline.billed_until() and not (bag.use_free_capacity and start <= now):
+            if finish > timeline.billed_until() and not (bag.uses_free_capacity and start <= now):
                 continue
             if cheap:
                 if finish > due:
@@ -136,11 +136,11 @@
         after its own deadline. A task that would both wait and be late is left to Algorithm 2,
         which can rent a machine.
         """
-        now = self.draft.now
+        now = self.builder.now
         if cheap and (gap.start > now or gap.finish > bag.due):
             return False
-        if bag.use_free_capacity and gap.start <= now:
+        if bag.uses_free_capacity and gap.start <= now:
             return True
-        likely = self.draft.likely_finish(bag, timeline, gap)
+        likely = self.builder.likely_finish(bag, timeline, gap)
         in_time = gap.start <= now or likely <= bag.due
         return in_time and gap.finish <= timeline.billed_until()
--- a/dappledrum/scheduling/bags.py
+++ b/dappledrum/scheduling/bags.py
@@ -26,15 +26,17 @@
     one_zone: bool = False
     zone_capacity: dict[str, int] | None = None  # spread: how many more tasks each zone may take
     team: str = ""
-    held: bool = False  # uses free capacity only, nothing is rented for it
+    free_capacity_only: bool = False  # uses free capacity only, nothing is rented for it
     waited: timedelta = ZERO  # since its tasks could start
     ready_siblings: int = 0  # ready tasks of the other jobs of its stage
-    cheap_only: bool = False  # late in any case: only the cheaper kind of machine is rented
-    idle: bool = False  # without any deadline, so it is never late
+    cheapest_kind_only: bool = (
+        False  # late in any case: only the cheaper kind of machine is rented
+    )
+    best_effort: bool = False  # without any deadline, so it is never late
     gang: bool = False  # its tasks run all at once or not at all
     #: It has waited for so long that room which is there now is used, whatever the machine's
     #: billed interval: queued behind other work it may wait for an interval's length.
-    use_free_capacity: bool = False
+    uses_free_capacity: bool = False
 
 
 class TeamCapacity:
--- a/dappledrum/scheduling/deadlines.py
+++ b/dappledrum/scheduling/deadlines.py
@@ -28,7 +28,7 @@
     return sorted(limits)
 
 
-def closing_deadlines(
+def owner_deadlines(
     objectives: Sequence[Objective], job_class: str, due: timedelta | None
 ) -> list[timedelta]:
     """The owner's deadline, counted from the submission, and the later deadlines that the
--- a/dappledrum/scheduling/estimates.py
+++ b/dappledrum/scheduling/estimates.py
@@ -13,10 +13,10 @@
 PRIOR_WEIGHT = 3.0  # completed tasks that weigh as much as the first estimate
 PRIOR_DEVIATION = 0.25
 RATIO_BOUNDS = (0.2, 5.0)
-MEMORY = 40.0  # completed tasks whose ratio still counts for a class
+MAX_CLASS_SAMPLES = 40.0  # completed tasks whose ratio still counts for a class
 
 
-class Sample:
+class RunningStatistics:
     """Running mean and deviation."""
 
     __slots__ = ("count", "mean", "square")
@@ -33,27 +33,29 @@
         self.mean += step / self.count
         self.square += step * (value - self.mean)
 
-    def fade(self, most: float) -> None:
+    def limit_weight(self, limit: float) -> None:
         """Limit the weight of past values, so that old ones fade out."""
-        if self.count > most:
-            self.square *= most / self.count
-            self.count = most
+        if self.count > limit:
+            self.square *= limit / self.count
+            self.count = limit
 
 
 class Estimates:
     """What has been learned in a term of leadership."""
 
     def __init__(self) -> None:
-        self.jobs: dict[str, Sample] = {}
-        self.classes: dict[str, Sample] = {}
+        self.jobs: dict[str, RunningStatistics] = {}
+        self.classes: dict[str, RunningStatistics] = {}
 
-    def learn(self, job: str, job_class: str, expected: timedelta, took: timedelta) -> None:
+    def record_task_time(
+        self, job: str, job_class: str, expected: timedelta, took: timedelta
+    ) -> None:
         """A task has completed."""
-        self.jobs.setdefault(job, Sample()).add(took.total_seconds())
+        self.jobs.setdefault(job, RunningStatistics()).add(took.total_seconds())
         if expected > timedelta(0) and took > timedelta(0):
-            ratios = self.classes.setdefault(job_class, Sample())
+            ratios = self.classes.setdefault(job_class, RunningStatistics())
             ratios.add(math.log(took / expected))
-            ratios.fade(MEMORY)
+            ratios.limit_weight(MAX_CLASS_SAMPLES)
 
     def forget(self, job: str) -> None:
         """The job is over."""
--- a/dappledrum/scheduling/gang_placement.py
+++ b/dappledrum/scheduling/gang_placement.py
@@ -1,19 +1,19 @@
 """Places gangs in a plan: all tasks now, all tasks at one later moment, or none."""
 
-from dappledrum.gangs.search import Gang, GangSlot, Search
 from dappledrum.scheduling.bags import Bag
+from dappledrum.scheduling.gang_search import Gang, GangSearch, GangSlot
 from dappledrum.scheduling.plan_builder import PlanBuilder
 from dappledrum.scheduling.timeline import Gap, InstanceKind
 
-GANGS_SOUGHT = 4  # gangs for which one plan searches more than the free capacity of now
+MAX_GANG_SEARCHES = 4  # gangs for which one plan searches more than the free capacity of now
 
 
 class GangPlacement:
     """Finds room for the gangs of a draft."""
 
-    def __init__(self, draft: PlanBuilder) -> None:
-        self.draft = draft
-        self._sought = 0  # gangs looked at closely
+    def __init__(self, builder: PlanBuilder) -> None:
+        self.builder = builder
+        self._searches = 0  # gangs looked at closely
 
     def place(self, bag: Bag, count: int) -> None:
         """Place all tasks of a gang at one moment, or reserve capacity for all of them at a later
@@ -22,12 +22,12 @@
             return  # the team's limit does not allow all of it yet; what it allows is kept free
         slot = self._search(bag, count)
         if slot is None or slot.finish > bag.due:
-            self.draft.plan.late[bag.id] = count
+            self.builder.plan.late[bag.id] = count
         if slot is None:
             return
         for index, number in slot.shares:
             gap = Gap(slot.start, number, slot.finish)
-            self.draft.commit(bag, self.draft.timelines[index], gap, number)
+            self.builder.commit(bag, self.builder.timelines[index], gap, number)
         for kind, (machines, tasks) in slot.rented.items():
             self._rent(bag, slot, kind, machines, tasks)
 
@@ -36,24 +36,24 @@
             *(bag.size, count, bag.run, bag.due, bag.image, bag.image_gb, bag.allowed),
             bag.zone_capacity,
         )
-        search = Search(gang, self.draft.timelines, self.draft.offers, self.draft.now)
-        self._sought += 1
-        closely = self._sought <= GANGS_SOUGHT
-        return search.best(rent=not bag.held) if closely else search.at_once()
+        search = GangSearch(gang, self.builder.timelines, self.builder.offers, self.builder.now)
+        self._searches += 1
+        closely = self._searches <= MAX_GANG_SEARCHES
+        return search.best(rent=not bag.free_capacity_only) if closely else search.starting_now()
 
     def _rent(
         self, bag: Bag, slot: GangSlot, kind: InstanceKind, machines: int, tasks: int
     ) -> None:
         """Rent machines of one kind, and reserve room on them for some tasks of the gang."""
-        offer = self.draft.offer_of(kind)
+        offer = self.builder.offer_of(kind)
         assert offer is not None
-        offer.most -= machines
-        rentals = self.draft.plan.rentals
+        offer.max_count -= machines
+        rentals = self.builder.plan.rentals
         rentals[kind] = rentals.get(kind, 0) + machines
         each = offer.capacity.times(bag.size)
         for _ in range(machines):
-            timeline = self.draft.blank(offer)
-            self.draft.add_rented(timeline)
+            timeline = self.builder.new_machine(offer)
+            self.builder.add_rented(timeline)
             part = min(each, tasks)
             tasks -= part
-            self.draft.reserve(bag, timeline, Gap(slot.start, part, slot.finish), part)
+            self.builder.reserve(bag, timeline, Gap(slot.start, part, slot.finish), part)
--- a/dappledrum/gangs/search.py
+++ b/dappledrum/scheduling/gang_search.py
@@ -13,7 +13,7 @@
 from typing import NamedTuple
 
 from dappledrum.scheduling.timeline import (
-    SLACK,
+    SIGNIFICANT_OVERRUN,
     InstanceKind,
     MachineTimeline,
     Offer,
@@ -22,8 +22,8 @@
 )
 from dappledrum.timing.clock import ZERO
 
-PROBED = 24  # moments tried at first; in a fleet there are thousands
-REFINED = 5
+MAX_PROBED_MOMENTS = 24  # moments tried at first; in a fleet there are thousands
+MAX_REFINEMENT_STEPS = 5
 
 
 class Gang(NamedTuple):
@@ -65,7 +65,7 @@
     return count
 
 
-class Search:
+class GangSearch:
     """Search for one gang on the machines of one plan."""
 
     def __init__(
@@ -105,7 +105,7 @@
                     zones[one.kind.zone] -= take
         return result, zones, left
 
-    def at_once(self) -> GangSlot | None:
+    def starting_now(self) -> GangSlot | None:
         """Capacity for all tasks now, on the rented machines."""
         shares, _, left = self.shares(self.now)
         return self._slot(self.now, shares) if left <= 0 else None
@@ -113,10 +113,10 @@
     def without_renting(self) -> GangSlot | None:
         """The earliest moment found with capacity on the rented machines. At first only some of
         the moments are probed; the one found is then refined."""
-        if (slot := self.at_once()) is not None:
+        if (slot := self.starting_now()) is not None:
             return slot
         moments = sorted({t for one in self.timelines for t in one.times if t > self.now})
-        step = max(1, -(-len(moments) // PROBED))
+        step = max(1, -(-len(moments) // MAX_PROBED_MOMENTS))
         probes = [*range(0, len(moments), step)]
         if moments and probes[-1] != len(moments) - 1:
             probes.append(len(moments) - 1)
@@ -130,7 +130,7 @@
         if found is None:
             return None
         at, shares = found
-        for _ in range(REFINED):
+        for _ in range(MAX_REFINEMENT_STEPS):
             middle = (before + at) // 2
             if middle in (before, at):
                 break
@@ -151,7 +151,7 @@
         for one in offers:
             each = one.capacity.times(self.gang.size)
             most = left if zones is None else min(left, zones.get(one.kind.zone, 0))
-            number = min(one.most, -(-most // each)) if each else 0
+            number = min(one.max_count, -(-most // each)) if each else 0
             if number <= 0:
                 continue
             tasks = min(most, number * each)
@@ -175,7 +175,11 @@
         return min(found, key=self._worth, default=None)
 
     def _worth(self, slot: GangSlot) -> tuple[int, float, timedelta]:
-        return round(max(slot.finish - self.gang.due, ZERO) / SLACK), slot.cost, slot.start
+        return (
+            round(max(slot.finish - self.gang.due, ZERO) / SIGNIFICANT_OVERRUN),
+            slot.cost,
+            slot.start,
+        )
 
     def _slot(
         self,
--- a/dappledrum/scheduling/plan.py
+++ b/dappledrum/scheduling/plan.py
@@ -28,19 +28,19 @@
         ready_share: float,
         team_capacity: TeamCapacity,
     ) -> None:
-        self.draft = PlanBuilder(now, timelines, offers)
-        self.plan = self.draft.plan
+        self.builder = PlanBuilder(now, timelines, offers)
+        self.plan = self.builder.plan
         self.ready_share = ready_share
         self.team_capacity = team_capacity
         self.left: list[tuple[Bag, int]] = []  # bags for which nothing was found yet, how many
-        self._gangs = GangPlacement(self.draft)
-        self._paid_time = Backfill(self.draft)
-        self._renting = ScaleOut(self.draft)
+        self._gangs = GangPlacement(self.builder)
+        self._backfill = Backfill(self.builder)
+        self._scale_out = ScaleOut(self.builder)
 
     @property
-    def examined(self) -> int:
+    def examined_machines(self) -> int:
         """Machines looked at closely: what a plan costs."""
-        return self.draft.examined
+        return self.builder.examined_machines
 
     def run(self, bags: Sequence[Bag]) -> Plan:
         """Run Algorithm 3 to its end."""
@@ -69,10 +69,14 @@
                 continue
             # Spot machines first, as long as they meet the deadline: work that an ordinary machine
             # does not get lets it go idle, so that it can be returned.
-            placed = self._paid_time.fill(bag, count, zones, cheap=True)
+            placed = self._backfill.fill(bag, count, zones, cheap=True)
             if placed < count:
-                placed += self._paid_time.fill(bag, count - placed, zones)
-            if placed < count and self._passes(bag) and not bag.held:
+                placed += self._backfill.fill(bag, count - placed, zones)
+            if (
+                placed < count
+                and self._delay_rule_allows_renting(bag)
+                and not bag.free_capacity_only
+            ):
                 self.left.append((bag, count - placed))
             yield
 
@@ -83,10 +87,10 @@
             key=lambda item: (item[0].id not in first, item[0].rank, -(item[0].run * item[1]))
         )
         while self.left:
-            self._renting.rent(*self.left.pop(0))
+            self._scale_out.rent(*self.left.pop(0))
             yield
 
-    def _passes(self, bag: Bag) -> bool:
+    def _delay_rule_allows_renting(self, bag: Bag) -> bool:
         """The delay rule: rent once enough of the stage is ready, or all that remains of it."""
         ready = bag.ready + bag.ready_siblings
         return bag.unready == 0 or ready / max(1, bag.total) > self.ready_share
@@ -108,12 +112,12 @@
     def _capacity_by_zone(self, bag: Bag) -> dict[str, int]:
         """How many tasks of a bag each zone could run, on machines at hand and rented ones."""
         capacity: dict[str, int] = {}
-        for timeline in self.draft.timelines:
+        for timeline in self.builder.timelines:
             if bag.allowed(timeline.kind):
                 free = timeline.free[-1].times(bag.size)
                 capacity[timeline.kind.zone] = capacity.get(timeline.kind.zone, 0) + free
-        for offer in self.draft.offers:
+        for offer in self.builder.offers:
             if bag.allowed(offer.kind):
-                more = offer.capacity.times(bag.size) * offer.most
+                more = offer.capacity.times(bag.size) * offer.max_count
                 capacity[offer.kind.zone] = capacity.get(offer.kind.zone, 0) + more
         return capacity
--- a/dappledrum/scheduling/plan_builder.py
+++ b/dappledrum/scheduling/plan_builder.py
@@ -34,7 +34,7 @@
         self.timelines = self.capacity_index.timelines
         self.offers = list(offers)
         self.plan = Plan()
-        self.examined = 0  # machines looked at closely: what a plan costs
+        self.examined_machines = 0  # machines looked at closely: what a plan costs
         self._rented = 0
 
     def offer_of(self, kind: InstanceKind) -> Offer | None:
@@ -53,14 +53,14 @@
     def reserve(self, bag: Bag, timeline: MachineTimeline, gap: Gap, count: int) -> None:
         """Give a gap to some tasks of a bag."""
         self.capacity_index.reserve(timeline, gap, bag.size, count)
-        timeline.expect(bag.image, bag.image_gb, gap.start)
+        timeline.expect_image(bag.image, bag.image_gb, gap.start)
         timeline.planned += count
         self.take_zone_capacity(bag, timeline.kind.zone, count)
 
     def commit(self, bag: Bag, timeline: MachineTimeline, gap: Gap, count: int) -> None:
         """Give a gap on a machine at hand to some tasks, which start if it begins now."""
         self.reserve(bag, timeline, gap, count)
-        if not bag.idle:
+        if not bag.best_effort:
             self.plan.needed.add(timeline.machine)
         if gap.start <= self.now and not timeline.booting:
             self.plan.starts.append((bag.id, timeline.machine, count))
@@ -78,7 +78,7 @@
             return gap.finish
         return gap.finish + bag.waited
 
-    def blank(self, offer: Offer) -> MachineTimeline:
+    def new_machine(self, offer: Offer) -> MachineTimeline:
         """A machine that would be rented now; its billed intervals include the boot."""
         return MachineTimeline(
             "",
--- a/dappledrum/scheduling/scale_out.py
+++ b/dappledrum/scheduling/scale_out.py
@@ -11,7 +11,7 @@
 from dappledrum.scheduling.capacity import Row
 from dappledrum.scheduling.plan_builder import PlanBuilder
 from dappledrum.scheduling.timeline import (
-    SLACK,
+    SIGNIFICANT_OVERRUN,
     FetchTimes,
     Gap,
     InstanceKind,
@@ -21,8 +21,8 @@
 from dappledrum.timing.clock import ZERO
 
 # tasks of one bag that one plan distributes; the others wait for the next plan
-TRIED = 160
-AHEAD = 16  # machines whose bounds are computed together
+MAX_TASKS_PER_BAG = 160
+BOUNDS_BATCH = 16  # machines whose bounds are computed together
 
 #: Order of the machines; the last item is unique, so nothing behind it is compared.
 _Score = tuple[int, float, float, bool, int]
@@ -34,27 +34,27 @@
 class ScaleOut:
     """Decides which machines the remaining tasks of a draft wait for, and which are rented."""
 
-    def __init__(self, draft: PlanBuilder) -> None:
-        self.draft = draft
+    def __init__(self, builder: PlanBuilder) -> None:
+        self.builder = builder
 
     def rent(self, bag: Bag, count: int) -> None:
         """Choose the kind of machine with the least worst overrun, then the least added cost."""
-        tried = min(count, TRIED)
+        tried = min(count, MAX_TASKS_PER_BAG)
         trial = self._best_trial(bag, tried)
         if trial is None:
-            if not bag.idle:
-                self.draft.plan.late[bag.id] = count
+            if not bag.best_effort:
+                self.builder.plan.late[bag.id] = count
             return
         late = trial.late() + tried - trial.placed
-        if late and not bag.idle:
-            self.draft.plan.late[bag.id] = late
+        if late and not bag.best_effort:
+            self.builder.plan.late[bag.id] = late
         self._order(trial.rented)
         self._place(bag, trial)
 
     def _best_trial(self, bag: Bag, tried: int) -> "KindTrial | None":
-        offers = self.draft.offers
+        offers = self.builder.offers
         kinds = sorted(
-            {kind for kind in self.draft.capacity_index.by_kind if bag.allowed(kind)}
+            {kind for kind in self.builder.capacity_index.by_kind if bag.allowed(kind)}
             | {offer.kind for offer in offers if bag.allowed(offer.kind)}
         )
         rates = {offer.kind: offer.hourly / max(offer.capacity.cpus, 1e-3) for offer in offers}
@@ -62,7 +62,7 @@
         result: KindTrial | None = None
         # The cheap ones first, as their outcome is the bound at which the others are given up.
         for kind in sorted(kinds, key=lambda kind: rates.get(kind, 0.0)):
-            trial = KindTrial(self.draft, bag, kind, kinds.index(kind), best)
+            trial = KindTrial(self.builder, bag, kind, kinds.index(kind), best)
             if not trial.run(tried) or trial.placed == 0:
                 continue
             outcome = trial.outcome(tried - trial.placed)
@@ -72,22 +72,22 @@
 
     def _order(self, rented: Sequence[MachineTimeline]) -> None:
         """Add machines that a trial has rented to the plan."""
-        rentals = self.draft.plan.rentals
+        rentals = self.builder.plan.rentals
         for timeline in rented:
-            self.draft.add_rented(timeline)
+            self.builder.add_rented(timeline)
             rentals[timeline.kind] = rentals.get(timeline.kind, 0) + 1
         if rented:
-            offer = self.draft.offer_of(rented[0].kind)
+            offer = self.builder.offer_of(rented[0].kind)
             assert offer is not None
-            offer.most -= len(rented)
+            offer.max_count -= len(rented)
 
     def _place(self, bag: Bag, trial: "KindTrial") -> None:
         """Apply the steps of a trial; tasks on machines that it rents are reserved already."""
         for step in trial.steps:
             if step.rented:
-                self.draft.take_zone_capacity(bag, step.timeline.kind.zone, step.count)
+                self.builder.take_zone_capacity(bag, step.timeline.kind.zone, step.count)
             else:
-                self.draft.commit(bag, step.timeline, step.gap, step.count)
+                self.builder.commit(bag, step.timeline, step.gap, step.count)
 
 
 class Step(NamedTuple):
@@ -113,9 +113,9 @@
     """The tasks of one bag distributed over machines of one kind, without changing the draft."""
 
     def __init__(
-        self, draft: PlanBuilder, bag: Bag, kind: InstanceKind, order: int, best: _Outcome | None
+        self, builder: PlanBuilder, bag: Bag, kind: InstanceKind, order: int, best: _Outcome | None
     ) -> None:
-        self.draft = draft
+        self.builder = builder
         self.bag = bag
         self.kind = kind
         self.order = order
@@ -131,7 +131,7 @@
         self._next_row = 0
         self._fetch = FetchTimes(bag.image_gb)
         # machines rented in this trial come after all others
-        self._following = len(draft.timelines)
+        self._following = len(builder.timelines)
         self._offer: Offer | None = None
         self._rentable = 0
         self._blank_gap: Gap | None = None  # room on a machine rented now
@@ -146,11 +146,11 @@
         """
         if self.best is not None and self.outcome(0) > self.best:
             return False
-        self._list_machines()
-        self._look_at_offer()
-        capacity = self.draft.zone_limit(self.bag, self.kind.zone, count)
+        self._list_candidate_machines()
+        self._evaluate_offer()
+        capacity = self.builder.zone_limit(self.bag, self.kind.zone, count)
         while self.placed < capacity:
-            self._take_up_machines()
+            self._push_competitive_machines()
             if self._renting_is_best():
                 choice = self._rent_one()
             elif self._heap:
@@ -169,7 +169,7 @@
     def outcome(self, left_over: int) -> _Outcome:
         """Tasks left over, worst overrun (rounded to differences that matter), added cost, and the
         position of the kind."""
-        overrun = SLACK * round(max(self._overrun, ZERO) / SLACK)
+        overrun = SIGNIFICANT_OVERRUN * round(max(self._overrun, ZERO) / SIGNIFICANT_OVERRUN)
         return left_over, overrun, self._cost, self.order
 
     def late(self) -> int:
@@ -177,41 +177,43 @@
         return sum(
             step.count
             for step in self.steps
-            if self.draft.likely_finish(self.bag, step.timeline, step.gap) > self.bag.due
+            if self.builder.likely_finish(self.bag, step.timeline, step.gap) > self.bag.due
         )
 
-    def _list_machines(self) -> None:
+    def _list_candidate_machines(self) -> None:
         """Among machines that meet the deadline any may be the cheapest; of the others the first
         with free capacity comes first."""
-        self._rows = self.draft.capacity_index.order(self.kind, self.bag.size)
-        self._next_row = bisect_right(self._rows, self.bag.due - self.bag.run, key=_moment)
+        self._rows = self.builder.capacity_index.order(self.kind, self.bag.size)
+        self._next_row = bisect_right(self._rows, self.bag.due - self.bag.run, key=_first_free)
         self._heap = self._bounds(self._rows[: self._next_row])
         heapify(self._heap)
 
-    def _look_at_offer(self) -> None:
+    def _evaluate_offer(self) -> None:
         """Work out the score of a machine that is rented now."""
         bag, kind = self.bag, self.kind
-        if bag.cheap_only and not kind.spot and bag.allowed(kind._replace(spot=True)):
+        if bag.cheapest_kind_only and not kind.spot and bag.allowed(kind._replace(spot=True)):
             return
-        self._offer = self.draft.offer_of(kind)
+        self._offer = self.builder.offer_of(kind)
         if self._offer is None:
             return
-        self._rentable = self._offer.most
-        blank = self.draft.blank(self._offer)
-        self._blank_gap = blank.earliest(bag.size, bag.run, bag.image, bag.image_gb)
+        self._rentable = self._offer.max_count
+        new_machine = self.builder.new_machine(self._offer)
+        self._blank_gap = new_machine.earliest(bag.size, bag.run, bag.image, bag.image_gb)
         if self._blank_gap is not None:
-            self._blank_score = self._score(blank, self._blank_gap, self._following, unrented=True)
+            self._blank_score = self._score(
+                new_machine, self._blank_gap, self._following, unrented=True
+            )
 
-    def _take_up_machines(self) -> None:
+    def _push_competitive_machines(self) -> None:
         """Add the machines to the heap that may be better than the best candidate."""
         heap, rows = self._heap, self._rows
         while self._next_row < len(rows):
             finish = rows[self._next_row][0] + self.bag.run
             if heap and heap[0][0] < (1, finish.total_seconds(), 0.0, False, -1):
                 break
-            for candidate in self._bounds(rows[self._next_row : self._next_row + AHEAD]):
+            for candidate in self._bounds(rows[self._next_row : self._next_row + BOUNDS_BATCH]):
                 heappush(heap, candidate)
-            self._next_row += AHEAD
+            self._next_row += BOUNDS_BATCH
 
     def _renting_is_best(self) -> bool:
         if self._rentable <= 0 or self._blank_score is None:
@@ -223,7 +225,7 @@
         assert self._offer is not None
         assert self._blank_gap is not None
         assert self._blank_score is not None
-        timeline, gap = self.draft.blank(self._offer), self._blank_gap
+        timeline, gap = self.builder.new_machine(self._offer), self._blank_gap
         index = self._following + len(self.rented)
         self.rented.append(timeline)
         self._copies[index] = timeline
@@ -250,12 +252,12 @@
     def _place(self, choice: _Choice, number: int) -> None:
         """Reserve a gap for some tasks, and add them to the outcome."""
         timeline, gap, bag = choice.timeline, choice.gap, self.bag
-        overrun = self.draft.likely_finish(bag, timeline, gap) - bag.due
+        overrun = self.builder.likely_finish(bag, timeline, gap) - bag.due
         self._overrun = max(self._overrun, overrun)
         self.steps.append(Step(choice.target, gap, number, choice.rented))
         self.placed += number
         timeline.reserve(gap.start, gap.finish, bag.size, number)
-        timeline.expect(bag.image, bag.image_gb, gap.start)
+        timeline.expect_image(bag.image, bag.image_gb, gap.start)
         timeline.planned += number
 
     def _bounds(self, rows: Sequence[Row]) -> list[_Candidate]:
@@ -265,9 +267,9 @@
         Inlined by hand: a plan does this for every machine of a kind and every remaining bag, and
         a leader of hundreds of machines spent nine tenths of its time here.
         """
-        bag, now, fetch = self.bag, self.draft.now, self._fetch
+        bag, now, fetch = self.bag, self.builder.now, self._fetch
         run, due, image, waited = bag.run, bag.due, bag.image, bag.waited
-        timelines = self.draft.timelines
+        timelines = self.builder.timelines
         rate, fetching = -1.0, ZERO
         result: list[_Candidate] = []
         for start, index in rows:
@@ -300,7 +302,7 @@
         """Replace the machine on top of the heap by its next gap."""
         bag = self.bag
         gap = timeline.earliest(bag.size, bag.run, bag.image, bag.image_gb)
-        self.draft.examined += 1
+        self.builder.examined_machines += 1
         if gap is None:
             heappop(self._heap)
         else:
@@ -316,11 +318,11 @@
         score.
         """
         cost = timeline.added_cost(gap.finish, fresh=unrented)
-        likely = self.draft.likely_finish(self.bag, timeline, gap)
+        likely = self.builder.likely_finish(self.bag, timeline, gap)
         if likely <= self.bag.due:
             return 0, cost, timeline.rented_s, unrented, index
         return 1, likely.total_seconds(), cost, unrented, index
 
 
-def _moment(row: Row) -> timedelta:
+def _first_free(row: Row) -> timedelta:
     return row[0]
--- a/dappledrum/scheduling/stages.py
+++ b/dappledrum/scheduling/stages.py
@@ -15,7 +15,7 @@
 from dappledrum.timing.clock import ZERO
 
 
-class Link(NamedTuple):
+class WorkflowJob(NamedTuple):
     """A live job that waits for other jobs, or that other jobs wait for."""
 
     needs: Collection[str]  # not done yet, and live
@@ -45,39 +45,44 @@
     tasks: int
 
 
-def stages(links: Mapping[str, Link], optimism: float) -> tuple[dict[str, Stage], set[str]]:
+def stages(links: Mapping[str, WorkflowJob], optimism: float) -> tuple[dict[str, Stage], set[str]]:
     """The stage of each job, and the jobs that can never start because they wait for each other in
     a cycle."""
-    order, ring = _in_order(links)
+    order, cycle = _in_order(links)
     groups = _groups(links, order)
     # Forward: the longest path from now to the end of each job.
-    way: dict[str, timedelta] = {}
+    longest_path: dict[str, timedelta] = {}
     for name in order:
-        before = max((way[need] for need in links[name].needs if need in way), default=ZERO)
-        way[name] = before + groups[name].run
+        before = max(
+            (longest_path[need] for need in links[name].needs if need in longest_path),
+            default=ZERO,
+        )
+        longest_path[name] = before + groups[name].run
     # Backward: for each job the smallest ratio of available to needed time over all jobs that
     # wait for it.
     stretch: dict[str, float] = {}
     rank: dict[str, int] = {}
     for name in reversed(order):
         link = links[name]
-        own = next((due for due in link.dues if due >= way[name] * optimism), None)
-        if own is not None and way[name] > ZERO:
-            stretch[name] = min(stretch.get(name, own / way[name]), own / way[name])
+        own = next((due for due in link.dues if due >= longest_path[name] * optimism), None)
+        if own is not None and longest_path[name] > ZERO:
+            stretch[name] = min(
+                stretch.get(name, own / longest_path[name]), own / longest_path[name]
+            )
         rank[name] = min(rank.get(name, link.rank), link.rank)
         for need in link.needs:
-            if need in way:
+            if need in longest_path:
                 rank[need] = min(rank.get(need, rank[name]), rank[name])
                 if name in stretch:
                     stretch[need] = min(stretch.get(need, stretch[name]), stretch[name])
     result = {}
     for name in order:
-        due = way[name] * stretch[name] if name in stretch else None
+        due = longest_path[name] * stretch[name] if name in stretch else None
         result[name] = Stage(due, rank[name], groups[name].ready, groups[name].tasks)
-    return result, ring
+    return result, cycle
 
 
-def _in_order(links: Mapping[str, Link]) -> tuple[list[str], set[str]]:
+def _in_order(links: Mapping[str, WorkflowJob]) -> tuple[list[str], set[str]]:
     """Topological order of the jobs, and the jobs that are part of a cycle or wait for one."""
     left = {name: sum(need in links for need in link.needs) for name, link in links.items()}
     followers: dict[str, list[str]] = {}
@@ -93,7 +98,7 @@
     return order, links.keys() - set(order)
 
 
-def _groups(links: Mapping[str, Link], order: Sequence[str]) -> dict[str, _Group]:
+def _groups(links: Mapping[str, WorkflowJob], order: Sequence[str]) -> dict[str, _Group]:
     """The stage of each job: all jobs of its depth that the same job waits for. A job that belongs
     to several stages takes the largest. Each stage is summed up once, since a job may wait for
     thousands."""
--- a/dappledrum/scheduling/test_plan.py
+++ b/dappledrum/scheduling/test_plan.py
@@ -8,8 +8,8 @@
 from hypothesis import strategies as st
 
 from dappledrum.model.dds import PlainMachine, fill, no_overuse, rent
-from dappledrum.scheduling.deadlines import closing_deadlines, next_deadline, stage_deadlines
-from dappledrum.scheduling.estimates import Estimates, Sample
+from dappledrum.scheduling.deadlines import next_deadline, owner_deadlines, stage_deadlines
+from dappledrum.scheduling.estimates import Estimates, RunningStatistics
 from dappledrum.scheduling.plan import Bag, Planner, TeamCapacity
 from dappledrum.scheduling.timeline import InstanceKind, MachineTimeline, Offer, Size
 from dappledrum.settings import Objective
@@ -106,7 +106,7 @@
         )
         for kind, (cpus, hourly, boot) in SHAPES.items()
     ]
-    return [(blank, most) for blank in blanks], offers
+    return [(new_machine, most) for new_machine in blanks], offers
 
 
 def planner(timelines, offers=(), share=0.3, capacity=None):
@@ -131,7 +131,7 @@
                 due,
                 id=str(index),
                 rank=(index,),
-                held=True,
+                free_capacity_only=True,
                 waited=seconds(waited),
             )
         )
@@ -190,7 +190,7 @@
         timelines, drawn = large(machines, 40)
         made = planner(timelines, offers_of(50)[1])
         made.run(drawn)
-        looked[machines] = made.examined
+        looked[machines] = made.examined_machines
     assert looked[700] < 2 * looked[175]
     assert looked[700] < 5 * 40 * 60
 
@@ -209,8 +209,8 @@
 
 def test_urgency_goes_before_the_papers_order():
     _, timelines = build([("p", 5, 0, True, [])])
-    low = bag_of(4, 50, 1, 300, id="low", rank=(1, 3), held=True)
-    high = bag_of(4, 20, 1, 300, id="high", rank=(1, 1), held=True)
+    low = bag_of(4, 50, 1, 300, id="low", rank=(1, 3), free_capacity_only=True)
+    high = bag_of(4, 20, 1, 300, id="high", rank=(1, 1), free_capacity_only=True)
     assert [start[0] for start in planner(timelines).run([low, high]).starts] == ["high"]
 
 
@@ -247,7 +247,7 @@
     deviation."""
     estimates = Estimates()
     for took in times:
-        estimates.jobs.setdefault("j", Sample()).add(took)
+        estimates.jobs.setdefault("j", RunningStatistics()).add(took)
     mean, deviation = estimates.moments("j", "class", seconds(expected))
     step = expected * 0.25
     prior = [expected - step * 1.5**0.5, expected, expected + step * 1.5**0.5]
@@ -263,7 +263,7 @@
     estimates = Estimates()
     assert estimates.task_time("new", "slow", seconds(10)) == seconds(12.5)
     for _ in range(30):
-        estimates.learn("old", "slow", seconds(10), seconds(20))
+        estimates.record_task_time("old", "slow", seconds(10), seconds(20))
     assert seconds(22) < estimates.task_time("new", "slow", seconds(10)) < seconds(26)
 
 
@@ -276,8 +276,8 @@
     assert stage_deadlines(objectives, "x", seconds(30)) == [seconds(50), seconds(100)]
     assert stage_deadlines(objectives, "z", seconds(30)) == []
     kept = [Objective("deadline", job_class="x", times=1.5), Objective("deadline", job_class="y")]
-    assert closing_deadlines(kept, "x", seconds(40)) == [seconds(40), seconds(60)]
-    assert closing_deadlines(kept, "y", seconds(40)) == [seconds(40)]
-    assert closing_deadlines(kept, "x", None) == []
+    assert owner_deadlines(kept, "x", seconds(40)) == [seconds(40), seconds(60)]
+    assert owner_deadlines(kept, "y", seconds(40)) == [seconds(40)]
+    assert owner_deadlines(kept, "x", None) == []
     assert next_deadline([seconds(50), seconds(100)], seconds(60)) == seconds(100)
     assert next_deadline([seconds(50), seconds(100)], seconds(101)) is None
--- a/dappledrum/scheduling/test_stages.py
+++ b/dappledrum/scheduling/test_stages.py
@@ -7,10 +7,10 @@
 from hypothesis import strategies as st
 
 from dappledrum.model.dds import plain_stages
-from dappledrum.scheduling.stages import Link, stages
+from dappledrum.scheduling.stages import WorkflowJob, stages
 from dappledrum.timing.clock import seconds
 
-OPTIMISM = 0.8
+OPTIMISTIC_RUN_TIME_SHARE = 0.8
 
 drawn_jobs = st.lists(
     st.tuples(
@@ -42,7 +42,7 @@
             "ready": 0 if needs else tasks,
         }
     links = {
-        name: Link(
+        name: WorkflowJob(
             job["needs"],
             job["depth"],
             seconds(job["run"]),
@@ -53,9 +53,9 @@
         )
         for name, job in plain.items()
     }
-    real, ring = stages(links, OPTIMISM)
-    assert not ring
-    for name, (due, rank, ready, tasks) in plain_stages(plain, OPTIMISM).items():
+    real, cycle = stages(links, OPTIMISTIC_RUN_TIME_SHARE)
+    assert not cycle
+    for name, (due, rank, ready, tasks) in plain_stages(plain, OPTIMISTIC_RUN_TIME_SHARE).items():
         stage = real[name]
         assert (stage.rank, stage.ready, stage.tasks) == (rank, ready, tasks)
         if due is None:
@@ -66,39 +66,40 @@
 
 def test_a_chain_divides_the_time_left_by_estimated_work():
     links = {
-        "a": Link((), 0, seconds(10), (), 3, 6, 6),
-        "b": Link(("a",), 1, seconds(30), (), 3, 6, 0),
-        "c": Link(("b",), 2, seconds(10), [seconds(100)], 1, 2, 0),
+        "a": WorkflowJob((), 0, seconds(10), (), 3, 6, 6),
+        "b": WorkflowJob(("a",), 1, seconds(30), (), 3, 6, 0),
+        "c": WorkflowJob(("b",), 2, seconds(10), [seconds(100)], 1, 2, 0),
     }
-    found, _ = stages(links, OPTIMISM)
+    found, _ = stages(links, OPTIMISTIC_RUN_TIME_SHARE)
     assert [found[name].due for name in "abc"] == [seconds(20), seconds(80), seconds(100)]
     assert {stage.rank for stage in found.values()} == {1}
 
 
 def test_a_ring_is_told_apart_and_what_waits_for_it():
     links = {
-        "a": Link(("b",), 0, seconds(1), (), 3, 1, 0),
-        "b": Link(("a",), 0, seconds(1), (), 3, 1, 0),
-        "c": Link(("b",), 0, seconds(1), [seconds(9)], 3, 1, 0),
-        "d": Link((), 0, seconds(1), [seconds(9)], 3, 1, 1),
+        "a": WorkflowJob(("b",), 0, seconds(1), (), 3, 1, 0),
+        "b": WorkflowJob(("a",), 0, seconds(1), (), 3, 1, 0),
+        "c": WorkflowJob(("b",), 0, seconds(1), [seconds(9)], 3, 1, 0),
+        "d": WorkflowJob((), 0, seconds(1), [seconds(9)], 3, 1, 1),
     }
-    found, ring = stages(links, OPTIMISM)
-    assert ring == {"a", "b", "c"} and set(found) == {"d"}
+    found, cycle = stages(links, OPTIMISTIC_RUN_TIME_SHARE)
+    assert cycle == {"a", "b", "c"} and set(found) == {"d"}
 
 
 def test_long_chains_and_wide_ones_need_no_recursion():
     """A chain of thousands, and a job that thousands need, which a last job needs all of."""
     size = 3000
     deep = {
-        f"{n}": Link((f"{n - 1}",) if n else (), n, seconds(1), [seconds(9e6)], 3, 1, 0)
+        f"{n}": WorkflowJob((f"{n - 1}",) if n else (), n, seconds(1), [seconds(9e6)], 3, 1, 0)
         for n in range(size)
     }
     wide = {
-        f"{n}": Link(("0",) if n else (), min(n, 1), seconds(1), (), 3, 1, 0) for n in range(size)
+        f"{n}": WorkflowJob(("0",) if n else (), min(n, 1), seconds(1), (), 3, 1, 0)
+        for n in range(size)
     }
     others = tuple(name for name in wide if name != "0")
-    wide["last"] = Link(others, 2, seconds(1), (seconds(90),), 1, 1, 0)
+    wide["last"] = WorkflowJob(others, 2, seconds(1), (seconds(90),), 1, 1, 0)
     for links in (deep, wide):
-        found, _ = stages(links, OPTIMISM)
+        found, _ = stages(links, OPTIMISTIC_RUN_TIME_SHARE)
         assert len(found) == len(links)
     assert found["1"].due == timedelta(seconds=60)
--- a/dappledrum/scheduling/test_timeline.py
+++ b/dappledrum/scheduling/test_timeline.py
@@ -33,18 +33,18 @@
 @given(tasks_there)
 @settings(max_examples=300, derandomize=True, deadline=None)
 def test_tasks_reserved_at_once_are_as_those_reserved_one_by_one(tasks):
-    at_once, singly = timeline(), timeline()
+    starting_now, singly = timeline(), timeline()
     assert singly.billed_until() == seconds(
         READY + 50
     )  # cached before, and moved by what ends later
-    at_once.billed_until()
-    at_once.occupy((seconds(finish), size) for finish, size in tasks)
+    starting_now.billed_until()
+    starting_now.occupy((seconds(finish), size) for finish, size in tasks)
     for finish, size in tasks:
         singly.reserve(seconds(READY), seconds(max(READY, finish)), size)
-    assert at_once.times == singly.times
-    for one, other in zip(at_once.free, singly.free, strict=True):
+    assert starting_now.times == singly.times
+    for one, other in zip(starting_now.free, singly.free, strict=True):
         assert all(abs(a - b) < 1e-9 for a, b in zip(one, other, strict=True))
-    assert at_once.committed == singly.committed
-    assert at_once.billed_until() == singly.billed_until()
-    gap = at_once.earliest(Size(4.0, 1.0, 10.0), seconds(30), "i", 0.0)
+    assert starting_now.committed == singly.committed
+    assert starting_now.billed_until() == singly.billed_until()
+    gap = starting_now.earliest(Size(4.0, 1.0, 10.0), seconds(30), "i", 0.0)
     assert gap == singly.earliest(Size(4.0, 1.0, 10.0), seconds(30), "i", 0.0)
--- a/dappledrum/scheduling/test_victim_selection.py
+++ b/dappledrum/scheduling/test_victim_selection.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from dappledrum.scheduling.timeline import Size
-from dappledrum.scheduling.victim_selection import Host, Victim, choose
+from dappledrum.scheduling.victim_selection import Host, Victim, choose_victims
 from dappledrum.timing.clock import seconds
 
 tasks = st.lists(st.tuples(st.integers(1, 4), st.integers(0, 50)), max_size=5)
@@ -26,7 +26,7 @@
         )
         for i, (free, running) in enumerate(rows)
     ]
-    chosen = choose(Size(need, 0, 1), 1, hosts)
+    chosen = choose_victims(Size(need, 0, 1), 1, hosts)
     possible = [
         set(some)
         for host in hosts
--- a/dappledrum/scheduling/timeline.py
+++ b/dappledrum/scheduling/timeline.py
@@ -13,7 +13,7 @@
 from typing import NamedTuple
 
 EPSILON = 1e-6
-SLACK = timedelta(milliseconds=500)  # overruns that differ by less count as equal
+SIGNIFICANT_OVERRUN = timedelta(milliseconds=500)  # overruns that differ by less count as equal
 MAX_FIT = 1_000  # limit for tasks that need no resources
 
 
@@ -75,7 +75,7 @@
     boot: timedelta
     fetch_gb_per_s: float
     interval: timedelta
-    most: int
+    max_count: int
 
 
 class Gap(NamedTuple):
@@ -245,7 +245,7 @@
         self.free = [left, *reversed(free)]
         self._first.clear()
 
-    def expect(self, image: str, image_gb: float, start: timedelta) -> None:
+    def expect_image(self, image: str, image_gb: float, start: timedelta) -> None:
         """Note that an image will be fetched for a task that starts at this moment."""
         if image not in self.images:
             self.images[image] = start + fetch_time(image_gb, self.fetch_gb_per_s)
--- a/dappledrum/scheduling/victim_selection.py
+++ b/dappledrum/scheduling/victim_selection.py
@@ -27,7 +27,9 @@
     victims: Sequence[Victim]
 
 
-def choose(need: Size, count: int, hosts: Sequence[Host], whole: bool = False) -> list[Hashable]:
+def choose_victims(
+    need: Size, count: int, hosts: Sequence[Host], whole: bool = False
+) -> list[Hashable]:
     """Victims to stop so that `count` tasks of size `need` fit, each time on the machine where the
     least work is lost.
 
--- a/dappledrum/workers/reconciler.py
+++ b/dappledrum/workers/reconciler.py
@@ -275,7 +275,9 @@
             self._success(machine, job, now)
             if placement is not None and placement.running_at is not None:
                 took = now - placement.running_at
-                self.estimates.learn(job.id, job.spec.job_class, job.spec.estimate, took)
+                self.estimates.record_task_time(
+                    job.id, job.spec.job_class, job.spec.estimate, took
+                )
             self.wake("task done")
         elif placement is not None and item.cause == Cause.ERROR:
             self._failure(machine, job, now)
