--- a/dappledrum/controller/test_largest.py
+++ b/dappledrum/controller/test_largest.py
@@ -1,6 +1,6 @@
 """Jobs that nobody would begin, late already or too large, in a flood of others."""
 
-from dappledrum.dispatch.pending_work import BEGIN_BY
+from dappledrum.dispatch.bag_builder import MAX_WAIT_UNSTARTED
 from dappledrum.simulation.cluster import SimulatedCluster, job
 from dappledrum.simulation.virtual_time import run
 
@@ -23,7 +23,7 @@
             return [(b.id[-1], b.ready) for b in sorted(work.bags(now, 0.0), key=lambda b: b.rank)]
 
         assert order() == [("2", 9), ("1", 30)]
-        await cluster.wait(BEGIN_BY.total_seconds() - 50)
+        await cluster.wait(MAX_WAIT_UNSTARTED.total_seconds() - 50)
         assert order() == [("1", 1), ("2", 9)]
         cluster.cloud.most = most
         await cluster.until(lambda: cluster.rules.jobs["j-000001"].begun_at is not None)
--- a/dappledrum/dispatch/candidate_machines.py
+++ b/dappledrum/dispatch/candidate_machines.py
@@ -2,14 +2,13 @@
 
 from datetime import timedelta
 
-from dappledrum.fleet.autoscaler import MAX_RENTALS, Autoscaler
+from dappledrum.dispatch.context import DispatchContext
+from dappledrum.fleet.autoscaler import MAX_RENTALS
 from dappledrum.jobs.job import Job, Placement
 from dappledrum.jobs.messages import Form
-from dappledrum.scheduling.estimates import Estimates
 from dappledrum.scheduling.timeline import InstanceKind, MachineTimeline, Offer, Size
-from dappledrum.settings import Params
-from dappledrum.timing.clock import ZERO, Clock
-from dappledrum.workers.machine_registry import Machine, MachineRegistry
+from dappledrum.timing.clock import ZERO
+from dappledrum.workers.machine_registry import Machine
 
 SERVICE_RUN_TIME = timedelta(days=1)  # services run until they are cancelled
 BEST_EFFORT_RESERVE = 0.25  # share of the spot machines that idle jobs leave free
@@ -21,21 +20,13 @@
 class CandidateMachines:
     """The capacity of the fleet, now and later."""
 
-    def __init__(
-        self,
-        jobs: dict[str, Job],
-        registry: MachineRegistry,
-        estimates: Estimates,
-        autoscaler: Autoscaler,
-        params: Params,
-        clock: Clock,
-    ) -> None:
-        self.jobs = jobs
-        self.registry = registry
-        self.estimates = estimates
-        self.autoscaler = autoscaler
-        self.params = params
-        self.clock = clock
+    def __init__(self, context: DispatchContext) -> None:
+        self.jobs = context.jobs
+        self.registry = context.registry
+        self.estimates = context.estimates
+        self.autoscaler = context.autoscaler
+        self.params = context.params
+        self.clock = context.clock
         self.sizes: set[Size] = set()  # of the tasks of live jobs
         self.awake_since = ZERO
         self.mostly_unreachable = False  # most machines get no answers: the fault is on this side
--- a/dappledrum/dispatch/dispatcher.py
+++ b/dappledrum/dispatch/dispatcher.py
@@ -1,21 +1,19 @@
 """One planning round: makes a plan from the present state and carries it out."""
 
 import asyncio
-from collections.abc import Callable, Iterator
+from collections.abc import Iterator, Sequence
 from datetime import timedelta
 
 from dappledrum.dispatch.candidate_machines import CandidateMachines
+from dappledrum.dispatch.context import DispatchContext, StartRecorder
 from dappledrum.dispatch.pending_work import PendingWork
 from dappledrum.dispatch.placement import Placer
-from dappledrum.dispatch.preemption import Preemption
+from dappledrum.dispatch.preemption import Preemption, PreemptionRights
 from dappledrum.dispatch.scale_in import ScaleIn
-from dappledrum.fleet.autoscaler import Autoscaler
-from dappledrum.jobs.job import Job, Page
-from dappledrum.scheduling.estimates import Estimates
-from dappledrum.scheduling.plan import Plan, Planner, TeamCapacity
-from dappledrum.settings import Params, Tuning
-from dappledrum.timing.clock import Clock
-from dappledrum.workers.machine_registry import MachineRegistry
+from dappledrum.scheduling.bags import Bag, TeamCapacity
+from dappledrum.scheduling.plan import Planner
+from dappledrum.scheduling.plan_builder import Plan
+from dappledrum.scheduling.timeline import MachineTimeline
 
 EVENT_LOOP_SLICE = timedelta(
     milliseconds=15
@@ -29,27 +27,18 @@
     """Makes plans and carries them out."""
 
     def __init__(
-        self,
-        jobs: dict[str, Job],
-        registry: MachineRegistry,
-        estimates: Estimates,
-        autoscaler: Autoscaler,
-        params: Params,
-        clock: Clock,
-        tuning: Tuning,
-        mark: Callable[[Page], None],
-        backlog: Callable[[], int] = lambda: 0,
-        page_bytes: int | None = None,
+        self, context: DispatchContext, start_recorder: StartRecorder, page_bytes: int
     ) -> None:
-        self.jobs = jobs
-        self.autoscaler = autoscaler
-        self.clock = clock
-        self.tuning = tuning
-        self.work = PendingWork(jobs, estimates, autoscaler, params, clock, tuning)
-        self.machines = CandidateMachines(jobs, registry, estimates, autoscaler, params, clock)
-        self.placer = Placer(self.work, registry, params, clock, mark, backlog, page_bytes)
-        self.preemption = Preemption(registry, autoscaler, params)
-        self.scale_in = ScaleIn(jobs, registry, self.machines, autoscaler, params)
+        """`page_bytes`: the largest stored form of a page that placements may lead to."""
+        self.jobs = context.jobs
+        self.autoscaler = context.autoscaler
+        self.clock = context.clock
+        self.tuning = context.tuning
+        self.work = PendingWork(context)
+        self.machines = CandidateMachines(context)
+        self.placer = Placer(context, self.work, start_recorder, page_bytes)
+        self.preemption = Preemption(context)
+        self.scale_in = ScaleIn(context, self.machines)
         self.best_effort_planned_at = -BEST_EFFORT_INTERVAL
         self.postponed: set[str] = set()  # bags that the newest plan did not reach
         self.nothing_late = False  # the newest plan had nothing late and rented nothing
@@ -66,12 +55,7 @@
         self.machines.refresh()
         self.work.refresh()
         timelines = self.machines.timelines(now)
-        # Not with every plan: thousands of idle tasks cost as much as all others together.
-        due = now - self.best_effort_planned_at >= BEST_EFFORT_INTERVAL
-        self.best_effort_planned_at = now if due else self.best_effort_planned_at
-        bags = self.work.bags(
-            now, self.machines.best_effort_capacity(timelines, self.nothing_late) if due else 0.0
-        )
+        bags = self.work.bags(now, self._best_effort_cpus(timelines, now))
         planner = Planner(
             now,
             timelines,
@@ -83,29 +67,40 @@
         await self._step(planner.fill(bags), plan)
         await self._step(planner.rent(self.postponed), plan, now + MAX_PLAN_TIME)
         self.postponed = {bag.id for bag, _ in planner.left}
-        guaranteed, preemptible = self.work.guaranteed, self.work.preemptible()
-        for bag in bags:
-            if (
-                bag.id in plan.late
-                and not bag.free_capacity_only
-                and not bag.cheapest_kind_only
-                and bag.id in self.jobs
-            ):
-                job, late = self.jobs[bag.id], plan.late[bag.id]
-                self.preemption.free_capacity(job, bag, late, now, guaranteed, preemptible)
+        rights = PreemptionRights(self.work.guaranteed, self.work.preemptible())
+        self._preempt(plan, bags, now, rights)
         self.nothing_late = not plan.late and not plan.rentals and not self.postponed
         needed = plan.needed
         if self.postponed:
             # What the postponed bags need is not known yet, so no needed machine is dropped.
             needed = needed | self.autoscaler.needed
         else:
-            self.scale_in.retire_best_effort_machines(plan, now, preemptible)
+            self.scale_in.retire_best_effort_machines(plan, now, rights.preemptible)
             if self.autoscaler.listed:
                 self.scale_in.retire_ordinary_machines(plan, timelines, bags)
         # Before the first list it is not known what the predecessor has rented.
         self.autoscaler.order(plan.rentals if self.autoscaler.listed else {}, needed, now)
         return plan
 
+    def _best_effort_cpus(self, timelines: list[MachineTimeline], now: timedelta) -> float:
+        """CPUs that best-effort jobs may take in this plan. They are not planned each time, since
+        thousands of their tasks cost as much as all others together."""
+        if now - self.best_effort_planned_at < BEST_EFFORT_INTERVAL:
+            return 0.0
+        self.best_effort_planned_at = now
+        return self.machines.best_effort_capacity(timelines, self.nothing_late)
+
+    def _preempt(
+        self, plan: Plan, bags: Sequence[Bag], now: timedelta, rights: PreemptionRights
+    ) -> None:
+        """Stop other tasks for those that the plan could not place in time."""
+        for bag in bags:
+            job, late = self.jobs.get(bag.id), plan.late.get(bag.id)
+            if job is None or late is None:
+                continue
+            if not bag.free_capacity_only and not bag.cheapest_kind_only:
+                self.preemption.free_capacity(job, bag, late, now, rights)
+
     async def _step(
         self, steps: Iterator[None], plan: Plan, until: timedelta | None = None
     ) -> None:
--- a/dappledrum/dispatch/pending_work.py
+++ b/dappledrum/dispatch/pending_work.py
@@ -1,118 +1,85 @@
-"""Ready tasks as input of the planner: bags with their deadlines, order and limits."""
+"""Ready tasks as input of the planner: which bags there are, and in which order they count."""
 
 import logging
-import math
-from collections.abc import Callable, Hashable
+from collections.abc import Hashable
 from datetime import timedelta
 
 from dappledrum.accounting.entries import Demand
-from dappledrum.fleet.autoscaler import Autoscaler
-from dappledrum.fleet.messages import MachineType
-from dappledrum.gangs.all_or_nothing import is_gang
+from dappledrum.dispatch.bag_builder import OPTIMISTIC_RUN_TIME_SHARE, BagBuilder
+from dappledrum.dispatch.bag_combination import may_be_combined, merge, similarity_key
+from dappledrum.dispatch.context import DispatchContext
+from dappledrum.dispatch.job_deadlines import JobDeadlines
+from dappledrum.dispatch.placement_constraints import allowed_kinds
+from dappledrum.dispatch.team_quotas import guaranteed_jobs, team_capacity
 from dappledrum.jobs.api import allowed
 from dappledrum.jobs.job import Job
-from dappledrum.jobs.messages import RANKS, Form, Priority
+from dappledrum.jobs.messages import RANKS
 from dappledrum.scheduling.bags import Bag
-from dappledrum.scheduling.deadlines import next_deadline, owner_deadlines, stage_deadlines
-from dappledrum.scheduling.estimates import Estimates
 from dappledrum.scheduling.stages import Stage, WorkflowJob, stages
-from dappledrum.scheduling.timeline import InstanceKind, Size, fetch_time
-from dappledrum.settings import Params, Tuning
-from dappledrum.timing.clock import ZERO, Clock
-from dappledrum.workers.failure_attribution import suspected
+from dappledrum.scheduling.timeline import Size, fetch_time
 
 log = logging.getLogger(__name__)
 
-MAX_READY_TASKS = 2_000  # tasks of one job that a plan looks at
-UNLIMITED = 1e18
-MAX_COMBINED_JOB_TASKS = 4  # tasks of a job that may share a bag with others
-SIMILAR_RUN_TIME_FACTOR = 1.3  # factor up to which run times count as alike
-#: A job of which nothing has begun for so long gets its first task before all others. Users count
-#: on the start of every job within four minutes, and this leaves as much again for room to come.
-MAX_WAIT_UNSTARTED = timedelta(seconds=120)
-#: A job of which nothing has begun for so long uses room that is there, though that costs another
-#: billed interval: operators count on no job being left waiting for 90 s while there is room.
-MAX_WAIT_FOR_PAID_CAPACITY = timedelta(seconds=60)
-OPTIMISTIC_RUN_TIME_SHARE = (
-    0.8  # a deadline counts as missed only if tasks of 0.8 times the estimate miss it
-)
-
 
 class PendingWork:
     """The tasks that wait to be placed, and their order."""
 
-    def __init__(
-        self,
-        jobs: dict[str, Job],
-        estimates: Estimates,
-        autoscaler: Autoscaler,
-        params: Params,
-        clock: Clock,
-        tuning: Tuning,
-    ) -> None:
-        self.jobs = jobs
-        self.estimates = estimates
-        self.autoscaler = autoscaler
-        self.params = params
-        self.clock = clock
-        self.tuning = tuning
-        self.stages: dict[str, Stage] = {}  # of jobs in chains
+    def __init__(self, context: DispatchContext) -> None:
+        self.jobs = context.jobs
+        self.autoscaler = context.autoscaler
+        self.params = context.params
+        self.clock = context.clock
+        self.deadlines = JobDeadlines(
+            context.estimates, context.params, context.clock, context.tuning
+        )
+        self.stages: dict[str, Stage] = {}  # of jobs in workflows
         self.cycle: set[str] = set()  # jobs that wait for each other in a cycle
-        self.members: dict[str, list[Job]] = {}  # jobs of bags that combine several
+        self.combined_jobs: dict[str, list[Job]] = {}  # jobs of bags that combine several
         self.guaranteed: set[str] = set()  # jobs within their teams' guarantees
-        self._best_effort_cpus = 0.0  # that idle jobs may take in one plan
+        self._bag_builder = BagBuilder(self.deadlines, context.clock)
 
     def refresh(self) -> None:
         """Compute what all bags of one plan have in common."""
         self._compute_stages()
-        self.guaranteed = self._guaranteed()
+        self.guaranteed = guaranteed_jobs(self._in_order(), self.params.teams)
 
     def preemptible(self) -> set[str]:
         """Jobs that lose no work when they are stopped."""
         return {
             job.id
             for job in self.jobs.values()
-            if job.spec.checkpoint_s > 0 and self._is_best_effort(job)
+            if job.spec.checkpoint_s > 0 and self.deadlines.is_best_effort(job, self.stages)
         }
 
-    def task_time(self, job: Job) -> timedelta:
-        """The estimate Q of a task without the fetch of its image."""
-        if job.spec.form is Form.SERVICE:
-            return self.tuning.interval * 10
-        return self.estimates.task_time(job.id, job.spec.job_class, job.spec.estimate)
-
-    def _in_order(self) -> list[Job]:
-        return sorted(self.jobs.values(), key=lambda job: (job.accepted_at, job.id))
+    def bags(self, now: timedelta, best_effort_cpus: float) -> list[Bag]:
+        """The ready tasks, those of very small similar jobs in one bag.
 
-    def _compute_stages(self) -> None:
-        """What follows for each job from the jobs that wait for it, directly or indirectly."""
-        waiting = [job for job in self.jobs.values() if job.unmet]
-        links = {}
-        for name in dict.fromkeys(name for job in waiting for name in (job.id, *job.unmet)):
-            job = self.jobs.get(name)
-            if job is None or job.cancelled or job.over:
+        `best_effort_cpus` is what best-effort jobs may take altogether in this plan.
+        """
+        self.combined_jobs = {}
+        self._bag_builder.begin(
+            self.autoscaler.types, self.stages, self.guaranteed, best_effort_cpus
+        )
+        result: list[Bag] = []
+        groups: dict[Hashable, Bag] = {}
+        for job in self._in_order():
+            bag = self._bag_builder.build(job, now)
+            if bag is None:
                 continue
-            links[name] = WorkflowJob(
-                job.unmet,
-                job.depth,
-                self.task_time(job) + self._fetch(job),
-                self._owner_deadlines(job),
-                RANKS[job.spec.priority],
-                job.spec.tasks - job.done,
-                0 if job.unmet else job.waiting(),
-            )
-        self.stages, cycle = stages(links, OPTIMISTIC_RUN_TIME_SHARE)
-        if cycle - self.cycle:
-            log.error("these wait for each other, and stay pending: %s", ", ".join(sorted(cycle)))
-        self.cycle = cycle
-        for job in self.jobs.values():
-            stage = self.stages.get(job.id)
-            job.rank = RANKS[job.spec.priority] if stage is None else stage.rank
+            if not may_be_combined(job, bag):
+                result.append(bag)
+                continue
+            combined = groups.setdefault(similarity_key(job, bag), bag)
+            self.combined_jobs.setdefault(combined.id, []).append(job)
+            if combined is bag:
+                result.append(bag)
+            else:
+                merge(combined, bag)
+        return result
 
-    def _fetch(self, job: Job) -> timedelta:
-        """How long the fetch of a missing image takes on the machines with the highest rate."""
-        rates = [m.fetch_gb_per_s for m in self.autoscaler.types.values() if allowed(job.spec, m)]
-        return fetch_time(job.spec.image_gb, max(rates, default=1.0))
+    def team_capacity(self) -> dict[str, Size | None]:
+        """What the limit of each team leaves; None: it has no limit."""
+        return team_capacity(self.jobs.values(), self.params.teams)
 
     def demands(self) -> list[Demand]:
         """What waits for capacity, for the accounts; similar jobs are listed once."""
@@ -125,229 +92,48 @@
                 continue
             types = None if spec.types is None else tuple(spec.types)
             size = Size(spec.cpus, spec.gpus, spec.memory_gb)
-            similarity_key = (size, types, spec.zone, spec.spot, spec.team)
-            if similarity_key not in result:
+            key = (size, types, spec.zone, spec.spot, spec.team)
+            if key not in result:
                 left = capacity.get(spec.team)
-                has = left is None or left.times(Size(spec.cpus, spec.gpus, 0.0)) >= 1
-                result[similarity_key] = Demand(size, self._allowed(job, set()), has)
+                within = left is None or left.times(Size(spec.cpus, spec.gpus, 0.0)) >= 1
+                result[key] = Demand(
+                    size, allowed_kinds(job, self.autoscaler.types, set()), within
+                )
         return list(result.values())
 
-    def _owner_deadlines(self, job: Job) -> list[timedelta]:
-        """The owner's deadlines, from now on. For the last job of a chain also the later ones that
-        the objectives name; single jobs did no better with those (docs/limits.md)."""
-        own = None if job.spec.deadline_s is None else timedelta(seconds=job.spec.deadline_s)
-        objectives = self.params.objectives if job.spec.needs else ()
-        age = max(self.clock.today() - job.accepted_at, ZERO) + self.params.workers.report
-        return [limit - age for limit in owner_deadlines(objectives, job.spec.job_class, own)]
+    def _in_order(self) -> list[Job]:
+        return sorted(self.jobs.values(), key=lambda job: (job.accepted_at, job.id))
 
-    def bags(self, now: timedelta, idle_cpus: float) -> list[Bag]:
-        """The ready tasks; very small jobs that are similar are combined in one bag.
+    def _compute_stages(self) -> None:
+        """Compute what follows for each job from the jobs that wait for it, directly or not."""
+        self.stages, cycle = stages(self._workflow_jobs(), OPTIMISTIC_RUN_TIME_SHARE)
+        if cycle - self.cycle:
+            log.error("these wait for each other, and stay pending: %s", ", ".join(sorted(cycle)))
+        self.cycle = cycle
+        for job in self.jobs.values():
+            stage = self.stages.get(job.id)
+            job.rank = RANKS[job.spec.priority] if stage is None else stage.rank
 
-        A plan looks at all machines for each bag, so hundreds of jobs of one task each took
-        seconds, though in the terms of the paper they are one bag of tasks.
-        """
-        self.members = {}
-        self._best_effort_cpus = idle_cpus
-        result: list[Bag] = []
-        groups: dict[tuple[Hashable, ...], Bag] = {}
-        for job in self._in_order():
-            bag = self._bag(job, now)
-            if bag is None:
-                continue
-            spec = job.spec
-            if (
-                spec.tasks > MAX_COMBINED_JOB_TASKS
-                or bag.gang
-                or bag.free_capacity_only
-                or bag.unready
-                or spec.one_zone
-                or spec.spread
-            ):
-                result.append(bag)
+    def _workflow_jobs(self) -> dict[str, WorkflowJob]:
+        """Live jobs that wait for others or that others wait for."""
+        waiting = [job for job in self.jobs.values() if job.unmet]
+        result: dict[str, WorkflowJob] = {}
+        for name in dict.fromkeys(name for job in waiting for name in (job.id, *job.unmet)):
+            job = self.jobs.get(name)
+            if job is None or job.cancelled or job.over:
                 continue
-            similarity_key = (
-                *(spec.team, spec.priority, spec.image, spec.spot, spec.zone, spec.form),
-                *(None if spec.types is None else tuple(spec.types), bag.size, *bag.rank[:3]),
-                round(math.log(max(bag.run.total_seconds(), 0.1), SIMILAR_RUN_TIME_FACTOR)),
-                int(bag.due / max(bag.run * (SIMILAR_RUN_TIME_FACTOR - 1), timedelta(seconds=5))),
+            result[name] = WorkflowJob(
+                job.unmet,
+                job.depth,
+                self.deadlines.task_time(job) + self._fetch_time(job),
+                self.deadlines.of_owner(job),
+                RANKS[job.spec.priority],
+                job.spec.tasks - job.done,
+                0 if job.unmet else job.waiting(),
             )
-            first = groups.setdefault(similarity_key, bag)
-            self.members.setdefault(first.id, []).append(job)
-            if first is bag:
-                result.append(bag)
-                continue
-            first.ready += bag.ready
-            first.total += bag.total
-            first.run = max(first.run, bag.run)
-            first.due = min(first.due, bag.due)
-            first.rank = min(first.rank, bag.rank)
-            first.waited = max(first.waited, bag.waited)
-            first.uses_free_capacity |= bag.uses_free_capacity
         return result
 
-    def _bag(self, job: Job, now: timedelta) -> Bag | None:
-        spec = job.spec
-        gang = is_gang(job)
-        ready = job.waiting() if gang else min(job.waiting(), MAX_READY_TASKS)
-        if gang and job.on_machines():
-            return None  # complete on machines, or being stopped
-        if ready <= 0 or job.cancelled or job.over or now < job.retry_at or job.unmet:
-            return None
-        free_capacity_only = suspected(job)
-        if free_capacity_only and any(not p.lost for p in job.placements()):
-            return None  # what runs already will tell
-        run = self.task_time(job)
-        today = self.clock.today()
-        waited = max(today - job.begun_at, ZERO)
-        age = waited + self.params.workers.report
-        expected = stage_deadlines(self.params.objectives, spec.job_class, run)
-        limits = sorted([limit - age for limit in expected] + self._owner_deadlines(job))
-        stage = self.stages.get(job.id)
-        if stage is not None and stage.due is not None:
-            limits = sorted([*limits, stage.due])
-        best_effort = self._is_best_effort(job)
-        if best_effort:
-            ready = min(ready, int(self._best_effort_cpus / max(spec.cpus, 0.1)))
-            if ready <= 0:
-                return None
-            self._best_effort_cpus -= ready * spec.cpus
-        if not limits:
-            time_limit = (
-                run + timedelta(seconds=30)
-                if spec.form is Form.SERVICE
-                else run * 4 + self.tuning.interval
-            )
-            limits = [time_limit - age]
-        limit = next_deadline(limits, run * OPTIMISTIC_RUN_TIME_SHARE)
-        if best_effort:
-            limit = ZERO  # as soon as there is room, however long it has waited
-        # Too late for everything: what can still be in time goes first, and nothing dear is rented
-        # for it.
-        missed = limit is None or best_effort
-        due = now + (limits[-1] if limit is None else limit)
-        # In order of deadlines what is late already waits for all that can still be in time, and
-        # in a flood it waited for ever.
-        unbegun = not free_capacity_only and job.done == 0 and not job.on_machines()
-        overdue = waited > MAX_WAIT_UNSTARTED and unbegun and not best_effort
-        if overdue:
-            missed, due = False, now + run
-            ready = ready if gang else 1
-        zones = {p.zone for p in job.placements()} if spec.one_zone or spec.spread else set()
-        return Bag(
-            id=job.id,
-            size=job.size,
-            ready=1 if free_capacity_only and not gang else ready,
-            unready=0 if stage is None else stage.tasks - stage.ready,
-            ready_siblings=0 if stage is None else max(0, stage.ready - job.waiting()),
-            total=spec.tasks if stage is None else stage.tasks,
-            run=run,
-            due=due,
-            image=spec.image,
-            image_gb=spec.image_gb,
-            allowed=self._allowed(
-                job,
-                zones if spec.one_zone else set(),
-                best_effort and spec.spot and spec.checkpoint_s <= 0,
-            ),
-            rank=self._rank(
-                job,
-                2 if free_capacity_only or best_effort else -1 if overdue else int(missed),
-                due - run,
-            ),
-            one_zone=spec.one_zone and not zones,
-            zone_capacity=self._zone_capacity(job) if spec.spread else None,
-            team=spec.team,
-            free_capacity_only=free_capacity_only,
-            waited=waited,
-            cheapest_kind_only=missed,
-            best_effort=best_effort,
-            gang=gang,
-            uses_free_capacity=waited > MAX_WAIT_FOR_PAID_CAPACITY and unbegun,
-        )
-
-    def _rank(self, job: Job, missed: int, latest_start: timedelta) -> tuple[float, ...]:
-        """What decides before the order of the paper: guarantees, then jobs that can still meet
-        their deadline, then high urgency (which could preempt the rest anyway), then the least
-        slack."""
-        urgency = job.rank
-        guaranteed = job.id in self.guaranteed
-        return (
-            not guaranteed,
-            missed,
-            min(urgency, RANKS[Priority.NORMAL]),
-            latest_start.total_seconds(),
-            urgency,
-        )
-
-    def _is_best_effort(self, job: Job) -> bool:
-        """Whether a job has no deadline of any sort: low urgency, no deadline, no objective."""
-        spec = job.spec
-        return (
-            job.rank == RANKS[Priority.LOW]
-            and spec.form is Form.ARRAY
-            and spec.deadline_s is None
-            and (job.id not in self.stages or self.stages[job.id].due is None)
-            and not stage_deadlines(self.params.objectives, spec.job_class, ZERO)
-        )
-
-    def _allowed(
-        self, job: Job, zones: set[str], spot_only: bool = False
-    ) -> Callable[[InstanceKind], bool]:
-        spec = job.spec
-        types: dict[str, MachineType] = self.autoscaler.types
-        fits = {name for name, model in types.items() if allowed(spec, model)}
-
-        def check(kind: InstanceKind) -> bool:
-            if kind.type not in fits or (not kind.spot if spot_only else kind.spot > spec.spot):
-                return False
-            if spec.zone is not None and kind.zone != spec.zone:
-                return False
-            return not zones or zones == {kind.zone}
-
-        return check
-
-    def _zone_capacity(self, job: Job) -> dict[str, int]:
-        most = -(-job.spec.tasks // 2)
-        capacity = {zone: most for model in self.autoscaler.types.values() for zone in model.zones}
-        for placement in job.placements():
-            capacity[placement.zone] = capacity.get(placement.zone, most) - 1
-        return capacity
-
-    def team_capacity(self) -> dict[str, Size | None]:
-        """What the limit of each team leaves; None: it has no limit."""
-        used: dict[str, list[float]] = {}
-        for job in self.jobs.values():
-            count = job.on_machines()
-            total = used.setdefault(job.spec.team, [0.0, 0.0])
-            total[0] += job.spec.cpus * count
-            total[1] += job.spec.gpus * count
-        capacity: dict[str, Size | None] = {}
-        for team in self.params.teams:
-            cpus, gpus = used.get(team.name, [0.0, 0.0])
-            if team.cpus_max <= 0 and team.gpus_max <= 0:
-                capacity[team.name] = None
-                continue
-            capacity[team.name] = Size(
-                team.cpus_max - cpus if team.cpus_max > 0 else UNLIMITED,
-                team.gpus_max - gpus if team.gpus_max > 0 else UNLIMITED,
-                UNLIMITED,
-            )
-        return capacity
-
-    def _guaranteed(self) -> set[str]:
-        """Jobs that fit into the guarantee of their team together with its earlier unfinished
-        jobs."""
-        result: set[str] = set()
-        for team in self.params.teams:
-            if team.cpus <= 0 and team.gpus <= 0:
-                continue
-            cpus = gpus = 0.0
-            for job in self._in_order():
-                if job.spec.team != team.name or job.cancelled or job.over or job.unmet:
-                    continue
-                left = job.spec.tasks - job.done
-                cpus += job.spec.cpus * left
-                gpus += job.spec.gpus * left
-                if cpus <= team.cpus + 1e-9 and gpus <= team.gpus + 1e-9:
-                    result.add(job.id)
-        return result
+    def _fetch_time(self, job: Job) -> timedelta:
+        """How long the fetch of a missing image takes on the machines with the highest rate."""
+        rates = [m.fetch_gb_per_s for m in self.autoscaler.types.values() if allowed(job.spec, m)]
+        return fetch_time(job.spec.image_gb, max(rates, default=1.0))
--- a/dappledrum/dispatch/placement.py
+++ b/dappledrum/dispatch/placement.py
@@ -1,15 +1,12 @@
 """Places the tasks that a plan starts; a placement counts before its worker is told."""
 
 import logging
-from collections.abc import Callable
 
+from dappledrum.dispatch.context import DispatchContext, StartRecorder
 from dappledrum.dispatch.pending_work import PendingWork
 from dappledrum.gangs.all_or_nothing import is_gang
-from dappledrum.jobs.job import Job, Page
+from dappledrum.jobs.job import Job
 from dappledrum.jobs.messages import RANKS, Priority
-from dappledrum.settings import Params
-from dappledrum.timing.clock import Clock
-from dappledrum.workers.machine_registry import MachineRegistry
 
 log = logging.getLogger(__name__)
 
@@ -21,22 +18,18 @@
 
     def __init__(
         self,
+        context: DispatchContext,
         work: PendingWork,
-        registry: MachineRegistry,
-        params: Params,
-        clock: Clock,
-        mark: Callable[[Page], None],
-        backlog: Callable[[], int],
-        page_bytes: int | None,
+        start_recorder: StartRecorder,
+        page_bytes: int,
     ) -> None:
         self.work = work
-        self.jobs = work.jobs
-        self.registry = registry
-        self.params = params
-        self.clock = clock
-        self.mark = mark
-        self.backlog = backlog
-        self.page_bytes = page_bytes or params.state.value_bytes
+        self.jobs = context.jobs
+        self.registry = context.registry
+        self.params = context.params
+        self.clock = context.clock
+        self.start_recorder = start_recorder
+        self.page_bytes = page_bytes
 
     def start(self, starts: list[tuple[str, str, int]]) -> None:
         """Place what one step of the plan starts."""
@@ -69,7 +62,7 @@
 
     def _place_bag(self, bag: str, name: str, count: int) -> None:
         """Place tasks of a bag, which may belong to several jobs."""
-        members = self.work.members.get(bag)
+        members = self.work.combined_jobs.get(bag)
         if members is None:
             self._place(bag, name, count)
             return
@@ -104,11 +97,13 @@
                 machine.given.set()
                 count -= 1
                 bound += row
-            self.mark(page)
+            self.start_recorder.mark(page)
             if count <= 0:
                 break
         return asked - count
 
     def _record_backlog_too_long(self) -> bool:
         """Whether more starts wait to be recorded than can be written in a short time."""
-        return self.backlog() > max(8.0, self.params.state.write_rps * MAX_RECORD_BACKLOG_S)
+        return self.start_recorder.starts_waiting() > max(
+            8.0, self.params.state.write_rps * MAX_RECORD_BACKLOG_S
+        )
--- /dev/null
+++ b/dappledrum/dispatch/placement_constraints.py
@@ -0,0 +1,37 @@
+"""Where the tasks of a job may be placed: machine types, zones, spot or ordinary machines."""
+
+from collections.abc import Callable, Mapping
+
+from dappledrum.fleet.messages import MachineType
+from dappledrum.jobs.api import allowed
+from dappledrum.jobs.job import Job
+from dappledrum.scheduling.timeline import InstanceKind
+
+
+def allowed_kinds(
+    job: Job, types: Mapping[str, MachineType], zones: set[str], spot_only: bool = False
+) -> Callable[[InstanceKind], bool]:
+    """Test of the instance kinds that tasks of a job may use.
+
+    `zones`, unless empty, are the only zones that are left for the job.
+    """
+    spec = job.spec
+    fits = {name for name, model in types.items() if allowed(spec, model)}
+
+    def check(kind: InstanceKind) -> bool:
+        if kind.type not in fits or (not kind.spot if spot_only else kind.spot > spec.spot):
+            return False
+        if spec.zone is not None and kind.zone != spec.zone:
+            return False
+        return not zones or zones == {kind.zone}
+
+    return check
+
+
+def spread_capacity(job: Job, types: Mapping[str, MachineType]) -> dict[str, int]:
+    """How many more tasks of a `spread` job each zone may take: at most half of all in one."""
+    half = -(-job.spec.tasks // 2)
+    capacity = {zone: half for model in types.values() for zone in model.zones}
+    for placement in job.placements():
+        capacity[placement.zone] = capacity.get(placement.zone, half) - 1
+    return capacity
--- a/dappledrum/dispatch/preemption.py
+++ b/dappledrum/dispatch/preemption.py
@@ -2,98 +2,113 @@
 
 import logging
 from datetime import timedelta
+from typing import NamedTuple
 
-from dappledrum.fleet.autoscaler import Autoscaler
+from dappledrum.dispatch.context import DispatchContext
 from dappledrum.gangs.all_or_nothing import is_gang, stop_gang
 from dappledrum.jobs.job import Job, Placement
 from dappledrum.jobs.messages import RANKS, Priority
 from dappledrum.scheduling.bags import Bag
 from dappledrum.scheduling.timeline import Size
 from dappledrum.scheduling.victim_selection import Host, Victim, choose_victims
-from dappledrum.settings import Params
 from dappledrum.timing.clock import ZERO
-from dappledrum.workers.machine_registry import MachineRegistry
+from dappledrum.workers.machine_registry import Machine
 
 log = logging.getLogger(__name__)
 
 MAX_PREEMPTING_TASKS = 16  # tasks of one job for which one plan stops others
+STOP_REPORTS = 2  # a stop takes one heartbeat to be sent, and one more to be confirmed
+
+
+class PreemptionRights(NamedTuple):
+    """What the jobs of one plan may do to each other."""
+
+    guaranteed: set[str]  # jobs within their teams' guarantees
+    preemptible: set[str]  # jobs that may always be stopped, as they lose no work
 
 
 class Preemption:
     """Frees capacity for tasks that would be late."""
 
-    def __init__(self, registry: MachineRegistry, autoscaler: Autoscaler, params: Params) -> None:
-        self.registry = registry
-        self.autoscaler = autoscaler
-        self.params = params
+    def __init__(self, context: DispatchContext) -> None:
+        self.registry = context.registry
+        self.autoscaler = context.autoscaler
+        self.params = context.params
 
     def free_capacity(
-        self,
-        job: Job,
-        bag: Bag,
-        late: int,
-        now: timedelta,
-        guaranteed: set[str],
-        preemptible: set[str],
+        self, job: Job, bag: Bag, late: int, now: timedelta, rights: PreemptionRights
     ) -> None:
-        """Stop tasks so that late ones can start: for jobs within their team's guarantee those
-        beyond theirs, for `prod` jobs those of lower urgency. `preemptible` jobs may always be
-        stopped, as they lose no work."""
-        # High urgency may stop lower work, too, but what it gained the stopped work lost twice;
+        """Stop tasks so that `late` tasks of a bag can start: for jobs within their team's
+        guarantee those beyond theirs, for `prod` jobs those of lower priority."""
+        # High priority may stop lower work, too, but what it gained the stopped work lost twice;
         # unless the work keeps its progress, and nobody waits for it.
-        gentle = job.id not in guaranteed and job.rank != RANKS[Priority.PRODUCTION]
-        if gentle and not preemptible:
+        guaranteed = job.id in rights.guaranteed
+        only_preemptible = not guaranteed and job.rank != RANKS[Priority.PRODUCTION]
+        if only_preemptible and not rights.preemptible:
             return
-        # A stop takes one report to be sent, and one more to be confirmed.
-        if now + self.params.workers.report * 2 + bag.run > bag.due and job.id not in guaranteed:
+        stopped_at = now + self.params.workers.report * STOP_REPORTS
+        if stopped_at + bag.run > bag.due and not guaranteed:
             return
         hosts = []
         for machine in self.registry:
-            model = (
-                self.autoscaler.types.get(machine.kind.type) if machine.kind is not None else None
-            )
-            if (
-                model is None
-                or machine.kind is None
-                or not machine.up
-                or not bag.allowed(machine.kind)
-            ):
-                continue
-            if machine.returning or machine.draining or machine.recall_at is not None:
-                continue
-            free = Size(model.cpus, model.gpus, model.memory_gb)
-            victims = []
-            for placement in machine.placements.values():
-                other = placement.page.job
-                size = Size(other.spec.cpus, other.spec.gpus, other.spec.memory_gb)
-                free = free.minus(size)
-                if placement.lost or (gentle and other.id not in preemptible):
-                    continue
-                if self._may_preempt(other, job, guaranteed):
-                    ran = ZERO if placement.running_at is None else now - placement.running_at
-                    if other.spec.checkpoint_s > 0:
-                        ran = min(ran, other.spec.save)
-                    # A gang goes whole, so each of its tasks costs all of them.
-                    ran *= other.on_machines() if is_gang(other) else 1
-                    victims.append(Victim(placement, size, ran))
-            hosts.append(Host(machine.name, free, victims))
-        most = late if bag.gang else min(late, MAX_PREEMPTING_TASKS)
-        for victim in choose_victims(bag.size, most, hosts, whole=bag.gang):
+            capacity = self._capacity(machine, bag)
+            if capacity is not None:
+                hosts.append(self._host(machine, capacity, job, now, rights, only_preemptible))
+        limit = late if bag.gang else min(late, MAX_PREEMPTING_TASKS)
+        for victim in choose_victims(bag.size, limit, hosts, whole=bag.gang):
             assert isinstance(victim, Placement)
             log.info("stopping %s/%d for %s", victim.page.job.id, victim.task, job.id)
             victim.lost = True
             if is_gang(victim.page.job):
                 stop_gang(victim.page.job)
 
-    @staticmethod
-    def _may_preempt(other: Job, job: Job, guaranteed: set[str]) -> bool:
-        """Whether the protocol allows a task of the one job to be stopped for the other."""
-        if other.id in guaranteed and job.id not in guaranteed:
-            return False
-        if other.rank > job.rank:
-            return True
-        return (
-            job.id in guaranteed
-            and other.id not in guaranteed
-            and other.spec.team != job.spec.team
-        )
+    def _capacity(self, machine: Machine, bag: Bag) -> Size | None:
+        """All resources of a machine, if tasks of the bag may be placed there."""
+        kind = machine.kind
+        model = None if kind is None else self.autoscaler.types.get(kind.type)
+        if kind is None or model is None or not machine.up or not bag.allowed(kind):
+            return None
+        if machine.returning or machine.draining or machine.recall_at is not None:
+            return None
+        return Size(model.cpus, model.gpus, model.memory_gb)
+
+    def _host(
+        self,
+        machine: Machine,
+        capacity: Size,
+        job: Job,
+        now: timedelta,
+        rights: PreemptionRights,
+        only_preemptible: bool,
+    ) -> Host:
+        """What is free on a machine, and the tasks that may be stopped there for a job."""
+        free = capacity
+        victims = []
+        for placement in machine.placements.values():
+            other = placement.page.job
+            size = Size(other.spec.cpus, other.spec.gpus, other.spec.memory_gb)
+            free = free.minus(size)
+            if placement.lost or (only_preemptible and other.id not in rights.preemptible):
+                continue
+            if _may_preempt(other, job, rights.guaranteed):
+                victims.append(Victim(placement, size, _lost_work(placement, now)))
+        return Host(machine.name, free, victims)
+
+
+def _lost_work(placement: Placement, now: timedelta) -> timedelta:
+    """Run time that is lost if a task is stopped."""
+    job = placement.page.job
+    ran = ZERO if placement.running_at is None else now - placement.running_at
+    if job.spec.checkpoint_s > 0:
+        ran = min(ran, job.spec.save)
+    # A gang goes whole, so each of its tasks costs all of them.
+    return ran * (job.on_machines() if is_gang(job) else 1)
+
+
+def _may_preempt(other: Job, job: Job, guaranteed: set[str]) -> bool:
+    """Whether the protocol allows a task of the one job to be stopped for the other."""
+    if other.id in guaranteed and job.id not in guaranteed:
+        return False
+    if other.rank > job.rank:
+        return True
+    return job.id in guaranteed and other.id not in guaranteed and other.spec.team != job.spec.team
--- a/dappledrum/dispatch/scale_in.py
+++ b/dappledrum/dispatch/scale_in.py
@@ -5,15 +5,14 @@
 from datetime import timedelta
 
 from dappledrum.dispatch.candidate_machines import CandidateMachines
-from dappledrum.fleet.autoscaler import MAX_RENTALS, Autoscaler
+from dappledrum.dispatch.context import DispatchContext
+from dappledrum.fleet.autoscaler import MAX_RENTALS
 from dappledrum.fleet.messages import MachineType
-from dappledrum.jobs.job import Job
 from dappledrum.jobs.messages import Form
 from dappledrum.scheduling.bags import Bag
 from dappledrum.scheduling.plan_builder import Plan
 from dappledrum.scheduling.timeline import InstanceKind, MachineTimeline, Size
-from dappledrum.settings import Params
-from dappledrum.workers.machine_registry import Machine, MachineRegistry
+from dappledrum.workers.machine_registry import Machine
 
 log = logging.getLogger(__name__)
 
@@ -24,19 +23,12 @@
 class ScaleIn:
     """Decides which ordinary machines are no longer needed."""
 
-    def __init__(
-        self,
-        jobs: dict[str, Job],
-        registry: MachineRegistry,
-        machines: CandidateMachines,
-        autoscaler: Autoscaler,
-        params: Params,
-    ) -> None:
-        self.jobs = jobs
-        self.registry = registry
+    def __init__(self, context: DispatchContext, machines: CandidateMachines) -> None:
+        self.jobs = context.jobs
+        self.registry = context.registry
         self.machines = machines
-        self.autoscaler = autoscaler
-        self.params = params
+        self.autoscaler = context.autoscaler
+        self.params = context.params
 
     def retire_ordinary_machines(
         self, plan: Plan, timelines: list[MachineTimeline], bags: list[Bag]
@@ -62,22 +54,14 @@
                 machine.retiring = False
             return
         self._keep_machines_in_demand(plan, timelines, bags, retiring)
-        ordinary = [
-            (view, machine)
-            for view in timelines
-            if not view.kind.spot
-            and not view.booting
-            and (machine := self.registry.get(view.machine)) is not None
-            and self._has_cheaper_spot(self.autoscaler.types.get(view.kind.type))
-            and all(p.page.job.spec.form is not Form.SERVICE for p in machine.placements.values())
-        ]
+        ordinary = self._replaceable(timelines)
         ordinary.sort(key=lambda pair: (-pair[0].hourly_cpu, len(pair[1].placements)))
         left = 0.0
-        for _, machine in ordinary:
-            used = self._used_cpus(machine)
+        for _, candidate in ordinary:
+            used = self._used_cpus(candidate)
             if used < spare:
-                log.info("%s gets no new work: spot machines have room for it", machine.name)
-                machine.retiring = True
+                log.info("%s gets no new work: spot machines have room for it", candidate.name)
+                candidate.retiring = True
                 spare -= used
             else:
                 left += used
@@ -86,6 +70,23 @@
         if left > 0 and not plan.late and not plan.rentals:
             plan.rentals.update(self._spot_replacements(left - spare, timelines))
 
+    def _replaceable(
+        self, timelines: list[MachineTimeline]
+    ) -> list[tuple[MachineTimeline, Machine]]:
+        """Ordinary machines that are up, whose work could run on cheaper spot machines."""
+        result = []
+        for view in timelines:
+            machine = self.registry.get(view.machine)
+            if view.kind.spot or view.booting or machine is None:
+                continue
+            model = self.autoscaler.types.get(view.kind.type)
+            jobs = [placement.page.job for placement in machine.placements.values()]
+            if self._has_cheaper_spot(model) and all(
+                job.spec.form is not Form.SERVICE for job in jobs
+            ):
+                result.append((view, machine))
+        return result
+
     def _keep_machines_in_demand(
         self,
         plan: Plan,
--- a/dappledrum/dispatch/test_scale_in.py
+++ b/dappledrum/dispatch/test_scale_in.py
@@ -31,7 +31,8 @@
         until=until,
         booting=booting,
     )
-    return ScaleIn({}, None, machines, autoscaler, None)._spare_spot_cpus([view])
+    context = SimpleNamespace(jobs={}, registry=None, autoscaler=autoscaler, params=None)
+    return ScaleIn(context, machines)._spare_spot_cpus([view])
 
 
 @pytest.mark.parametrize(
--- a/dappledrum/leader/leader.py
+++ b/dappledrum/leader/leader.py
@@ -14,6 +14,7 @@
 from dappledrum.accounting.served_counts import ServedCounts, described, ending
 from dappledrum.dependencies.graph import DependencyGraph
 from dappledrum.dependencies.resolver import DependencyResolver
+from dappledrum.dispatch.context import DispatchContext
 from dappledrum.dispatch.dispatcher import Dispatcher
 from dappledrum.election.terms import Term
 from dappledrum.fleet.autoscaler import Autoscaler
@@ -133,15 +134,16 @@
         )
         self.set_types(types)
         self.dispatcher = Dispatcher(
-            self.jobs,
-            self.registry,
-            self.estimates,
-            self.autoscaler,
-            params,
-            clock,
-            tuning,
-            self.record_writer.mark,
-            self.record_writer.starts_waiting,
+            DispatchContext(
+                self.jobs,
+                self.registry,
+                self.estimates,
+                self.autoscaler,
+                params,
+                clock,
+                tuning,
+            ),
+            self.record_writer,
             # Pages of the version before may be larger than new ones, and are stored in parts.
             min(value_limit.now, value_limit.least * (params.state.txn_ops - 2)),
         )
--- a/dappledrum/scheduling/backfill.py
+++ b/dappledrum/scheduling/backfill.py
@@ -50,7 +50,7 @@
                 continue
             timeline = self.builder.timelines[index]
             if gap is not None:
-                most = min(gap.count, count - placed)
+                most = min(gap.tasks, count - placed)
                 take = self.builder.zone_limit(bag, timeline.kind.zone, most)
                 if take <= 0:
                     heappop(heap)
@@ -81,7 +81,7 @@
             and (zones is None or kind.zone in zones)
         ]
 
-    def _push_candidates(
+    def _push_candidates(  # noqa: C901 - inlined by hand, see below
         self,
         bag: Bag,
         rows: Sequence[Row],
@@ -116,7 +116,7 @@
                     fetching = fetch.time(rate)
                 finish = start + run + fetching
             else:
-                finish = run + (start if there <= start else there)
+                finish = run + (start if there <= start else there)  # noqa: FURB136 - inlined
             if finish > timeline.billed_until() and not (bag.uses_free_capacity and start <= now):
                 continue
             if cheap:
--- a/dappledrum/scheduling/gang_search.py
+++ b/dappledrum/scheduling/gang_search.py
@@ -30,7 +30,7 @@
     """What has to run together."""
 
     size: Size
-    count: int
+    tasks: int
     run: timedelta
     due: timedelta
     image: str
@@ -90,7 +90,7 @@
     def shares(self, start: timedelta) -> tuple[list[tuple[int, int]], dict[str, int] | None, int]:
         """Tasks on the rented machines at one moment, what each zone may still take, and how many
         tasks are left over."""
-        left = self.gang.count
+        left = self.gang.tasks
         zones = None if self.gang.zone_capacity is None else dict(self.gang.zone_capacity)
         result = []
         for one in self.timelines:
--- a/dappledrum/scheduling/scale_out.py
+++ b/dappledrum/scheduling/scale_out.py
@@ -85,9 +85,9 @@
         """Apply the steps of a trial; tasks on machines that it rents are reserved already."""
         for step in trial.steps:
             if step.rented:
-                self.builder.take_zone_capacity(bag, step.timeline.kind.zone, step.count)
+                self.builder.take_zone_capacity(bag, step.timeline.kind.zone, step.tasks)
             else:
-                self.builder.commit(bag, step.timeline, step.gap, step.count)
+                self.builder.commit(bag, step.timeline, step.gap, step.tasks)
 
 
 class Step(NamedTuple):
@@ -95,7 +95,7 @@
 
     timeline: MachineTimeline
     gap: Gap
-    count: int
+    tasks: int
     rented: bool  # the machine is rented in the same trial
 
 
@@ -105,7 +105,7 @@
     timeline: MachineTimeline  # the trial's own copy
     target: MachineTimeline  # the machine of the draft; the same for one rented in the trial
     gap: Gap
-    index: int
+    position: int  # of the machine among the candidates
     rented: bool
 
 
@@ -160,10 +160,10 @@
                 choice = first
             else:
                 break
-            self._place(choice, min(choice.gap.count, capacity - self.placed))
+            self._place(choice, min(choice.gap.tasks, capacity - self.placed))
             if self.best is not None and self.outcome(0) > self.best:
                 return False
-            self._replace_first(choice.timeline, choice.target, choice.index)
+            self._replace_first(choice.timeline, choice.target, choice.position)
         return True
 
     def outcome(self, left_over: int) -> _Outcome:
@@ -175,7 +175,7 @@
     def late(self) -> int:
         """How many of the placed tasks will probably finish after their deadline."""
         return sum(
-            step.count
+            step.tasks
             for step in self.steps
             if self.builder.likely_finish(self.bag, step.timeline, step.gap) > self.bag.due
         )
@@ -281,7 +281,7 @@
                     fetching = fetch.time(rate)
                 finish = start + run + fetching
             else:
-                finish = run + (start if there <= start else there)
+                finish = run + (start if there <= start else there)  # noqa: FURB136 - inlined
             cost = (
                 timeline.added_cost(finish, fresh=False)
                 if finish > timeline.billed_until()
--- a/dappledrum/scheduling/timeline.py
+++ b/dappledrum/scheduling/timeline.py
@@ -82,7 +82,7 @@
     """Free capacity on a machine: its start, how many tasks fit, and when they would finish."""
 
     start: timedelta
-    count: int
+    tasks: int
     finish: timedelta
 
 
@@ -152,7 +152,7 @@
         other.times = self.times.copy()
         other.free = self.free.copy()
         other.images = self.images.copy()
-        other._first = {}
+        other._first = {}  # noqa: SLF001 - of the same class
         return other
 
     def first(self, size: Size) -> timedelta:
