--- a/dappledrum/accounting/ledger.py
+++ b/dappledrum/accounting/ledger.py
@@ -55,11 +55,11 @@
 
 def _entry_of(placement: Placement) -> Entry:
     """What the time of an attempt on a machine is booked as, until it has ended."""
-    if placement.running_at is not None:
+    if placement.running_since is not None:
         return Entry.RUNNING
-    if placement.gathering:
+    if placement.waiting_for_gang:
         return Entry.GATHER
-    return Entry.FETCH if placement.seen else Entry.BOOKED
+    return Entry.FETCH if placement.observed else Entry.BOOKED
 
 
 class Ledger:
@@ -129,7 +129,7 @@
             entry = _entry_of(placement)
             shares[entry] += share
             if entry is Entry.RUNNING:
-                placement.spent += money * share
+                placement.accrued_cost += money * share
         for entry, share in shares.items():
             if share > 0:
                 self._add(account, entry, money * share)
@@ -148,11 +148,11 @@
     def settle(self, placement: Placement, entry: Entry) -> None:
         """Book an attempt that is over as kept, or as lost in one way."""
         account = self.accounts.get(placement.machine)
-        if account is not None and placement.spent > 0:
+        if account is not None and placement.accrued_cost > 0:
             for lines in (account.lines, self.recent):
-                lines[Entry.RUNNING] -= placement.spent
-                lines[entry] += placement.spent
-        placement.spent = 0.0
+                lines[Entry.RUNNING] -= placement.accrued_cost
+                lines[entry] += placement.accrued_cost
+        placement.accrued_cost = 0.0
 
     def log_totals(self, at_once: bool = False) -> bool:
         """Log what was booked since the last line, once a minute, so that the lines of all leaders
--- a/dappledrum/accounting/served_counts.py
+++ b/dappledrum/accounting/served_counts.py
@@ -53,7 +53,7 @@
         waiting: Counter[str] = Counter()
         started: Counter[str] = Counter()
         for job in live:
-            begun = job.done > 0 or any(p.running_at is not None for p in job.placements())
+            begun = job.done > 0 or any(p.running_since is not None for p in job.placements())
             (started if begun else waiting)[job.spec.team] += 1
         teams = sorted(waiting.keys() | started.keys() | self.done.keys() | self.cancelled.keys())
         return "; ".join(
--- a/dappledrum/accounting/test_accounting.py
+++ b/dappledrum/accounting/test_accounting.py
@@ -63,18 +63,18 @@
     total = kept = 0.0
     for span, what, index in drawn:
         machine = registry.machines[names[index]]
-        free = [p for p in machine.placements.values() if p.running_at is not None]
+        free = [p for p in machine.placements.values() if p.running_since is not None]
         if what == "place" and len(machine.placements) < 2:
             machine.up_at = clock.now()
-            task = next(work.page(0).free())
+            task = next(work.page(0).free_tasks())
             placed = work.page(0).place(task, machine.name, 1, "a", clock.today())
             machine.placements[(work.id, task)] = placed
         elif what == "run":
             for placement in machine.placements.values():
-                placement.running_at = placement.running_at or clock.now()
+                placement.running_since = placement.running_since or clock.now()
         elif what in ("done", "lose") and free:
             placement = free[0]
-            kept += placement.spent if what == "done" else 0.0
+            kept += placement.accrued_cost if what == "done" else 0.0
             ledger.settle(placement, Entry.KEPT if what == "done" else Entry.LOST_SILENT)
             machine.placements.pop((work.id, placement.task))
             work.page(0).remove(placement.task)
--- a/dappledrum/controller/test_concurrent_leadership_faults.py
+++ b/dappledrum/controller/test_concurrent_leadership_faults.py
@@ -321,7 +321,7 @@
     """Whether a start is on its way to one of these machines."""
     known = [machine for name in machines if (machine := leader.registry.get(name)) is not None]
     placements = [placement for machine in known for placement in machine.placements.values()]
-    return any(p.offered_tick >= 0 and not p.seen for p in placements)
+    return any(p.offered_sequence >= 0 and not p.observed for p in placements)
 
 
 @SEEDS
--- a/dappledrum/controller/test_concurrent_user_requests.py
+++ b/dappledrum/controller/test_concurrent_user_requests.py
@@ -225,7 +225,7 @@
         jobs = cluster.controllers[former].leader.jobs
         await cluster.until(lambda: user.name in jobs)
         live = jobs[user.name]
-        while not live.page(0).uncertain:
+        while not live.page(0).version_uncertain:
             await asyncio.sleep(0.01)
         cluster.freeze(former)
         cluster.network.watcher = None
--- a/dappledrum/controller/test_upgrade.py
+++ b/dappledrum/controller/test_upgrade.py
@@ -165,7 +165,7 @@
 
 
 def placed(page):
-    return {(p.task, p.attempt, p.machine, p.session, p.zone) for p in page.places.values()}
+    return {(p.task, p.attempt, p.machine, p.session, p.zone) for p in page.placements.values()}
 
 
 def test_a_page_of_the_version_before_goes_into_parts():
@@ -190,7 +190,7 @@
     assert len(specs) == head.spec_parts
     parts = [msgspec.json.decode(changes[key], type=SpecPart) for key in specs]
     second = Job(head, 4, parts)
-    assert second.spec == first.spec and len(second.unmet) == 400
+    assert second.spec == first.spec and len(second.unmet_dependencies) == 400
     for key, value in changes.items():
         if key.startswith("rows/"):
             second.page(0).load_rows(msgspec.json.decode(value, type=RowsRecord))
--- a/dappledrum/dependencies/graph.py
+++ b/dappledrum/dependencies/graph.py
@@ -64,9 +64,9 @@
     def add(self, job: Job) -> None:
         """Add a live job."""
         self.unknown.pop(job.id, None)
-        for need in sorted(job.unmet):
+        for need in sorted(job.unmet_dependencies):
             self.followers.setdefault(need, {})[job.id] = None
-        for need in sorted(job.unmet):
+        for need in sorted(job.unmet_dependencies):
             live, past = self.jobs.get(need), self.past.get(need)
             if live is not None:
                 job.depth = max(job.depth, live.depth + 1)
@@ -76,8 +76,8 @@
                 self._settle(need, job, past)
             else:
                 self.unknown[need] = None
-        if job.unmet and not job.cancelled:
-            log.info("%s waits for %s", job.id, shown(job.unmet))
+        if job.unmet_dependencies and not job.cancelled:
+            log.info("%s waits for %s", job.id, shown(job.unmet_dependencies))
         if job.cancelled:
             self.cancelled(job)
 
@@ -88,7 +88,7 @@
     def ended(self, job: Job) -> None:
         """Note that the end of a job is stored."""
         record = job.ended_record()
-        for need in job.unmet:
+        for need in job.unmet_dependencies:
             self._unlink(need, job.id)
         self.settle(job.id, record, job.depth)
 
@@ -118,14 +118,14 @@
             self._cancel(job, need)
             self._take_along(job)
             return
-        job.unmet.discard(need)
+        job.unmet_dependencies.discard(need)
         job.depth = max(job.depth, past.depth + 1)
         if past.at is not None:
             # Without a time, the end was before the job came: then its times count from there.
-            job.begun_at = max(job.begun_at, past.at)
+            job.released_at = max(job.released_at, past.at)
         self._unlink(need, job.id)
-        if not job.unmet and not job.cancelled:
-            waited = (job.begun_at - job.accepted_at).total_seconds()
+        if not job.unmet_dependencies and not job.cancelled:
+            waited = (job.released_at - job.accepted_at).total_seconds()
             log.info("%s is released %.1f s after it came: all it needs is done", job.id, waited)
             self.wake("job released")
 
@@ -146,7 +146,7 @@
             return
         job.cancelled = True
         log.info("%s is cancelled with %s, which it needs", job.id, need)
-        if job.on_machines():
-            job.page(0).touch()  # else it ends at once, and no head is written
+        if job.placement_count():
+            job.page(0).bump_revision()  # else it ends at once, and no head is written
         self.mark(job.page(0))
         self.wake("job cancelled")
--- a/dappledrum/dispatch/candidate_machines.py
+++ b/dappledrum/dispatch/candidate_machines.py
@@ -63,11 +63,11 @@
         free = Size(model.cpus, model.gpus, model.memory_gb)
         for placement in machine.placements.values():
             job = placement.page.job
-            if placement.running_at is None or placement.lost or job.cancelled:
+            if placement.running_since is None or placement.lost or job.cancelled:
                 return False
             if (
                 job.spec.form is not Form.SERVICE
-                and now + span > placement.running_at + self._mean(job)
+                and now + span > placement.running_since + self._mean(job)
             ):
                 return False
             free = free.minus(job.size)
@@ -140,11 +140,11 @@
                 job.id, job.spec.job_class, job.spec.estimate
             )
         mean, deviation = known
-        if placement.running_at is None:
+        if placement.running_since is None:
             return now + timeline.duration(
                 mean + deviation, job.spec.image, job.spec.image_gb, now
             )
-        left = mean + deviation - (now - placement.running_at)
+        left = mean + deviation - (now - placement.running_since)
         return now + max(left, deviation / 2, timedelta(seconds=1))
 
     def idle_capacity(self, timelines: list[MachineTimeline], nothing_late: bool) -> float:
--- a/dappledrum/dispatch/pending_work.py
+++ b/dappledrum/dispatch/pending_work.py
@@ -11,7 +11,7 @@
 from dappledrum.gangs.all_or_nothing import is_gang
 from dappledrum.jobs.api import allowed
 from dappledrum.jobs.job import Job
-from dappledrum.jobs.messages import RANKS, Form, Priority
+from dappledrum.jobs.messages import PRIORITY_RANKS, Form, Priority
 from dappledrum.scheduling.bags import Bag
 from dappledrum.scheduling.deadlines import closing_deadlines, next_deadline, stage_deadlines
 from dappledrum.scheduling.estimates import Estimates
@@ -84,20 +84,22 @@
 
     def _chain(self) -> None:
         """What follows for each job from the jobs that wait for it, directly or indirectly."""
-        waiting = [job for job in self.jobs.values() if job.unmet]
+        waiting = [job for job in self.jobs.values() if job.unmet_dependencies]
         links = {}
-        for name in dict.fromkeys(name for job in waiting for name in (job.id, *job.unmet)):
+        for name in dict.fromkeys(
+            name for job in waiting for name in (job.id, *job.unmet_dependencies)
+        ):
             job = self.jobs.get(name)
-            if job is None or job.cancelled or job.over:
+            if job is None or job.cancelled or job.finished:
                 continue
             links[name] = Link(
-                job.unmet,
+                job.unmet_dependencies,
                 job.depth,
                 self.task_time(job) + self._fetch(job),
                 self._closing(job),
-                RANKS[job.spec.priority],
+                PRIORITY_RANKS[job.spec.priority],
                 job.spec.tasks - job.done,
-                0 if job.unmet else job.waiting(),
+                0 if job.unmet_dependencies else job.waiting(),
             )
         self.stages, ring = stages(links, OPTIMISM)
         if ring - self.ring:
@@ -105,7 +107,7 @@
         self.ring = ring
         for job in self.jobs.values():
             stage = self.stages.get(job.id)
-            job.rank = RANKS[job.spec.priority] if stage is None else stage.rank
+            job.effective_rank = PRIORITY_RANKS[job.spec.priority] if stage is None else stage.rank
 
     def _fetch(self, job: Job) -> timedelta:
         """How long the fetch of a missing image takes on the machines with the highest rate."""
@@ -119,7 +121,13 @@
         result: dict[Hashable, Demand] = {}
         for job in self.jobs.values():
             spec = job.spec
-            if job.cancelled or job.over or job.unmet or now < job.retry_at or job.waiting() <= 0:
+            if (
+                job.cancelled
+                or job.finished
+                or job.unmet_dependencies
+                or now < job.retry_at
+                or job.waiting() <= 0
+            ):
                 continue
             types = None if spec.types is None else tuple(spec.types)
             size = Size(spec.cpus, spec.gpus, spec.memory_gb)
@@ -187,16 +195,22 @@
         spec = job.spec
         gang = is_gang(job)
         ready = job.waiting() if gang else min(job.waiting(), MAX_READY)
-        if gang and job.on_machines():
+        if gang and job.placement_count():
             return None  # complete on machines, or being stopped
-        if ready <= 0 or job.cancelled or job.over or now < job.retry_at or job.unmet:
+        if (
+            ready <= 0
+            or job.cancelled
+            or job.finished
+            or now < job.retry_at
+            or job.unmet_dependencies
+        ):
             return None
         held = suspected(job)
         if held and any(not p.lost for p in job.placements()):
             return None  # what runs already will tell
         run = self.task_time(job)
         today = self.clock.today()
-        waited = max(today - job.begun_at, ZERO)
+        waited = max(today - job.released_at, ZERO)
         age = waited + self.params.workers.report
         expected = stage_deadlines(self.params.objectives, spec.job_class, run)
         limits = sorted([limit - age for limit in expected] + self._closing(job))
@@ -225,7 +239,7 @@
         due = now + (limits[-1] if limit is None else limit)
         # In order of deadlines what is late already waits for all that can still be in time, and
         # in a flood it waited for ever.
-        unbegun = not held and job.done == 0 and not job.on_machines()
+        unbegun = not held and job.done == 0 and not job.placement_count()
         overdue = waited > BEGIN_BY and unbegun and not idle
         if overdue:
             missed, due = False, now + run
@@ -263,12 +277,12 @@
         """What decides before the order of the paper: guarantees, then jobs that can still meet
         their deadline, then high urgency (which could preempt the rest anyway), then the least
         slack."""
-        urgency = job.rank
+        urgency = job.effective_rank
         guaranteed = job.id in self.guaranteed
         return (
             not guaranteed,
             missed,
-            min(urgency, RANKS[Priority.NORMAL]),
+            min(urgency, PRIORITY_RANKS[Priority.NORMAL]),
             latest_start.total_seconds(),
             urgency,
         )
@@ -277,7 +291,7 @@
         """Whether a job has no deadline of any sort: low urgency, no deadline, no objective."""
         spec = job.spec
         return (
-            job.rank == RANKS[Priority.LOW]
+            job.effective_rank == PRIORITY_RANKS[Priority.LOW]
             and spec.form is Form.ARRAY
             and spec.deadline_s is None
             and (job.id not in self.stages or self.stages[job.id].due is None)
@@ -311,7 +325,7 @@
         """What the limit of each team leaves; None: it has no limit."""
         used: dict[str, list[float]] = {}
         for job in self.jobs.values():
-            count = job.on_machines()
+            count = job.placement_count()
             total = used.setdefault(job.spec.team, [0.0, 0.0])
             total[0] += job.spec.cpus * count
             total[1] += job.spec.gpus * count
@@ -337,7 +351,12 @@
                 continue
             cpus = gpus = 0.0
             for job in self._in_order():
-                if job.spec.team != team.name or job.cancelled or job.over or job.unmet:
+                if (
+                    job.spec.team != team.name
+                    or job.cancelled
+                    or job.finished
+                    or job.unmet_dependencies
+                ):
                     continue
                 left = job.spec.tasks - job.done
                 cpus += job.spec.cpus * left
--- a/dappledrum/dispatch/placement.py
+++ b/dappledrum/dispatch/placement.py
@@ -6,7 +6,7 @@
 from dappledrum.dispatch.pending_work import PendingWork
 from dappledrum.gangs.all_or_nothing import is_gang
 from dappledrum.jobs.job import Job, Page
-from dappledrum.jobs.messages import RANKS, Priority
+from dappledrum.jobs.messages import PRIORITY_RANKS, Priority
 from dappledrum.settings import Params
 from dappledrum.timing.clock import Clock
 from dappledrum.workers.machine_registry import MachineRegistry
@@ -53,7 +53,7 @@
     def _place_whole(self, job: Job, shares: list[tuple[str, int]]) -> None:
         """Place all tasks of a gang, or none. Nothing of it is written in between, because the
         event loop runs nothing else meanwhile."""
-        if job.on_machines() or sum(count for _, count in shares) < job.waiting():
+        if job.placement_count() or sum(count for _, count in shares) < job.waiting():
             return
         # Workers run a gang once all of one attempt are there, so its members share the number.
         attempt = job.next_attempt()
@@ -85,16 +85,16 @@
         machine = self.registry.get(name)
         if machine is None or machine.kind is None or not machine.usable:
             return 0
-        if job is None or job.cancelled or job.over or job.unmet:
+        if job is None or job.cancelled or job.finished or job.unmet_dependencies:
             return 0
-        if job.rank >= RANKS[Priority.LOW] and self._records_late():
+        if job.effective_rank >= PRIORITY_RANKS[Priority.LOW] and self._records_late():
             return 0  # capacity held for a start that can't be recorded yet is wasted
         asked = count
         today = self.clock.today()
         limit = self.page_bytes
-        for page in job.free_tasks():
-            bound, row = page.size_bound(name, today), page.row_bound(today)
-            for task in page.free():
+        for page in job.pages_with_free_tasks():
+            bound, row = page.max_value_bytes(name, today), page.max_row_bytes(today)
+            for task in page.free_tasks():
                 if count <= 0 or bound > limit:
                     break
                 placement = page.place(
--- a/dappledrum/dispatch/preemption.py
+++ b/dappledrum/dispatch/preemption.py
@@ -6,7 +6,7 @@
 from dappledrum.fleet.autoscaler import Autoscaler
 from dappledrum.gangs.all_or_nothing import give_up, is_gang
 from dappledrum.jobs.job import Job, Placement
-from dappledrum.jobs.messages import RANKS, Priority
+from dappledrum.jobs.messages import PRIORITY_RANKS, Priority
 from dappledrum.scheduling.bags import Bag
 from dappledrum.scheduling.timeline import Size
 from dappledrum.scheduling.victim_selection import Host, Victim, choose
@@ -41,7 +41,9 @@
         stopped, as they lose no work."""
         # High urgency may stop lower work, too, but what it gained the stopped work lost twice;
         # unless the work keeps its progress, and nobody waits for it.
-        gentle = job.id not in guaranteed and job.rank != RANKS[Priority.PRODUCTION]
+        gentle = (
+            job.id not in guaranteed and job.effective_rank != PRIORITY_RANKS[Priority.PRODUCTION]
+        )
         if gentle and not yielding:
             return
         # A stop takes one report to be sent, and one more to be confirmed.
@@ -70,11 +72,13 @@
                 if placement.lost or (gentle and other.id not in yielding):
                     continue
                 if self._yields(other, job, guaranteed):
-                    ran = ZERO if placement.running_at is None else now - placement.running_at
+                    ran = (
+                        ZERO if placement.running_since is None else now - placement.running_since
+                    )
                     if other.spec.checkpoint_s > 0:
                         ran = min(ran, other.spec.save)
                     # A gang goes whole, so each of its tasks costs all of them.
-                    ran *= other.on_machines() if is_gang(other) else 1
+                    ran *= other.placement_count() if is_gang(other) else 1
                     victims.append(Victim(placement, size, ran))
             hosts.append(Host(machine.name, free, victims))
         most = late if bag.gang else min(late, MAX_STOPPED)
@@ -90,7 +94,7 @@
         """Whether the protocol allows a task of the one job to be stopped for the other."""
         if other.id in guaranteed and job.id not in guaranteed:
             return False
-        if other.rank > job.rank:
+        if other.effective_rank > job.effective_rank:
             return True
         return (
             job.id in guaranteed
--- a/dappledrum/gangs/all_or_nothing.py
+++ b/dappledrum/gangs/all_or_nothing.py
@@ -30,7 +30,7 @@
 def split(job: Job) -> bool:
     """Whether some tasks of a gang count as placed while others neither do nor are done, or must
     go."""
-    if job.on_machines() == 0:
+    if job.placement_count() == 0:
         return False
     return job.waiting() > 0 or any(p.lost for p in job.placements())
 
@@ -38,7 +38,7 @@
 def stop_broken_gangs(jobs: Iterable[Job]) -> None:
     """Give up the remaining tasks of gangs that have lost a member."""
     for job in jobs:
-        if is_gang(job) and not job.cancelled and not job.over and split(job):
+        if is_gang(job) and not job.cancelled and not job.finished and split(job):
             left = [p for p in job.placements() if not p.lost]
             if left:
                 log.info("%s has lost a part, %d tasks are stopped with it", job.id, len(left))
--- a/dappledrum/golden/test_store.py
+++ b/dappledrum/golden/test_store.py
@@ -239,7 +239,7 @@
     result = Job(msgspec.json.decode(GOLDEN["live-head"].data, type=JobRecord), version=3)
     page = msgspec.json.decode(GOLDEN["live-page"].data, type=PageRecord)
     result.add_page(1, page, version=4)
-    result.unmet.clear()
+    result.unmet_dependencies.clear()
     return result
 
 
--- a/dappledrum/jobs/job.py
+++ b/dappledrum/jobs/job.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from dappledrum.jobs.messages import (
-    RANKS,
+    PRIORITY_RANKS,
     EndedRecord,
     Form,
     JobRecord,
@@ -70,21 +70,20 @@
 
     __slots__ = (
         "attempt",
-        "offered_tick",
+        "offered_sequence",
         "placed_at",
         "revision",
-        "running_at",
-        "seen",
+        "running_since",
+        "observed",
         "session",
-        "stopping",
         "task",
         "machine",
         "name",
         "zone",
         "page",
         "lost",
-        "gathering",
-        "spent",
+        "waiting_for_gang",
+        "accrued_cost",
     )
 
     def __init__(
@@ -106,13 +105,12 @@
         self.zone = zone
         self.placed_at = placed_at
         self.revision = page.revision
-        self.seen = False  # a report has shown it
-        self.running_at: timedelta | None = None
-        self.offered_tick = -1  # tick of the newest report whose answer carried the start
-        self.stopping: timedelta | None = None  # when the first stop was sent
+        self.observed = False  # a report has shown it
+        self.running_since: timedelta | None = None
+        self.offered_sequence = -1  # tick of the newest report whose answer carried the start
         self.lost = False  # to be given up as soon as that is proven safe
-        self.gathering = False  # has its image and waits for the rest of its gang
-        self.spent = 0.0  # money that its run time has cost so far, see `accounts`
+        self.waiting_for_gang = False  # has its image and waits for the rest of its gang
+        self.accrued_cost = 0.0  # money that its run time has cost so far, see `accounts`
 
 
 class Page:
@@ -125,17 +123,21 @@
         self.count = min(job.page_size, job.spec.tasks - self.first)
         self.attempt = 1
         self.done = 0
-        self.places: dict[int, Placement] = {}
+        self.placements: dict[int, Placement] = {}
         #: Placements of tasks that have completed in an earlier attempt, which was taken for lost.
         self.superfluous = 0
         self.revision = 0
-        self.starts = 0  # revision of the newest placement: its start waits until that is stored
-        self.saved = 0
+        self.last_placement_revision = (
+            0  # revision of the newest placement: its start waits until that is stored
+        )
+        self.stored_revision = 0
         self.stored_bytes = 0
         self.version = 0  # of the stored key; 0: not stored
         self.parts = 0  # further values of the stored form
-        self.uncertain = False  # the outcome of the last write is unknown: read before writing
-        self.twin_possible = False  # a write without an answer may yet be carried out
+        self.version_uncertain = (
+            False  # the outcome of the last write is unknown: read before writing
+        )
+        self.delayed_write_possible = False  # a write without an answer may yet be carried out
 
     @property
     def key(self) -> str:
@@ -145,9 +147,9 @@
     @property
     def dirty(self) -> bool:
         """Something is not stored yet."""
-        return self.revision > self.saved
+        return self.revision > self.stored_revision
 
-    def touch(self) -> int:
+    def bump_revision(self) -> int:
         """Note a change; returns the revision that has to be stored for it."""
         self.revision += 1
         return self.revision
@@ -155,11 +157,11 @@
     def placed(self) -> int:
         """Bitmap of the tasks that count as being on a machine."""
         result = 0
-        for task in self.places:
+        for task in self.placements:
             result |= 1 << (task - self.first)
         return result
 
-    def free(self) -> Iterator[int]:
+    def free_tasks(self) -> Iterator[int]:
         """Tasks that are neither done nor on a machine."""
         left = ~(self.done | self.placed()) & ((1 << self.count) - 1)
         while left:
@@ -167,22 +169,22 @@
             yield self.first + low.bit_length() - 1
             left ^= low
 
-    def row_bound(self, now: datetime) -> int:
+    def max_row_bytes(self, now: datetime) -> int:
         """The most that a placement made now takes in the stored form, besides its machine."""
         since = self._since(now)
         return len(f"{self.count},{self.attempt + self.count},{since},")
 
-    def size_bound(self, machine: str, now: datetime) -> int:
+    def max_value_bytes(self, machine: str, now: datetime) -> int:
         """No stored form of the page with one placement more, on this machine, is longer than
         this; each further one there adds at most a row."""
-        machines = {(p.machine, p.session) for p in self.places.values()}
+        machines = {(p.machine, p.session) for p in self.placements.values()}
         names = [name for name, _ in machines] + [machine]
         prefix = len(commonprefix(names))
         heads = sum(len(name) - prefix + 12 for name in names)
         sessions = sum(len(str(session)) for _, session in machines)
-        zones = sum(len(zone) + 3 for zone in {p.zone for p in self.places.values()})
+        zones = sum(len(zone) + 3 for zone in {p.zone for p in self.placements.values()})
         spec = self.job.spec_bytes if self.index == 0 else 0
-        rows = self.row_bound(now) * (len(self.places) + 1)
+        rows = self.max_row_bytes(now) * (len(self.placements) + 1)
         return spec + FRAME + self.count // 4 + heads + sessions + zones + rows
 
     def place(
@@ -198,25 +200,25 @@
         next one of the page."""
         attempt = self.attempt if attempt is None else attempt
         self.attempt = attempt + 1
-        self.starts = self.touch()
+        self.last_placement_revision = self.bump_revision()
         placement = Placement(self, task, attempt, machine, session, zone, now)
-        self.places[task] = placement
+        self.placements[task] = placement
         return placement
 
     def remove(self, task: int) -> None:
         """The attempt is proven gone."""
-        if self.places.pop(task, None) is not None:
+        if self.placements.pop(task, None) is not None:
             self.superfluous -= self.is_done(task)
-            self.touch()
+            self.bump_revision()
 
     def finish(self, task: int) -> None:
         """The task has completed."""
         bit = 1 << (task - self.first)
         if not self.done & bit:
             self.done |= bit
-            self.superfluous += task in self.places
+            self.superfluous += task in self.placements
             self.job.done += 1
-            self.touch()
+            self.bump_revision()
 
     def is_done(self, task: int) -> bool:
         """Whether the task has completed."""
@@ -226,7 +228,7 @@
         """The stored form, in one piece."""
         zones: dict[str, int] = {}
         grouped: dict[tuple[str, int, int], list[int]] = {}
-        for placement in self.places.values():
+        for placement in self.placements.values():
             zone = zones.setdefault(placement.zone, len(zones))
             row = grouped.setdefault((placement.machine, placement.session, zone), [])
             row += (
@@ -294,8 +296,8 @@
     ) -> None:
         task = self.first + offset
         at = self.job.accepted_at + timedelta(seconds=since)
-        self.superfluous += self.is_done(task) and task not in self.places
-        self.places[task] = Placement(self, task, attempt, machine, session, zone, at)
+        self.superfluous += self.is_done(task) and task not in self.placements
+        self.placements[task] = Placement(self, task, attempt, machine, session, zone, at)
 
 
 class Job:
@@ -313,13 +315,17 @@
         self.page_size = record.size
         self.accepted_at = datetime.fromtimestamp(record.at_ms / 1000, UTC)
         # What it needs and is not stored as done yet: nothing of it may start before.
-        self.unmet: set[str] = set(self.spec.needs or ()) if record.begun_ms is None else set()
+        self.unmet_dependencies: set[str] = (
+            set(self.spec.needs or ()) if record.begun_ms is None else set()
+        )
         # From when its times count, its deadline apart: when the last job that it needs was done.
-        self.begun_at = self.accepted_at
+        self.released_at = self.accepted_at
         if record.begun_ms is not None:
-            self.begun_at = datetime.fromtimestamp(record.begun_ms / 1000, UTC)
+            self.released_at = datetime.fromtimestamp(record.begun_ms / 1000, UTC)
         self.depth = 0  # of the jobs that it needs, longest way
-        self.rank = RANKS[record.spec.priority]  # its own, or that of a job that needs it
+        self.effective_rank = PRIORITY_RANKS[
+            record.spec.priority
+        ]  # its own, or that of a job that needs it
         self.ended_at: datetime | None = None  # found to be over, stored or not
         self.cancelled = record.cancelled
         self.cancel_stored = record.cancelled  # users are told so already
@@ -329,12 +335,13 @@
         self.page(0).load(record.page, version)
         self.done = self.pages[0].done.bit_count()
         # A task of it has run, as far as this leader knows; a predecessor has told it, then.
-        self.begun = self.done > 0 or self.on_machines() > 0
-        self.ending = False  # the transaction that ends it is on its way
-        self.over = False
-        self.errors: dict[str, int] = {}  # failures by machine, since the last success
+        self.has_run = self.done > 0 or self.placement_count() > 0
+        self.finished = False
+        self.failures_by_machine: dict[
+            str, int
+        ] = {}  # failures by machine, since the last success
         self.retry_at = ZERO
-        self.full_pages = 0  # pages before this one hold nothing to start
+        self.first_open_page = 0  # pages before this one hold nothing to start
 
     @property
     def page_count(self) -> int:
@@ -361,15 +368,15 @@
     def placements(self) -> Iterator[Placement]:
         """Every attempt that counts as on a machine."""
         for page in self.pages.values():
-            yield from page.places.values()
+            yield from page.placements.values()
 
-    def on_machines(self) -> int:
+    def placement_count(self) -> int:
         """Number of attempts that count as on a machine."""
-        return sum(len(page.places) for page in self.pages.values())
+        return sum(len(page.placements) for page in self.pages.values())
 
     def running(self) -> int:
         """Number of tasks that have not completed and count as on a machine."""
-        return sum(len(page.places) - page.superfluous for page in self.pages.values())
+        return sum(len(page.placements) - page.superfluous for page in self.pages.values())
 
     def waiting(self) -> int:
         """Number of tasks to be started."""
@@ -379,14 +386,14 @@
         """An attempt number that no task of the job has had."""
         return max((page.attempt for page in self.pages.values()), default=1)
 
-    def free_tasks(self) -> Iterator[Page]:
+    def pages_with_free_tasks(self) -> Iterator[Page]:
         """Pages that may hold tasks to be started, in order."""
-        while self.full_pages < self.page_count - 1:
-            page = self.pages.get(self.full_pages)
+        while self.first_open_page < self.page_count - 1:
+            page = self.pages.get(self.first_open_page)
             if page is None or page.done.bit_count() < page.count:
                 break
-            self.full_pages += 1
-        for index in range(self.full_pages, self.page_count):
+            self.first_open_page += 1
+        for index in range(self.first_open_page, self.page_count):
             yield self.page(index)
 
     def complete(self) -> bool:
@@ -397,7 +404,7 @@
         """State as users see it."""
         if self.cancelled:
             return Outcome.CANCELLED
-        return Outcome.RUNNING if self.on_machines() else Outcome.QUEUED
+        return Outcome.RUNNING if self.placement_count() else Outcome.QUEUED
 
     def detach(self, most: int) -> None:
         """Store the lists of a long specification apart from the head."""
@@ -417,8 +424,8 @@
         """Stored form of the head, with that of its page."""
         at_ms = round(self.accepted_at.timestamp() * 1000)
         begun_ms = None
-        if self.spec.needs and not self.unmet:
-            begun_ms = round(self.begun_at.timestamp() * 1000)
+        if self.spec.needs and not self.unmet_dependencies:
+            begun_ms = round(self.released_at.timestamp() * 1000)
         return JobRecord(
             self.stored_spec,
             at_ms,
--- a/dappledrum/jobs/messages.py
+++ b/dappledrum/jobs/messages.py
@@ -34,7 +34,7 @@
     LOW = "best_effort"
 
 
-RANKS = {Priority.PRODUCTION: 0, Priority.HIGH: 1, Priority.NORMAL: 2, Priority.LOW: 3}
+PRIORITY_RANKS = {Priority.PRODUCTION: 0, Priority.HIGH: 1, Priority.NORMAL: 2, Priority.LOW: 3}
 
 
 class Outcome(StrEnum):
--- a/dappledrum/jobs/record_writer.py
+++ b/dappledrum/jobs/record_writer.py
@@ -64,20 +64,20 @@
         self.garbage: OrderedDict[str, None] = OrderedDict()
         self.shrunk = False
         self.wake = asyncio.Event()
-        self.saved = asyncio.Condition()
+        self.stored = asyncio.Condition()
         self.on_saved: Callable[[], None] = lambda: None
         self.on_ended: Callable[[Job], None] = lambda job: None
         self.on_cancelled: Callable[[Job], None] = lambda job: None
 
-    def mark(self, page: Page) -> None:
+    def mark_dirty(self, page: Page) -> None:
         """A page has changed, or its job is over."""
         job = page.job
-        if job.over:
+        if job.finished:
             return
         # All tasks may be done while an attempt still runs: its task was completed by an earlier
         # attempt, whose report was held back. It counts for the team's limit, also for the next
         # leader, so the job stays until the attempt is proven gone.
-        if (job.complete() or job.cancelled) and not job.on_machines():
+        if (job.complete() or job.cancelled) and not job.placement_count():
             job.ended_at = job.ended_at or self.clock.today()
             self.ending[job] = None
         elif page.dirty:
@@ -85,7 +85,7 @@
             self.dirty.setdefault(page, now)
             if page.index > 0:
                 # Users are answered from the head, so its totals follow.
-                job.page(0).touch()
+                job.page(0).bump_revision()
                 self.dirty.setdefault(job.page(0), now)
         self.wake.set()
 
@@ -97,13 +97,13 @@
         self.shrunk = True
         for job in jobs:
             for page in job.pages.values():
-                if page.stored_bytes > self.value_limit.least and not job.over:
-                    page.touch()
-                    self.mark(page)
+                if page.stored_bytes > self.value_limit.least and not job.finished:
+                    page.bump_revision()
+                    self.mark_dirty(page)
 
-    def starts_waiting(self) -> int:
+    def unstored_start_count(self) -> int:
         """Pages with starts that are not stored yet."""
-        return sum(page.starts > page.saved for page in self.dirty)
+        return sum(page.last_placement_revision > page.stored_revision for page in self.dirty)
 
     async def run(self) -> None:
         """Write until the term is over."""
@@ -144,9 +144,18 @@
             await self._collect(capacity)
             return True
         now = self.clock.now()
-        urgent = [p for p, since in self.dirty.items() if p.starts > p.saved or now - since > LAZY]
+        urgent = [
+            p
+            for p, since in self.dirty.items()
+            if p.last_placement_revision > p.stored_revision or now - since > LAZY
+        ]
         # Starts of urgent jobs before others': a swarm of small jobs must not delay them.
-        urgent.sort(key=lambda page: (page.starts <= page.saved, page.job.rank))
+        urgent.sort(
+            key=lambda page: (
+                page.last_placement_revision <= page.stored_revision,
+                page.job.effective_rank,
+            )
+        )
         spare = min(capacity, int(self.store.writes.level - 0.5 * self.store.writes.size))
         hurried = set(urgent)
         lazy = [page for page in self.dirty if page not in hurried][: max(0, spare)]
@@ -166,7 +175,7 @@
                 if urgent and len(jobs) * 4 >= self.limits.txn_ops:
                     break
         for page in urgent + lazy:
-            if page.job.over or page.job in self.ending:
+            if page.job.finished or page.job in self.ending:
                 self.dirty.pop(page, None)
             elif capacity >= 1 and await self._certain(page):
                 pages.append(page)
@@ -199,7 +208,7 @@
             ended = Put(ended_key(job.id), raw(job.ended_record()))
             changes += [Delete(head_key(job.id)), ended]
             size += 600
-            if not job.page(0).twin_possible:
+            if not job.page(0).delayed_write_possible:
                 evidence.append(Evidence(ended.key, 0, ended.value))
         for page in pages:
             own = page.to_values(self.value_limit.whole, self.value_limit.least)
@@ -225,7 +234,7 @@
                 self._replaced()
             failed = set(error.failed)
             for page in [row[0] for row in written] + [job.page(0) for job in jobs]:
-                page.uncertain |= page.key in failed
+                page.version_uncertain |= page.key in failed
             return
         except TooLargeError as error:
             if not self.value_limit.refused(
@@ -236,9 +245,9 @@
         except StoreError:
             for page, _, parts, _, _ in written:
                 page.parts = max(page.parts, parts)  # whatever may be there is removed later
-                page.uncertain = page.twin_possible = True
+                page.version_uncertain = page.delayed_write_possible = True
             for job in jobs:
-                job.page(0).uncertain = job.page(0).twin_possible = True
+                job.page(0).version_uncertain = job.page(0).delayed_write_possible = True
             raise
         for page, stored, parts, length, cancelled in written:
             page.parts, page.stored_bytes = parts, length
@@ -246,8 +255,8 @@
                 page.job.unsaved_parts = []
                 page.job.cancel_stored |= cancelled
             page.version = max(page.version, revision)
-            page.twin_possible = False  # it would meet another version
-            page.saved = max(page.saved, stored)
+            page.delayed_write_possible = False  # it would meet another version
+            page.stored_revision = max(page.stored_revision, stored)
             self.dirty.pop(page, None)
             if page.dirty:
                 self.dirty[page] = self.clock.now()
@@ -259,7 +268,7 @@
     def _unmistakable(page: Page) -> bool:
         """Whether the page's next stored form can only come from the transaction that is about to
         be sent: not from an earlier one without an answer, nor from a user's cancellation."""
-        return not page.twin_possible and not (page.index == 0 and page.job.cancelled)
+        return not page.delayed_write_possible and not (page.index == 0 and page.job.cancelled)
 
     async def _commit(
         self, guards: list[Guard], changes: list[Put | Delete], evidence: list[Evidence]
@@ -284,12 +293,12 @@
 
     async def _notify_saved(self) -> None:
         self.on_saved()
-        async with self.saved:
-            self.saved.notify_all()
+        async with self.stored:
+            self.stored.notify_all()
 
     async def _certain(self, page: Page) -> bool:
         """Make sure of the page's stored version; False when its job turns out to be over."""
-        if not page.uncertain:
+        if not page.version_uncertain:
             return True
         job = page.job
         entry = await self.store.get(page.key, RequestPriority.RECORD)
@@ -310,7 +319,7 @@
             return False
         else:
             page.version = 0
-        page.uncertain = False
+        page.version_uncertain = False
         return True
 
     async def _read_end(self, job: Job) -> None:
@@ -331,9 +340,9 @@
         job.cancelled = stored.state is Outcome.CANCELLED
 
     def _ended(self, job: Job) -> None:
-        if job.over:
+        if job.finished:
             return
-        job.over = True
+        job.finished = True
         self.ending.pop(job, None)
         for page in job.pages.values():
             self.dirty.pop(page, None)
--- a/dappledrum/jobs/test_api.py
+++ b/dappledrum/jobs/test_api.py
@@ -139,11 +139,11 @@
     facts = cluster.rules.jobs["j-000001"]
     for index in range(live.page_count - 1):
         page = live.page(index)
-        if not page.places and page.done == 0:
+        if not page.placements and page.done == 0:
             page.done = (1 << page.count) - 1
             live.done += page.count
-            page.touch()
-            leader.leader.record_writer.mark(page)
+            page.bump_revision()
+            leader.leader.record_writer.mark_dirty(page)
             facts.done.update(range(page.first, page.first + page.count))
     await cluster.until(lambda: len(leader.leader.record_writer.dirty) < 8)
     for _ in range(10):  # the totals in the head follow the pages
@@ -177,15 +177,15 @@
     def facts(page: Page):
         rows = {
             t: (p.machine, p.session, p.zone, p.attempt, p.placed_at)
-            for t, p in page.places.items()
+            for t, p in page.placements.items()
         }
-        return page.done, page.attempt, rows, list(page.free())
+        return page.done, page.attempt, rows, list(page.free_tasks())
 
     for index in range(3):
         assert facts(first.page(index)) == facts(second.page(index))
-    assert (second.done, second.on_machines(), second.waiting()) == (
+    assert (second.done, second.placement_count(), second.waiting()) == (
         first.done,
-        first.on_machines(),
+        first.placement_count(),
         first.waiting(),
     )
 
@@ -203,7 +203,7 @@
     ).page(0)
     now = datetime.fromtimestamp(1_700_000_999, UTC)
     for task in range(240):
-        bound = page.size_bound(numbered(task), now)
+        bound = page.max_value_bytes(numbered(task), now)
         assert bound <= 8 * 1024
         page.place(task, numbered(task), 1, "keskusta", now)
         assert len(msgspec.json.encode(page.job.head_record())) <= bound
--- a/dappledrum/jobs/test_garbage.py
+++ b/dappledrum/jobs/test_garbage.py
@@ -84,10 +84,10 @@
         leader = cluster.controllers[cluster.leader()].leader
         await cluster.until(leader.loaded.is_set)
         head = leader.jobs["j-000008"].page(0)
-        assert head.parts == 6 and len(head.places) > 20
+        assert head.parts == 6 and len(head.placements) > 20
         assert "rows/j-000008/0/5" not in leader.record_writer.garbage
-        head.touch()
-        leader.record_writer.mark(head)
+        head.bump_revision()
+        leader.record_writer.mark_dirty(head)
         await cluster.wait(3)
         assert parts(cluster, "rows/j-000008/0/5") == []
 
--- a/dappledrum/jobs/test_job.py
+++ b/dappledrum/jobs/test_job.py
@@ -52,5 +52,7 @@
         waiting = set(range(TASKS)) - done - placed
         assert live.running() == len(placed - done) == live.head_record().running
         assert live.waiting() == len(waiting)
-        assert {free for part in live.free_tasks() for free in part.free()} == waiting
-        assert live.on_machines() == len(placed)
+        assert {
+            free for part in live.pages_with_free_tasks() for free in part.free_tasks()
+        } == waiting
+        assert live.placement_count() == len(placed)
--- a/dappledrum/jobs/test_old_records.py
+++ b/dappledrum/jobs/test_old_records.py
@@ -104,8 +104,8 @@
 def test_old_records_are_read_and_what_is_written_again_says_the_same_to_the_old_version():
     for page in (PAGE, PAGE_OF_0_1):
         one = loaded(HEAD, page)
-        assert one.on_machines() == 4 and one.page(0).done == 5 and one.spec.types == ["small"]
-        assert not one.unmet and one.begun_at == one.accepted_at
+        assert one.placement_count() == 4 and one.page(0).done == 5 and one.spec.types == ["small"]
+        assert not one.unmet_dependencies and one.released_at == one.accepted_at
         [head] = one.page(0).to_values(8192, 8192)
         [further] = one.page(1).to_values(8192, 8192)
         again = loaded(rewritten(head.value, OldHead), rewritten(further.value, OldPage))
--- a/dappledrum/jobs/test_record_writer.py
+++ b/dappledrum/jobs/test_record_writer.py
@@ -51,9 +51,9 @@
         jobs = [live(number) for number in range(12)]
         for one in jobs[:-1]:
             one.page(0).finish(0)
-            record_writer.mark(one.page(0))
+            record_writer.mark_dirty(one.page(0))
         jobs[-1].page(0).place(0, "host-1", 1, "a", clock.today())
-        record_writer.mark(jobs[-1].page(0))
+        record_writer.mark_dirty(jobs[-1].page(0))
         writing = asyncio.create_task(record_writer.run())
         began = clock.now()
         await asyncio.sleep(0.05)
--- a/dappledrum/leader/heartbeat_responder.py
+++ b/dappledrum/leader/heartbeat_responder.py
@@ -121,8 +121,8 @@
                 return
 
     async def _saved(self) -> bool:
-        async with self.record_writer.saved:
-            return await self.record_writer.saved.wait()
+        async with self.record_writer.stored:
+            return await self.record_writer.stored.wait()
 
     @staticmethod
     async def _happens(wait: Awaitable[bool], time_limit: timedelta) -> bool:
--- a/dappledrum/leader/leader.py
+++ b/dappledrum/leader/leader.py
@@ -85,7 +85,7 @@
         self.record_writer = RecordWriter(store, term, params.state, value_limit, clock)
         self.record_writer.on_ended = self._ended
         self.records = JobLoader(store, self.jobs, self.record_writer.garbage)
-        self.graph = DependencyGraph(self.jobs, self.record_writer.mark, self.wake)
+        self.graph = DependencyGraph(self.jobs, self.record_writer.mark_dirty, self.wake)
         self.record_writer.on_cancelled = self.graph.cancelled
         self.resolver = DependencyResolver(store, self.graph, clock)
         self.reconciler = Reconciler(
@@ -95,7 +95,7 @@
             params.workers,
             clock,
             term.epoch,
-            self.record_writer.mark,
+            self.record_writer.mark_dirty,
             self.wake,
             self.ledger,
             lambda: term.others_stopped_at,
@@ -140,8 +140,8 @@
             params,
             clock,
             tuning,
-            self.record_writer.mark,
-            self.record_writer.starts_waiting,
+            self.record_writer.mark_dirty,
+            self.record_writer.unstored_start_count,
             # Pages of the version before may be larger than new ones, and are stored in parts.
             min(value_limit.now, value_limit.least * (params.state.txn_ops - 2)),
         )
@@ -233,12 +233,12 @@
         await self.learned.recall({t.name: t.boot for t in self.autoscaler.types.values()})
         for job in list(self.jobs.values()):
             self.graph.add(job)
-            self.record_writer.mark(job.page(0))
+            self.record_writer.mark_dirty(job.page(0))
         self.revision = revision
         self.term.knows(started)  # later cancellations are seen by the watch
         self.loaded.set()
         took = (self.clock.now() - started).total_seconds() * 1e3
-        placed = sum(job.on_machines() for job in self.jobs.values())
+        placed = sum(job.placement_count() for job in self.jobs.values())
         log.info("read %d live jobs with %d placements in %.0f ms", len(self.jobs), placed, took)
         self.recovery.begin()
         self.wake("loaded")
@@ -289,7 +289,7 @@
             job.page(0).version = version
             if record.cancelled:
                 self._cancel(job, "is cancelled")
-        self.record_writer.mark(job.page(0))
+        self.record_writer.mark_dirty(job.page(0))
         self.wake("job changed")
 
     def _cancel(self, job: Job, why: str) -> None:
@@ -307,7 +307,7 @@
             job = self.jobs.get(name)
             if job is not None and not job.cancelled:
                 self._cancel(job, "is cancelled, as other controllers say")
-                self.record_writer.mark(job.page(0))
+                self.record_writer.mark_dirty(job.page(0))
                 self.wake("job cancelled")
 
     def _new(self, job: Job) -> Job:
@@ -331,7 +331,7 @@
                 parts.append(msgspec.json.decode(part.value, type=SpecPart))
             made = self.records.make_job(record, entry.version, parts)
             if made is not None:
-                self.record_writer.mark(self._new(made).page(0))
+                self.record_writer.mark_dirty(self._new(made).page(0))
                 self.wake("job changed")
         self.incomplete.pop(name, None)
 
--- a/dappledrum/recovery/test_reconciliation.py
+++ b/dappledrum/recovery/test_reconciliation.py
@@ -103,7 +103,7 @@
             page.finish(0)
         if case.recorded is not None:
             page.place(0, "m", case.recorded[1], "a", datetime.now(UTC), case.recorded[0])
-        page.saved = page.revision
+        page.stored_revision = page.revision
         own.cancelled = case.cancelled
         books = Reconciler(
             {own.id: own},
@@ -126,7 +126,7 @@
         instruction = ", ".join(
             command.op for command in books.commands.of_records(machine, report)
         )
-        return Outcome(0 in page.places, page.is_done(0), instruction or None)
+        return Outcome(0 in page.placements, page.is_done(0), instruction or None)
 
     return run(main())
 
--- a/dappledrum/simulation/ground_truth.py
+++ b/dappledrum/simulation/ground_truth.py
@@ -54,7 +54,7 @@
         if not machine.reachability.unreachable:
             return
         for placement in machine.placements.values():
-            if placement.seen or not placement.lost or placement in lost_before:
+            if placement.observed or not placement.lost or placement in lost_before:
                 continue
             task = placement.name
             if self._is_there(machine.name, task, placement.attempt):
--- a/dappledrum/store/test_hedged_commit.py
+++ b/dappledrum/store/test_hedged_commit.py
@@ -194,7 +194,7 @@
         """Nothing counts as stored that is not."""
         for one in self.jobs:
             page = one.page(0)
-            if not page.dirty and page.revision and not one.over:
+            if not page.dirty and page.revision and not one.finished:
                 stored = json.dumps(self.service.keys[page.key][0])
                 expected = one.head_record(page.to_record())
                 if json.loads(stored) != json.loads(msgspec.json.encode(expected)):
@@ -204,7 +204,7 @@
     def finish(self, number, task):
         page = self.jobs[number].page(0)
         page.finish(task)
-        self.record_writer.mark(page)
+        self.record_writer.mark_dirty(page)
 
     async def write_for(self, seconds):
         """Let the recorder write, and look at all that it took for stored."""
@@ -252,8 +252,8 @@
     async def main():
         leader = Leader()
         leader.delay(1.2)
-        leader.jobs[0].page(0).touch()
-        leader.record_writer.mark(leader.jobs[0].page(0))
+        leader.jobs[0].page(0).bump_revision()
+        leader.record_writer.mark_dirty(leader.jobs[0].page(0))
         leader.finish(1, 0)
         await leader.write_for(8)
         assert leader.saved >= 2
@@ -270,13 +270,13 @@
         leader = Leader()
         one = leader.jobs[0]
         one.page(0).place(0, "host-1", 1, "a", leader.clock.today())
-        leader.record_writer.mark(one.page(0))
+        leader.record_writer.mark_dirty(one.page(0))
         await leader.write_for(0.1)
         one.cancelled = True
         record = json.loads(msgspec.json.encode(one.head_record(one.page(0).to_record())))
         one.cancelled = known
-        one.page(0).touch()
-        leader.record_writer.mark(one.page(0))
+        one.page(0).bump_revision()
+        leader.record_writer.mark_dirty(one.page(0))
         leader.finish(1, 0)
         leader.delay(0.5)
         asyncio.get_running_loop().call_later(0.03, leader.write, head_key(one.id), record)
--- a/dappledrum/workers/commands.py
+++ b/dappledrum/workers/commands.py
@@ -25,16 +25,16 @@
     """Whether an attempt should go on, or begin."""
     job = placement.page.job
     return not (
-        job.over or job.cancelled or placement.lost or placement.page.is_done(placement.task)
+        job.finished or job.cancelled or placement.lost or placement.page.is_done(placement.task)
     )
 
 
 def pending(machine: Machine) -> bool:
     """Whether something is about to be stored that an answer to this machine could carry."""
     return any(
-        not placement.seen
-        and placement.offered_tick < 0
-        and placement.page.saved < placement.revision
+        not placement.observed
+        and placement.offered_sequence < 0
+        and placement.page.stored_revision < placement.revision
         and placement.session == machine.session
         for placement in machine.placements.values()
     )
@@ -77,8 +77,8 @@
             if len(result) >= MAX_COMMANDS:
                 break  # no line of an answer may be longer than 64 KiB; the rest comes next time
             # Write ahead: the worker hears of an attempt only when its record is stored.
-            if wanted(placement) and placement.page.saved >= placement.revision:
-                placement.offered_tick = max(placement.offered_tick, report.sequence)
+            if wanted(placement) and placement.page.stored_revision >= placement.revision:
+                placement.offered_sequence = max(placement.offered_sequence, report.sequence)
                 result.append(Command("start", placement.name, placement.attempt))
         return result
 
--- a/dappledrum/workers/failure_attribution.py
+++ b/dappledrum/workers/failure_attribution.py
@@ -28,12 +28,14 @@
 
 def suspected(job: Job) -> bool:
     """The job fails wherever it is tried."""
-    return len(job.errors) >= (PROVEN_JOB_MACHINES if job.done else FRESH_JOB_MACHINES)
+    return len(job.failures_by_machine) >= (
+        PROVEN_JOB_MACHINES if job.done else FRESH_JOB_MACHINES
+    )
 
 
 def failed(job: Job, machine: Machine) -> None:
     """A task of the job has failed on the machine."""
-    job.errors[machine.name] = job.errors.get(machine.name, 0) + 1
+    job.failures_by_machine[machine.name] = job.failures_by_machine.get(machine.name, 0) + 1
     machine.errors[job.id] = machine.errors.get(job.id, 0) + 1
 
 
--- a/dappledrum/workers/reconciler.py
+++ b/dappledrum/workers/reconciler.py
@@ -181,7 +181,7 @@
                 mean, deviation = self.estimates.moments(
                     job.id, job.spec.job_class, job.spec.estimate
                 )
-                ran = ZERO if placement.running_at is None else now - placement.running_at
+                ran = ZERO if placement.running_since is None else now - placement.running_since
                 # It is worth waiting for what has a fair chance.
                 doomed = mean - deviation / 2 - ran > left
             if doomed:
@@ -203,8 +203,8 @@
         for placement in list(machine.placements.values()):
             job_id = placement.page.job.id
             missed |= (
-                0 <= placement.offered_tick < report.sequence
-                and not placement.seen
+                0 <= placement.offered_sequence < report.sequence
+                and not placement.observed
                 and not placement.lost
                 and placement.session == report.session
             )
@@ -218,8 +218,8 @@
                 continue
             elif (
                 report.token == self.token
-                and report.sequence > placement.offered_tick
-                and (placement.seen or placement.lost or not wanted(placement))
+                and report.sequence > placement.offered_sequence
+                and (placement.observed or placement.lost or not wanted(placement))
             ):
                 self._lost(machine, placement, "no longer there", Entry.LOST_STOPPED)
         if missed:
@@ -229,7 +229,7 @@
         if machine.reachability.unreachable and machine.up:
             for placement in machine.placements.values():
                 # Not offered any more, so the next report without it proves that it is not there.
-                placement.lost |= not placement.seen
+                placement.lost |= not placement.observed
 
     def _item(
         self, machine: Machine, job: Job, task: int, item: TaskStatus, now: timedelta
@@ -242,17 +242,17 @@
             self._ended(machine, job, page, task, placement, item, now)
         elif placement is not None:
             if (
-                not placement.seen
-                and placement.offered_tick >= 0
+                not placement.observed
+                and placement.offered_sequence >= 0
                 and machine.reachability.confirm_reachable()
             ):
                 log.info("%s hears again", machine.name)
-            placement.seen = True
-            placement.gathering = item.state == TaskState.WAITING
-            if item.state == TaskState.RUNNING and placement.running_at is None:
-                placement.running_at = now
-                if not job.begun:
-                    job.begun = True
+            placement.observed = True
+            placement.waiting_for_gang = item.state == TaskState.WAITING
+            if item.state == TaskState.RUNNING and placement.running_since is None:
+                placement.running_since = now
+                if not job.has_run:
+                    job.has_run = True
                     waited = (self.clock.today() - job.accepted_at).total_seconds()
                     log.info("%s began %.1f s after it came", job.id, waited)
                 cache = (
@@ -273,8 +273,8 @@
         if item.cause == Cause.DONE and not page.is_done(task):
             page.finish(task)
             self._success(machine, job, now)
-            if placement is not None and placement.running_at is not None:
-                took = now - placement.running_at
+            if placement is not None and placement.running_since is not None:
+                took = now - placement.running_since
                 self.estimates.learn(job.id, job.spec.job_class, job.spec.estimate, took)
             self.wake("task done")
         elif placement is not None and item.cause == Cause.ERROR:
@@ -294,12 +294,14 @@
         """A task has completed, which clears both, and tells on the machines where only its job
         had failed so far."""
         machine.errors.clear()
-        if not job.errors:
+        if not job.failures_by_machine:
             return
         if suspected(job):
             log.warning("%s no longer fails everywhere", job.id)
-        elsewhere = [m for name in job.errors if (m := self.registry.get(name)) is not None]
-        job.errors.clear()
+        elsewhere = [
+            m for name in job.failures_by_machine if (m := self.registry.get(name)) is not None
+        ]
+        job.failures_by_machine.clear()
         for other in elsewhere:
             if other is not machine:
                 self._doubt(other, now)
@@ -310,11 +312,13 @@
         failed(job, machine)
         if suspected(job):
             # Machines that others are content with: it is the job. Try again, ever more rarely.
-            tries = sum(job.errors.values())
+            tries = sum(job.failures_by_machine.values())
             job.retry_at = now + min(RETRY * 2 ** min(tries // 3, 6), MAX_RETRY_PAUSE)
             if not before:
                 log.warning(
-                    "%s fails on %d machines, tried rarely from now on", job.id, len(job.errors)
+                    "%s fails on %d machines, tried rarely from now on",
+                    job.id,
+                    len(job.failures_by_machine),
                 )
         else:
             self._doubt(machine, now)
@@ -331,7 +335,7 @@
     def _remove(self, machine: Machine, placement: Placement) -> None:
         machine.placements.pop((placement.page.job.id, placement.task), None)
         page = placement.page
-        if page.places.get(placement.task) is placement:
+        if page.placements.get(placement.task) is placement:
             page.remove(placement.task)
             self.mark(page)
 
@@ -397,4 +401,4 @@
             )
             machine.placements[(job.id, placement.task)] = placement
             age = self.clock.today() - placement.placed_at
-            placement.running_at = now - max(age, ZERO)
+            placement.running_since = now - max(age, ZERO)
--- a/dappledrum/workers/test_reconciler.py
+++ b/dappledrum/workers/test_reconciler.py
@@ -46,7 +46,7 @@
         machine.placements[(self.job.id, 0)] = self.placement
 
     def save(self):
-        self.page.saved = self.page.revision
+        self.page.stored_revision = self.page.revision
 
     def report(self, sequence, *tasks, session=1, token=TOKEN):
         """Take a report and return the answer's commands."""
@@ -64,7 +64,7 @@
 
     @property
     def gone(self):
-        return 0 not in self.page.places
+        return 0 not in self.page.placements
 
 
 def stored_desk():
@@ -97,7 +97,7 @@
 
 async def test_absent_from_a_report_held_back_under_a_predecessor():
     desk = stored_desk()
-    desk.placement.seen = True
+    desk.placement.observed = True
     desk.report(2, token=TOKEN - 1)
     assert not desk.gone
     desk.report(3)
@@ -228,7 +228,7 @@
     placement = desk.page.place(1, "slow", 1, "a", datetime.now(UTC))
     machine.placements[(desk.job.id, 1)] = placement
     desk.books.sweep()
-    assert 1 in desk.page.places
+    assert 1 in desk.page.placements
     assert not machine.expired(desk.books.clock.now(), desk.books.limits.lease)
 
 
@@ -241,7 +241,7 @@
     for task in range(1000):
         placement = page.place(task, "m", 1, "a", datetime.now(UTC))
         machine.placements[(big.id, task)] = placement
-    page.saved = page.revision
+    page.stored_revision = page.revision
     report = WorkerHeartbeat("m", "10.1.0.1:1", "small", "a", True, 1, 2, TOKEN)
     desk.books.take(report)
     first = desk.books.commands.of_records(machine, report)
