--- a/dappledrum/membership/leader_placement.py
+++ b/dappledrum/membership/leader_placement.py
@@ -13,7 +13,7 @@
 from dappledrum.membership.peer_table import PeerTable, ReceivedHeartbeat, reached_at, span
 from dappledrum.timing.clock import ZERO
 
-#: A difference between two links that is worth a move: what moving costs (docs/reach.md).
+#: A difference between two links that is worth a move: what moving costs (docs/membership.md).
 MIN_GAIN = timedelta(seconds=1)
 #: A controller that was served this lately knows by its own watch whether the key stands.
 SERVED = timedelta(seconds=2)
--- a/dappledrum/model/election.py
+++ b/dappledrum/model/election.py
@@ -1,7 +1,7 @@
 """Leaders that go on for promises, and candidates that ask before silence is a proof to them.
 
 The peers' part is the real `Voter`; leader and candidate are the plainest that follow the
-rules of docs/reach.md. A schedule is drawn from a seed: messages come late, in any order, or
+rules of docs/membership.md. A schedule is drawn from a seed: messages come late, in any order, or
 never, processes end and begin again without memory, at any moment and at once, transactions are
 executed late, also when the process that sent them has ended, and the store serves whom it
 likes. Users cancel jobs at whoever is served, and are told so there, or later by another. After
