--- a/dappledrum/election/elector.py
+++ b/dappledrum/election/elector.py
@@ -42,6 +42,7 @@
 from dappledrum.store.messages import Event, Guard, Put
 from dappledrum.store.rate_limiter import RequestPriority
 from dappledrum.timing.clock import ZERO, longer
+from dappledrum.timing.supervisor import Supervisor
 
 log = logging.getLogger(__name__)
 
@@ -160,15 +161,13 @@
 
     async def run(self) -> None:
         """Follow or lead, for ever."""
-        while True:
-            try:
-                await self._round()
-            except StoreError as error:
-                log.debug("store not reached for leadership: %s", error)
-                await asyncio.sleep(self.rng.uniform(0.2, 0.5))
-            except Exception:  # the loop must outlive whatever a service answers
-                log.exception("leadership loop failed, going on")
-                await asyncio.sleep(1)
+        supervisor = Supervisor(
+            log,
+            fault_pause_s=1.0,
+            transient_errors=(StoreError,),
+            transient_pause_s=lambda: self.rng.uniform(0.2, 0.5),
+        )
+        await supervisor.repeat("leadership loop", self._round)
 
     async def _round(self) -> None:
         """Look who leads; take over when nobody does, else wait for a change."""
--- a/dappledrum/jobs/record_writer.py
+++ b/dappledrum/jobs/record_writer.py
@@ -32,6 +32,7 @@
 from dappledrum.store.rate_limiter import RequestPriority
 from dappledrum.store.value_limit import ValueLimit
 from dappledrum.timing.clock import Clock
+from dappledrum.timing.supervisor import Supervisor
 
 log = logging.getLogger(__name__)
 
@@ -41,6 +42,13 @@
 LAZY = timedelta(seconds=2)  # the most that ends of tasks wait while starts need the rate
 MANY = 16  # jobs to be ended, from which on cancellations are only noted at first
 LOOK = timedelta(milliseconds=100)
+SUPERVISOR = Supervisor(
+    log,
+    fault_pause_s=0.5,
+    transient_errors=(StoreError,),
+    transient_pause_s=lambda: 0.1,
+    transient_level=logging.INFO,
+)
 
 
 class RecordWriter:
@@ -112,15 +120,11 @@
             self.wake.clear()
             await asyncio.sleep(GATHER.total_seconds())
             while (self.dirty or self.ending or self.garbage) and not self.term.over.is_set():
-                try:
-                    if not await self._flush():
-                        await self._pause()
-                except StoreError as error:
-                    log.info("progress not written yet: %s", error)
-                    await asyncio.sleep(0.1)
-                except Exception:  # the loop must go on, else nothing is ever placed again
-                    log.exception("writing progress failed, going on")
-                    await asyncio.sleep(0.5)
+                await SUPERVISOR.attempt("writing progress", self._flush_or_pause)
+
+    async def _flush_or_pause(self) -> None:
+        if not await self._flush():
+            await self._pause()
 
     async def _pause(self) -> None:
         """Until something changes, or what waits has waited a little longer."""
--- a/dappledrum/leader/leader.py
+++ b/dappledrum/leader/leader.py
@@ -36,6 +36,7 @@
 from dappledrum.store.rate_limiter import RequestPriority
 from dappledrum.store.value_limit import ValueLimit
 from dappledrum.timing.clock import ZERO, Clock
+from dappledrum.timing.supervisor import Supervisor
 from dappledrum.workers.machine_registry import MachineRegistry
 from dappledrum.workers.messages import Commands, WorkerHeartbeat
 from dappledrum.workers.reconciler import Reconciler
@@ -51,6 +52,9 @@
 #: answer workers is counted from the moment at which the watch was sent.
 WATCH_WAIT = timedelta(seconds=2)
 KEPT_OVER = 10_000
+SUPERVISOR = Supervisor(
+    log, fault_pause_s=0.5, transient_errors=(StoreError,), transient_pause_s=lambda: 0.1
+)
 
 
 class Leader:
@@ -210,16 +214,7 @@
 
     async def _keep_running(self, loop: Callable[[], Awaitable[None]]) -> None:
         """Run a loop, and start it again when it fails; the others are not affected."""
-        while not self.term.over.is_set():
-            try:
-                await loop()
-                return
-            except StoreError as error:
-                log.debug("%s: store not reached: %s", loop.__name__, error)
-                await asyncio.sleep(0.1)
-            except Exception:
-                log.exception("%s failed, going on", loop.__name__)
-                await asyncio.sleep(0.5)
+        await SUPERVISOR.run_to_completion(loop.__name__, loop, self.term.over)
 
     # records
 
--- a/dappledrum/membership/service.py
+++ b/dappledrum/membership/service.py
@@ -10,6 +10,7 @@
 import random
 from collections.abc import Awaitable, Callable, Mapping
 from datetime import timedelta
+from functools import partial
 
 from dappledrum.election.elector import Elector
 from dappledrum.membership.heartbeat_forwarding import ForwardedWorkers, HeartbeatForwarder
@@ -29,6 +30,7 @@
 from dappledrum.peers.client import Peers
 from dappledrum.settings import WorkerLimits
 from dappledrum.timing.clock import ZERO, Clock
+from dappledrum.timing.supervisor import Supervisor
 from dappledrum.timing.timeouts import PauseDetector
 from dappledrum.workers.messages import WorkerHeartbeat
 
@@ -56,6 +58,7 @@
 CLOCKS_APART = timedelta(hours=1)
 SAMPLES = 2
 MAX_ZONES = 16
+SUPERVISOR = Supervisor(log, fault_pause_s=1.0)
 
 Probe = Callable[[str, timedelta], Awaitable[bool]]
 
@@ -110,23 +113,17 @@
         """Run all background tasks."""
         await asyncio.gather(
             *(
-                self._keep_running(lambda peer=peer: self._exchange_heartbeats(peer))
+                SUPERVISOR.repeat(
+                    f"heartbeats with {peer}", partial(self._exchange_heartbeats, peer)
+                )
                 for peer in self.peers.callers
             ),
-            self._keep_running(self._look),
-            self._keep_running(self._probe_state),
-            self._keep_running(self._probe_workers),
-            self._keep_running(self._probe_cloud),
+            SUPERVISOR.repeat("leader placement", self._look),
+            SUPERVISOR.repeat("store probe", self._probe_state),
+            SUPERVISOR.repeat("worker probes", self._probe_workers),
+            SUPERVISOR.repeat("cloud probe", self._probe_cloud),
         )
 
-    async def _keep_running(self, loop: Callable[[], Awaitable[None]]) -> None:
-        while True:
-            try:
-                await loop()
-            except Exception:
-                log.exception("a loop about links failed, going on")
-                await asyncio.sleep(1)
-
     def zone(self, name: str) -> ZoneHealth:
         """The state of a zone, created if necessary."""
         if name not in self.zones:
