--- a/dappledrum/dispatch/bag_builder.py
+++ b/dappledrum/dispatch/bag_builder.py
@@ -10,7 +10,7 @@
 from dappledrum.fleet.messages import MachineType
 from dappledrum.gangs.all_or_nothing import is_gang
 from dappledrum.jobs.job import Job
-from dappledrum.jobs.messages import RANKS, Priority
+from dappledrum.jobs.messages import PRIORITY_RANKS, Priority
 from dappledrum.scheduling.bags import Bag
 from dappledrum.scheduling.deadlines import next_deadline
 from dappledrum.scheduling.stages import Stage
@@ -83,11 +83,11 @@
         gang = is_gang(job)
         stage = self.stages.get(job.id)
         run = self.deadlines.task_time(job)
-        waited = max(self.clock.today() - job.begun_at, ZERO)
+        waited = max(self.clock.today() - job.released_at, ZERO)
         target = self._target(job, stage, run, waited, now, best_effort)
         # In order of deadlines, what is late waits for all that can still be in time, and in a
         # flood of work it waited for ever.
-        unstarted = not suspect and job.done == 0 and not job.on_machines()
+        unstarted = not suspect and job.done == 0 and not job.placement_count()
         overdue = waited > MAX_WAIT_UNSTARTED and unstarted and not best_effort
         if overdue:
             target = _Target(now + run, False)
@@ -130,9 +130,15 @@
 
     @staticmethod
     def _may_start(job: Job, now: timedelta, suspect: bool) -> bool:
-        if job.waiting() <= 0 or job.cancelled or job.over or now < job.retry_at or job.unmet:
+        if (
+            job.waiting() <= 0
+            or job.cancelled
+            or job.finished
+            or now < job.retry_at
+            or job.unmet_dependencies
+        ):
             return False
-        if is_gang(job) and job.on_machines():
+        if is_gang(job) and job.placement_count():
             return False  # complete on machines, or being stopped
         # A job that seems to fail everywhere is tried with one task at a time.
         return not (suspect and any(not p.lost for p in job.placements()))
@@ -167,9 +173,9 @@
         return (
             job.id not in self.guaranteed,
             urgency,
-            min(job.rank, RANKS[Priority.NORMAL]),
+            min(job.effective_rank, PRIORITY_RANKS[Priority.NORMAL]),
             latest_start.total_seconds(),
-            job.rank,
+            job.effective_rank,
         )
 
 
--- a/dappledrum/dispatch/context.py
+++ b/dappledrum/dispatch/context.py
@@ -27,8 +27,8 @@
 class StartRecorder(Protocol):
     """Writes the records of placements, after which their starts may be sent."""
 
-    def mark(self, page: Page) -> None:
+    def mark_dirty(self, page: Page) -> None:
         """Store a changed page soon."""
 
-    def starts_waiting(self) -> int:
+    def unstored_start_count(self) -> int:
         """Number of starts whose records are not stored yet."""
--- a/dappledrum/dispatch/job_deadlines.py
+++ b/dappledrum/dispatch/job_deadlines.py
@@ -4,7 +4,7 @@
 from datetime import timedelta
 
 from dappledrum.jobs.job import Job
-from dappledrum.jobs.messages import RANKS, Form, Priority
+from dappledrum.jobs.messages import PRIORITY_RANKS, Form, Priority
 from dappledrum.scheduling.deadlines import owner_deadlines, stage_deadlines
 from dappledrum.scheduling.estimates import Estimates
 from dappledrum.scheduling.stages import Stage
@@ -61,7 +61,7 @@
         """Whether a job has no deadline of any sort: low priority, no deadline, no objective."""
         spec = job.spec
         return (
-            job.rank == RANKS[Priority.LOW]
+            job.effective_rank == PRIORITY_RANKS[Priority.LOW]
             and spec.form is Form.ARRAY
             and spec.deadline_s is None
             and (job.id not in stages or stages[job.id].due is None)
--- a/dappledrum/dispatch/pending_work.py
+++ b/dappledrum/dispatch/pending_work.py
@@ -13,7 +13,7 @@
 from dappledrum.dispatch.team_quotas import guaranteed_jobs, team_capacity
 from dappledrum.jobs.api import allowed
 from dappledrum.jobs.job import Job
-from dappledrum.jobs.messages import RANKS
+from dappledrum.jobs.messages import PRIORITY_RANKS
 from dappledrum.scheduling.bags import Bag
 from dappledrum.scheduling.stages import Stage, WorkflowJob, stages
 from dappledrum.scheduling.timeline import Size, fetch_time
@@ -88,7 +88,13 @@
         result: dict[Hashable, Demand] = {}
         for job in self.jobs.values():
             spec = job.spec
-            if job.cancelled or job.over or job.unmet or now < job.retry_at or job.waiting() <= 0:
+            if (
+                job.cancelled
+                or job.finished
+                or job.unmet_dependencies
+                or now < job.retry_at
+                or job.waiting() <= 0
+            ):
                 continue
             types = None if spec.types is None else tuple(spec.types)
             size = Size(spec.cpus, spec.gpus, spec.memory_gb)
@@ -112,24 +118,26 @@
         self.cycle = cycle
         for job in self.jobs.values():
             stage = self.stages.get(job.id)
-            job.rank = RANKS[job.spec.priority] if stage is None else stage.rank
+            job.effective_rank = PRIORITY_RANKS[job.spec.priority] if stage is None else stage.rank
 
     def _workflow_jobs(self) -> dict[str, WorkflowJob]:
         """Live jobs that wait for others or that others wait for."""
-        waiting = [job for job in self.jobs.values() if job.unmet]
+        waiting = [job for job in self.jobs.values() if job.unmet_dependencies]
         result: dict[str, WorkflowJob] = {}
-        for name in dict.fromkeys(name for job in waiting for name in (job.id, *job.unmet)):
+        for name in dict.fromkeys(
+            name for job in waiting for name in (job.id, *job.unmet_dependencies)
+        ):
             job = self.jobs.get(name)
-            if job is None or job.cancelled or job.over:
+            if job is None or job.cancelled or job.finished:
                 continue
             result[name] = WorkflowJob(
-                job.unmet,
+                job.unmet_dependencies,
                 job.depth,
                 self.deadlines.task_time(job) + self._fetch_time(job),
                 self.deadlines.of_owner(job),
-                RANKS[job.spec.priority],
+                PRIORITY_RANKS[job.spec.priority],
                 job.spec.tasks - job.done,
-                0 if job.unmet else job.waiting(),
+                0 if job.unmet_dependencies else job.waiting(),
             )
         return result
 
--- a/dappledrum/dispatch/placement.py
+++ b/dappledrum/dispatch/placement.py
@@ -6,7 +6,7 @@
 from dappledrum.dispatch.pending_work import PendingWork
 from dappledrum.gangs.all_or_nothing import is_gang
 from dappledrum.jobs.job import Job
-from dappledrum.jobs.messages import RANKS, Priority
+from dappledrum.jobs.messages import PRIORITY_RANKS, Priority
 
 log = logging.getLogger(__name__)
 
@@ -46,7 +46,7 @@
     def _place_gang(self, job: Job, shares: list[tuple[str, int]]) -> None:
         """Place all tasks of a gang, or none. Nothing of it is written in between, because the
         event loop runs nothing else meanwhile."""
-        if job.on_machines() or sum(count for _, count in shares) < job.waiting():
+        if job.placement_count() or sum(count for _, count in shares) < job.waiting():
             return
         # Workers run a gang once all of one attempt are there, so its members share the number.
         attempt = job.next_attempt()
@@ -78,16 +78,16 @@
         machine = self.registry.get(name)
         if machine is None or machine.kind is None or not machine.usable:
             return 0
-        if job is None or job.cancelled or job.over or job.unmet:
+        if job is None or job.cancelled or job.finished or job.unmet_dependencies:
             return 0
-        if job.rank >= RANKS[Priority.LOW] and self._record_backlog_too_long():
+        if job.effective_rank >= PRIORITY_RANKS[Priority.LOW] and self._record_backlog_too_long():
             return 0  # capacity held for a start that can't be recorded yet is wasted
         asked = count
         today = self.clock.today()
         limit = self.page_bytes
-        for page in job.free_tasks():
-            bound, row = page.size_bound(name, today), page.row_bound(today)
-            for task in page.free():
+        for page in job.pages_with_free_tasks():
+            bound, row = page.max_value_bytes(name, today), page.max_row_bytes(today)
+            for task in page.free_tasks():
                 if count <= 0 or bound > limit:
                     break
                 placement = page.place(
@@ -97,13 +97,13 @@
                 machine.given.set()
                 count -= 1
                 bound += row
-            self.start_recorder.mark(page)
+            self.start_recorder.mark_dirty(page)
             if count <= 0:
                 break
         return asked - count
 
     def _record_backlog_too_long(self) -> bool:
         """Whether more starts wait to be recorded than can be written in a short time."""
-        return self.start_recorder.starts_waiting() > max(
+        return self.start_recorder.unstored_start_count() > max(
             8.0, self.params.state.write_rps * MAX_RECORD_BACKLOG_S
         )
--- a/dappledrum/dispatch/preemption.py
+++ b/dappledrum/dispatch/preemption.py
@@ -7,7 +7,7 @@
 from dappledrum.dispatch.context import DispatchContext
 from dappledrum.gangs.all_or_nothing import is_gang, stop_gang
 from dappledrum.jobs.job import Job, Placement
-from dappledrum.jobs.messages import RANKS, Priority
+from dappledrum.jobs.messages import PRIORITY_RANKS, Priority
 from dappledrum.scheduling.bags import Bag
 from dappledrum.scheduling.timeline import Size
 from dappledrum.scheduling.victim_selection import Host, Victim, choose_victims
@@ -43,7 +43,9 @@
         # High priority may stop lower work, too, but what it gained the stopped work lost twice;
         # unless the work keeps its progress, and nobody waits for it.
         guaranteed = job.id in rights.guaranteed
-        only_preemptible = not guaranteed and job.rank != RANKS[Priority.PRODUCTION]
+        only_preemptible = (
+            not guaranteed and job.effective_rank != PRIORITY_RANKS[Priority.PRODUCTION]
+        )
         if only_preemptible and not rights.preemptible:
             return
         stopped_at = now + self.params.workers.report * STOP_REPORTS
@@ -98,17 +100,17 @@
 def _lost_work(placement: Placement, now: timedelta) -> timedelta:
     """Run time that is lost if a task is stopped."""
     job = placement.page.job
-    ran = ZERO if placement.running_at is None else now - placement.running_at
+    ran = ZERO if placement.running_since is None else now - placement.running_since
     if job.spec.checkpoint_s > 0:
         ran = min(ran, job.spec.save)
     # A gang goes whole, so each of its tasks costs all of them.
-    return ran * (job.on_machines() if is_gang(job) else 1)
+    return ran * (job.placement_count() if is_gang(job) else 1)
 
 
 def _may_preempt(other: Job, job: Job, guaranteed: set[str]) -> bool:
     """Whether the protocol allows a task of the one job to be stopped for the other."""
     if other.id in guaranteed and job.id not in guaranteed:
         return False
-    if other.rank > job.rank:
+    if other.effective_rank > job.effective_rank:
         return True
     return job.id in guaranteed and other.id not in guaranteed and other.spec.team != job.spec.team
--- a/dappledrum/dispatch/team_quotas.py
+++ b/dappledrum/dispatch/team_quotas.py
@@ -14,7 +14,7 @@
     """What the limit of each team leaves beside all attempts on machines; None: no limit."""
     used: dict[str, list[float]] = {}
     for job in jobs:
-        count = job.on_machines()
+        count = job.placement_count()
         total = used.setdefault(job.spec.team, [0.0, 0.0])
         total[0] += job.spec.cpus * count
         total[1] += job.spec.gpus * count
@@ -43,7 +43,12 @@
             continue
         cpus = gpus = 0.0
         for job in jobs:
-            if job.spec.team != team.name or job.cancelled or job.over or job.unmet:
+            if (
+                job.spec.team != team.name
+                or job.cancelled
+                or job.finished
+                or job.unmet_dependencies
+            ):
                 continue
             left = job.spec.tasks - job.done
             cpus += job.spec.cpus * left
--- a/dappledrum/leader/leader.py
+++ b/dappledrum/leader/leader.py
@@ -37,6 +37,7 @@
 from dappledrum.store.rate_limiter import RequestPriority
 from dappledrum.store.value_limit import ValueLimit
 from dappledrum.timing.clock import ZERO, Clock
+from dappledrum.timing.supervisor import Supervisor
 from dappledrum.workers.machine_registry import MachineRegistry
 from dappledrum.workers.messages import Commands, WorkerHeartbeat
 from dappledrum.workers.reconciler import Reconciler
@@ -52,6 +53,9 @@
 #: answer workers is counted from the moment at which the watch was sent.
 WATCH_WAIT = timedelta(seconds=2)
 KEPT_OVER = 10_000
+SUPERVISOR = Supervisor(
+    log, fault_pause_s=0.5, transient_errors=(StoreError,), transient_pause_s=lambda: 0.1
+)
 
 
 class Leader:
@@ -86,7 +90,7 @@
         self.record_writer = RecordWriter(store, term, params.state, value_limit, clock)
         self.record_writer.on_ended = self._ended
         self.records = JobLoader(store, self.jobs, self.record_writer.garbage)
-        self.graph = DependencyGraph(self.jobs, self.record_writer.mark, self.wake)
+        self.graph = DependencyGraph(self.jobs, self.record_writer.mark_dirty, self.wake)
         self.record_writer.on_cancelled = self.graph.cancelled
         self.resolver = DependencyResolver(store, self.graph, clock)
         self.reconciler = Reconciler(
@@ -96,7 +100,7 @@
             params.workers,
             clock,
             term.epoch,
-            self.record_writer.mark,
+            self.record_writer.mark_dirty,
             self.wake,
             self.ledger,
             lambda: term.others_stopped_at,
@@ -212,16 +216,7 @@
 
     async def _keep_running(self, loop: Callable[[], Awaitable[None]]) -> None:
         """Run a loop, and start it again when it fails; the others are not affected."""
-        while not self.term.over.is_set():
-            try:
-                await loop()
-                return
-            except StoreError as error:
-                log.debug("%s: store not reached: %s", loop.__name__, error)
-                await asyncio.sleep(0.1)
-            except Exception:
-                log.exception("%s failed, going on", loop.__name__)
-                await asyncio.sleep(0.5)
+        await SUPERVISOR.run_to_completion(loop.__name__, loop, self.term.over)
 
     # records
 
@@ -235,12 +230,12 @@
         await self.learned.recall({t.name: t.boot for t in self.autoscaler.types.values()})
         for job in list(self.jobs.values()):
             self.graph.add(job)
-            self.record_writer.mark(job.page(0))
+            self.record_writer.mark_dirty(job.page(0))
         self.revision = revision
         self.term.knows(started)  # later cancellations are seen by the watch
         self.loaded.set()
         took = (self.clock.now() - started).total_seconds() * 1e3
-        placed = sum(job.on_machines() for job in self.jobs.values())
+        placed = sum(job.placement_count() for job in self.jobs.values())
         log.info("read %d live jobs with %d placements in %.0f ms", len(self.jobs), placed, took)
         self.recovery.begin()
         self.wake("loaded")
@@ -291,7 +286,7 @@
             job.page(0).version = version
             if record.cancelled:
                 self._cancel(job, "is cancelled")
-        self.record_writer.mark(job.page(0))
+        self.record_writer.mark_dirty(job.page(0))
         self.wake("job changed")
 
     def _cancel(self, job: Job, why: str) -> None:
@@ -309,7 +304,7 @@
             job = self.jobs.get(name)
             if job is not None and not job.cancelled:
                 self._cancel(job, "is cancelled, as other controllers say")
-                self.record_writer.mark(job.page(0))
+                self.record_writer.mark_dirty(job.page(0))
                 self.wake("job cancelled")
 
     def _new(self, job: Job) -> Job:
@@ -333,7 +328,7 @@
                 parts.append(msgspec.json.decode(part.value, type=SpecPart))
             made = self.records.make_job(record, entry.version, parts)
             if made is not None:
-                self.record_writer.mark(self._new(made).page(0))
+                self.record_writer.mark_dirty(self._new(made).page(0))
                 self.wake("job changed")
         self.incomplete.pop(name, None)
 
