--- a/checks/hash_seed.py
+++ b/checks/hash_seed.py
@@ -13,7 +13,7 @@
 SEED = "0"
 
 
-def pytest_configure(config: pytest.Config) -> None:
+def pytest_configure() -> None:
     """Set the seed before any worker process starts."""
     os.environ[VARIABLE] = SEED
 
--- a/dappledrum/golden/recording_caller.py
+++ b/dappledrum/golden/recording_caller.py
@@ -17,7 +17,11 @@
         self.sent: list[SentRequest] = []
 
     async def request(
-        self, method: str, path: str, body: bytes | None, timeout: timedelta
+        self,
+        method: str,
+        path: str,
+        body: bytes | None,
+        timeout: timedelta,  # noqa: ARG002 - the signature of a caller
     ) -> Reply:
         """Record the request and give the next reply."""
         self.sent.append((method, path, body))
--- a/dappledrum/model/allotments.py
+++ b/dappledrum/model/allotments.py
@@ -85,7 +85,7 @@
 
 def changed(values: tuple[int, ...], partition: int, by: int) -> tuple[int, ...]:
     """The values with one of them changed."""
-    return values[:partition] + (values[partition] + by,) + values[partition + 1 :]
+    return (*values[:partition], values[partition] + by, *values[partition + 1 :])
 
 
 class Allotments:
@@ -207,7 +207,7 @@
             before.allotment if allotment is None else allotment,
             before.used if used is None else used,
         )
-        leaders = region.leaders[:partition] + (after,) + region.leaders[partition + 1 :]
+        leaders = (*region.leaders[:partition], after, *region.leaders[partition + 1 :])
         return replace(region, leaders=leaders)
 
 
--- a/dappledrum/model/dds.py
+++ b/dappledrum/model/dds.py
@@ -202,15 +202,18 @@
     """
 
     def stage(name: str) -> list[str]:
+        depth = jobs[name]["depth"]
         groups = [[name]]
-        for job in jobs.values():
-            if name in job["needs"]:
-                groups.append([n for n in job["needs"] if jobs[n]["depth"] == jobs[name]["depth"]])
+        groups += [
+            [need for need in job["needs"] if jobs[need]["depth"] == depth]
+            for job in jobs.values()
+            if name in job["needs"]
+        ]
         largest = max(len(group) for group in groups)
         return next(group for group in groups if len(group) == largest)
 
     def longest_path(name: str) -> float:
-        weight = max(jobs[other]["run"] for other in stage(name))
+        weight = float(max(jobs[other]["run"] for other in stage(name)))
         return weight + max((longest_path(need) for need in jobs[name]["needs"]), default=0.0)
 
     def after(name: str) -> set[str]:
--- a/dappledrum/model/invariants.py
+++ b/dappledrum/model/invariants.py
@@ -5,6 +5,7 @@
 from collections.abc import Callable, Iterable, Iterator
 from dataclasses import dataclass, field
 from enum import Enum, auto
+from functools import partial
 from typing import Any
 
 from dappledrum.model.history import (
@@ -44,6 +45,10 @@
     done: set[int] = field(default_factory=set)
 
 
+def _descending(field: str, facts: JobFacts) -> float:
+    return -float(facts.spec[field])
+
+
 @dataclass
 class Invariants:
     """Collects broken rules."""
@@ -189,7 +194,7 @@
         for name, of in classes.items():
             chosen: dict[str, JobFacts] = {}
             for wire in ("beats", "vcpus"):
-                ordered = sorted(of, key=lambda f, wire=wire: -f.spec[wire])
+                ordered = sorted(of, key=partial(_descending, wire))
                 chosen.update((f.spec["id"], f) for f in ordered[: max(1, len(of) // 10)])
             result[name] = list(chosen.values())
         return result
--- a/dappledrum/scale/capacity.py
+++ b/dappledrum/scale/capacity.py
@@ -35,7 +35,14 @@
 
     def scaled(self, factor: float) -> "Hardware":
         """The same, so many times as large; what workers may send stays."""
-        return Hardware(*(value * factor for value in self[:-1]), self.worker_bytes)
+        return Hardware(
+            cores=self.cores * factor,
+            memory_mb=self.memory_mb * factor,
+            sockets=self.sockets * factor,
+            state_requests=self.state_requests * factor,
+            state_changes=self.state_changes * factor,
+            worker_bytes=self.worker_bytes,
+        )
 
 
 class Line(NamedTuple):
--- a/dappledrum/scale/hollow.py
+++ b/dappledrum/scale/hollow.py
@@ -103,7 +103,14 @@
     async def _boot(self, name: str, kind: tuple[str, str, bool], size: dict[str, float]) -> None:
         controllers = list(self.settings.controllers)
         worker = Worker(
-            name, kind, size, self.network, self.rules, self.timing, controllers, self.rng
+            name,
+            kind,
+            size,
+            self.network,  # type: ignore[arg-type] # offers the same over sockets
+            self.rules,  # type: ignore[arg-type] # sends what happens to the parent process
+            self.timing,
+            controllers,
+            self.rng,
         )
         self.workers[name] = worker
         await self.network.listen(name, worker.address)
@@ -132,12 +139,12 @@
         )
 
 
-async def run(path: Path) -> None:
+async def run(settings_json: bytes) -> None:
     """Serve commands until the coordinator is gone."""
-    host = HollowHost(msgspec.json.decode(path.read_bytes(), type=HollowSettings))
+    host = HollowHost(msgspec.json.decode(settings_json, type=HollowSettings))
     host.events.send(Counters())  # ready
     await serve_commands(host.act)
 
 
 if __name__ == "__main__":
-    asyncio.run(run(Path(sys.argv[1])))
+    asyncio.run(run(Path(sys.argv[1]).read_bytes()))
--- a/dappledrum/scale/report.py
+++ b/dappledrum/scale/report.py
@@ -17,9 +17,11 @@
 def percentiles(values: HdrHistogram) -> Percentiles:
     """The usual percentiles of a histogram."""
     return Percentiles(
-        values.total_count,
-        *(float(values.get_value_at_percentile(share)) for share in (50, 95, 99)),
-        float(values.get_max_value()),
+        count=values.total_count,
+        p50=float(values.get_value_at_percentile(50)),
+        p95=float(values.get_value_at_percentile(95)),
+        p99=float(values.get_value_at_percentile(99)),
+        most=float(values.get_max_value()),
     )
 
 
--- a/dappledrum/scale/state_service.py
+++ b/dappledrum/scale/state_service.py
@@ -70,9 +70,9 @@
     """This process takes no commands; it only waits for the end of its standard input."""
 
 
-async def run(path: Path) -> None:
+async def run(settings_json: bytes) -> None:
     """Serve until the coordinator is gone."""
-    settings = msgspec.json.decode(path.read_bytes(), type=StateSettings)
+    settings = msgspec.json.decode(settings_json, type=StateSettings)
     server = served(MeteredState(settings))
     await server.start(*split_address(settings.address))
     Events().send(Counters())  # ready
@@ -80,4 +80,4 @@
 
 
 if __name__ == "__main__":
-    asyncio.run(run(Path(sys.argv[1])))
+    asyncio.run(run(Path(sys.argv[1]).read_bytes()))
--- a/dappledrum/scale/test_capacity.py
+++ b/dappledrum/scale/test_capacity.py
@@ -45,7 +45,7 @@
 
 def test_a_damaged_report_is_an_error_that_names_it(tmp_path):
     (tmp_path / "scale-1.json").write_text("{}")
-    with pytest.raises(ValueError, match="scale-1.json"):
+    with pytest.raises(ValueError, match=r"scale-1\.json"):
         load(tmp_path)
 
 
--- a/dappledrum/simulation/test_days.py
+++ b/dappledrum/simulation/test_days.py
@@ -430,7 +430,7 @@
 @pytest.mark.parametrize("day", sorted(day.stem for day in DAYS.glob("*.toml")))
 def test_own_days_can_be_read(day):
     if day in BENCH_ONLY:
-        with pytest.raises(DayError, match="node_cut.*reset.*mode"):
+        with pytest.raises(DayError, match=r"node_cut.*reset.*mode"):
             load(DAYS / f"{day}.toml")
     else:
         assert load(DAYS / f"{day}.toml").name
@@ -503,5 +503,5 @@
 def test_a_time_before_the_day_is_refused(tmp_path):
     day = tmp_path / "day.toml"
     day.write_text('name = "x"\nfaults = [{ at_s = -1.0, kind = "machine_mute", for_s = 1.0 }]')
-    with pytest.raises(DayError, match="machine_mute.*at_s"):
+    with pytest.raises(DayError, match=r"machine_mute.*at_s"):
         load(day)
