--- a/dappledrum/controller/test_concurrent_faults.py
+++ b/dappledrum/controller/test_concurrent_faults.py
@@ -1,7 +1,7 @@
-"""Troubles that meet, one test for each meeting (docs/design.md, "Meetings"); seeds are fixed, and
-the moments drawn from them. All the while users submit jobs of one to three tasks whose ends lie
-far apart, ask about them at any controller, and cancel some; the rules are checked in each step,
-and in the end every job is known and over, the same at each controller."""
+"""Troubles that meet, one test for each meeting (docs/design.md, "Concurrent faults"); seeds are
+fixed, and the moments drawn from them. All the while users submit jobs of one to three tasks whose
+ends lie far apart, ask about them at any controller, and cancel some; the rules are checked in
+each step, and in the end every job is known and over, the same at each controller."""
 
 import asyncio
 
--- a/dappledrum/controller/test_concurrent_leadership_faults.py
+++ b/dappledrum/controller/test_concurrent_leadership_faults.py
@@ -1,4 +1,4 @@
-"""Meetings of other troubles with changes of leader (docs/design.md, "Meetings").
+"""Meetings of other troubles with changes of leader (docs/design.md, "Concurrent faults").
 
 Seeds are fixed and moments drawn from them; users submit, ask and cancel all the while, and the
 rules are checked in each step (`simulation/scenario.py`). Besides, whatever a leader takes as
--- a/dappledrum/controller/test_concurrent_limit_faults.py
+++ b/dappledrum/controller/test_concurrent_limit_faults.py
@@ -1,6 +1,6 @@
 """Limits, zones and machines that can't be asked: one test for each meeting of troubles
-(docs/design.md, "Meetings"), over five whole controllers. Seeds are fixed, the moments drawn from
-them, and the rules checked at each step."""
+(docs/design.md, "Concurrent faults"), over five whole controllers. Seeds are fixed, the moments
+drawn from them, and the rules checked at each step."""
 
 import pytest
 
--- a/dappledrum/controller/test_concurrent_user_requests.py
+++ b/dappledrum/controller/test_concurrent_user_requests.py
@@ -1,6 +1,6 @@
-"""Users meet what happens to their jobs (docs/design.md, "Meetings"): acceptance, cancellation,
-the end of the last task, odd requests, many small jobs. Seeds are fixed, moments drawn from
-them."""
+"""Users meet what happens to their jobs (docs/design.md, "Concurrent faults"): acceptance,
+cancellation, the end of the last task, odd requests, many small jobs. Seeds are fixed, moments
+drawn from them."""
 
 import asyncio
 import random
--- a/dappledrum/controller/test_crash_points.py
+++ b/dappledrum/controller/test_crash_points.py
@@ -1,5 +1,5 @@
 """Processes that are there again within a second of their end: what the next one may wrongly take
-for its own, forget or repeat (docs/design.md, "Back at once")."""
+for its own, forget or repeat (docs/design.md, "Immediate restarts")."""
 
 import asyncio
 
--- a/dappledrum/election/elector.py
+++ b/dappledrum/election/elector.py
@@ -206,7 +206,7 @@
         any more, and its key only keeps others from standing until its hold is over. The same goes
         for an election whose outcome this process never learned. What was sent under the key
         before is guarded by its version, a renewal finds no hold, and an answer on its way is
-        older than whatever its successor assumes (docs/design.md, "Back at once").
+        older than whatever its successor assumes (docs/design.md, "Immediate restarts").
         """
         if self.leader is None or self.leader.member != self.member or self.term is not None:
             return
--- a/dappledrum/jobs/confirmed_cancellations.py
+++ b/dappledrum/jobs/confirmed_cancellations.py
@@ -2,7 +2,7 @@
 
 A leader that the store does not serve can't read them. It asks all controllers instead,
 and may rely on their words only where those cover, without a gap, the time since it last knew all
-(docs/design.md, "What a leader knows of cancellations"). So an answer says for how long back it is
+(docs/design.md, "Known cancellations"). So an answer says for how long back it is
 complete: not beyond the beginning of this process, nor beyond what has been dropped.
 
 No I/O and no clock of its own: the model in `model/election.py` runs this very code.
--- a/dappledrum/model/allotments.py
+++ b/dappledrum/model/allotments.py
@@ -1,9 +1,9 @@
 """A team's limit that partitions of a fleet share by allotments; all interleavings, exhaustively.
 
-The design is in docs/design.md ("At ten thousand"); no partition is built yet, so this is a model
-alone. Each partition has a leader of its own, whose writes name its key, and an allotment in the
-store, under one version for all partitions of a team. A leader starts tasks only within
-its allotment, takes more from what nobody has, and gives back what it does not need.
+The design is in docs/design.md ("At ten thousand workers"); no partition is built yet, so this is
+a model alone. Each partition has a leader of its own, whose writes name its key, and an allotment
+in the store, under one version for all partitions of a team. A leader starts tasks only within its
+allotment, takes more from what nobody has, and gives back what it does not need.
 
 Transactions are carried out at once or late, also when their sender has ended, and their answers
 may be lost. A leader may be replaced at any moment. Tasks end on their machines at any time, and
--- a/dappledrum/store/test_guards.py
+++ b/dappledrum/store/test_guards.py
@@ -1,5 +1,5 @@
 """Every transaction that controllers send, with its guards: whatever is carried out late, after
-newer ones, meets another version and changes nothing (docs/design.md, "Meetings")."""
+newer ones, meets another version and changes nothing (docs/design.md, "Concurrent faults")."""
 
 import asyncio
 import json
