--- a/dappledrum/controller/controller.py
+++ b/dappledrum/controller/controller.py
@@ -132,7 +132,7 @@
             self.store, self.peers, self.membership, self.value_limit, self.job_api
         )
         self.users = UserEndpoint(self.store, self.membership, self.peers, self.job_api, isolation)
-        self.reports = HeartbeatEndpoint(
+        self.heartbeats = HeartbeatEndpoint(
             settings.member,
             self.params.workers,
             tuning,
@@ -146,7 +146,7 @@
             lambda: self.leader,
         )
         self.peer_requests = PeerEndpoint(
-            clock, self.store, self.elector, self.membership, self.users, self.reports
+            clock, self.store, self.elector, self.membership, self.users, self.heartbeats
         )
         self._term_begun = asyncio.Event()
         self._set_share()
@@ -158,7 +158,7 @@
             self.elector.run(),
             self._lead(),
             self.catalog.run(),
-            self.reports.watch(),
+            self.heartbeats.watch(),
             self.versions.run(),
             self._learn_holders(),
             *([self.membership.run()] if self.tuning.reach else []),
@@ -297,7 +297,7 @@
 
     def _routes(self, path: str) -> tuple[str, Callable[[Request], Awaitable[Response]]] | None:
         if path == "/hello":
-            return "POST", self.reports.serve
+            return "POST", self.heartbeats.serve
         if path == "/ready":
             return "GET", self.users.ready
         if path == "/submissions":
--- a/dappledrum/controller/heartbeat_endpoint.py
+++ b/dappledrum/controller/heartbeat_endpoint.py
@@ -1,4 +1,4 @@
-"""Reports of workers: answered as leader, forwarded to the leader, or redirected there."""
+"""Heartbeats of workers: answered as leader, forwarded to the leader, or redirected there."""
 
 import asyncio
 import logging
@@ -19,7 +19,7 @@
 from dappledrum.store.client import StoreClient
 from dappledrum.timing.clock import Clock
 from dappledrum.timing.timeouts import PauseDetector
-from dappledrum.workers.heartbeat_attempts import HeartbeatAttempts, reporting_elsewhere
+from dappledrum.workers.heartbeat_attempts import HeartbeatAttempts, sending_heartbeats_elsewhere
 from dappledrum.workers.messages import Commands, Redirect, WorkerHeartbeat
 
 log = logging.getLogger(__name__)
@@ -28,7 +28,7 @@
 AVOID = timedelta(seconds=20)
 FORWARDED_WAIT = timedelta(
     milliseconds=300
-)  # the longest that the answer to a forwarded report waits for work
+)  # the longest that the answer to a forwarded heartbeat waits for work
 
 
 class HeartbeatEndpoint:
@@ -59,11 +59,12 @@
         self.pause_detector = pause_detector
         self.isolation = isolation
         self.leader = leader
-        self.report_attempts = HeartbeatAttempts()
+        self.heartbeat_attempts = HeartbeatAttempts()
 
     async def watch(self) -> None:
-        """Resign as leader if no worker reports here while workers report to other controllers."""
-        silence = max(self.limits.report * 3, timedelta(seconds=3))
+        """Resign as leader if no worker sends heartbeats here while workers send them to other
+        controllers."""
+        silence = max(self.limits.heartbeat_interval * 3, timedelta(seconds=3))
         while True:
             await asyncio.sleep(1)
             leader = self.leader()
@@ -72,12 +73,12 @@
                 continue
             if self.tuning.reach and self.membership.heartbeat_peers:
                 continue  # heartbeats of peers show more, and who should lead instead
-            heard = self.report_attempts.last
+            heard = self.heartbeat_attempts.last
             began = max(leader.began, self.pause_detector.awake_since())
             if now - began < silence or (heard is not None and now - heard < silence):
                 continue
-            names = reporting_elsewhere(
-                await self.peers.report_attempts(ATTEMPT_WINDOW, timedelta(seconds=1)),
+            names = sending_heartbeats_elsewhere(
+                await self.peers.heartbeat_attempts(ATTEMPT_WINDOW, timedelta(seconds=1)),
                 leader.registry,
             )
             if names and self.leader() is leader:
@@ -86,20 +87,22 @@
                 )
 
     async def serve(self, request: Request) -> Response:
-        """Answer one report of a worker."""
+        """Answer one heartbeat of a worker."""
         try:
-            report = msgspec.json.decode(request.body, type=WorkerHeartbeat)
+            heartbeat = msgspec.json.decode(request.body, type=WorkerHeartbeat)
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-            log.warning("unusable report: %s", error)
+            log.warning("unusable heartbeat: %s", error)
             return refusal(HTTPStatus.BAD_REQUEST, str(error))
-        self.report_attempts.note(report.machine, self.clock.now())
-        self.membership.zone(report.zone).heard(self.clock.now(), report.address)
-        commands = await self._commands(report, MAX_IDLE_WAIT)
+        self.heartbeat_attempts.note(heartbeat.machine, self.clock.now())
+        self.membership.zone(heartbeat.zone).heard(self.clock.now(), heartbeat.address)
+        commands = await self._commands(heartbeat, MAX_IDLE_WAIT)
         if commands is not None:
             return Response(HTTPStatus.OK, msgspec.json.encode(commands))
         redirect_target = self.redirect_target()
         if redirect_target is not None and self.tuning.reach:
-            answer = await self.membership.forward_report(report, redirect_target, request.body)
+            answer = await self.membership.forward_heartbeat(
+                heartbeat, redirect_target, request.body
+            )
             if answer is not None:
                 return Response(HTTPStatus.OK, answer)
         return Response(
@@ -108,12 +111,14 @@
             close=True,  # the worker goes elsewhere, so its connection is not needed
         )
 
-    async def _commands(self, report: WorkerHeartbeat, most: timedelta) -> Commands | None:
+    async def _commands(self, heartbeat: WorkerHeartbeat, most: timedelta) -> Commands | None:
         """The leader's answer; None: this controller is not entitled to give one."""
         leader = self.leader()
         if leader is None or self.elector.holding() is not leader.term:
             return None
-        return await leader.report(report, lambda: self.elector.answering() is leader.term, most)
+        return await leader.answer_heartbeat(
+            heartbeat, lambda: self.elector.answering() is leader.term, most
+        )
 
     def redirect_target(self) -> str | None:
         """The controller to redirect a worker to; None: not known, the worker tries the next one
@@ -133,12 +138,12 @@
         return None if member == self.member else member
 
     async def answer_forwarded(self, body: bytes) -> bytes | None:
-        """The answer to a report that a peer has forwarded: the answer that the worker itself
+        """The answer to a heartbeat that a peer has forwarded: the answer that the worker itself
         would get, or None. It is never forwarded again."""
         try:
-            report = msgspec.json.decode(body, type=WorkerHeartbeat)
+            heartbeat = msgspec.json.decode(body, type=WorkerHeartbeat)
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-            log.warning("unusable report from a peer: %s", error)
+            log.warning("unusable heartbeat from a peer: %s", error)
             return None
-        commands = await self._commands(report, FORWARDED_WAIT)
+        commands = await self._commands(heartbeat, FORWARDED_WAIT)
         return None if commands is None else msgspec.json.encode(commands)
--- a/dappledrum/controller/peer_endpoint.py
+++ b/dappledrum/controller/peer_endpoint.py
@@ -58,14 +58,14 @@
         elector: Elector,
         membership: Membership,
         users: UserEndpoint,
-        reports: HeartbeatEndpoint,
+        heartbeats: HeartbeatEndpoint,
     ) -> None:
         self.clock = clock
         self.store = store
         self.elector = elector
         self.membership = membership
         self.users = users
-        self.reports = reports
+        self.heartbeats = heartbeats
 
     async def serve(self, request: Request) -> Response:
         """One request on the address for the other controllers."""
@@ -92,7 +92,7 @@
             return self.membership.answer(question)
         if isinstance(question, ForwardedHeartbeats):
             return ForwardedHeartbeatsReply(
-                await asyncio.gather(*map(self.reports.answer_forwarded, question.reports))
+                await asyncio.gather(*map(self.heartbeats.answer_forwarded, question.heartbeats))
             )
         if isinstance(question, PreVote):
             return self.elector.pre_vote(question)
@@ -108,7 +108,7 @@
         if isinstance(question, HeartbeatAttemptsRequest):
             within = timedelta(milliseconds=min(max(question.within_ms, 0), 60_000))
             return HeartbeatAttemptsReply(
-                self.reports.report_attempts.within(within, self.clock.now())
+                self.heartbeats.heartbeat_attempts.within(within, self.clock.now())
             )
         assert isinstance(question, LeaseGrantCall)
         # Ask first, every time: while this controller is served, a leader that is refused alone
--- a/dappledrum/controller/test_concurrent_faults.py
+++ b/dappledrum/controller/test_concurrent_faults.py
@@ -204,7 +204,7 @@
 
 
 @SEEDS
-def test_old_reports_after_newer_ones_and_a_change_of_leader(seed):
+def test_old_heartbeats_after_newer_ones_and_a_change_of_leader(seed):
     """Also of an earlier session and attempt: the machines lose their sessions in between."""
 
     async def act(scenario):
--- a/dappledrum/controller/test_concurrent_leadership_faults.py
+++ b/dappledrum/controller/test_concurrent_leadership_faults.py
@@ -27,7 +27,7 @@
 
 @pytest.fixture
 def truth():
-    """Everything that leaders conclude from reports and silence must be so."""
+    """Everything that leaders conclude from heartbeats and silence must be so."""
     with watched() as found:
         yield found
     assert not found.wrong, found.wrong
@@ -101,7 +101,7 @@
 
 
 def deliver(cluster, sent, after):
-    """A report arrives once more, at every controller."""
+    """A heartbeat arrives once more, at every controller."""
     for member in FIVE:
         asyncio.get_running_loop().create_task(
             cluster.network._late(sent.source, member, "POST", "/hello", sent.body, after),
@@ -110,7 +110,7 @@
 
 
 async def disturb(scenario):
-    """Reports become old: a machine loses its session, another is returned."""
+    """Heartbeats become old: a machine loses its session, another is returned."""
     cluster, rng = scenario.cluster, scenario.rng
     hanging, gone = rng.sample(cluster.cloud.workers(), 2)
     hanging.hung = True
@@ -119,17 +119,17 @@
 
 
 @SEEDS
-def test_old_reports_reach_every_controller_as_a_leader_begins(seed, truth):
+def test_old_heartbeats_reach_every_controller_as_a_leader_begins(seed, truth):
     """Of earlier sessions and attempts, and of machines that were returned meanwhile."""
 
     async def act(scenario):
         cluster, rng = scenario.cluster, scenario.rng
-        reports = []
+        heartbeats = []
 
         def remember(sent):
             if sent.path == "/hello" and now() - heard.get(sent.source, -1) > 1:
                 heard[sent.source] = now()
-                reports.append(sent)
+                heartbeats.append(sent)
 
         heard = {}
         cluster.network.watcher = remember
@@ -151,7 +151,7 @@
             while cluster.leader() is None:
                 await cluster.wait(0.02)
             delay = rng.choice((0.0, 0.05, 0.4))
-            for sent in rng.sample(reports, min(len(reports), 60)):
+            for sent in rng.sample(heartbeats, min(len(heartbeats), 60)):
                 deliver(cluster, sent, delay)
             await scenario.submit_long(10 + turn)
             await cluster.wait(rng.uniform(2, 5))
@@ -162,7 +162,7 @@
 @SEEDS
 @pytest.mark.parametrize("share", [0.3, 1.0])
 def test_copies_are_kept_until_the_next_leader_has_acted(seed, share, truth):
-    """In the order of their reports; nothing that runs is stopped for what they do not show."""
+    """In the order of their heartbeats; nothing that runs is stopped for what they do not show."""
 
     async def act(scenario):
         cluster, rng = scenario.cluster, scenario.rng
@@ -186,7 +186,7 @@
 
 @SEEDS
 @pytest.mark.parametrize("share", [0.4, 1.0])
-def test_reports_are_held_back_until_a_new_leader_has_acted(seed, share, truth):
+def test_heartbeats_are_held_back_until_a_new_leader_has_acted(seed, share, truth):
     """They come for the first time, from machines that have got work or lost their lease since."""
 
     async def act(scenario):
@@ -212,7 +212,7 @@
             await cluster.wait(rng.uniform(0, 3))
             cluster.network.watcher = None
             await scenario.until_led()
-            await scenario.submit_long(10 + turn)  # starts that the reports do not show
+            await scenario.submit_long(10 + turn)  # starts that the heartbeats do not show
             await cluster.wait(rng.uniform(0.5, LEASE_S))
             await scenario.until_led()
             rng.shuffle(held)
--- a/dappledrum/controller/test_concurrent_limit_faults.py
+++ b/dappledrum/controller/test_concurrent_limit_faults.py
@@ -11,8 +11,8 @@
 SEEDS = pytest.mark.parametrize("seed", range(3))
 LIMITED = (Team("blue", cpus_max=8.0), Team("red", cpus_max=8.0))
 #: After the last change of leader, or the cancellation, if that is later, a team's limit is free
-#: again: a lease with its margin until silence is proof, and the plan, record and report of what
-#: starts instead.
+#: again: a lease with its margin until silence is proof, and the plan, record and heartbeat of
+#: what starts instead.
 FREE_AGAIN_S = LEASE_S + 5.0
 
 
@@ -42,8 +42,9 @@
     await scenario.until_led()
 
 
-async def until_reported(scenario, names, check):
-    """Wait for something, while these machines report to the leader, heard or not."""
+async def until_heartbeats(scenario, names, check):
+    """Wait for something, while these machines send heartbeats to the leader, which may not
+    receive them."""
     reporting = [w for w in scenario.cluster.cloud.workers() if w.name in names]
     while not check():
         for worker in reporting:
@@ -69,7 +70,7 @@
     elif how == "deaf":
         cluster.drop_answers(names)
     elif how == "mute":
-        cluster.drop_reports(names)
+        cluster.drop_heartbeats(names)
     else:
         cut_off(scenario, names)
 
@@ -115,7 +116,7 @@
 @pytest.mark.parametrize("how", ["cut", "mute"])
 @pytest.mark.parametrize("change", [False, True])
 def test_a_limit_counts_what_runs_though_its_result_is_there_already(seed, how, change):
-    """A machine completes a task behind a cut, and its report is held back until the task was
+    """A machine completes a task behind a cut, and its heartbeat is held back until the task was
     begun again elsewhere, on a machine that now can't be asked: the job is done, and what runs
     still counts, through a change of leader, too."""
 
@@ -126,8 +127,8 @@
         first = scenario.machines_of(0)
         await cluster.wait(rng.uniform(7, 9))
         cut_off(scenario, first)
-        await until_reported(scenario, first, lambda: running(scenario, 0) == 0)
-        await until_reported(scenario, first, lambda: running(scenario, 0) == 1)
+        await until_heartbeats(scenario, first, lambda: running(scenario, 0) == 0)
+        await until_heartbeats(scenario, first, lambda: running(scenario, 0) == 1)
         second = scenario.machines_of(0)
         assert second != first
         await cluster.wait(rng.uniform(1, 3))
@@ -307,7 +308,7 @@
         await cluster.wait(8)
         for number in range(3):
             on = sorted(scenario.machines_of(number))
-            silent = cluster.drop_reports(rng.sample(on, max(1, len(on) - 1)) if on else [])
+            silent = cluster.drop_heartbeats(rng.sample(on, max(1, len(on) - 1)) if on else [])
             span = rng.choice((3.0, LEASE_S - 2, LEASE_S + 3, 3 * LEASE_S))
             later(span, cluster.network.muted.difference_update, silent)
             await cluster.wait(rng.uniform(0, LEASE_S))
@@ -321,7 +322,7 @@
 
 
 @SEEDS
-def test_tasks_go_on_where_reports_are_missing_for_less_than_a_lease(seed):
+def test_tasks_go_on_where_heartbeats_are_missing_for_less_than_a_lease(seed):
     """Nothing is stopped there, nor begun elsewhere, as long as the machine may come back."""
 
     async def act(scenario):
@@ -330,7 +331,7 @@
         await cluster.until(lambda: running(scenario, 0) + running(scenario, 1) == 4)
         starts = cluster.rules.starts
         for _ in range(2):
-            silent = cluster.drop_reports(
+            silent = cluster.drop_heartbeats(
                 sorted(scenario.machines_of(0) | scenario.machines_of(1))
             )
             await cluster.wait(rng.uniform(1, 2.5))  # and 6 s until a worker has found its way
--- a/dappledrum/controller/test_end_to_end.py
+++ b/dappledrum/controller/test_end_to_end.py
@@ -28,7 +28,7 @@
     fault_scenarios.cut_then_killed,
     fault_scenarios.cloud_requests_arrive_late,
     fault_scenarios.transactions_arrive_late,
-    fault_scenarios.reports_arrive_late,
+    fault_scenarios.heartbeats_arrive_late,
     fault_scenarios.workers_refused,
     fault_scenarios.peers_refused_in_an_outage,
     fault_scenarios.silent_for_a_minute_then_again,
--- a/dappledrum/controller/test_idle_machines.py
+++ b/dappledrum/controller/test_idle_machines.py
@@ -52,7 +52,7 @@
 
 
 def test_answers_wait_only_where_there_is_room_and_no_end_is_near():
-    """A worker has one report on its way, so news of an end would wait for the answer."""
+    """A worker has one heartbeat on its way, so news of an end would wait for the answer."""
 
     async def main():
         cluster = SimulatedCluster(seed=22)
--- a/dappledrum/controller/test_late_and_duplicate_heartbeats.py
+++ b/dappledrum/controller/test_late_and_duplicate_heartbeats.py
@@ -1,4 +1,4 @@
-"""Reports that come again late, machines that hear nothing, and controllers that are left alone
+"""Heartbeats that come again late, machines that hear nothing, and controllers that are left alone
 with their workers."""
 
 import asyncio
@@ -12,7 +12,7 @@
 
 #: Requests of all kinds: of users, workers and controllers, to the store and the cloud.
 ALL = ("/hello", "/submissions", "/multi", "/holds", "/rentals", "/peer")
-REPORTS = ALL[:1]
+HEARTBEATS = ALL[:1]
 FAULTS = ("end", "die", "hang", "taken", "all", "die", "end", "outage")
 
 
@@ -37,7 +37,7 @@
         cluster.store.end_outage()
 
 
-@pytest.mark.parametrize(("seed", "paths"), [(0, REPORTS), (1, REPORTS), (2, ALL), (3, ALL)])
+@pytest.mark.parametrize(("seed", "paths"), [(0, HEARTBEATS), (1, HEARTBEATS), (2, ALL), (3, ALL)])
 def test_late_copies_amid_ends_and_losses(seed, paths):
     """Copies from 1 s to three leases late, at any controller, leaders and machines that end and
     machines that hang: no rule is broken, and nothing that has gone looks alive."""
@@ -56,8 +56,8 @@
     run(main())
 
 
-def reports_of(cluster, name):
-    """The list of all that this worker reports from now on."""
+def heartbeats_of(cluster, name):
+    """The list of all heartbeats that this worker sends from now on."""
     seen, copy = [], cluster.network._copy
 
     def keep(source, target, method, path, body):
@@ -72,7 +72,7 @@
 @pytest.mark.parametrize("takeover", [False, True])
 def test_copies_of_a_dead_machine_do_not_keep_it_alive(takeover):
     """Its tasks are given up a lease after its last answer, two at the most after a takeover that
-    knew nothing of the order of its reports."""
+    knew nothing of the order of its heartbeats."""
 
     async def main():
         cluster = GhostWatchingCluster(seed=2, members=FIVE, lease_s=LEASE_S)
@@ -85,7 +85,7 @@
         await cluster.until(lambda: cluster.rules.starts >= 2)
         await cluster.wait(3)
         dead = next(worker for worker in cluster.cloud.workers() if worker.attempts)
-        seen = reports_of(cluster, dead.name)
+        seen = heartbeats_of(cluster, dead.name)
         await cluster.wait(4)
         dead.vanish()
         died = now()
@@ -127,8 +127,8 @@
 @pytest.mark.parametrize("seed", range(2))
 @pytest.mark.parametrize("takeover", [False, True])
 def test_machines_that_hear_nothing_get_nothing_and_come_back(seed, takeover):
-    """A third of all: told apart within a lease and some reports, all work is done elsewhere, and
-    they serve again once they hear."""
+    """A third of all: told apart within a lease and some heartbeats, all work is done elsewhere,
+    and they serve again once they hear."""
 
     async def main():
         work = await begin_short_work(seed, machines=9)
@@ -210,7 +210,8 @@
         assert now() - began < 0.5
         controller = cluster.controllers[member]
         assert (
-            controller.elector.holding() is None and controller.reports.redirect_target() is None
+            controller.elector.holding() is None
+            and controller.heartbeats.redirect_target() is None
         )
         await cluster.wait(20)
         kept = sessions.keys() & work.sessions().keys()
@@ -228,10 +229,10 @@
 @pytest.mark.parametrize("election", [False, True])
 def test_a_worker_process_that_begins_anew_is_not_taken_for_the_old_one(young, election):
     """Its `set` and `tick` begin again, below what is known or soon above it, also while another
-    controller comes to lead, and copies of the former one's reports go on coming."""
+    controller comes to lead, and copies of the former one's heartbeats go on coming."""
 
     async def main():
-        work = await begin_short_work(7, REPORTS, machines=4, jobs=2)
+        work = await begin_short_work(7, HEARTBEATS, machines=4, jobs=2)
         cluster = work.cluster
         await cluster.wait(0 if young else 15)
         long = job(50, beats=4, vcpus=4.0, runS=25.0, expectedS=25.0, dueS=40.0)
@@ -261,7 +262,7 @@
     in the end, and known all along."""
 
     async def main():
-        work = await begin_short_work(5, REPORTS)
+        work = await begin_short_work(5, HEARTBEATS)
         cluster, rng = work.cluster, work.rng
         for turn in range(6):
             up = cluster.cloud.workers()
--- a/dappledrum/dependencies/graph.py
+++ b/dappledrum/dependencies/graph.py
@@ -1,7 +1,7 @@
 """The waiting relation among the live jobs, in the memory of one term.
 
 It is derived from the records of live and ended jobs, so a successor derives the same. A job is
-released only when the ends of all jobs that it waits for are *stored* as done. The report of a
+released only when the ends of all jobs that it waits for are *stored* as done. The heartbeat of a
 last task is not enough, since a cancellation on another controller may still win the write of the
 record. Likewise, a job is cancelled because of another one only when the cancellation of that one
 is stored.
--- a/dappledrum/dependencies/test_dependencies.py
+++ b/dappledrum/dependencies/test_dependencies.py
@@ -94,7 +94,7 @@
 
 async def test_a_cancellation_that_beats_the_record_of_the_last_end_releases_nobody():
     """All tasks have completed, but the user was told that the job is cancelled: the record
-    decides, so what waits must not start on the last report alone."""
+    decides, so what waits must not start on the last heartbeat alone."""
     cluster = await settled_world(35)
     await cluster.accept(link(1), link(2, 1))
     state = cluster.network.services["state"]
--- a/dappledrum/dispatch/candidate_machines.py
+++ b/dappledrum/dispatch/candidate_machines.py
@@ -47,8 +47,8 @@
 
     def may_wait(self, machine: Machine, span: timedelta) -> bool:
         """Whether the answer to a busy machine may be held back for this time. It has free
-        capacity, and none of its tasks is expected to end meanwhile: the report of that end would
-        have to wait for the answer to this report."""
+        capacity, and none of its tasks is expected to end meanwhile: the heartbeat of that end
+        would have to wait for the answer to this heartbeat."""
         model = self.autoscaler.types.get(machine.kind.type) if machine.kind is not None else None
         if model is None or not machine.usable or machine.recall_at is not None:
             return False
@@ -79,9 +79,10 @@
             machine.reachability.unreachable and not self.mostly_unreachable
         ):
             return False
-        report = self.params.workers.report
+        heartbeat_interval = self.params.workers.heartbeat_interval
         return not machine.up or not (
-            machine.silent(now, report, self.awake_since) or now < machine.blocked_until
+            machine.silent(now, heartbeat_interval, self.awake_since)
+            or now < machine.blocked_until
         )
 
     def _mean(self, job: Job) -> timedelta:
@@ -92,7 +93,7 @@
         model = self.autoscaler.types.get(kind.type) if kind is not None else None
         if kind is None or model is None or not self._takes_work(machine, now):
             return None
-        if not machine.up and machine.placements and not machine.awaiting_report:
+        if not machine.up and machine.placements and not machine.awaiting_heartbeat:
             return None
         ready_at = now if machine.up else self.autoscaler.ready_at(machine)
         until = None if machine.recall_at is None else machine.recall_at - timedelta(seconds=1)
@@ -124,7 +125,7 @@
         """When a task that is placed on a machine is expected to end there."""
         job = placement.page.job
         if placement.lost or job.cancelled:
-            return now + self.params.workers.report * 2
+            return now + self.params.workers.heartbeat_interval * 2
         if job.spec.form is Form.SERVICE:
             return now + SERVICE_RUN_TIME
         known = self._moments.get(job.id)
--- a/dappledrum/dispatch/job_deadlines.py
+++ b/dappledrum/dispatch/job_deadlines.py
@@ -36,7 +36,10 @@
         objectives name; single jobs did no better with those (docs/limits.md)."""
         own = None if job.spec.deadline_s is None else timedelta(seconds=job.spec.deadline_s)
         objectives = self.params.objectives if job.spec.needs else ()
-        age = max(self.clock.today() - job.accepted_at, ZERO) + self.params.workers.report
+        age = (
+            max(self.clock.today() - job.accepted_at, ZERO)
+            + self.params.workers.heartbeat_interval
+        )
         return [limit - age for limit in owner_deadlines(objectives, job.spec.job_class, own)]
 
     def of_job(
@@ -46,7 +49,7 @@
 
         `run` is the estimate of a task, `waited` the time since the job could start.
         """
-        age = waited + self.params.workers.report
+        age = waited + self.params.workers.heartbeat_interval
         expected = stage_deadlines(self.params.objectives, job.spec.job_class, run)
         limits = [limit - age for limit in expected] + self.of_owner(job)
         if stage is not None and stage.due is not None:
--- a/dappledrum/dispatch/preemption.py
+++ b/dappledrum/dispatch/preemption.py
@@ -48,7 +48,7 @@
         )
         if only_preemptible and not rights.preemptible:
             return
-        stopped_at = now + self.params.workers.report * STOP_REPORTS
+        stopped_at = now + self.params.workers.heartbeat_interval * STOP_REPORTS
         if stopped_at + bag.run > bag.due and not guaranteed:
             return
         hosts = []
--- a/dappledrum/dispatch/scale_in.py
+++ b/dappledrum/dispatch/scale_in.py
@@ -187,7 +187,7 @@
         Only jobs that save their progress are placed there, and they are stopped early enough to
         save.
         """
-        report = self.params.workers.report
+        heartbeat_interval = self.params.workers.heartbeat_interval
         for machine in self.registry:
             if machine.kind is None or machine.kind.spot or machine.name in plan.needed:
                 continue
@@ -196,7 +196,9 @@
                 continue
             interval = self.autoscaler.interval(machine.kind)
             left = interval - (now - machine.rented_at) % interval
-            if left <= report * 3 + max(j.spec.save for j in jobs) * 1.5 + timedelta(seconds=1):
+            if left <= heartbeat_interval * 3 + max(j.spec.save for j in jobs) * 1.5 + timedelta(
+                seconds=1
+            ):
                 log.info("%s gets no new work: only idle work is left on it", machine.name)
                 machine.retiring = True
                 for placement in machine.placements.values():
--- a/dappledrum/fleet/autoscaler.py
+++ b/dappledrum/fleet/autoscaler.py
@@ -8,7 +8,7 @@
 from dappledrum.fleet.boot_times import BootTimes, PendingBoot
 from dappledrum.fleet.cloud_client import CloudClient, CloudError, NoCapacityError
 from dappledrum.fleet.messages import ListedMachine, MachineType, RentalRequest
-from dappledrum.recovery.return_times import expected_report_in
+from dappledrum.recovery.return_times import expected_heartbeat_in
 from dappledrum.scheduling.timeline import InstanceKind
 from dappledrum.settings import Params
 from dappledrum.timing.clock import ZERO, Clock
@@ -26,7 +26,8 @@
 MAX_TIME_ASIDE = timedelta(seconds=30)
 SLOW = 2.0  # times the catalog's figure, from which on slow boots are logged
 SLOW_NO_MORE = 1.5
-INTRODUCED = timedelta(seconds=20)  # beyond a lease: machines report to a new leader by then
+#: Beyond a lease: machines have sent heartbeats to a new leader by then.
+INTRODUCED = timedelta(seconds=20)
 
 
 class Autoscaler:
@@ -94,12 +95,14 @@
 
     def ready_at(self, machine: Machine) -> timedelta:
         """When a booting machine is expected to be up, or when a machine that was up before this
-        term is expected to report to this leader."""
+        term is expected to send a heartbeat to this leader."""
         now = self.clock.now()
         if machine.kind is None:
             return now + self.base_interval
-        if machine.awaiting_report:
-            return now + expected_report_in(now - machine.seen_at, self.params.workers.report)
+        if machine.awaiting_heartbeat:
+            return now + expected_heartbeat_in(
+                now - machine.seen_at, self.params.workers.heartbeat_interval
+            )
         return now + self.boots.left(machine.kind, machine.rented_at, now)
 
     def overdue(self, machine: Machine) -> bool:
@@ -109,8 +112,8 @@
         return (
             not machine.up
             and machine.kind is not None
-            # A new leader hears of machines that have long been up; give them the time to report
-            # to it.
+            # A new leader hears of machines that have long been up; give them the time to send a
+            # heartbeat to it.
             and now - machine.seen_at > self.params.workers.lease + INTRODUCED
             and self.boots.hopeless(machine.kind, machine.rented_at, now)
         )
@@ -285,10 +288,11 @@
         return "it is idle at the end of its interval" if left <= timedelta(seconds=1) else None
 
     def _connected(self, now: timedelta) -> bool:
-        """Whether most machines report, so that the fault is not on this side if one does not."""
+        """Whether heartbeats of most machines arrive, so that the fault is not on this side if one
+        is silent."""
         up = [m for m in self.registry if m.up]
         since = self.awake_since()
-        heard = sum(not m.silent(now, self.params.workers.report, since) for m in up)
+        heard = sum(not m.silent(now, self.params.workers.heartbeat_interval, since) for m in up)
         return heard * 2 > len(up)
 
     # watching
@@ -328,7 +332,7 @@
         stale = 3 * self.params.cloud.list_lag + timedelta(seconds=10)
         for machine in self.registry:
             known = machine.listed_at if machine.listed_at is not None else machine.rented_at
-            unheard = machine.last_report is None or now - machine.last_report > stale
+            unheard = machine.last_heartbeat is None or now - machine.last_heartbeat > stale
             if machine.returning or machine.placements or now - known <= stale or not unheard:
                 continue
             if machine.listed_at is None and not machine.up:
--- a/dappledrum/fleet/boot_times.py
+++ b/dappledrum/fleet/boot_times.py
@@ -25,7 +25,7 @@
 SHORTEST = timedelta(seconds=1)
 OVERTAKEN = 2.0  # times the slowest later boot, after which an overtaken machine is given up
 ALONE = 4.0  # times the expected boot, after which one is given up while none comes up
-FLOOR = timedelta(seconds=20)  # reports and lists take their time, too
+FLOOR = timedelta(seconds=20)  # heartbeats and lists take their time, too
 
 
 class BootTime(NamedTuple):
--- a/dappledrum/fleet/fleet_facts.py
+++ b/dappledrum/fleet/fleet_facts.py
@@ -2,7 +2,7 @@
 
 The list of the cloud lags behind, so a new leader would not see what its predecessor has just
 rented, and would rent it again. The record is advisory: without it, machines turn up in the list
-or by their reports.
+or by their heartbeats.
 """
 
 from datetime import UTC, datetime, timedelta
--- a/dappledrum/fleet/test_autoscaler.py
+++ b/dappledrum/fleet/test_autoscaler.py
@@ -88,12 +88,12 @@
         autoscaler.order({SPOT: 2}, {"h2"}, autoscaler.clock.now())
         await while_running(autoscaler, autoscaler.rent_loop, for_s=0.1)
     for machine in registry:
-        machine.up_at = machine.last_report = autoscaler.clock.now()
+        machine.up_at = machine.last_heartbeat = autoscaler.clock.now()
     assert not autoscaler.offered(SPOT)
     await while_running(autoscaler, autoscaler.return_loop, for_s=57)
     assert cloud.returned == []
     for machine in registry:
-        machine.last_report = machine.last_answer = autoscaler.clock.now()
+        machine.last_heartbeat = machine.last_answer = autoscaler.clock.now()
     autoscaler.aside[SPOT] = (autoscaler.clock.now() + seconds(60), seconds(60))
     await while_running(autoscaler, autoscaler.return_loop, for_s=3)
     assert cloud.returned == ["h1"]
--- a/dappledrum/gangs/test_gangs.py
+++ b/dappledrum/gangs/test_gangs.py
@@ -68,7 +68,7 @@
     for task in range(3):
         page.place(task, f"host-{task}", 1, "a", datetime.now(UTC))
     assert not is_incomplete(gang)
-    page.finish(0)  # in an earlier attempt, as a late report shows
+    page.finish(0)  # in an earlier attempt, as a late heartbeat shows
     assert not is_incomplete(gang)
     page.remove(2)
     assert is_incomplete(gang)
--- a/dappledrum/golden/test_controllers.py
+++ b/dappledrum/golden/test_controllers.py
@@ -75,7 +75,7 @@
     "holding": HoldsTermRequest(),
     "heartbeats": PeerHeartbeats(own=FULL_HEARTBEAT, heard=[SHORT_HEARTBEAT]),
     "heartbeats-none-heard": PeerHeartbeats(own=SHORT_HEARTBEAT),
-    "forwarded-reports": ForwardedHeartbeats(reports=[b'{"drum":"host-000231"}', b"{}"]),
+    "forwarded-reports": ForwardedHeartbeats(heartbeats=[b'{"drum":"host-000231"}', b"{}"]),
     "transfer-leadership": TransferLeadership(
         member="drummer-1", epoch=7, version=412, moves_ms=[1000, 60000], clear=True
     ),
@@ -109,7 +109,7 @@
         REPLIES["relay-reply"],
     ),
     "report-attempts": (
-        lambda peers: peers.report_attempts(timedelta(seconds=10), SECOND),
+        lambda peers: peers.heartbeat_attempts(timedelta(seconds=10), SECOND),
         "report-attempts-reply",
         {"host-000231": 2, "host-000232": 1},
     ),
@@ -126,7 +126,7 @@
         REPLIES["heartbeats-reply"],
     ),
     "forwarded-reports": (
-        lambda peers: peers.forward_reports(
+        lambda peers: peers.forward_heartbeats(
             "drummer-1", [b'{"drum":"host-000231"}', b"{}"], SECOND
         ),
         "forwarded-reports-reply",
--- a/dappledrum/golden/test_workers.py
+++ b/dappledrum/golden/test_workers.py
@@ -1,4 +1,4 @@
-"""Reports of workers, and the answers to them."""
+"""Heartbeats of workers, and the answers to them."""
 
 import asyncio
 
@@ -24,7 +24,7 @@
 GOLDEN = load("workers")
 
 #: Received only.
-REPORTS = {
+HEARTBEATS = {
     "report-all-fields": WorkerHeartbeat(
         machine="host-000231",
         address="10.1.0.232:9000",
@@ -94,14 +94,14 @@
 
 
 def test_each_entry_is_checked():
-    assert set(GOLDEN) == {*REPORTS, *ANSWERS, *WORDS, *OTHERS}
+    assert set(GOLDEN) == {*HEARTBEATS, *ANSWERS, *WORDS, *OTHERS}
 
 
-@pytest.mark.parametrize("name", REPORTS)
-def test_reports(name):
+@pytest.mark.parametrize("name", HEARTBEATS)
+def test_heartbeats(name):
     entry = GOLDEN[name]
     assert (entry.method, entry.path) == ("POST", server.WORKERS)
-    assert msgspec.json.decode(entry.data, type=WorkerHeartbeat) == REPORTS[name]
+    assert msgspec.json.decode(entry.data, type=WorkerHeartbeat) == HEARTBEATS[name]
 
 
 @pytest.mark.parametrize("name", ANSWERS)
@@ -116,7 +116,7 @@
     assert msgspec.json.encode(words) == GOLDEN[name].data
 
 
-async def test_a_leader_answers_a_report():
+async def test_a_leader_answers_a_heartbeat():
     """The machine is unknown, and so is its task, which is therefore stopped."""
     cluster = await led_cluster(1, members=("drummer-0",))
     expected = GOLDEN["stop-an-unknown-task"]
@@ -125,7 +125,7 @@
     assert (reply.status, reply.body) == (expected.status, expected.data)
 
 
-async def test_a_follower_redirects_a_report():
+async def test_a_follower_redirects_a_heartbeat():
     cluster = await led_cluster(1, reach=False)
     leader = cluster.leader()
     follower = next(member for member in cluster.members if member != leader)
--- a/dappledrum/jobs/job.py
+++ b/dappledrum/jobs/job.py
@@ -98,16 +98,16 @@
     ) -> None:
         self.page = page
         self.task = task
-        self.name = f"{page.job.id}/{task}"  # as reports and commands say
+        self.name = f"{page.job.id}/{task}"  # as heartbeats and commands say
         self.attempt = attempt
         self.machine = machine
         self.session = session
         self.zone = zone
         self.placed_at = placed_at
         self.revision = page.revision
-        self.observed = False  # a report has shown it
+        self.observed = False  # a heartbeat has shown it
         self.running_since: timedelta | None = None
-        self.offered_sequence = -1  # tick of the newest report whose answer carried the start
+        self.offered_sequence = -1  # tick of the newest heartbeat whose answer carried the start
         self.lost = False  # to be given up as soon as that is proven safe
         self.waiting_for_gang = False  # has its image and waits for the rest of its gang
         self.accrued_cost = 0.0  # money that its run time has cost so far, see `accounts`
--- a/dappledrum/jobs/record_writer.py
+++ b/dappledrum/jobs/record_writer.py
@@ -83,7 +83,7 @@
         if job.finished:
             return
         # All tasks may be done while an attempt still runs: its task was completed by an earlier
-        # attempt, whose report was held back. It counts for the team's limit, also for the next
+        # attempt, whose heartbeat was held back. It counts for the team's limit, also for the next
         # leader, so the job stays until the attempt is proven gone.
         if (job.complete() or job.cancelled) and not job.placement_count():
             job.ended_at = job.ended_at or self.clock.today()
--- a/dappledrum/leader/leader.py
+++ b/dappledrum/leader/leader.py
@@ -430,9 +430,12 @@
         while self.record_writer.dirty and self.clock.now() < until:
             await asyncio.sleep(0.02)
 
-    async def report(
-        self, report: WorkerHeartbeat, holding: Callable[[], bool], most: timedelta = MAX_IDLE_WAIT
+    async def answer_heartbeat(
+        self,
+        heartbeat: WorkerHeartbeat,
+        holding: Callable[[], bool],
+        most: timedelta = MAX_IDLE_WAIT,
     ) -> Commands | None:
         """The answer to a worker, which is held back for up to `most` while there is no work for
         it; None when this controller is not entitled to answer."""
-        return await self.answers.answer(report, holding, most)
+        return await self.answers.answer(heartbeat, holding, most)
--- a/dappledrum/membership/heartbeat_forwarding.py
+++ b/dappledrum/membership/heartbeat_forwarding.py
@@ -1,7 +1,7 @@
-"""Forwards reports of workers that do not reach the leader.
+"""Forwards heartbeats of workers that do not reach the leader.
 
 A worker accepts an answer from any controller if its token is not older, so it gets the leader's
-own answer. There is one hop only: a forwarded report is answered or refused by the leader, and
+own answer. There is one hop only: a forwarded heartbeat is answered or refused by the leader, and
 never forwarded again.
 """
 
@@ -12,7 +12,7 @@
 
 from dappledrum.timing.clock import Clock
 
-GATHER = timedelta(milliseconds=40)  # reports that come together go together
+GATHER = timedelta(milliseconds=40)  # heartbeats that come together go together
 MAX_BYTES = 48 * 1024  # of a message; the peer takes 64 KiB
 #: For how long a worker is served this way before it is sent to the leader again; doubled each
 #: time that it comes back.
@@ -29,7 +29,7 @@
     def __init__(self, epoch: int) -> None:
         self.epoch = epoch
         self.sent = False  # to the leader, which has not answered it since
-        self.helped = False  # one report was passed on, the next one shall go there
+        self.helped = False  # one heartbeat was passed on, the next one shall go there
         self.served_until: timedelta | None = None
         self.period = SERVED
 
@@ -42,7 +42,7 @@
         self.workers: OrderedDict[str, ForwardedWorker] = OrderedDict()
 
     def needed(self, machine: str, token: int, epoch: int, lost: bool, late: bool) -> bool:
-        """Whether a report must be forwarded to the leader of this epoch; if not, the worker is
+        """Whether a heartbeat must be forwarded to the leader of this epoch; if not, the worker is
         redirected there, and that is noted.
 
         It must be forwarded if the zone is known not to reach the leader (`lost`), if the worker
@@ -50,7 +50,7 @@
         comes here again: so no worker is redirected in a circle. After a while it is redirected
         once more, since links recover. A worker that comes here only when the leader has led for
         long (`late`) has been searching, and may have no time left for another failed attempt: one
-        report of it is forwarded first. A worker that was never answered has no tasks to lose.
+        heartbeat of it is forwarded first. A worker that was never answered has no tasks to lose.
         """
         now = self.clock.now()
         worker = self.workers.get(machine)
@@ -78,27 +78,27 @@
 
 
 class HeartbeatForwarder:
-    """Sends reports to the leader in batches, and returns each answer to its report."""
+    """Sends heartbeats to the leader in batches, and returns each answer to its heartbeat."""
 
     def __init__(self, send: Send) -> None:
         self.send = send
         self.waiting: dict[str, list[tuple[bytes, asyncio.Future[bytes | None]]]] = {}
         self.going: set[asyncio.Task[None]] = set()
 
-    async def ask(self, leader: str, report: bytes) -> bytes | None:
-        """The leader's answer to a report; None: it gave none."""
-        if len(report) > MAX_BYTES:
+    async def ask(self, leader: str, heartbeat: bytes) -> bytes | None:
+        """The leader's answer to a heartbeat; None: it gave none."""
+        if len(heartbeat) > MAX_BYTES:
             return None
         answer: asyncio.Future[bytes | None] = asyncio.get_running_loop().create_future()
         batch = self.waiting.get(leader)
         if batch is None:
-            self.waiting[leader] = [(report, answer)]
+            self.waiting[leader] = [(heartbeat, answer)]
             # A task of its own: the one that came first must not take the others along.
             going = asyncio.get_running_loop().create_task(self._gather(leader))
             self.going.add(going)
             going.add_done_callback(self.going.discard)
         else:
-            batch.append((report, answer))
+            batch.append((heartbeat, answer))
         return await answer
 
     async def _gather(self, leader: str) -> None:
@@ -124,7 +124,7 @@
     ) -> None:
         answers: list[bytes | None] | None = None
         try:
-            answers = await self.send(leader, [report for report, _ in part])
+            answers = await self.send(leader, [heartbeat for heartbeat, _ in part])
         finally:
             if answers is None or len(answers) != len(part):
                 answers = [None] * len(part)
--- a/dappledrum/membership/link_health.py
+++ b/dappledrum/membership/link_health.py
@@ -56,7 +56,7 @@
     """The workers of one zone, as far as this controller has contact with them."""
 
     def __init__(self) -> None:
-        self.heard_at: timedelta | None = None  # a report, answered or not
+        self.heard_at: timedelta | None = None  # a heartbeat, answered or not
         self.reached_at: timedelta | None = None  # an answer to a probe
         self.probed_at: timedelta | None = None
         self.failed_at: timedelta | None = None  # when a probe was sent that was not answered
@@ -70,7 +70,7 @@
         return max(known, default=None)
 
     def heard(self, now: timedelta, address: str) -> None:
-        """Note a report of a worker of the zone."""
+        """Note a heartbeat of a worker of the zone."""
         self.heard_at = now
         self.unanswered = 0
         if address not in self.addresses:
--- a/dappledrum/membership/messages.py
+++ b/dappledrum/membership/messages.py
@@ -68,10 +68,12 @@
     heard: list[PeerHeartbeat] = []
 
 
-class ForwardedHeartbeats(msgspec.Struct, tag="passed", tag_field="kind"):
-    """Reports of workers that do not reach the leader, unchanged, for the leader to answer."""
+class ForwardedHeartbeats(
+    msgspec.Struct, tag="passed", tag_field="kind", rename={"heartbeats": "reports"}
+):
+    """Heartbeats of workers that do not reach the leader, unchanged, for the leader to answer."""
 
-    reports: list[bytes]
+    heartbeats: list[bytes]
 
 
 class ForwardedHeartbeatsReply(msgspec.Struct):
--- a/dappledrum/membership/service.py
+++ b/dappledrum/membership/service.py
@@ -101,7 +101,7 @@
         self.table = PeerTable(member, peers.callers)
         self.zones: dict[str, ZoneHealth] = {}
         self.forwarded_workers = ForwardedWorkers(clock)
-        self.forwarder = HeartbeatForwarder(self._send_reports)
+        self.forwarder = HeartbeatForwarder(self._send_heartbeats)
         self.began = clock.now()
         self.born = int(clock.today().timestamp() * 1000)
         self.silent: dict[str, timedelta] = {}
@@ -327,8 +327,8 @@
             [w for w in self._recent_heartbeats() if self.table.is_connected(w.member, now)],
         )
 
-    async def forward_report(
-        self, report: WorkerHeartbeat, leader: str, body: bytes
+    async def forward_heartbeat(
+        self, worker_heartbeat: WorkerHeartbeat, leader: str, body: bytes
     ) -> bytes | None:
         """The leader's answer to a worker that does not reach it; None: the worker should go there
         itself, or the leader gives no answer."""
@@ -337,15 +337,17 @@
         if heartbeat is None or not self.table.is_connected(leader, now):
             return None
         term = now - self.table.at(leader) + span(heartbeat.term_ms)
-        lost, long = report.zone in heartbeat.lost, term > SETTLED_TERM
+        lost, long = worker_heartbeat.zone in heartbeat.lost, term > SETTLED_TERM
         if not self.forwarded_workers.needed(
-            report.machine, report.token, heartbeat.epoch, lost, long
+            worker_heartbeat.machine, worker_heartbeat.token, heartbeat.epoch, lost, long
         ):
             return None
         return await self.forwarder.ask(leader, body)
 
-    async def _send_reports(self, leader: str, reports: list[bytes]) -> list[bytes | None] | None:
-        return await self.peers.forward_reports(leader, reports, FORWARD_TIME)
+    async def _send_heartbeats(
+        self, leader: str, heartbeats: list[bytes]
+    ) -> list[bytes | None] | None:
+        return await self.peers.forward_heartbeats(leader, heartbeats, FORWARD_TIME)
 
     async def _look(self) -> None:
         """As leader: find zones without reports, and transfer leadership if another controller is
@@ -390,7 +392,7 @@
             return {}
         # To count all machines four times a second costs more than to hear them. While every zone
         # is heard of, it only tells of zones that are new.
-        least = min(self.limits.report * 1.25 + SLACK, MIN_SILENCE)
+        least = min(self.limits.heartbeat_interval * 1.25 + SLACK, MIN_SILENCE)
         heard = all(now - max(z.heard_at or ZERO, since) <= least for z in self.zones.values())
         if heard and now - self.counted_at < COUNT_EVERY:
             return {}
@@ -406,12 +408,12 @@
         """The longest time without a report from this many machines. No machine is ever later than
         a quarter of the usual interval, and of many machines with random offsets some report much
         sooner: all of them are later than this with probability e^-12."""
-        many = self.limits.report * 12 / machines
-        return min(self.limits.report * 1.25 + SLACK, max(many, MIN_SILENCE))
+        many = self.limits.heartbeat_interval * 12 / machines
+        return min(self.limits.heartbeat_interval * 1.25 + SLACK, max(many, MIN_SILENCE))
 
     def _situation(self) -> Situation:
         now = self.clock.now()
-        search = self.limits.report * 1.25 + SLACK + SEARCH
+        search = self.limits.heartbeat_interval * 1.25 + SLACK + SEARCH
         unreachable_zones = self._unreachable_zones()
         not_reporting = {
             n: at
--- a/dappledrum/membership/test_link_health.py
+++ b/dappledrum/membership/test_link_health.py
@@ -41,7 +41,7 @@
         return a == b or not {(a, b), (b, a)} & self.peers
 
     def reaches(self, group: int, controller: int) -> bool:
-        """Whether reports of a group come there and answers come back."""
+        """Whether heartbeats of a group come there and answers come back."""
         return not {(controller, group, False), (controller, group, True)} & self.workers
 
     def way(self, group: int) -> bool:
--- a/dappledrum/membership/test_partitions.py
+++ b/dappledrum/membership/test_partitions.py
@@ -17,8 +17,8 @@
     cluster = await busy_cluster(lease_s=15.0)
     leader = cluster.leader()
     others = cluster.others(leader)
-    report = {"drum": "host-9", "endpoint": "10.1.0.1:9000", "build": "small", "hall": "a"}
-    report |= {"loaners": True, "set": 1, "tick": 1, "baton": 0}
+    heartbeat = {"drum": "host-9", "endpoint": "10.1.0.1:9000", "build": "small", "hall": "a"}
+    heartbeat |= {"loaners": True, "set": 1, "tick": 1, "baton": 0}
     for member in others[:3]:
         cluster.cut_off(member, "state")
     cluster.kill(leader)
@@ -28,7 +28,7 @@
         await cluster.wait(0.5)
     assert cluster.leader() == others[3]
     for member in others[:3]:
-        reply = await cluster._ask("POST", "/hello", json.dumps(report).encode(), member)
+        reply = await cluster._ask("POST", "/hello", json.dumps(heartbeat).encode(), member)
         assert reply.status == 421
         assert json.loads(reply.body).get("conductor") != leader
 
@@ -58,7 +58,7 @@
 
 @pytest.mark.parametrize("seed", range(2))
 async def test_the_leader_alone_is_cut_off_from_all_workers(seed):
-    """It once needed three reports' time to see it, and its successor was drawn by lot."""
+    """It once needed three heartbeats' time to see it, and its successor was drawn by lot."""
     cluster = await busy_cluster(seed=seed, lease_s=15.0)
     leader = cluster.leader()
     other = after(leader, 2)
@@ -100,7 +100,7 @@
 
 
 async def test_only_one_controller_reaches_the_workers_and_another_the_state_service():
-    """Neither can serve alone: reports go through the one to the other."""
+    """Neither can serve alone: heartbeats go through the one to the other."""
     cluster = await busy_cluster(seed=3, lease_s=20.0)
     leader = cluster.leader()
     through = after(leader, 1)
--- a/dappledrum/peers/client.py
+++ b/dappledrum/peers/client.py
@@ -123,8 +123,8 @@
             log.debug("peer %s does not say whether it is free: %s", member, error)
             return False
 
-    async def report_attempts(self, within: timedelta, timeout: timedelta) -> dict[str, int]:
-        """Machines that have tried to report to another controller, and how often each came to the
+    async def heartbeat_attempts(self, within: timedelta, timeout: timedelta) -> dict[str, int]:
+        """Machines that have sent heartbeats to another controller, and how often each came to the
         same one."""
         question = HeartbeatAttemptsRequest(int(within.total_seconds() * 1000))
         replies = await asyncio.gather(
@@ -173,12 +173,12 @@
         )
         return reply
 
-    async def forward_reports(
-        self, member: str, reports: list[bytes], timeout: timedelta
+    async def forward_heartbeats(
+        self, member: str, heartbeats: list[bytes], timeout: timedelta
     ) -> list[bytes | None] | None:
-        """Let the leader answer reports of workers that do not reach it."""
+        """Let the leader answer heartbeats of workers that do not reach it."""
         reply = await self._ask(
-            member, ForwardedHeartbeats(reports), ForwardedHeartbeatsReply, timeout
+            member, ForwardedHeartbeats(heartbeats), ForwardedHeartbeatsReply, timeout
         )
         return None if reply is None else reply.answers
 
--- a/dappledrum/peers/messages.py
+++ b/dappledrum/peers/messages.py
@@ -42,13 +42,13 @@
 
 
 class HeartbeatAttemptsRequest(msgspec.Struct, tag="knocks", tag_field="kind"):
-    """Asked by a leader that gets no reports: whether workers report elsewhere."""
+    """Asked by a leader that gets no heartbeats: whether workers send them elsewhere."""
 
     within_ms: int
 
 
 class HeartbeatAttemptsReply(msgspec.Struct):
-    """How often each machine tried to report here within that time."""
+    """How often each machine sent a heartbeat here within that time."""
 
     machines: dict[str, int]
 
--- a/dappledrum/recovery/progress.py
+++ b/dappledrum/recovery/progress.py
@@ -59,5 +59,5 @@
         self.began = None
 
     def _awaited(self, machine: Machine) -> bool:
-        known = machine.awaiting_report or (machine.name in self.placed and not machine.up)
+        known = machine.awaiting_heartbeat or (machine.name in self.placed and not machine.up)
         return known and not machine.returning and not machine.failed
--- a/dappledrum/recovery/test_reconciliation.py
+++ b/dappledrum/recovery/test_reconciliation.py
@@ -1,5 +1,5 @@
-"""Report against record, at the start of a term: the table of docs/recovery.md as a plain model,
-and the real bookkeeper on everything that the two can say of one task on one machine."""
+"""Heartbeat against record, at the start of a term: the table of docs/recovery.md as a plain
+model, and the real bookkeeper on everything that the two can say of one task on one machine."""
 
 import itertools
 from datetime import UTC, datetime
@@ -28,13 +28,13 @@
     recorded: tuple[int, int] | None  # attempt and session
     done: bool  # its end is stored
     cancelled: bool
-    session: int  # of the report
-    held_back: bool  # the report was sent under a predecessor
+    session: int  # of the heartbeat
+    held_back: bool  # the heartbeat was sent under a predecessor
     shown: tuple[int, str, str | None] | None  # attempt, state, cause
 
 
 class Outcome(NamedTuple):
-    """What follows at the first report, and what the worker is told."""
+    """What follows at the first heartbeat, and what the worker is told."""
 
     placed: bool  # it still counts as on the machine
     done: bool
@@ -118,13 +118,13 @@
         books.restore(own)
         tasks = [] if case.shown is None else [TaskStatus("j-000001/0", *case.shown)]
         token = TOKEN - 1 if case.held_back else TOKEN
-        report = WorkerHeartbeat(
+        heartbeat = WorkerHeartbeat(
             "m", "10.1.0.1:1", "small", "a", True, case.session, 7, token, None, tasks
         )
-        machine = books.take(report)
+        machine = books.take(heartbeat)
         assert machine is not None
         instruction = ", ".join(
-            command.op for command in books.commands.of_records(machine, report)
+            command.op for command in books.commands.of_records(machine, heartbeat)
         )
         return Outcome(0 in page.placements, page.is_done(0), instruction or None)
 
@@ -157,7 +157,7 @@
 ]
 
 
-def test_everything_that_a_report_and_a_record_can_say_of_a_task():
+def test_everything_that_a_heartbeat_and_a_record_can_say_of_a_task():
     different = [case for case in CASES if really(case) != plainly(case)]
     assert len(CASES) > 500 and not different, (
         f"{len(different)} of {len(CASES)}, as {different[0]}:"
--- a/dappledrum/recovery/test_return_times.py
+++ b/dappledrum/recovery/test_return_times.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from dappledrum.recovery.return_times import expected_report_in
+from dappledrum.recovery.return_times import expected_heartbeat_in
 from dappledrum.simulation.cluster import SimulatedCluster, job
 from dappledrum.simulation.virtual_time import run
 
@@ -12,11 +12,13 @@
 
 
 def test_a_machine_is_the_further_away_the_longer_it_is_missing():
-    report = timedelta(seconds=3)
-    usual = [expected_report_in(timedelta(seconds=s), report).total_seconds() for s in range(6)]
+    interval = timedelta(seconds=3)
+    usual = [
+        expected_heartbeat_in(timedelta(seconds=s), interval).total_seconds() for s in range(6)
+    ]
     assert usual == sorted(usual, reverse=True) and 0 < usual[-1] < 1 < usual[0] < 7
     missing = [
-        expected_report_in(timedelta(seconds=s), report).total_seconds() for s in range(6, 60)
+        expected_heartbeat_in(timedelta(seconds=s), interval).total_seconds() for s in range(6, 60)
     ]
     assert missing == sorted(missing) and missing[0] < 2 and missing[-1] > 60
 
--- a/dappledrum/settings.py
+++ b/dappledrum/settings.py
@@ -64,8 +64,8 @@
     cancel_s: Positive
 
     @property
-    def report(self) -> timedelta:
-        """Usual time between reports."""
+    def heartbeat_interval(self) -> timedelta:
+        """Usual time between heartbeats of a worker."""
         return seconds(self.report_s)
 
     @property
--- a/dappledrum/simulation/cluster.py
+++ b/dappledrum/simulation/cluster.py
@@ -344,13 +344,13 @@
         self.cut_off(member, *others, *("back-" + other for other in others))
 
     def drop_answers(self, names: list[str]) -> set[tuple[str, str]]:
-        """Reports of these machines arrive, answers and commands don't reach them; returns what is
-        blocked for it."""
+        """Heartbeats of these machines arrive, answers and commands don't reach them; returns what
+        is blocked for it."""
         pairs = {(member, name) for name in names for member in self.members}
         self.network.blocked |= pairs
         return pairs
 
-    def drop_reports(self, names: list[str]) -> set[tuple[str, str]]:
+    def drop_heartbeats(self, names: list[str]) -> set[tuple[str, str]]:
         """These machines open no connection to any controller, while controllers reach them;
         returns what is in `network.muted` for it."""
         pairs = {(name, member) for name in names for member in self.members}
--- a/dappledrum/simulation/fault_scenarios.py
+++ b/dappledrum/simulation/fault_scenarios.py
@@ -201,8 +201,8 @@
     await cluster.wait(5)
 
 
-async def reports_arrive_late(cluster: SimulatedCluster) -> None:
-    """Reports are held back, their machines start anew, then the old reports arrive."""
+async def heartbeats_arrive_late(cluster: SimulatedCluster) -> None:
+    """Heartbeats are held back, their machines start anew, then the old heartbeats arrive."""
     for name in list(cluster.cloud.machines)[:3]:
         for member in cluster.members:
             cluster.network.cut(name, member)
--- a/dappledrum/simulation/faults/machines.py
+++ b/dappledrum/simulation/faults/machines.py
@@ -67,7 +67,7 @@
 
 
 class MachineDeaf(_ChosenMachines, tag="machine_deaf"):
-    """Their reports arrive; answers and direct commands to them are lost."""
+    """Their heartbeats arrive; answers and direct commands to them are lost."""
 
     def begin(self, cluster: SimulatedCluster, back: float) -> None:
         pairs = cluster.drop_answers(self.chosen(cluster))
@@ -78,7 +78,7 @@
     """They reach no controller, while direct commands reach them."""
 
     def begin(self, cluster: SimulatedCluster, back: float) -> None:
-        pairs = cluster.drop_reports(self.chosen(cluster))
+        pairs = cluster.drop_heartbeats(self.chosen(cluster))
         later(self.for_s, cluster.network.muted.difference_update, pairs)
 
 
@@ -91,8 +91,8 @@
 
 
 class LateReports(LastingFault, tag="late_reports"):
-    """Copies of reports arrive again at any controller, up to leases later, or `for_next` at the
-    next leader."""
+    """Copies of heartbeats arrive again at any controller, up to leases later, or `for_next` at
+    the next leader."""
 
     share: Share
     for_next: bool = False
--- a/dappledrum/simulation/fleet.py
+++ b/dappledrum/simulation/fleet.py
@@ -35,8 +35,8 @@
         """Name on the wire."""
         return f"{self.job}/{self.number}"
 
-    def report(self) -> dict[str, Any]:
-        """As reports show it."""
+    def status(self) -> dict[str, Any]:
+        """As heartbeats show it."""
         return {
             "beat": self.name,
             "take": self.take,
@@ -103,7 +103,7 @@
         self.last_token_change = -1e9
         self.tasks = [
             asyncio.get_running_loop().create_task(x)
-            for x in (self._report_loop(), self._lease_loop())
+            for x in (self._heartbeat_loop(), self._lease_loop())
         ]
 
     @staticmethod
@@ -116,18 +116,18 @@
         while self.hung:
             await asyncio.sleep(0.1)
         if path == "/inspect":
-            return reply(200, self._next_report())
+            return reply(200, self._next_heartbeat())
         if path != "/do":
             return reply(404)
         command = json.loads(body)
         if "baton" not in command or "set" not in command:
             return reply(400)
         if command["baton"] < self.token or command["set"] != self.session:
-            return reply(409, self._next_report())
+            return reply(409, self._next_heartbeat())
         self._see_token(command["baton"])
         for call in command["calls"]:
             self._execute(call)
-        return reply(200, self._next_report())
+        return reply(200, self._next_heartbeat())
 
     def begin_anew(self) -> "Worker":
         """The worker's process has ended, with all its tasks; the next one of the machine."""
@@ -174,11 +174,11 @@
                 self.renewed = self.now()
                 self.changed.set()
 
-    async def _report_loop(self) -> None:
+    async def _heartbeat_loop(self) -> None:
         while True:
             pause = self.timing.report_s * self.rng.uniform(0.75, 1.25)
             self.changed.clear()
-            await self._report()
+            await self._send_heartbeat()
             await asyncio.sleep(0.5)
             try:
                 async with asyncio.timeout(max(pause - 0.5, 0.001)):
@@ -186,7 +186,7 @@
             except TimeoutError:
                 pass
 
-    def _next_report(self) -> dict[str, Any]:
+    def _next_heartbeat(self) -> dict[str, Any]:
         """The machine as it is now, under a number of its own."""
         self.sequence += 1
         recall = None if self.recall_at is None else max(0.0, self.recall_at - self.now())
@@ -200,14 +200,14 @@
             "tick": self.sequence,
             "baton": self.token,
             "recallS": recall,
-            "beats": [attempt.report() for attempt in self.attempts.values()],
+            "beats": [attempt.status() for attempt in self.attempts.values()],
         }
 
-    async def _report(self) -> None:
+    async def _send_heartbeat(self) -> None:
         while self.hung:
             await asyncio.sleep(0.1)
         sent, session = self.now(), self.session
-        body = self._next_report()
+        body = self._next_heartbeat()
         link = self.network.caller(self.name, self.controller)
         try:
             answer = await link.request(
--- a/dappledrum/simulation/ground_truth.py
+++ b/dappledrum/simulation/ground_truth.py
@@ -44,7 +44,7 @@
         return False
 
     def check_alive(self, books: Reconciler, machine: Machine) -> None:
-        """A leader has taken a report of a machine."""
+        """A leader has taken a heartbeat of a machine."""
         gone = self.gone_at.get(machine.name)
         if machine.up and gone is not None and gone < self.began_at[books]:
             self.wrong.append(f"{machine.name} is gone and looks alive")
@@ -72,11 +72,11 @@
         begin(books, *parts, **more)
         truth.began_at[books] = asyncio.get_running_loop().time()
 
-    def taken(books: Reconciler, report: WorkerHeartbeat) -> Machine | None:
-        known = books.registry.get(report.machine)
+    def taken(books: Reconciler, heartbeat: WorkerHeartbeat) -> Machine | None:
+        known = books.registry.get(heartbeat.machine)
         placements = known.placements.values() if known is not None else ()
         lost_before = {placement for placement in placements if placement.lost}
-        machine = take(books, report)
+        machine = take(books, heartbeat)
         if machine is not None:
             truth.check_alive(books, machine)
             truth.check_never_begun(machine, lost_before)
--- a/dappledrum/simulation/network.py
+++ b/dappledrum/simulation/network.py
@@ -33,10 +33,10 @@
     share: float
     least_s: float
     most_s: float
-    targets: tuple[str, ...]  # of reports; anything else comes again where it came before
+    targets: tuple[str, ...]  # of heartbeats; anything else comes again where it came before
     paths: tuple[str, ...] = ("/hello",)
-    #: Reports: the copy is kept until a report was answered with a higher token than any before,
-    #: and then reaches the controller that gave that answer.
+    #: Heartbeats: the copy is kept until a heartbeat was answered with a higher token than any
+    #: before, and then reaches the controller that gave that answer.
     for_next: bool = False
 
 
@@ -84,7 +84,7 @@
         self.watcher: Callable[[Sent], float | None] | None = None
         self.copies: Copies | None = None
         self.copied = 0
-        self.kept: list[tuple[str, bytes]] = []  # copies for the next leader: source and report
+        self.kept: list[tuple[str, bytes]] = []  # copies for the next leader: source and heartbeat
         self.token = 0  # the highest that a worker was answered with
         self.late_writes: LateWrites | None = None
         self.late_commands: LateCommands | None = None
@@ -156,7 +156,8 @@
         )
 
     def _answered(self, controller: str, answer: bytes) -> None:
-        """A report was answered; if by a new leader, it gets the copies kept for it, in order."""
+        """A heartbeat was answered; if by a new leader, it gets the copies kept for it, in
+        order."""
         token = json.loads(answer).get("baton", 0)
         if token <= self.token:
             return
--- a/dappledrum/simulation/test_costs.py
+++ b/dappledrum/simulation/test_costs.py
@@ -84,7 +84,7 @@
     assert cost < 1_300
 
 
-def test_a_report_costs_no_more_for_all_the_other_machines():
+def test_a_heartbeat_costs_no_more_for_all_the_other_machines():
     async def one(machines):
         registry = MachineRegistry()
         books = Reconciler(
@@ -99,9 +99,9 @@
         )
 
         def comes(name, tick):
-            report = WorkerHeartbeat(name, "10.1.0.1:1", "small", "a", True, 1, tick, 5)
-            machine = books.take(report)
-            return books.commands.of_records(machine, report)
+            heartbeat = WorkerHeartbeat(name, "10.1.0.1:1", "small", "a", True, 1, tick, 5)
+            machine = books.take(heartbeat)
+            return books.commands.of_records(machine, heartbeat)
 
         for index in range(machines):
             comes(f"m{index}", 1)
--- a/dappledrum/simulation/test_days.py
+++ b/dappledrum/simulation/test_days.py
@@ -223,16 +223,16 @@
     play(check)
 
 
-def test_a_deaf_machine_reports_and_a_mute_one_does_not():
+def test_an_unreachable_machine_sends_heartbeats_and_a_silent_one_does_not():
     async def check(cluster):
-        reports = []
+        heartbeats = []
         names = [worker.name for worker in cluster.cloud.workers()]
         cluster.network.watcher = lambda sent: (
-            reports.append(sent) if sent.path == "/hello" else None
+            heartbeats.append(sent) if sent.path == "/hello" else None
         )
         unreachable = begin(cluster, "machine_deaf", count=1, for_s=4.0)
         await cluster.wait(unreachable.for_s)
-        assert {sent.source for sent in reports} == set(names)
+        assert {sent.source for sent in heartbeats} == set(names)
         await cluster.wait(4)
         begin(cluster, "machine_mute", count=1, for_s=4.0)
         mute = {name for name, _ in cluster.network.muted}
@@ -244,7 +244,7 @@
     play(check)
 
 
-def test_copies_of_reports_arrive_anywhere():
+def test_copies_of_heartbeats_arrive_anywhere():
     async def check(cluster):
         begin(cluster, "late_reports", share=1.0, for_s=3.0)
         await cluster.wait(3)
--- a/dappledrum/workers/__init__.py
+++ b/dappledrum/workers/__init__.py
@@ -1,1 +1,1 @@
-"""Machines as their workers report them, and the commands they get."""
+"""Machines as their heartbeats show them, and the commands they get."""
--- a/dappledrum/workers/commands.py
+++ b/dappledrum/workers/commands.py
@@ -1,4 +1,4 @@
-"""What a worker is told in the answer to a report.
+"""What a worker is told in the answer to a heartbeat.
 
 A start is sent only when the record that names the attempt is stored, and an end is forgotten only
 when it is stored.
@@ -41,18 +41,18 @@
 
 
 class WorkerCommands:
-    """Works out commands from the records and a report."""
+    """Works out commands from the records and a heartbeat."""
 
     def __init__(self, jobs: dict[str, Job], clock: Clock) -> None:
         self.jobs = jobs
         self.clock = clock
 
-    def of_cancellations(self, machine: Machine, report: WorkerHeartbeat) -> list[Command]:
+    def of_cancellations(self, machine: Machine, heartbeat: WorkerHeartbeat) -> list[Command]:
         """All that a leader commands that only holds on to its term: tasks of cancelled jobs are
         stopped. Whoever leads next would do the same, as a cancellation is final; what an end
         means for the records is left until they can be written."""
         result: list[Command] = []
-        for item in report.tasks:
+        for item in heartbeat.tasks:
             job = self.jobs.get(item.task.rpartition("/")[0])
             if job is None or not job.cancelled or item.state == TaskState.ENDED:
                 continue
@@ -61,24 +61,24 @@
                 result.append(command)
         return result
 
-    def of_records(self, machine: Machine, report: WorkerHeartbeat) -> list[Command]:
+    def of_records(self, machine: Machine, heartbeat: WorkerHeartbeat) -> list[Command]:
         """Commands that follow from the records, for a leader whose lease is valid."""
         result: list[Command] = []
         active: set[tuple[str, int]] = set()
-        for item in report.tasks:
+        for item in heartbeat.tasks:
             command = self._for_item(machine, item) if len(result) < MAX_COMMANDS else None
             if command is not None:
                 result.append(command)
             active.add((item.task, item.attempt))
         for placement in machine.placements.values():
             started = (placement.name, placement.attempt) in active
-            if started or placement.session != report.session:
+            if started or placement.session != heartbeat.session:
                 continue
             if len(result) >= MAX_COMMANDS:
                 break  # no line of an answer may be longer than 64 KiB; the rest comes next time
             # Write ahead: the worker hears of an attempt only when its record is stored.
             if wanted(placement) and placement.page.stored_revision >= placement.revision:
-                placement.offered_sequence = max(placement.offered_sequence, report.sequence)
+                placement.offered_sequence = max(placement.offered_sequence, heartbeat.sequence)
                 result.append(Command("start", placement.name, placement.attempt))
         return result
 
--- a/dappledrum/workers/failure_attribution.py
+++ b/dappledrum/workers/failure_attribution.py
@@ -1,10 +1,10 @@
 """Whose fault a failed task is: the machine's, or the job's.
 
 A job that was submitted with a mistake fails on every machine; a faulty machine fails every job.
-One report may bring the failures of many tasks of one job, so counting failures alone once drained
-sound machines for a broken job. What tells the two apart is on how many machines a job has failed
-since it last succeeded, and how many jobs that are not suspected themselves have failed on a
-machine since anything last succeeded there.
+One heartbeat may bring the failures of many tasks of one job, so counting failures alone once
+drained sound machines for a broken job. What tells the two apart is on how many machines a job has
+failed since it last succeeded, and how many jobs that are not suspected themselves have failed on
+a machine since anything last succeeded there.
 """
 
 from collections.abc import Mapping
--- a/dappledrum/workers/heartbeat_attempts.py
+++ b/dappledrum/workers/heartbeat_attempts.py
@@ -1,8 +1,8 @@
-"""Which machines have tried to report to this controller, whether it leads or not.
+"""Which machines have sent heartbeats to this controller, whether it leads or not.
 
-A leader that no worker reaches, while workers report to other controllers, does harm: it keeps its
-lease while the leases of all tasks run out. It finds out by asking its peers which machines have
-tried to report to them.
+A leader that no worker reaches, while workers send heartbeats to other controllers, does harm: it
+keeps its lease while the leases of all tasks run out. It finds out by asking its peers which
+machines have sent heartbeats to them.
 """
 
 from collections import deque
@@ -15,13 +15,13 @@
 
 
 class HeartbeatAttempts:
-    """Recent attempts to report, oldest first."""
+    """Recent heartbeats, whether answered or not, oldest first."""
 
     def __init__(self) -> None:
         self.recent: deque[tuple[timedelta, str]] = deque(maxlen=MAX_KEPT)
 
     def note(self, machine: str, now: timedelta) -> None:
-        """Note a report."""
+        """Note a heartbeat."""
         self.recent.append((now, machine))
         while self.recent[0][0] < now - KEPT:
             self.recent.popleft()
@@ -41,12 +41,14 @@
         return result
 
 
-def reporting_elsewhere(elsewhere: dict[str, int], registry: MachineRegistry) -> list[str]:
-    """Machines that the leader should have had reports from by now.
+def sending_heartbeats_elsewhere(
+    elsewhere: dict[str, int], registry: MachineRegistry
+) -> list[str]:
+    """Machines that the leader should have had heartbeats from by now.
 
-    These are machines that have reported to this leader before, or that came to the same peer
-    twice. The first report of a machine that has just come up is redirected to the leader, and
-    shows nothing.
+    These are machines that have sent a heartbeat to this leader before, or that came to the same
+    peer twice. The first heartbeat of a machine that has just come up is redirected to the leader,
+    and shows nothing.
     """
     result = []
     for name, count in elsewhere.items():
--- a/dappledrum/workers/machine_registry.py
+++ b/dappledrum/workers/machine_registry.py
@@ -28,7 +28,7 @@
         self.session = 0
         self.sequence = -1
         self.token = 0
-        self.last_report: timedelta | None = None
+        self.last_heartbeat: timedelta | None = None
         # The last moment at which the worker may have been answered, by this leader or by one
         # before it.
         self.last_answer = now
@@ -45,20 +45,20 @@
         self.listed_up = False  # the cloud's list has shown it as running
         self.given = asyncio.Event()  # something was placed there
         self.reachability = Reachability()
-        #: Only a report that may be a late copy speaks of it: no room to plan on, and nothing to
-        #: remember. Records, the cloud's list, a rental or this term's token say more.
+        #: Only a heartbeat that may be a late copy speaks of it: no room to plan on, and nothing
+        #: to remember. Records, the cloud's list, a rental or this term's token say more.
         self.unconfirmed = False
 
     @property
     def up(self) -> bool:
-        """Whether its worker has reported to this leader, and the report can't be a late copy from
-        a machine that is gone: it carried this term's token, or the machine was rented in this
-        term, so that all its reports came to this leader first."""
+        """Whether its worker has sent a heartbeat to this leader, and the heartbeat can't be a
+        late copy from a machine that is gone: it carried this term's token, or the machine was
+        rented in this term, so that all its heartbeats came to this leader first."""
         return self.up_at is not None
 
     @property
-    def awaiting_report(self) -> bool:
-        """It was up before this term, and has not reported in it yet."""
+    def awaiting_heartbeat(self) -> bool:
+        """It was up before this term, and has not sent a heartbeat in it yet."""
         return self.listed_up and not self.up and self.asked_at is None
 
     @property
@@ -73,17 +73,21 @@
         # that it was heard.
         heard = (
             self.last_answer
-            if self.last_report is None
-            else max(self.last_answer, self.last_report)
+            if self.last_heartbeat is None
+            else max(self.last_answer, self.last_heartbeat)
         )
         return now > heard + longer(lease) + GONE_MARGIN
 
-    def silent(self, now: timedelta, report: timedelta, awake_since: timedelta) -> bool:
-        """Whether reports are missing, so that no new work should be placed there. Time in which
-        this controller was paused does not count."""
-        if self.last_report is None:
+    def silent(
+        self, now: timedelta, heartbeat_interval: timedelta, awake_since: timedelta
+    ) -> bool:
+        """Whether heartbeats are missing, so that no new work should be placed there. Time in
+        which this controller was paused does not count."""
+        if self.last_heartbeat is None:
             return True
-        return now - max(self.last_report, awake_since) > report * 2 + timedelta(seconds=2)
+        return now - max(self.last_heartbeat, awake_since) > heartbeat_interval * 2 + timedelta(
+            seconds=2
+        )
 
     def remember_image(self, image: str, size_gb: float, cache_gb: float) -> None:
         """Note that the machine has fetched an image; it may have dropped the least recently used
@@ -124,7 +128,7 @@
         return sum(machine.reachability.unreachable for machine in up) * 2 > len(up)
 
     def drop(self, name: str) -> None:
-        """Remove a machine that is gone; late reports of it must not bring it back."""
+        """Remove a machine that is gone; late heartbeats of it must not bring it back."""
         self.machines.pop(name, None)
         self.gone[name] = None
         while len(self.gone) > KEPT_NAMES:
--- a/dappledrum/workers/messages.py
+++ b/dappledrum/workers/messages.py
@@ -1,4 +1,4 @@
-"""Reports of workers and the answers to them."""
+"""Heartbeats of workers and the answers to them."""
 
 from enum import StrEnum
 from functools import lru_cache
@@ -46,7 +46,7 @@
 def job_and_number(task: str) -> tuple[str, int | None]:
     """The name of a task's job, and the task's number: None if it is none that a job can have.
 
-    Cached, since each report repeats the names of all tasks on its machine.
+    Cached, since each heartbeat repeats the names of all tasks on its machine.
     """
     name, _, number = task.rpartition("/")
     if not (number.isascii() and number.isdigit()) or len(number) > MAX_TASK_DIGITS:
@@ -58,9 +58,9 @@
     msgspec.Struct,
     rename={"task": "beat", "attempt": "take", "state": "stance", "saved": "stored"},
 ):
-    """One task in a report.
+    """One task in a heartbeat.
 
-    States and causes stay plain text: an unknown one must not spoil the report.
+    States and causes stay plain text: an unknown one must not spoil the heartbeat.
     """
 
     task: Text
@@ -113,13 +113,14 @@
 
 
 class Commands(msgspec.Struct, rename={"token": "baton", "commands": "calls"}):
-    """Answer to a report."""
+    """Answer to a heartbeat."""
 
     token: int
     commands: list[Command]
 
 
 class Redirect(msgspec.Struct, omit_defaults=True, rename={"report_to": "conductor"}):
-    """Body of a 421: the controller to report to; without one the worker tries the next."""
+    """Body of a 421: the controller to send heartbeats to; without one the worker tries the
+    next."""
 
     report_to: str | None = None
--- a/dappledrum/workers/reconciler.py
+++ b/dappledrum/workers/reconciler.py
@@ -1,12 +1,12 @@
-"""What a report means for the records.
+"""What a heartbeat means for the records.
 
 An attempt counts as on its machine until it is proven gone, by one of:
 
-- a report that shows it ended;
-- a report without it that carries our own token (one held back under a predecessor proves
+- a heartbeat that shows it ended;
+- a heartbeat without it that carries our own token (one held back under a predecessor proves
   nothing) and is newer than the one whose answer carried the start (the worker has dropped that
   answer by then);
-- a report of a newer session;
+- a heartbeat of a newer session;
 - the cloud's word that the machine was returned;
 - silence for longer than a lease, drift included, since the last answer that anyone can have
   given: this leader, or one before it until this one took over, or, if a majority of the
@@ -46,7 +46,7 @@
 
 
 class Reconciler:
-    """Keeps placements and machines in step with the reports."""
+    """Keeps placements and machines in step with the heartbeats."""
 
     def __init__(
         self,
@@ -80,93 +80,95 @@
         # nobody else has answered since; None: not told
         self.last_foreign_answer: timedelta | None = None
 
-    # reports
+    # heartbeats
 
-    def take(self, report: WorkerHeartbeat) -> Machine | None:
-        """Note a report.
+    def take(self, heartbeat: WorkerHeartbeat) -> Machine | None:
+        """Note a heartbeat.
 
         None: it is older than what is known, or the machine is gone.
         """
         now = self.clock.now()
-        if report.machine in self.registry.gone:
+        if heartbeat.machine in self.registry.gone:
             return None
-        known = self.registry.get(report.machine)
+        known = self.registry.get(heartbeat.machine)
         vague = known is None or known.kind is None  # a record names a machine, and no more
         machine = self.registry.ensure(
-            report.machine, InstanceKind(report.type, report.zone, report.spot), now
+            heartbeat.machine, InstanceKind(heartbeat.type, heartbeat.zone, heartbeat.spot), now
         )
         if vague:
-            machine.unconfirmed = report.token != self.token
-        if self._copied(machine, report, now):
+            machine.unconfirmed = heartbeat.token != self.token
+        if self._copied(machine, heartbeat, now):
             return None
-        if report.session > machine.session and machine.up:
+        if heartbeat.session > machine.session and machine.up:
             machine.images.clear()
-            log.info("%s is in session %d now", machine.name, report.session)
-        self._update_reachability(machine, report, now)
+            log.info("%s is in session %d now", machine.name, heartbeat.session)
+        self._update_reachability(machine, heartbeat, now)
         machine.session, machine.sequence, machine.token = (
-            report.session,
-            report.sequence,
-            report.token,
+            heartbeat.session,
+            heartbeat.sequence,
+            heartbeat.token,
         )
-        machine.last_report = now
-        certain = report.token == self.token or machine.asked_at is not None
+        machine.last_heartbeat = now
+        certain = heartbeat.token == self.token or machine.asked_at is not None
         if certain and not machine.up:
             machine.up_at = now
             machine.unconfirmed = False
-            log.info("%s is up (%s in %s)", machine.name, report.type, report.zone)
+            log.info("%s is up (%s in %s)", machine.name, heartbeat.type, heartbeat.zone)
             self.wake("machine up")
-        if report.notice_s is not None:
+        if heartbeat.notice_s is not None:
             if machine.recall_at is None:
-                log.info("%s will be taken in %.0f s", machine.name, report.notice_s)
+                log.info("%s will be taken in %.0f s", machine.name, heartbeat.notice_s)
                 self.wake("spot notice")
-            machine.recall_at = now + timedelta(seconds=report.notice_s)
-        self._compare(machine, report, now)
+            machine.recall_at = now + timedelta(seconds=heartbeat.notice_s)
+        self._compare(machine, heartbeat, now)
         if machine.recall_at is not None:
             self._leave_in_time(machine, machine.recall_at - now, now)
         return machine
 
-    def _copied(self, machine: Machine, report: WorkerHeartbeat, now: timedelta) -> bool:
-        """Whether a report can only be a late copy, or one that was held back.
+    def _copied(self, machine: Machine, heartbeat: WorkerHeartbeat, now: timedelta) -> bool:
+        """Whether a heartbeat can only be a late copy, or one that was held back.
 
         It is if a newer one has come, which is so for all with an older token than one that was
         shown. And it is if its session should have ended: in one that has never shown our token
         nobody was answered since it began, or since the last moment at which a predecessor may
         have answered, so it lasts a lease from then. A leader that has just taken over knows
-        neither: to it a copy looks like a report, for a lease at the most. So the lease's clock
+        neither: to it a copy looks like a heartbeat, for a lease at the most. So the lease's clock
         may run for longer than it must; a sign of life (`up`) it is not.
         """
-        if (report.session, report.sequence) <= (machine.session, machine.sequence):
+        if (heartbeat.session, heartbeat.sequence) <= (machine.session, machine.sequence):
             return True
-        if report.token >= self.token:
+        if heartbeat.token >= self.token:
             return False
         clear = self.others_stopped_at()
-        if report.session > machine.session or clear is None:
+        if heartbeat.session > machine.session or clear is None:
             return False
         return machine.reachability.outlasts_lease(now, self.limits.lease) and now > (
             clear + longer(self.limits.lease) + GONE_MARGIN
         )
 
     def _update_reachability(
-        self, machine: Machine, report: WorkerHeartbeat, now: timedelta
+        self, machine: Machine, heartbeat: WorkerHeartbeat, now: timedelta
     ) -> None:
         """Whether the machine hears this controller."""
         reachability, lease = machine.reachability, self.limits.lease
         heard = False
-        if report.token == self.token and not reachability.token_shown:
+        if heartbeat.token == self.token and not reachability.token_shown:
             heard = reachability.token_shown = True
-        if report.session > machine.session:
+        if heartbeat.session > machine.session:
             if reachability.new_session(now, lease, self.awake_since()):
                 log.warning("%s lost its session though it was answered", machine.name)
-        elif report.token == self.token and reachability.outlasts_lease(now, lease):
+        elif heartbeat.token == self.token and reachability.outlasts_lease(now, lease):
             heard = reachability.unreachable
-        elif report.token < self.token and reachability.answered_at is not None:
+        elif heartbeat.token < self.token and reachability.answered_at is not None:
             self._note_missed_answer(machine, "does not take this term's token on")
         if heard and reachability.confirm_reachable():
             log.info("%s hears again", machine.name)
 
     def _note_missed_answer(self, machine: Machine, why: str) -> None:
         if machine.reachability.note_missed_answer():
-            log.warning("%s %s: its reports come, but no answer reaches it", machine.name, why)
+            log.warning(
+                "%s %s: its heartbeats arrive, but no answer reaches it", machine.name, why
+            )
 
     def _leave_in_time(self, machine: Machine, left: timedelta, now: timedelta) -> None:
         """Stop what won't be over when the cloud takes the machine, so that it begins elsewhere
@@ -176,7 +178,7 @@
             if placement.lost or job.cancelled or job.spec.form is Form.SERVICE:
                 continue
             if job.spec.checkpoint_s > 0:
-                doomed = left <= job.spec.save * 1.5 + self.limits.report * 2
+                doomed = left <= job.spec.save * 1.5 + self.limits.heartbeat_interval * 2
             else:
                 mean, deviation = self.estimates.moments(
                     job.id, job.spec.job_class, job.spec.estimate
@@ -188,10 +190,10 @@
                 placement.lost = True
                 log.info("%s/%d leaves %s in time", job.id, placement.task, machine.name)
 
-    def _compare(self, machine: Machine, report: WorkerHeartbeat, now: timedelta) -> None:
-        """Bring the placements in step with what the report shows."""
+    def _compare(self, machine: Machine, heartbeat: WorkerHeartbeat, now: timedelta) -> None:
+        """Bring the placements in step with what the heartbeat shows."""
         shown: set[tuple[str, int, int]] = set()
-        for item in report.tasks:
+        for item in heartbeat.tasks:
             name, number = job_and_number(item.task)
             if number is None:
                 continue
@@ -203,32 +205,34 @@
         for placement in list(machine.placements.values()):
             job_id = placement.page.job.id
             missed |= (
-                0 <= placement.offered_sequence < report.sequence
+                0 <= placement.offered_sequence < heartbeat.sequence
                 and not placement.observed
                 and not placement.lost
-                and placement.session == report.session
+                and placement.session == heartbeat.session
             )
-            if placement.session < report.session:
+            if placement.session < heartbeat.session:
                 self._lost(machine, placement, "its session is over", Entry.LOST_SILENT)
             elif (
                 job_id,
                 placement.task,
                 placement.attempt,
-            ) in shown or placement.session > report.session:
+            ) in shown or placement.session > heartbeat.session:
                 continue
             elif (
-                report.token == self.token
-                and report.sequence > placement.offered_sequence
+                heartbeat.token == self.token
+                and heartbeat.sequence > placement.offered_sequence
                 and (placement.observed or placement.lost or not wanted(placement))
             ):
                 self._lost(machine, placement, "no longer there", Entry.LOST_STOPPED)
         if missed:
             self._note_missed_answer(machine, "does not begin what it is given")
-        # Only once it has shown this term's token: before, old copies look like reports that show
-        # neither the token nor what a predecessor has started since, and stopped what was running.
+        # Only once it has shown this term's token: before, old copies look like heartbeats that
+        # show neither the token nor what a predecessor has started since, and stopped what was
+        # running.
         if machine.reachability.unreachable and machine.up:
             for placement in machine.placements.values():
-                # Not offered any more, so the next report without it proves that it is not there.
+                # Not offered any more, so the next heartbeat without it proves that it is not
+                # there.
                 placement.lost |= not placement.observed
 
     def _item(
@@ -389,7 +393,7 @@
         """No predecessor has answered any worker after this."""
         self.last_foreign_answer = moment
         for machine in self.registry:
-            if machine.last_report is None:
+            if machine.last_heartbeat is None:
                 machine.last_answer = min(machine.last_answer, moment)
 
     def restore(self, job: Job) -> None:
--- a/dappledrum/workers/test_failure_attribution.py
+++ b/dappledrum/workers/test_failure_attribution.py
@@ -27,7 +27,7 @@
     return {one.id: one for one in jobs}
 
 
-def test_a_broken_job_drains_no_machine_however_many_of_its_tasks_fail_in_one_report():
+def test_a_broken_job_drains_no_machine_however_many_of_its_tasks_fail_in_one_heartbeat():
     """Three failures of one job on one machine once drained it."""
     broken = made(1)
     machines = [machine(f"m{n}") for n in range(4)]
--- a/dappledrum/workers/test_reachability.py
+++ b/dappledrum/workers/test_reachability.py
@@ -1,5 +1,5 @@
 """Machines that hear nothing, told apart from those that hung, were cut off or are slow; and late
-copies of reports, as a plain model of what a worker can have sent when."""
+copies of heartbeats, as a plain model of what a worker can have sent when."""
 
 import asyncio
 import random
@@ -74,8 +74,8 @@
 
 
 class Plain:
-    """A worker, and a leader that took over at 0 from one whose token was 4; every report that was
-    ever sent may come again."""
+    """A worker, and a leader that took over at 0 from one whose token was 4; every heartbeat that
+    was ever sent may come again."""
 
     def __init__(self, rng):
         self.rng = rng
@@ -85,18 +85,18 @@
         self.seen = (0, -1)
 
     def step(self, at):
-        """A report, or none, or the answer to it; returns the report."""
+        """A heartbeat, or none, or the answer to it; returns the heartbeat."""
         if at > self.renewed + 10:
             self.session += 1
             self.renewed = at
         self.sequence += 1
-        report = (at, self.session, self.sequence, self.token)
-        self.sent.append(report)
-        return report
+        heartbeat = (at, self.session, self.sequence, self.token)
+        self.sent.append(heartbeat)
+        return heartbeat
 
-    def answer(self, report):
+    def answer(self, heartbeat):
         self.token = 5
-        self.renewed = max(self.renewed, report[0])
+        self.renewed = max(self.renewed, heartbeat[0])
 
 
 def test_copies_in_order_of_a_machine_that_is_gone_count_for_a_lease_at_the_most():
@@ -108,14 +108,14 @@
         registry = MachineRegistry()
         books = desk(registry, clock)
         for tick in range(40):
-            report = WorkerHeartbeat("m", "10.1.0.1:1", "small", "a", True, 1, tick, 4)
-            if books.take(report) is not None:
+            heartbeat = WorkerHeartbeat("m", "10.1.0.1:1", "small", "a", True, 1, tick, 4)
+            if books.take(heartbeat) is not None:
                 registry.get("m").reachability.answered(clock.now(), LEASE)
                 registry.get("m").last_answer = clock.now()
             await asyncio.sleep(1)
         machine = registry.get("m")
         assert not machine.up and machine.unconfirmed
-        assert seconds(9) < machine.last_report - began < seconds(12)
+        assert seconds(9) < machine.last_heartbeat - began < seconds(12)
         assert machine.expired(clock.now(), LEASE)
         back = WorkerHeartbeat("m", "10.1.0.1:1", "small", "a", True, 2, 41, 4)
         assert books.take(back) is machine, "a new session was begun by somebody"
@@ -124,7 +124,7 @@
 
 
 def test_copies_of_any_age_are_told_apart_or_change_nothing_that_matters():
-    """Drawn lives: reports lost, answers lost, copies in any order. What is taken on after this
+    """Drawn lives: heartbeats lost, answers lost, copies in any order. What is taken on after this
     term's token was shown is in order and true; before, for a lease at the most."""
 
     async def life(seed):
@@ -139,30 +139,30 @@
         hears = rng.choice((0.0, 0.5, 1.0))
         taken = []
 
-        def comes(report, copy):
-            at, session, sequence, token = report
+        def comes(heartbeat, copy):
+            at, session, sequence, token = heartbeat
             text = WorkerHeartbeat("m", "10.1.0.1:1", "small", "a", True, session, sequence, token)
             machine = books.take(text)
             if machine is None:
                 return
-            taken.append((now, report, copy))
+            taken.append((now, heartbeat, copy))
             machine.reachability.answered(clock.now(), LEASE)
             if not copy and rng.random() < hears:
-                worker.answer(report)
+                worker.answer(heartbeat)
 
         shown = False
         for _ in range(60):
             now = (clock.now() - began).total_seconds()
             if now < dies and rng.random() < 0.8:
                 comes(worker.step(now), False)
-            for report in rng.sample(worker.sent, min(len(worker.sent), rng.randint(0, 3))):
-                comes(report, True)
+            for heartbeat in rng.sample(worker.sent, min(len(worker.sent), rng.randint(0, 3))):
+                comes(heartbeat, True)
             machine = books.registry.get("m")
             shown |= machine is not None and machine.reachability.token_shown
             assert machine is None or machine.up == shown, "no copy of a former term's is life"
             assert shown <= (worker.token == 5)
             await asyncio.sleep(1)
-        orders = [report[1:3] for _, report, _ in taken]
+        orders = [heartbeat[1:3] for _, heartbeat, _ in taken]
         assert orders == sorted(set(orders)), "each once, and in order"
         first = {}
         for now, (_, session, _, token), copy in taken:
--- a/dappledrum/workers/test_reconciler.py
+++ b/dappledrum/workers/test_reconciler.py
@@ -12,7 +12,7 @@
 from dappledrum.settings import WorkerLimits
 from dappledrum.simulation.cluster import job
 from dappledrum.timing.clock import Clock
-from dappledrum.workers.heartbeat_attempts import reporting_elsewhere
+from dappledrum.workers.heartbeat_attempts import sending_heartbeats_elsewhere
 from dappledrum.workers.machine_registry import MachineRegistry
 from dappledrum.workers.messages import TaskStatus, WorkerHeartbeat
 from dappledrum.workers.reconciler import Reconciler
@@ -40,7 +40,7 @@
             lambda why: None,
         )
         self.page = self.job.page(0)
-        self.report(1)
+        self.heartbeat(1)
         machine = self.registry.get("m")
         self.placement = self.page.place(0, "m", 1, "a", datetime.now(UTC))
         machine.placements[(self.job.id, 0)] = self.placement
@@ -48,19 +48,19 @@
     def save(self):
         self.page.stored_revision = self.page.revision
 
-    def report(self, sequence, *tasks, session=1, token=TOKEN):
-        """Take a report and return the answer's commands."""
+    def heartbeat(self, sequence, *tasks, session=1, token=TOKEN):
+        """Take a heartbeat and return the answer's commands."""
         items = [
             TaskStatus("j-000001/0", attempt, state, cause) for attempt, state, cause in tasks
         ]
-        report = WorkerHeartbeat(
+        heartbeat = WorkerHeartbeat(
             "m", "10.1.0.1:1", "small", "a", True, session, sequence, token, None, items
         )
-        machine = self.books.take(report)
+        machine = self.books.take(heartbeat)
         if machine is None:
             return None
         machine.last_answer = self.books.clock.now()
-        return [(c.op, c.attempt) for c in self.books.commands.of_records(machine, report)]
+        return [(c.op, c.attempt) for c in self.books.commands.of_records(machine, heartbeat)]
 
     @property
     def gone(self):
@@ -79,93 +79,93 @@
 
 async def test_no_start_before_its_record_is_stored():
     desk = Desk()
-    assert desk.report(2) == []
+    assert desk.heartbeat(2) == []
     desk.save()
-    assert desk.report(3) == [("start", 1)]
+    assert desk.heartbeat(3) == [("start", 1)]
     # The answer may have been lost; the same attempt can be repeated.
-    assert desk.report(4) == [("start", 1)]
-    assert desk.report(5, RUNNING) == []
+    assert desk.heartbeat(4) == [("start", 1)]
+    assert desk.heartbeat(5, RUNNING) == []
 
 
-async def test_absent_from_a_report_that_proves_something():
+async def test_absent_from_a_heartbeat_that_proves_something():
     desk = stored_desk()
-    desk.report(2)
-    desk.report(3, RUNNING)
-    desk.report(4)
+    desk.heartbeat(2)
+    desk.heartbeat(3, RUNNING)
+    desk.heartbeat(4)
     assert desk.gone
 
 
-async def test_absent_from_a_report_held_back_under_a_predecessor():
+async def test_absent_from_a_heartbeat_held_back_under_a_predecessor():
     desk = stored_desk()
     desk.placement.observed = True
-    desk.report(2, token=TOKEN - 1)
+    desk.heartbeat(2, token=TOKEN - 1)
     assert not desk.gone
-    desk.report(3)
+    desk.heartbeat(3)
     assert desk.gone
 
 
-async def test_an_old_report_changes_nothing():
+async def test_an_old_heartbeat_changes_nothing():
     desk = stored_desk()
-    desk.report(5)
-    desk.report(7, RUNNING)
-    assert desk.report(6) is None
+    desk.heartbeat(5)
+    desk.heartbeat(7, RUNNING)
+    assert desk.heartbeat(6) is None
     assert not desk.gone
 
 
 async def test_a_newer_session_and_an_older_one():
     desk = stored_desk()
-    desk.report(3, RUNNING)
-    assert desk.report(9, session=0) is None
+    desk.heartbeat(3, RUNNING)
+    assert desk.heartbeat(9, session=0) is None
     assert not desk.gone
-    desk.report(1, session=2)
+    desk.heartbeat(1, session=2)
     assert desk.gone
 
 
 async def test_a_placement_in_a_session_that_is_over_is_never_started():
     desk = stored_desk()
-    assert desk.report(1, session=2) == []
+    assert desk.heartbeat(1, session=2) == []
     assert desk.gone
 
 
 async def test_an_end_is_forgotten_only_when_it_is_stored():
     desk = stored_desk()
-    desk.report(2)
-    assert desk.report(3, DONE) == []
+    desk.heartbeat(2)
+    assert desk.heartbeat(3, DONE) == []
     assert desk.page.is_done(0) and desk.gone
     desk.save()
-    assert desk.report(4, DONE) == [("forget", 1)]
+    assert desk.heartbeat(4, DONE) == [("forget", 1)]
 
 
 async def test_cancelled_tasks_are_stopped_until_they_are_gone():
     desk = stored_desk()
-    desk.report(2)
-    desk.report(3, RUNNING)
+    desk.heartbeat(2)
+    desk.heartbeat(3, RUNNING)
     desk.job.cancelled = True
-    assert desk.report(4, RUNNING) == [("stop", 1)]
+    assert desk.heartbeat(4, RUNNING) == [("stop", 1)]
     assert not desk.gone
-    desk.report(5, STOPPED)
+    desk.heartbeat(5, STOPPED)
     assert desk.gone
 
 
 async def test_a_cancelled_start_that_was_never_sent_or_is_proven_lost():
     desk = stored_desk()
-    assert desk.report(2) == [("start", 1)]
+    assert desk.heartbeat(2) == [("start", 1)]
     desk.job.cancelled = True
-    assert desk.report(3) == []
+    assert desk.heartbeat(3) == []
     assert desk.gone
 
 
 async def test_an_unknown_attempt_is_stopped():
     desk = stored_desk()
-    desk.report(2)
-    assert desk.report(3, RUNNING, (77, "running", None)) == [("stop", 77)]
+    desk.heartbeat(2)
+    assert desk.heartbeat(3, RUNNING, (77, "running", None)) == [("stop", 77)]
     assert not desk.gone
 
 
 @pytest.mark.parametrize(("silence", "gone"), [(8.9, False), (9.05, False), (9.6, True)])
 async def test_silence_counts_from_the_last_possible_answer(silence, gone):
     desk = stored_desk()
-    desk.report(2, RUNNING)
+    desk.heartbeat(2, RUNNING)
     await asyncio.sleep(silence)
     desk.books.sweep()
     assert desk.gone is gone
@@ -188,14 +188,14 @@
     desk = Desk()
     desk.books.returned(desk.registry.get("m"))
     assert desk.gone
-    assert desk.report(9, RUNNING) is None
+    assert desk.heartbeat(9, RUNNING) is None
     assert desk.registry.get("m") is None
 
 
 async def test_faults_are_laid_on_the_machine_or_on_the_job():
     desk = stored_desk()
     for attempt in range(1, 4):
-        desk.report(attempt * 2, (attempt, "ended", "error"))
+        desk.heartbeat(attempt * 2, (attempt, "ended", "error"))
         desk.placement = desk.page.place(0, "m", 1, "a", datetime.now(UTC))
         desk.registry.get("m").placements[(desk.job.id, 0)] = desk.placement
     machine = desk.registry.get("m")
@@ -212,19 +212,19 @@
     """A first knock elsewhere of a machine that has just come up made leaders resign for
     nothing."""
     desk = Desk()
-    assert reporting_elsewhere({"new": 1}, desk.registry) == []
-    assert reporting_elsewhere({"new": 2}, desk.registry) == ["new"]
-    assert reporting_elsewhere({"m": 1}, desk.registry) == ["m"]
+    assert sending_heartbeats_elsewhere({"new": 1}, desk.registry) == []
+    assert sending_heartbeats_elsewhere({"new": 2}, desk.registry) == ["new"]
+    assert sending_heartbeats_elsewhere({"m": 1}, desk.registry) == ["m"]
 
 
 async def test_a_machine_that_boots_for_longer_than_a_lease_is_not_silent():
-    """Its first tasks were given up, or the machine was returned, in the moment between its report
-    and the answer."""
+    """Its first tasks were given up, or the machine was returned, in the moment between its
+    heartbeat and the answer."""
     desk = Desk()
     machine = desk.registry.ensure("slow", None, desk.books.clock.now())
     await asyncio.sleep(60)
-    report = WorkerHeartbeat("slow", "10.1.0.1:1", "small", "a", True, 1, 1, 0)
-    assert desk.books.take(report) is machine
+    heartbeat = WorkerHeartbeat("slow", "10.1.0.1:1", "small", "a", True, 1, 1, 0)
+    assert desk.books.take(heartbeat) is machine
     placement = desk.page.place(1, "slow", 1, "a", datetime.now(UTC))
     machine.placements[(desk.job.id, 1)] = placement
     desk.books.sweep()
@@ -242,27 +242,27 @@
         placement = page.place(task, "m", 1, "a", datetime.now(UTC))
         machine.placements[(big.id, task)] = placement
     page.stored_revision = page.revision
-    report = WorkerHeartbeat("m", "10.1.0.1:1", "small", "a", True, 1, 2, TOKEN)
-    desk.books.take(report)
-    first = desk.books.commands.of_records(machine, report)
+    heartbeat = WorkerHeartbeat("m", "10.1.0.1:1", "small", "a", True, 1, 2, TOKEN)
+    desk.books.take(heartbeat)
+    first = desk.books.commands.of_records(machine, heartbeat)
     assert len(first) == 400 and len(msgspec.json.encode(first)) < 64 * 1024
 
 
-async def test_what_a_deaf_machine_never_began_is_proven_gone_by_its_next_report():
-    """It was offered again with each report, and lost with the session, a lease later."""
+async def test_what_an_unreachable_machine_never_began_is_lost_with_its_next_heartbeat():
+    """It was offered again with each heartbeat, and lost with the session, a lease later."""
     desk = stored_desk()
     for tick in (2, 3):
-        assert desk.report(tick) == [("start", 1)]
-    assert desk.report(4) == [] and desk.registry.get("m").reachability.unreachable
-    assert not desk.gone, "the answer to report 3 may have been heard"
-    desk.report(5)
+        assert desk.heartbeat(tick) == [("start", 1)]
+    assert desk.heartbeat(4) == [] and desk.registry.get("m").reachability.unreachable
+    assert not desk.gone, "the answer to heartbeat 3 may have been heard"
+    desk.heartbeat(5)
     assert desk.gone
 
 
 @pytest.mark.parametrize("copies", range(6))
 async def test_old_copies_after_a_takeover_give_nothing_up_that_was_started_since(copies):
     """They show neither the new token nor the task, so the machine may be taken for deaf; what it
-    is then thought never to have begun was stopped when its next report showed it."""
+    is then thought never to have begun was stopped when its next heartbeat showed it."""
     desk = Desk()
     machine = desk.registry.get("m")
     desk.registry.machines.clear()
@@ -270,8 +270,8 @@
     assert desk.registry.get("m") is not machine
     desk.save()
     for sequence in range(2, 2 + copies):
-        desk.report(sequence, token=TOKEN - 1)
+        desk.heartbeat(sequence, token=TOKEN - 1)
     assert not desk.placement.lost
-    assert desk.report(20, RUNNING, token=TOKEN - 1) == []
-    assert desk.report(21, RUNNING) == []
+    assert desk.heartbeat(20, RUNNING, token=TOKEN - 1) == []
+    assert desk.heartbeat(21, RUNNING) == []
     assert not desk.gone
