--- a/dappledrum/controller/test_concurrent_faults.py
+++ b/dappledrum/controller/test_concurrent_faults.py
@@ -1,7 +1,7 @@
-"""Troubles that meet, one test for each meeting (docs/design.md, "Meetings"); seeds are fixed, and
-the moments drawn from them. All the while users submit jobs of one to three tasks whose ends lie
-far apart, ask about them at any controller, and cancel some; the rules are checked in each step,
-and in the end every job is known and over, the same at each controller."""
+"""Troubles that meet, one test for each meeting (docs/design.md, "Concurrent faults"); seeds are
+fixed, and the moments drawn from them. All the while users submit jobs of one to three tasks whose
+ends lie far apart, ask about them at any controller, and cancel some; the rules are checked in
+each step, and in the end every job is known and over, the same at each controller."""
 
 import asyncio
 
@@ -204,7 +204,7 @@
 
 
 @SEEDS
-def test_old_reports_after_newer_ones_and_a_change_of_leader(seed):
+def test_old_heartbeats_after_newer_ones_and_a_change_of_leader(seed):
     """Also of an earlier session and attempt: the machines lose their sessions in between."""
 
     async def act(scenario):
