--- a/dappledrum/accounting/ledger.py
+++ b/dappledrum/accounting/ledger.py
@@ -12,7 +12,7 @@
 
 from dappledrum.accounting.entries import Demand, Entry, why_idle
 from dappledrum.fleet.messages import MachineType
-from dappledrum.jobs.job import Placement
+from dappledrum.jobs.placement import Placement
 from dappledrum.scheduling.timeline import InstanceKind, Size
 from dappledrum.timing.clock import ZERO, Clock
 from dappledrum.workers.machine_registry import Machine, MachineRegistry
--- a/dappledrum/controller/test_upgrade.py
+++ b/dappledrum/controller/test_upgrade.py
@@ -13,6 +13,7 @@
 
 from dappledrum.jobs.job import Job
 from dappledrum.jobs.messages import JobRecord, RowsRecord, SpecPart
+from dappledrum.jobs.page_encoding import load_rows, page_changes
 from dappledrum.settings import NextLimits
 from dappledrum.simulation.cluster import SimulatedCluster, job
 from dappledrum.simulation.virtual_time import run
@@ -181,7 +182,7 @@
     first.page(1).place(260, "host-9", 70, "a", today)
     changes = {}
     for page in first.pages.values():
-        own = page.to_values(2048, 2048)
+        own = page_changes(page, 2048, 2048)
         assert all(len(bytes(change.value)) <= 2048 for change in own)
         changes |= {change.key: change.value for change in own}
     assert len(changes) > 6
@@ -193,13 +194,13 @@
     assert second.spec == first.spec and len(second.unmet_dependencies) == 400
     for key, value in changes.items():
         if key.startswith("rows/"):
-            second.page(0).load_rows(msgspec.json.decode(value, type=RowsRecord))
+            load_rows(second.page(0), msgspec.json.decode(value, type=RowsRecord))
     assert placed(second.page(0)) == placed(first.page(0))
     # Smaller again, it removes its parts.
     first.page(0).parts = sum(key.startswith("rows/") for key in changes)
     for task in range(200):
         first.page(0).remove(task)
-    removed = [c for c in first.page(0).to_values(2048, 2048) if not hasattr(c, "value")]
+    removed = [c for c in page_changes(first.page(0), 2048, 2048) if not hasattr(c, "value")]
     assert len(removed) > 1
 
 
--- a/dappledrum/dependencies/graph.py
+++ b/dappledrum/dependencies/graph.py
@@ -13,8 +13,9 @@
 from datetime import UTC, datetime
 from typing import NamedTuple
 
-from dappledrum.jobs.job import Job, Page
+from dappledrum.jobs.job import Job
 from dappledrum.jobs.messages import EndedRecord, Outcome
+from dappledrum.jobs.page import Page
 
 log = logging.getLogger(__name__)
 
--- a/dappledrum/dependencies/lookup.py
+++ b/dappledrum/dependencies/lookup.py
@@ -11,7 +11,7 @@
 from collections.abc import Awaitable, Callable, Collection
 from datetime import timedelta
 
-from dappledrum.jobs.job import ended_key, head_key
+from dappledrum.jobs.keys import ended_key, head_key
 from dappledrum.jobs.messages import Form, JobRecord
 from dappledrum.jobs.poll_batcher import LiveRecord
 from dappledrum.store.client import ConflictError, RefusedError, StoreClient, StoreError
--- a/dappledrum/dependencies/resolver.py
+++ b/dappledrum/dependencies/resolver.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from dappledrum.dependencies.graph import DependencyGraph, shown
-from dappledrum.jobs.job import ended_key, head_key
+from dappledrum.jobs.keys import ended_key, head_key
 from dappledrum.jobs.messages import EndedRecord
 from dappledrum.store.client import StoreClient, StoreError
 from dappledrum.store.rate_limiter import RequestPriority
--- a/dappledrum/dispatch/candidate_machines.py
+++ b/dappledrum/dispatch/candidate_machines.py
@@ -4,8 +4,9 @@
 
 from dappledrum.dispatch.context import DispatchContext
 from dappledrum.fleet.autoscaler import MAX_RENTALS
-from dappledrum.jobs.job import Job, Placement
+from dappledrum.jobs.job import Job
 from dappledrum.jobs.messages import Form
+from dappledrum.jobs.placement import Placement
 from dappledrum.scheduling.timeline import InstanceKind, MachineTimeline, Offer, Size
 from dappledrum.timing.clock import ZERO
 from dappledrum.workers.machine_registry import Machine
--- a/dappledrum/dispatch/context.py
+++ b/dappledrum/dispatch/context.py
@@ -4,7 +4,8 @@
 from typing import Protocol
 
 from dappledrum.fleet.autoscaler import Autoscaler
-from dappledrum.jobs.job import Job, Page
+from dappledrum.jobs.job import Job
+from dappledrum.jobs.page import Page
 from dappledrum.scheduling.estimates import Estimates
 from dappledrum.settings import Params, Tuning
 from dappledrum.timing.clock import Clock
--- a/dappledrum/dispatch/placement.py
+++ b/dappledrum/dispatch/placement.py
@@ -7,6 +7,7 @@
 from dappledrum.gangs.all_or_nothing import is_gang
 from dappledrum.jobs.job import Job
 from dappledrum.jobs.messages import PRIORITY_RANKS, Priority
+from dappledrum.jobs.page_encoding import max_row_bytes, max_value_bytes
 
 log = logging.getLogger(__name__)
 
@@ -86,7 +87,7 @@
         today = self.clock.today()
         limit = self.page_bytes
         for page in job.pages_with_free_tasks():
-            bound, row = page.max_value_bytes(name, today), page.max_row_bytes(today)
+            bound, row = max_value_bytes(page, name, today), max_row_bytes(page, today)
             for task in page.free_tasks():
                 if count <= 0 or bound > limit:
                     break
--- a/dappledrum/dispatch/preemption.py
+++ b/dappledrum/dispatch/preemption.py
@@ -6,8 +6,9 @@
 
 from dappledrum.dispatch.context import DispatchContext
 from dappledrum.gangs.all_or_nothing import is_gang, stop_gang
-from dappledrum.jobs.job import Job, Placement
+from dappledrum.jobs.job import Job
 from dappledrum.jobs.messages import PRIORITY_RANKS, Priority
+from dappledrum.jobs.placement import Placement
 from dappledrum.scheduling.bags import Bag
 from dappledrum.scheduling.timeline import Size
 from dappledrum.scheduling.victim_selection import Host, Victim, choose_victims
--- a/dappledrum/golden/test_store.py
+++ b/dappledrum/golden/test_store.py
@@ -14,8 +14,8 @@
 from dappledrum.fleet.messages import BootingRecord, Catalog, FleetRecord, MachineType
 from dappledrum.golden.entries import load
 from dappledrum.golden.recording_caller import RecordingCaller, as_sent
-from dappledrum.jobs import record_writer
-from dappledrum.jobs.job import Job, ended_key, head_key, page_key, rows_key, spec_key
+from dappledrum.jobs.job import Job
+from dappledrum.jobs.keys import ROWS_PREFIX, ended_key, head_key, page_key, rows_key, spec_key
 from dappledrum.jobs.messages import (
     EndedRecord,
     Form,
@@ -27,6 +27,7 @@
     Spec,
     SpecPart,
 )
+from dappledrum.jobs.page_encoding import page_changes
 from dappledrum.leader import job_loader
 from dappledrum.leader.leader import LEARNED
 from dappledrum.learning.messages import BootRow, ClassRow, LearnedRecord
@@ -86,7 +87,7 @@
 FULL_PAGE = PageRecord(
     attempt=4,
     done="5",
-    places=[("host-000013", 1, "a", [(0, 1, 9)])],
+    legacy_rows=[("host-000013", 1, "a", [(0, 1, 9)])],
     prefix="host-00000",
     zones=["a", "b"],
     rows=[("1", 2, 0, [3, 1, 2, 4, 2, 2]), ("2", 1, 1, [7, 3, 4])],
@@ -105,7 +106,7 @@
             cancelled=True,
             done=3,
             running=4,
-            begun_ms=1764000009000,
+            released_ms=1764000009000,
             spec_parts=2,
         ),
         JobRecord,
@@ -211,7 +212,7 @@
 PREFIXES = {
     "prefix-jobs": (job_loader.JOBS, head_key("")),
     "prefix-pages": (job_loader.PAGES,),
-    "prefix-rows": (job_loader.ROWS, record_writer.ROWS),
+    "prefix-rows": (job_loader.ROWS, ROWS_PREFIX),
     "prefix-specs": (job_loader.SPECS,),
 }
 
@@ -264,13 +265,13 @@
         ("j-000007/257", 1, "host-000013", 1, "a", "2025-11-24T16:00:09+00:00"),
     }
     assert [job_read.page(0).done, job_read.page(1).done] == [0b101, 0b1]
-    assert written(job_read.page(0).to_values(8192, 8192)) == golden("live-head")
-    assert written(job_read.page(1).to_values(8192, 8192)) == golden("live-page")
+    assert written(page_changes(job_read.page(0), 8192, 8192)) == golden("live-head")
+    assert written(page_changes(job_read.page(1), 8192, 8192)) == golden("live-page")
 
 
 def test_a_leader_writes_a_job_in_parts():
     """A value has so little room here that the specification and the rows are split."""
-    changes = live_job().page(0).to_values(whole=300, part=58)
+    changes = page_changes(live_job().page(0), max_bytes=300, max_part_bytes=58)
     names = [name for name in GOLDEN if name.startswith("live-split-")]
     assert written(changes) == golden(*names)
 
@@ -278,7 +279,7 @@
 def test_rows_of_an_earlier_form_are_removed():
     job_read = live_job()
     job_read.page(1).parts = 1
-    [_, removal] = job_read.page(1).to_values(8192, 8192)
+    [_, removal] = page_changes(job_read.page(1), 8192, 8192)
     assert removal == Delete(rows_key("j-000007", 1, 0))
 
 
--- a/dappledrum/golden/test_users.py
+++ b/dappledrum/golden/test_users.py
@@ -9,7 +9,7 @@
 from dappledrum.golden.entries import load
 from dappledrum.golden.recording_caller import as_sent
 from dappledrum.jobs.api import answer, busy, refusal
-from dappledrum.jobs.messages import Answer, Form, Outcome, Priority, Spec
+from dappledrum.jobs.messages import Form, Outcome, Priority, Spec, StatusResponse
 from dappledrum.simulation.cluster import led_cluster
 
 GOLDEN = load("users")
@@ -62,11 +62,13 @@
 #: Sent only.
 RESPONSES = {
     "answer-running": answer(
-        200, Answer(id="j-000412", state=Outcome.RUNNING, done=3, running=13)
+        200, StatusResponse(id="j-000412", state=Outcome.RUNNING, done=3, running=13)
     ),
-    "answer-pending": answer(201, Answer(id="j-000412", state=Outcome.QUEUED)),
-    "answer-done": answer(200, Answer(id="j-000412", state=Outcome.DONE, done=16, running=0)),
-    "answer-cancelled": answer(200, Answer(id="j-000412", state=Outcome.CANCELLED)),
+    "answer-pending": answer(201, StatusResponse(id="j-000412", state=Outcome.QUEUED)),
+    "answer-done": answer(
+        200, StatusResponse(id="j-000412", state=Outcome.DONE, done=16, running=0)
+    ),
+    "answer-cancelled": answer(200, StatusResponse(id="j-000412", state=Outcome.CANCELLED)),
     "try-again": busy(2),
     "refused": refusal(422, "unknown team nobody"),
 }
--- a/dappledrum/jobs/api.py
+++ b/dappledrum/jobs/api.py
@@ -18,20 +18,21 @@
 from dappledrum.fleet.messages import MachineType
 from dappledrum.http.server import Response
 from dappledrum.jobs.confirmed_cancellations import ConfirmedCancellations
-from dappledrum.jobs.job import ended_key, head_key, page_size, spec_key
+from dappledrum.jobs.keys import ended_key, head_key, spec_key
 from dappledrum.jobs.messages import (
-    Answer,
     EndedRecord,
     Form,
     JobRecord,
-    Named,
     Outcome,
     PageRecord,
     Spec,
+    StatusResponse,
+    SubmissionId,
 )
+from dappledrum.jobs.page_encoding import page_size
 from dappledrum.jobs.poll_batcher import LiveRecord, LiveStatus, PollBatcher, StoredJob, seen
 from dappledrum.jobs.submission_batcher import SubmissionBatcher
-from dappledrum.jobs.value_parts import LONG, split_spec
+from dappledrum.jobs.value_parts import LONG_SPEC_DIVISOR, split_spec
 from dappledrum.settings import Params
 from dappledrum.store.client import (
     ConflictError,
@@ -55,7 +56,7 @@
 T = TypeVar("T")
 
 
-def answer(status: int, body: Answer) -> Response:
+def answer(status: int, body: StatusResponse) -> Response:
     """A response to a user."""
     return Response(status, msgspec.json.encode(body))
 
@@ -181,12 +182,12 @@
         self.polls.note(spec.id, seen(record), stored)
         if first:
             self.lookup.note(spec.id, spec.form)
-        return answer(HTTPStatus.CREATED, Answer(spec.id, Outcome.QUEUED))
+        return answer(HTTPStatus.CREATED, StatusResponse(spec.id, Outcome.QUEUED))
 
     async def _malformed(self, body: bytes, objection: Response) -> Response:
         """The answer to a submission that can't be read as a whole."""
         try:
-            name = msgspec.json.decode(body, type=Named).id
+            name = msgspec.json.decode(body, type=SubmissionId).id
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
             return objection
         try:
@@ -219,7 +220,7 @@
         stored, parts = spec, []
         # Jobs that wait come when every controller reads parts.
         apart = self.value_limit.settled or spec.needs
-        if apart and len(msgspec.json.encode(spec)) > least // LONG:
+        if apart and len(msgspec.json.encode(spec)) > least // LONG_SPEC_DIVISOR:
             stored, parts = split_spec(spec, least)
         at_ms = round(self.clock.today().timestamp() * 1000)
         record = JobRecord(
@@ -348,7 +349,7 @@
         self, job: str, found: StoredJob | LiveStatus, status: int, brief: bool = False
     ) -> Response:
         if isinstance(found, EndedRecord):
-            body = Answer(
+            body = StatusResponse(
                 job, found.state, found.tasks if found.state is Outcome.DONE else None, 0
             )
         else:
@@ -359,9 +360,9 @@
                 # Of a job that has moved to the ended ones it is proven, and stored, that none of
                 # its tasks is left.
                 self.confirmed.note(job, self.clock.now())
-            body = Answer(
+            body = StatusResponse(
                 job, Outcome.CANCELLED if live.cancelled else state, live.done, live.running
             )
         if brief:
-            body = Answer(job, body.state)
+            body = StatusResponse(job, body.state)
         return answer(status, body)
--- a/dappledrum/jobs/job.py
+++ b/dappledrum/jobs/job.py
@@ -1,16 +1,11 @@
-"""A job in the leader's memory, and its pages, the units in which progress is written.
-
-Every change of a page raises its revision. What a revision allows (sending a start, forgetting an
-end, calling the job done) must wait until a record of at least that revision is known to be
-stored.
-"""
+"""A job in the leader's memory."""
 
 from collections.abc import Iterator, Sequence
-from datetime import UTC, datetime, timedelta
-from os.path import commonprefix
+from datetime import UTC, datetime
 
 import msgspec
 
+from dappledrum.jobs.keys import spec_key
 from dappledrum.jobs.messages import (
     PRIORITY_RANKS,
     EndedRecord,
@@ -18,15 +13,18 @@
     JobRecord,
     Outcome,
     PageRecord,
-    RowsRecord,
     Spec,
     SpecPart,
 )
-from dappledrum.jobs.value_parts import LONG, join_spec, split_rows, split_spec
+from dappledrum.jobs.page import Page
+from dappledrum.jobs.page_encoding import load_page, page_record
+from dappledrum.jobs.placement import Placement
+from dappledrum.jobs.value_parts import LONG_SPEC_DIVISOR, join_spec, split_spec
 from dappledrum.scheduling.timeline import Size
 from dappledrum.store.messages import Delete, Put
 from dappledrum.timing.clock import ZERO
 
+<<<<<<< HEAD
 PAGE = 256  # tasks, at most
 MIN_PAGE = 8
 ROW = 30  # bytes that a task on a machine of its own usually takes
@@ -299,6 +297,8 @@
         self.superfluous += self.is_done(task) and task not in self.placements
         self.placements[task] = Placement(self, task, attempt, machine, session, zone, at)
 
+=======
+>>>>>>> 7664a28 (Jobs: job.py split into keys, placement, page, its stored form, and the job)
 
 class Job:
     """A live job."""
@@ -310,38 +310,35 @@
         self.size = Size(self.spec.cpus, self.spec.gpus, self.spec.memory_gb)
         self.stored_spec = record.spec
         self.spec_parts = len(spec_parts)
-        self.unsaved_parts: list[SpecPart] = []  # to be written with the head
+        self.unstored_spec_parts: list[SpecPart] = []  # to be written with the head
         self.id = record.spec.id
         self.page_size = record.size
         self.accepted_at = datetime.fromtimestamp(record.at_ms / 1000, UTC)
-        # What it needs and is not stored as done yet: nothing of it may start before.
-        self.unmet_dependencies: set[str] = (
-            set(self.spec.needs or ()) if record.begun_ms is None else set()
-        )
-        # From when its times count, its deadline apart: when the last job that it needs was done.
+        # Jobs that are not stored as done yet: nothing of this one may start before.
+        self.unmet_dependencies: set[str] = set()
+        # From when its times count, its deadline apart: when its last dependency was done.
         self.released_at = self.accepted_at
-        if record.begun_ms is not None:
-            self.released_at = datetime.fromtimestamp(record.begun_ms / 1000, UTC)
-        self.depth = 0  # of the jobs that it needs, longest way
-        self.effective_rank = PRIORITY_RANKS[
-            record.spec.priority
-        ]  # its own, or that of a job that needs it
-        self.ended_at: datetime | None = None  # found to be over, stored or not
+        if record.released_ms is None:
+            self.unmet_dependencies.update(self.spec.needs or ())
+        else:
+            self.released_at = datetime.fromtimestamp(record.released_ms / 1000, UTC)
+        self.depth = 0  # length of the longest chain of jobs that it depends on
+        # Of its own priority, or of that of a job that depends on it.
+        self.effective_rank = PRIORITY_RANKS[record.spec.priority]
+        self.ended_at: datetime | None = None  # when all was done or terminated, stored or not
         self.cancelled = record.cancelled
-        self.cancel_stored = record.cancelled  # users are told so already
+        self.cancel_stored = record.cancelled  # acknowledged to users already
         self.done = 0
         self.spec_bytes = len(msgspec.json.encode(self.stored_spec))
         self.pages: dict[int, Page] = {}
-        self.page(0).load(record.page, version)
+        load_page(self.page(0), record.page, version)
         self.done = self.pages[0].done.bit_count()
-        # A task of it has run, as far as this leader knows; a predecessor has told it, then.
+        # A task of it has run, as far as the records or this leader's heartbeats show.
         self.has_run = self.done > 0 or self.placement_count() > 0
         self.finished = False
-        self.failures_by_machine: dict[
-            str, int
-        ] = {}  # failures by machine, since the last success
+        self.failures_by_machine: dict[str, int] = {}  # since the last success
         self.retry_at = ZERO
-        self.first_open_page = 0  # pages before this one hold nothing to start
+        self.first_open_page = 0  # all tasks of the pages before it are done
 
     @property
     def page_count(self) -> int:
@@ -349,7 +346,7 @@
         return -(-self.spec.tasks // self.page_size)
 
     def page(self, index: int) -> Page:
-        """A page; pages come into being when they are first needed."""
+        """The page with this index; pages are made when they are first needed."""
         page = self.pages.get(index)
         if page is None:
             page = self.pages[index] = Page(self, index)
@@ -360,9 +357,9 @@
         return self.page(task // self.page_size)
 
     def add_page(self, index: int, record: PageRecord, version: int) -> None:
-        """Take over a further page that a predecessor stored."""
+        """Add a further page from its record; `version` is that of its key."""
         page = self.page(index)
-        page.load(record, version)
+        load_page(page, record, version)
         self.done += page.done.bit_count()
 
     def placements(self) -> Iterator[Placement]:
@@ -406,40 +403,40 @@
             return Outcome.CANCELLED
         return Outcome.RUNNING if self.placement_count() else Outcome.QUEUED
 
-    def detach(self, most: int) -> None:
+    def split_specification(self, max_part_bytes: int) -> None:
         """Store the lists of a long specification apart from the head."""
-        if not self.spec_parts and self.spec_bytes > most // LONG:
-            self.stored_spec, self.unsaved_parts = split_spec(self.spec, most)
-            self.spec_parts = len(self.unsaved_parts)
+        if not self.spec_parts and self.spec_bytes > max_part_bytes // LONG_SPEC_DIVISOR:
+            self.stored_spec, self.unstored_spec_parts = split_spec(self.spec, max_part_bytes)
+            self.spec_parts = len(self.unstored_spec_parts)
             self.spec_bytes = len(msgspec.json.encode(self.stored_spec))
 
     def spec_changes(self) -> list[Put | Delete]:
-        """What has to be written with the head."""
+        """Changes that have to be written with the head."""
         return [
             Put(spec_key(self.id, at), msgspec.Raw(msgspec.json.encode(part)))
-            for at, part in enumerate(self.unsaved_parts)
+            for at, part in enumerate(self.unstored_spec_parts)
         ]
 
     def head_record(self, page: PageRecord | None = None) -> JobRecord:
         """Stored form of the head, with that of its page."""
         at_ms = round(self.accepted_at.timestamp() * 1000)
-        begun_ms = None
+        released_ms = None
         if self.spec.needs and not self.unmet_dependencies:
-            begun_ms = round(self.released_at.timestamp() * 1000)
+            released_ms = round(self.released_at.timestamp() * 1000)
         return JobRecord(
             self.stored_spec,
             at_ms,
             self.page_size,
-            page or self.page(0).to_record(),
+            page or page_record(self.page(0)),
             self.cancelled,
             self.done,
             self.running(),
-            begun_ms,
+            released_ms,
             self.spec_parts,
         )
 
     def ended_record(self) -> EndedRecord:
-        """Stored form of the job when it is over."""
+        """Stored form of the finished job."""
         state = Outcome.CANCELLED if self.cancelled else Outcome.DONE
         at_ms = None if self.ended_at is None else round(self.ended_at.timestamp() * 1000)
         return EndedRecord(state, self.spec.tasks, at_ms)
--- a/dappledrum/jobs/messages.py
+++ b/dappledrum/jobs/messages.py
@@ -1,8 +1,9 @@
 """Submissions and answers as users see them, and records as the store keeps them."""
 
+from collections.abc import Iterator
 from datetime import timedelta
 from enum import StrEnum
-from typing import Annotated
+from typing import Annotated, NamedTuple
 
 import msgspec
 from msgspec import Meta
@@ -34,6 +35,7 @@
     LOW = "best_effort"
 
 
+#: Smaller numbers go first.
 PRIORITY_RANKS = {Priority.PRODUCTION: 0, Priority.HIGH: 1, Priority.NORMAL: 2, Priority.LOW: 3}
 
 
@@ -106,14 +108,14 @@
         return seconds(self.save_s)
 
 
-class Named(msgspec.Struct):
-    """What has to be readable of a malformed submission to tell whether its job was accepted."""
+class SubmissionId(msgspec.Struct):
+    """The part of a malformed submission that shows whether its job was accepted before."""
 
     id: JobId
 
 
-class Answer(msgspec.Struct, rename={"state": "stance"}, omit_defaults=True):
-    """Answer to a user."""
+class StatusResponse(msgspec.Struct, rename={"state": "stance"}, omit_defaults=True):
+    """Body of a successful answer to a user."""
 
     id: str
     state: Outcome
@@ -121,25 +123,50 @@
     running: int | None = None
 
 
-Row = tuple[str, int, int, list[int]]
+class TaskFigures(NamedTuple):
+    """What is stored of a placement beside its machine."""
+
+    offset: int  # of the task from the start of the page
+    attempt: int
+    placed_s: int  # seconds since the job was accepted
+
+
+FIGURES_PER_TASK = len(TaskFigures._fields)
+
+
+class MachineRow(NamedTuple):
+    """The placements of a page on one machine, in the order of their numbers in the record."""
+
+    machine_suffix: str  # name without the prefix that all machines of the record share
+    session: int
+    zone_index: int
+    figures: list[int]  # those of each task, one after the other
+
+    def tasks(self) -> Iterator[TaskFigures]:
+        """The figures, task by task."""
+        for start in range(0, len(self.figures), FIGURES_PER_TASK):
+            yield TaskFigures(*self.figures[start : start + FIGURES_PER_TASK])
+
+
+#: A machine in records of versions up to 0.1.0: name, session, zone, figures of each task.
+LegacyRow = tuple[str, int, str, list[tuple[int, int, int]]]
 
 
 class PageRecord(msgspec.Struct, array_like=True):
     """Progress of a range of tasks: next attempt, bitmap of done tasks in hex, and placements.
 
-    A row is one machine: `[name without the common prefix, session, index of its zone, [task,
-    attempt, seconds since acceptance, task, ...]]`, with tasks counted from the start of the page.
-    Short, since all tasks of a page may be on machines of their own, and a value has a limit.
+    The order of the fields is that of the stored array. Rows are short, since all tasks of a page
+    may be on machines of their own, and a value has a limit.
     """
 
     attempt: int = 1
     done: str = "0"
     # What versions up to 0.1.0 wrote instead of the rows; read, so that jobs outlive an upgrade.
-    places: list[tuple[str, int, str, list[tuple[int, int, int]]]] = []
+    legacy_rows: list[LegacyRow] = []
     prefix: str = ""
     zones: list[str] = []
-    rows: list[Row] = []
-    parts: int = 0  # further values with rows; versions up to 0.2.0 know none and write none
+    rows: list[MachineRow] = []
+    parts: int = 0  # further values with rows; versions up to 0.2.0 read and write none
 
 
 class RowsRecord(msgspec.Struct, array_like=True):
@@ -147,7 +174,7 @@
 
     prefix: str
     zones: list[str]
-    rows: list[Row]
+    rows: list[MachineRow]
 
 
 class SpecPart(msgspec.Struct, omit_defaults=True):
@@ -157,7 +184,7 @@
     needs: list[str] = []
 
 
-class JobRecord(msgspec.Struct, omit_defaults=True):
+class JobRecord(msgspec.Struct, omit_defaults=True, rename={"released_ms": "begun_ms"}):
     """Value of `job/<id>`: what was submitted, when, and the progress of the first page."""
 
     spec: Spec
@@ -167,14 +194,14 @@
     cancelled: bool = False
     done: int = 0  # tasks done in all pages
     running: int = 0  # tasks on machines in all pages, without those that have completed
-    # When all that it needs was done. Versions up to 0.2.0 drop it when they write a record again;
-    # only jobs that need others have it, and those come when no such version serves any more.
-    begun_ms: int | None = None
+    # When all its dependencies were done. Versions up to 0.2.0 drop it when they write a record
+    # again; only jobs with dependencies have it, and those come when no such version serves.
+    released_ms: int | None = None
     spec_parts: int = 0  # further values that hold the specification's lists
 
 
 class EndedRecord(msgspec.Struct, omit_defaults=True):
-    """Value of `ended/<id>`: all that must be kept of a job that is over."""
+    """Value of `ended/<id>`: all that must be kept of a finished job."""
 
     state: Outcome
     tasks: int
--- /dev/null
+++ b/dappledrum/jobs/page_encoding.py
@@ -0,0 +1,159 @@
+"""Stored form of pages: one value, or several if one would be too long.
+
+All tasks of a page may be on machines of their own, so the form is short: placements are grouped
+by machine, and the names of the machines lack their common prefix.
+"""
+
+from datetime import datetime, timedelta
+from os.path import commonprefix
+
+import msgspec
+
+from dappledrum.jobs.keys import rows_key
+from dappledrum.jobs.messages import (
+    MachineRow,
+    PageRecord,
+    RowsRecord,
+    Spec,
+    TaskFigures,
+)
+from dappledrum.jobs.page import Page
+from dappledrum.jobs.placement import Placement
+from dappledrum.jobs.value_parts import split_rows
+from dappledrum.store.messages import Delete, Put
+
+MAX_TASKS_PER_PAGE = 256
+MIN_TASKS_PER_PAGE = 8
+TYPICAL_ROW_BYTES = 30  # of a task on a machine of its own
+HEAD_OVERHEAD_BYTES = 220  # of a head besides its specification, its bitmap and its rows
+ROW_OVERHEAD_BYTES = 12  # of a row besides the name, the session and the tasks
+ZONE_OVERHEAD_BYTES = 3  # quotes and a comma
+LARGEST_PARTS = 99  # stands for the number of parts while the length of a value is reckoned
+
+
+def page_size(spec: Spec, value_bytes: int) -> int:
+    """Tasks in a page of a new job, if a value has at most `value_bytes`.
+
+    As many as fit when each is on a machine of its own, beside the specification in the head, so
+    that no task waits for capacity in a record.
+    """
+    capacity = value_bytes - len(msgspec.json.encode(spec)) - HEAD_OVERHEAD_BYTES
+    fitting = capacity * 4 // (TYPICAL_ROW_BYTES * 4 + 1)
+    return min(MAX_TASKS_PER_PAGE, max(MIN_TASKS_PER_PAGE, fitting))
+
+
+def max_row_bytes(page: Page, now: datetime) -> int:
+    """The most that a placement made now takes in the stored form, besides its machine."""
+    since = _seconds_since_acceptance(page, now)
+    return len(f"{page.count},{page.attempt + page.count},{since},")
+
+
+def max_value_bytes(page: Page, machine: str, now: datetime) -> int:
+    """Upper bound for the stored form of the page with one placement more, on this machine.
+
+    Each further placement there adds at most `max_row_bytes`.
+    """
+    machines = {(p.machine, p.session) for p in page.placements.values()}
+    names = [name for name, _ in machines] + [machine]
+    prefix = len(_common_prefix(names))
+    heads = sum(len(name) - prefix + ROW_OVERHEAD_BYTES for name in names)
+    sessions = sum(len(str(session)) for _, session in machines)
+    zone_names = {p.zone for p in page.placements.values()}
+    zones = sum(len(zone) + ZONE_OVERHEAD_BYTES for zone in zone_names)
+    spec = page.job.spec_bytes if page.index == 0 else 0
+    rows = max_row_bytes(page, now) * (len(page.placements) + 1)
+    return spec + HEAD_OVERHEAD_BYTES + page.count // 4 + heads + sessions + zones + rows
+
+
+def page_record(page: Page) -> PageRecord:
+    """The stored form of a page, in one piece."""
+    zones: dict[str, int] = {}
+    grouped: dict[tuple[str, int, int], list[int]] = {}
+    for placement in page.placements.values():
+        zone = zones.setdefault(placement.zone, len(zones))
+        figures = grouped.setdefault((placement.machine, placement.session, zone), [])
+        figures += TaskFigures(
+            placement.task - page.first,
+            placement.attempt,
+            _seconds_since_acceptance(page, placement.placed_at),
+        )
+    prefix = _common_prefix([machine for machine, _, _ in grouped])
+    rows = [
+        MachineRow(machine[len(prefix) :], session, zone, figures)
+        for (machine, session, zone), figures in grouped.items()
+    ]
+    return PageRecord(page.attempt, f"{page.done:x}", [], prefix, list(zones), rows)
+
+
+def page_changes(page: Page, max_bytes: int, max_part_bytes: int) -> list[Put | Delete]:
+    """Changes that store a page, that of its own key first.
+
+    It goes into one value of at most `max_bytes`, or else into several of at most
+    `max_part_bytes`.
+    """
+    record = page_record(page)
+    value = _encoded(page, record)
+    parts: list[RowsRecord] = []
+    if len(value) > max_bytes:
+        if page.index == 0:
+            page.job.split_specification(max_part_bytes)
+        without_rows = msgspec.structs.replace(record, rows=[], parts=LARGEST_PARTS)
+        capacity = max_part_bytes - len(_encoded(page, without_rows))
+        rows, parts = split_rows(
+            record.prefix, record.zones, record.rows, capacity, max_part_bytes
+        )
+        record = msgspec.structs.replace(record, rows=rows, parts=len(parts))
+        value = _encoded(page, record)
+    changes: list[Put | Delete] = [Put(page.key, msgspec.Raw(value))]
+    if page.index == 0:
+        changes += page.job.spec_changes()
+    return changes + _part_changes(page, parts)
+
+
+def _part_changes(page: Page, parts: list[RowsRecord]) -> list[Put | Delete]:
+    """Changes that store the further values, and remove those that are not needed any more."""
+    changes: list[Put | Delete] = []
+    for number, part in enumerate(parts):
+        value = msgspec.json.encode(part)
+        changes.append(Put(rows_key(page.job.id, page.index, number), msgspec.Raw(value)))
+    for number in range(len(parts), page.parts):
+        changes.append(Delete(rows_key(page.job.id, page.index, number)))
+    return changes
+
+
+def load_page(page: Page, record: PageRecord, version: int) -> None:
+    """Restore a page from what an earlier leader stored; `version` is that of its key."""
+    page.attempt = record.attempt
+    page.done = int(record.done, 16) & ((1 << page.count) - 1)
+    page.version = version
+    page.parts = record.parts
+    for machine, session, zone, tasks in record.legacy_rows:
+        for figures in tasks:
+            _restore(page, machine, session, zone, TaskFigures(*figures))
+    load_rows(page, record)
+
+
+def load_rows(page: Page, record: PageRecord | RowsRecord) -> None:
+    """Restore the placements in the rows of a page's own value or of a further one."""
+    for row in record.rows:
+        machine, zone = record.prefix + row.machine_suffix, record.zones[row.zone_index]
+        for figures in row.tasks():
+            _restore(page, machine, row.session, zone, figures)
+
+
+def _restore(page: Page, machine: str, session: int, zone: str, figures: TaskFigures) -> None:
+    placed_at = page.job.accepted_at + timedelta(seconds=figures.placed_s)
+    task = page.first + figures.offset
+    page.restore(Placement(page, task, figures.attempt, machine, session, zone, placed_at))
+
+
+def _encoded(page: Page, record: PageRecord) -> bytes:
+    return msgspec.json.encode(page.job.head_record(record) if page.index == 0 else record)
+
+
+def _seconds_since_acceptance(page: Page, moment: datetime) -> int:
+    return int((moment - page.job.accepted_at).total_seconds())
+
+
+def _common_prefix(names: list[str]) -> str:
+    return commonprefix(names)  # noqa: RUF071 - of names, not of paths
--- /dev/null
+++ b/dappledrum/jobs/placement.py
@@ -0,0 +1,59 @@
+"""An attempt of a task on a machine."""
+
+from datetime import datetime, timedelta
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from dappledrum.jobs.page import Page
+
+
+class Placement:
+    """One attempt of one task on one machine in one session.
+
+    It counts as on the machine until the attempt is proven terminated.
+    """
+
+    __slots__ = (
+        "accrued_cost",
+        "attempt",
+        "lost",
+        "machine",
+        "name",
+        "observed",
+        "offered_sequence",
+        "page",
+        "placed_at",
+        "revision",
+        "running_since",
+        "session",
+        "task",
+        "waiting_for_gang",
+        "zone",
+    )
+
+    def __init__(
+        self,
+        page: "Page",
+        task: int,
+        attempt: int,
+        machine: str,
+        session: int,
+        zone: str,
+        placed_at: datetime,
+    ) -> None:
+        self.page = page
+        self.task = task
+        self.name = f"{page.job.id}/{task}"  # as heartbeats and commands spell it
+        self.attempt = attempt
+        self.machine = machine
+        self.session = session
+        self.zone = zone
+        self.placed_at = placed_at
+        self.revision = page.revision  # of the page: the start waits until it is stored
+        self.observed = False  # a heartbeat has shown it
+        self.running_since: timedelta | None = None
+        # Sequence number of the newest heartbeat whose answer carried the start.
+        self.offered_sequence = -1
+        self.lost = False  # to be given up as soon as that is proven safe
+        self.waiting_for_gang = False  # has its image and waits for the rest of its gang
+        self.accrued_cost = 0.0  # money that its run time has cost so far, see `accounting`
--- a/dappledrum/jobs/poll_batcher.py
+++ b/dappledrum/jobs/poll_batcher.py
@@ -13,7 +13,7 @@
 from datetime import timedelta
 from typing import NamedTuple
 
-from dappledrum.jobs.job import head_key
+from dappledrum.jobs.keys import head_key
 from dappledrum.jobs.messages import EndedRecord, JobRecord
 from dappledrum.store.client import ConflictError, RefusedError, StoreClient, StoreError
 from dappledrum.store.hedged_commit import commit_idempotent
--- a/dappledrum/jobs/record_writer.py
+++ b/dappledrum/jobs/record_writer.py
@@ -16,8 +16,11 @@
 import msgspec
 
 from dappledrum.election.terms import LEADER, Term
-from dappledrum.jobs.job import Job, Page, ended_key, head_key, rows_key, spec_key
+from dappledrum.jobs.job import Job
+from dappledrum.jobs.keys import ROWS_PREFIX, ended_key, head_key, rows_key, spec_key
 from dappledrum.jobs.messages import EndedRecord, JobRecord, Outcome
+from dappledrum.jobs.page import Page
+from dappledrum.jobs.page_encoding import page_changes
 from dappledrum.settings import StateLimits
 from dappledrum.store.client import (
     TXN_BYTES,
@@ -36,7 +39,6 @@
 
 log = logging.getLogger(__name__)
 
-ROWS = "rows/"
 
 GATHER = timedelta(milliseconds=15)  # changes that come together are written together
 LAZY = timedelta(seconds=2)  # the most that ends of tasks wait while starts need the rate
@@ -215,7 +217,7 @@
             if not job.page(0).delayed_write_possible:
                 evidence.append(Evidence(ended.key, 0, ended.value))
         for page in pages:
-            own = page.to_values(self.value_limit.whole, self.value_limit.least)
+            own = page_changes(page, self.value_limit.whole, self.value_limit.least)
             length = sum(len(bytes(c.value)) + 400 for c in own if isinstance(c, Put))
             main = own[0]
             assert isinstance(main, Put)
@@ -227,7 +229,7 @@
             changes += own
             if self._unmistakable(page):
                 evidence.append(Evidence(page.key, page.version, main.value))
-            parts = sum(c.key.startswith(ROWS) for c in own if isinstance(c, Put))
+            parts = sum(c.key.startswith(ROWS_PREFIX) for c in own if isinstance(c, Put))
             written.append(
                 (page, page.revision, parts, len(bytes(main.value)), page.job.cancelled)
             )
@@ -256,7 +258,7 @@
         for page, stored, parts, length, cancelled in written:
             page.parts, page.stored_bytes = parts, length
             if page.index == 0:
-                page.job.unsaved_parts = []
+                page.job.unstored_spec_parts = []
                 page.job.cancel_stored |= cancelled
             page.version = max(page.version, revision)
             page.delayed_write_possible = False  # it would meet another version
--- a/dappledrum/jobs/submission_batcher.py
+++ b/dappledrum/jobs/submission_batcher.py
@@ -10,7 +10,7 @@
 from datetime import timedelta
 from typing import NamedTuple
 
-from dappledrum.jobs.job import ended_key, head_key
+from dappledrum.jobs.keys import ended_key, head_key
 from dappledrum.jobs.poll_batcher import StoredJob
 from dappledrum.store.client import TXN_BYTES, ConflictError, StoreClient, StoreError
 from dappledrum.store.hedged_commit import commit_or_find
--- a/dappledrum/jobs/test_api.py
+++ b/dappledrum/jobs/test_api.py
@@ -8,8 +8,10 @@
 import pytest
 
 from dappledrum.http.server import Request
-from dappledrum.jobs.job import Job, Page
+from dappledrum.jobs.job import Job
 from dappledrum.jobs.messages import JobRecord, PageRecord, Spec
+from dappledrum.jobs.page import Page
+from dappledrum.jobs.page_encoding import max_value_bytes, page_record
 from dappledrum.simulation.cluster import job, led_cluster
 from dappledrum.simulation.virtual_time import run
 
@@ -172,7 +174,7 @@
         5,
     )
     for index in (1, 2):
-        second.add_page(index, first.page(index).to_record(), 6)
+        second.add_page(index, page_record(first.page(index)), 6)
 
     def facts(page: Page):
         rows = {
@@ -203,7 +205,7 @@
     ).page(0)
     now = datetime.fromtimestamp(1_700_000_999, UTC)
     for task in range(240):
-        bound = page.max_value_bytes(numbered(task), now)
+        bound = max_value_bytes(page, numbered(task), now)
         assert bound <= 8 * 1024
         page.place(task, numbered(task), 1, "keskusta", now)
         assert len(msgspec.json.encode(page.job.head_record())) <= bound
--- a/dappledrum/jobs/test_job.py
+++ b/dappledrum/jobs/test_job.py
@@ -8,6 +8,7 @@
 
 from dappledrum.jobs.job import Job
 from dappledrum.jobs.messages import JobRecord, PageRecord, Spec
+from dappledrum.jobs.page_encoding import page_record
 from dappledrum.simulation.cluster import job
 
 TASKS = 5
@@ -24,7 +25,7 @@
     """The job as the next leader reads it."""
     again = Job(live.head_record(), 1)
     page = live.page(1)
-    again.add_page(1, page.to_record(), 1)
+    again.add_page(1, page_record(page), 1)
     return again
 
 
--- a/dappledrum/jobs/test_old_records.py
+++ b/dappledrum/jobs/test_old_records.py
@@ -11,6 +11,7 @@
 from dappledrum.fleet.messages import Catalog, FleetRecord
 from dappledrum.jobs.job import Job
 from dappledrum.jobs.messages import EndedRecord, JobRecord, Outcome, PageRecord
+from dappledrum.jobs.page_encoding import page_changes
 from dappledrum.peers.messages import (
     HeartbeatAttemptsReply,
     HeartbeatAttemptsRequest,
@@ -106,8 +107,8 @@
         one = loaded(HEAD, page)
         assert one.placement_count() == 4 and one.page(0).done == 5 and one.spec.types == ["small"]
         assert not one.unmet_dependencies and one.released_at == one.accepted_at
-        [head] = one.page(0).to_values(8192, 8192)
-        [further] = one.page(1).to_values(8192, 8192)
+        [head] = page_changes(one.page(0), 8192, 8192)
+        [further] = page_changes(one.page(1), 8192, 8192)
         again = loaded(rewritten(head.value, OldHead), rewritten(further.value, OldPage))
         assert facts(again) == facts(one)
 
@@ -115,7 +116,7 @@
 def test_an_old_controller_that_cancels_a_job_loses_nothing_of_it():
     """It reads the head, says that it is cancelled, and writes it again."""
     one = loaded(HEAD, PAGE)
-    [head] = one.page(0).to_values(8192, 8192)
+    [head] = page_changes(one.page(0), 8192, 8192)
     old = msgspec.json.decode(head.value, type=OldHead)
     old.cancelled = True
     again = loaded(msgspec.json.encode(old), PAGE)
--- a/dappledrum/leader/job_loader.py
+++ b/dappledrum/leader/job_loader.py
@@ -7,8 +7,11 @@
 
 import msgspec
 
-from dappledrum.jobs.job import Job, Page, spec_key
+from dappledrum.jobs.job import Job
+from dappledrum.jobs.keys import spec_key
 from dappledrum.jobs.messages import JobRecord, PageRecord, RowsRecord, SpecPart
+from dappledrum.jobs.page import Page
+from dappledrum.jobs.page_encoding import load_rows
 from dappledrum.store.client import StoreClient
 from dappledrum.store.messages import Entry
 from dappledrum.store.rate_limiter import RequestPriority
@@ -111,7 +114,7 @@
                 outgrown[found.page(int(index))] = int(number) + 1
             elif record_rows is not None:
                 try:
-                    found.page(int(index)).load_rows(record_rows)
+                    load_rows(found.page(int(index)), record_rows)
                 except BROKEN as error:
                     self._set_aside(name, error)
         for page_of, count in outgrown.items():  # those of jobs set aside meanwhile, too
--- a/dappledrum/leader/leader.py
+++ b/dappledrum/leader/leader.py
@@ -21,7 +21,8 @@
 from dappledrum.fleet.cloud_client import CloudClient
 from dappledrum.fleet.fleet_facts import FLEET, FleetFacts
 from dappledrum.fleet.messages import FleetRecord, MachineType
-from dappledrum.jobs.job import Job, head_key, spec_key
+from dappledrum.jobs.job import Job
+from dappledrum.jobs.keys import head_key, spec_key
 from dappledrum.jobs.messages import JobRecord, SpecPart
 from dappledrum.jobs.record_writer import RecordWriter
 from dappledrum.leader.heartbeat_responder import MAX_IDLE_WAIT, HeartbeatResponder
--- a/dappledrum/simulation/ground_truth.py
+++ b/dappledrum/simulation/ground_truth.py
@@ -11,7 +11,7 @@
 from unittest.mock import patch
 
 from dappledrum.accounting.entries import Entry
-from dappledrum.jobs.job import Placement
+from dappledrum.jobs.placement import Placement
 from dappledrum.simulation.fleet import CloudService
 from dappledrum.workers.machine_registry import Machine
 from dappledrum.workers.messages import WorkerHeartbeat
--- a/dappledrum/store/test_hedged_commit.py
+++ b/dappledrum/store/test_hedged_commit.py
@@ -13,8 +13,10 @@
 from dappledrum.election.quorum import Answers
 from dappledrum.election.terms import Term
 from dappledrum.jobs.api import JobApi
-from dappledrum.jobs.job import Job, head_key
+from dappledrum.jobs.job import Job
+from dappledrum.jobs.keys import head_key
 from dappledrum.jobs.messages import JobRecord, PageRecord, Spec
+from dappledrum.jobs.page_encoding import page_record
 from dappledrum.jobs.record_writer import RecordWriter
 from dappledrum.settings import CloudLimits, Params, StateLimits, Team, WorkerLimits
 from dappledrum.simulation.cluster import job
@@ -196,7 +198,7 @@
             page = one.page(0)
             if not page.dirty and page.revision and not one.finished:
                 stored = json.dumps(self.service.keys[page.key][0])
-                expected = one.head_record(page.to_record())
+                expected = one.head_record(page_record(page))
                 if json.loads(stored) != json.loads(msgspec.json.encode(expected)):
                     self.wrong.append((now(), one.id))
                 self.saved += 1
@@ -273,7 +275,7 @@
         leader.record_writer.mark_dirty(one.page(0))
         await leader.write_for(0.1)
         one.cancelled = True
-        record = json.loads(msgspec.json.encode(one.head_record(one.page(0).to_record())))
+        record = json.loads(msgspec.json.encode(one.head_record(page_record(one.page(0)))))
         one.cancelled = known
         one.page(0).bump_revision()
         leader.record_writer.mark_dirty(one.page(0))
@@ -299,7 +301,7 @@
         loop = asyncio.get_running_loop()
         if why == "transfer":
             loop.call_later(0.05, leader.term.over.set)
-        record = leader.jobs[0].head_record(leader.jobs[0].page(0).to_record())
+        record = leader.jobs[0].head_record(page_record(leader.jobs[0].page(0)))
         stored = json.loads(msgspec.json.encode(record))
         loop.call_later(0.06, leader.write, leader.jobs[0].page(0).key, stored)
         await leader.write_for(1.4)
--- a/dappledrum/workers/commands.py
+++ b/dappledrum/workers/commands.py
@@ -4,7 +4,8 @@
 when it is stored.
 """
 
-from dappledrum.jobs.job import Job, Placement
+from dappledrum.jobs.job import Job
+from dappledrum.jobs.placement import Placement
 from dappledrum.timing.clock import Clock
 from dappledrum.workers.machine_registry import Machine
 from dappledrum.workers.messages import (
--- a/dappledrum/workers/machine_registry.py
+++ b/dappledrum/workers/machine_registry.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterator
 from datetime import timedelta
 
-from dappledrum.jobs.job import Placement
+from dappledrum.jobs.placement import Placement
 from dappledrum.scheduling.timeline import InstanceKind
 from dappledrum.timing.clock import longer
 from dappledrum.workers.reachability import GONE_MARGIN, Reachability
--- a/dappledrum/workers/reconciler.py
+++ b/dappledrum/workers/reconciler.py
@@ -21,8 +21,10 @@
 from dappledrum.accounting.entries import Entry
 from dappledrum.accounting.ledger import Ledger
 from dappledrum.gangs.all_or_nothing import stop_broken_gangs
-from dappledrum.jobs.job import Job, Page, Placement
+from dappledrum.jobs.job import Job
 from dappledrum.jobs.messages import Form
+from dappledrum.jobs.page import Page
+from dappledrum.jobs.placement import Placement
 from dappledrum.scheduling.estimates import Estimates
 from dappledrum.scheduling.timeline import InstanceKind
 from dappledrum.settings import WorkerLimits
