--- a/dappledrum/controller/controller.py
+++ b/dappledrum/controller/controller.py
@@ -18,7 +18,7 @@
 from dappledrum.election.elector import Elector
 from dappledrum.election.lease_keeper import LeaseKeeper
 from dappledrum.election.messages import LeaseGrantRequest
-from dappledrum.election.voter import LEASE_GRANT
+from dappledrum.election.voter import LEASE_GRANT_DURATION
 from dappledrum.fleet.cloud_client import CloudClient, CloudError
 from dappledrum.http.client import Caller
 from dappledrum.http.server import Request, Response
@@ -85,7 +85,7 @@
             clock,
             rng,
             life,
-            self.peers.promise,
+            self.peers.request_lease_grants,
             max(ZERO, self.params.workers.cancel - self.params.workers.lease - ALONE_MARGIN),
             max(MIN_KNOWN_SPAN, self.params.workers.cancel - longer(left)),
         )
@@ -189,11 +189,11 @@
             await self._term_begun.wait()
             self._term_begun.clear()
             term = self.elector.term
-            if term is None or term.over.is_set():
+            if term is None or term.ended.is_set():
                 continue
             self.leader = Leader(
                 term,
-                lambda: self.elector.leading() is not None,
+                lambda: self.elector.leading_term() is not None,
                 self.store,
                 self.value_limit,
                 self.cloud,
@@ -209,7 +209,7 @@
                 await self.leader.run()
             except Exception:
                 log.exception("leading failed")
-                term.over.set()
+                term.ended.set()
             finally:
                 asking.cancel()
                 self.leader = None
@@ -217,8 +217,8 @@
     async def _learn_no_answers(self, leader: Leader) -> None:
         """Ask the peers since when no other controller can have answered a worker. It matters
         after all controllers were down, and when the former leader is back."""
-        began = leader.term.began
-        own = self.elector.held_at
+        began = leader.term.started_at
+        own = self.elector.last_possible_answer_at
         while self.clock.now() - began < NO_ANSWERS_ASKED:
             unanswered = await self.peers.no_answers_for(HOLDERS_TIME)
             if unanswered is not None:
@@ -265,20 +265,20 @@
 
     async def _is_served(self, member: str) -> bool:
         """Whether the store serves a peer at this moment."""
-        term = self.elector.holding()
+        term = self.elector.valid_term()
         if term is None:
             return False
-        for_ms = int(LEASE_GRANT.total_seconds() * 1000)
-        request = LeaseGrantRequest(self.settings.member, term.epoch, for_ms)
+        grant_ms = int(LEASE_GRANT_DURATION.total_seconds() * 1000)
+        request = LeaseGrantRequest(self.settings.member, term.epoch, grant_ms)
         return await self.peers.is_served(member, request, SERVED_TIME)
 
     async def _learn_holders(self) -> None:
         """After a restart, ask whether any leader may still rely on a promise of the process
         before. Without the answer this controller must wait until such promises have expired,
         which is most of the time that a restart of all controllers takes."""
-        while self.elector.voter.unknown_until > self.clock.now():
+        while self.elector.voter.restart_wait_until > self.clock.now():
             if self.peers.callers and await self.peers.no_term_held(HOLDERS_TIME):
-                self.elector.no_term_held()
+                self.elector.skip_restart_wait()
                 return
             await asyncio.sleep(HOLDERS_TIME.total_seconds())
 
--- a/dappledrum/controller/heartbeat_endpoint.py
+++ b/dappledrum/controller/heartbeat_endpoint.py
@@ -69,7 +69,7 @@
             await asyncio.sleep(1)
             leader = self.leader()
             now = self.clock.now()
-            if leader is None or not leader.loaded.is_set() or self.elector.leading() is None:
+            if leader is None or not leader.loaded.is_set() or self.elector.leading_term() is None:
                 continue
             if self.tuning.reach and self.membership.heartbeat_peers:
                 continue  # heartbeats of peers show more, and who should lead instead
@@ -114,10 +114,10 @@
     async def _commands(self, heartbeat: WorkerHeartbeat, most: timedelta) -> Commands | None:
         """The leader's answer; None: this controller is not entitled to give one."""
         leader = self.leader()
-        if leader is None or self.elector.holding() is not leader.term:
+        if leader is None or self.elector.valid_term() is not leader.term:
             return None
         return await leader.answer_heartbeat(
-            heartbeat, lambda: self.elector.answering() is leader.term, most
+            heartbeat, lambda: self.elector.answering_term() is leader.term, most
         )
 
     def redirect_target(self) -> str | None:
--- a/dappledrum/controller/peer_endpoint.py
+++ b/dappledrum/controller/peer_endpoint.py
@@ -117,5 +117,5 @@
             await self.store.get(CATALOG, RequestPriority.LEASE, timedelta(milliseconds=300))
         except StoreError as error:
             log.debug("store not reached either: %s", error)
-            return self.elector.promise(question.request)
+            return self.elector.grant_lease(question.request)
         return LeaseGrantReply(False, "state service reached")
--- a/dappledrum/controller/test_cancellations_in_outage.py
+++ b/dappledrum/controller/test_cancellations_in_outage.py
@@ -34,7 +34,7 @@
             await work.cancel(1, peers[1])
         cluster.store.out = True
         await cluster.wait(CANCEL_S + 25)
-        assert controller.elector.answering() is not None
+        assert controller.elector.answering_term() is not None
         assert not work.running(0) and len(work.running(2)) == 3
         assert work.sessions() == sessions, "nothing of what nobody has cancelled is lost"
 
@@ -113,7 +113,7 @@
         await cluster.until(lambda: cluster.store.out, most=10)
         cluster.network.watcher = None
         await cluster.wait(CANCEL_S + 10)
-        assert cluster.controllers[scans[0]].elector.answering() is None
+        assert cluster.controllers[scans[0]].elector.answering_term() is None
         assert not cluster.rules.running
 
     play_long_work(seed, act)
@@ -146,7 +146,7 @@
         for worker in cluster.cloud.workers():
             work.hang(worker, work.rng.uniform(4, 6))
         await cluster.wait(4)
-        assert work.running(0) and controller.elector.leading() is None
+        assert work.running(0) and controller.elector.leading_term() is None
         await cluster.wait(CANCEL_S + 15)
         assert work.sessions() == sessions
         assert not work.running(0) and len(work.running(1)) == 3
@@ -165,7 +165,7 @@
         cluster.store.out = True
         cluster.drop_answers([worker.name for worker in cluster.cloud.workers()][::2])
         await cluster.wait(CANCEL_S + 15)
-        assert controller.elector.answering() is not None
+        assert controller.elector.answering_term() is not None
         assert not work.running(0) and cluster.rules.running
 
     play_long_work(3, act)
@@ -213,7 +213,7 @@
         await work.cluster.wait(6)
         for _ in range(60):
             await work.cluster.wait(0.11)
-            assert controller.elector.term.known_at in sent[-2:]
+            assert controller.elector.term.cancellations_known_at in sent[-2:]
 
     play_long_work(7, act, jobs=1)
 
@@ -247,8 +247,8 @@
         elector = work.leading_controller().elector
         work.cluster.store.out = True
         await work.cluster.wait(3 * CANCEL_S)
-        assert elector.answering() is not None
-        assert elector.clock.now() - elector.term.known_at < timedelta(seconds=3)
+        assert elector.answering_term() is not None
+        assert elector.clock.now() - elector.term.cancellations_known_at < timedelta(seconds=3)
         assert len(work.cluster.rules.running) == 3 * JOBS
 
     play_long_work(6, act, JOBS)
@@ -260,8 +260,8 @@
 
     async def act(work):
         controller = work.leading_controller()
-        controller.elector.term.known_at -= timedelta(seconds=60)
-        assert controller.elector.holding() is None
+        controller.elector.term.cancellations_known_at -= timedelta(seconds=60)
+        assert controller.elector.valid_term() is None
         assert (await controller.peer_requests.answer(HoldsTermRequest())).holds
         await work.cluster.wait(5)
 
--- a/dappledrum/controller/test_concurrent_faults.py
+++ b/dappledrum/controller/test_concurrent_faults.py
@@ -91,7 +91,7 @@
         await cluster.wait(rng.uniform(0, 2.5))
         await scenario.cancel(0, rng.choice([m for m in FIVE if m != former]))
         await scenario.until_led(former)
-        assert cluster.controllers[former].elector.answering() is None
+        assert cluster.controllers[former].elector.answering_term() is None
         await scenario.cancel(1, cluster.leader())
         asked = now()
         while now() < asked + CANCEL_S + 5:
--- a/dappledrum/controller/test_concurrent_leadership_faults.py
+++ b/dappledrum/controller/test_concurrent_leadership_faults.py
@@ -62,7 +62,7 @@
         later(rng.choice((0.0, 0.1, 0.5)), cluster.start, outgoing)
     elif step == "resignation":
         cluster.controllers[outgoing].elector.resign(
-            "a test", cluster.controllers[outgoing].elector.life * 3
+            "a test", cluster.controllers[outgoing].elector.lease_ttl * 3
         )
     elif step == "roll":
         for turn, member in enumerate(rng.sample(FIVE, len(FIVE))):
--- a/dappledrum/controller/test_end_to_end.py
+++ b/dappledrum/controller/test_end_to_end.py
@@ -240,9 +240,9 @@
     cluster.kill("drummer-2")
     await cluster.restart("drummer-0", 1.0)
     controller = cluster.controllers["drummer-0"]
-    assert controller.elector.voter.unknown_until > controller.clock.now()
+    assert controller.elector.voter.restart_wait_until > controller.clock.now()
     await cluster.wait(1.5)
-    assert controller.elector.voter.unknown_until > controller.clock.now()
+    assert controller.elector.voter.restart_wait_until > controller.clock.now()
 
 
 async def test_a_leader_that_holds_on_promises_keeps_a_restarted_peer_from_standing():
@@ -253,11 +253,11 @@
     other = cluster.others(leader)[0]
     cluster.store.out = True
     await cluster.wait(4)
-    assert cluster.controllers[leader].elector.holding() is not None
+    assert cluster.controllers[leader].elector.valid_term() is not None
     await cluster.restart(other, 0.2)
     await cluster.wait(1.0)
     voter = cluster.controllers[other].elector.voter
-    assert voter.free_at() > cluster.controllers[other].clock.now()
+    assert voter.campaign_allowed_at() > cluster.controllers[other].clock.now()
     cluster.store.end_outage()
     await cluster.wait(3)
 
--- a/dappledrum/controller/test_late_and_duplicate_heartbeats.py
+++ b/dappledrum/controller/test_late_and_duplicate_heartbeats.py
@@ -210,7 +210,7 @@
         assert now() - began < 0.5
         controller = cluster.controllers[member]
         assert (
-            controller.elector.holding() is None
+            controller.elector.valid_term() is None
             and controller.heartbeats.redirect_target() is None
         )
         await cluster.wait(20)
--- a/dappledrum/controller/test_lost_responses.py
+++ b/dappledrum/controller/test_lost_responses.py
@@ -148,7 +148,7 @@
                 )
             else:
                 cluster.controllers[leader].elector.resign(
-                    "test", cluster.controllers[leader].elector.life * 2
+                    "test", cluster.controllers[leader].elector.lease_ttl * 2
                 )
             await scenario.until_led(leader)
             vacant.append((way, round(now() - began, 2)))
--- a/dappledrum/election/elector.py
+++ b/dappledrum/election/elector.py
@@ -7,7 +7,8 @@
 
 However a term is held, by its lease or by promises, it answers workers only up to a bound from the
 last moment at which the leader knew of every cancellation that any controller had told a user
-(`Term.known_at`): an answer renews a worker's lease, and what runs there must be gone in time.
+(`Term.cancellations_known_at`): an answer renews a worker's lease, and what runs there must have
+ended in time.
 """
 
 import asyncio
@@ -28,9 +29,9 @@
     TransferLeadership,
 )
 from dappledrum.election.quorum import PreVoteCall, TransferCall, majority
-from dappledrum.election.terms import LEADER, Term
+from dappledrum.election.terms import LEADER_KEY, Term
 from dappledrum.election.transfers import PendingTransfer, TransferLimit
-from dappledrum.election.voter import LEASE_GRANT, Voter
+from dappledrum.election.voter import LEASE_GRANT_DURATION, Voter
 from dappledrum.store.client import (
     CompactedError,
     ConflictError,
@@ -46,12 +47,12 @@
 
 log = logging.getLogger(__name__)
 
-EPOCH = "epoch"
+EPOCH_KEY = "epoch"
 #: How long a leader waits for its successor to say that it leads, before it ends its own lease.
-TRANSFER_TIME = timedelta(seconds=1.5)
+TRANSFER_TIMEOUT = timedelta(seconds=1.5)
 #: How long a candidate waits for the answers of a majority at the most.
-PRE_VOTE_TIME = timedelta(milliseconds=400)
-OTHERS_STOPPED_PAUSE = timedelta(milliseconds=500)
+PRE_VOTE_TIMEOUT = timedelta(milliseconds=400)
+FORMER_LEADER_CHECK_INTERVAL = timedelta(milliseconds=500)
 
 
 class Elector:
@@ -65,83 +66,85 @@
         self.store = lease_keeper.store
         self.clock = lease_keeper.clock
         self.rng = lease_keeper.rng
-        self.life = lease_keeper.life
+        self.lease_ttl = lease_keeper.lease_ttl
         self.ask_pre_vote = ask_pre_vote
         self.send_transfer = send_transfer
         self.term: Term | None = None
         self.leader: LeaderRecord | None = None
         self.on_change: Callable[[], None] = lambda: None
         self.voter = Voter(self.clock.now())
-        self.avoid_until = ZERO
+        self.no_campaign_before = ZERO
         self.epoch = 0  # the highest that was heard of
         self.transfers = TransferLimit(self.clock)
         #: How long this controller lets a better one stand first; asked once for each vacancy.
         self.candidacy_delay: Callable[[], timedelta] = lambda: ZERO
         self._delayed = False
         #: The last moment at which this process, or one before it, may have answered a worker.
-        self.held_at = self.clock.now()
+        self.last_possible_answer_at = self.clock.now()
         self._pending_transfer: PendingTransfer | None = None
         self._transfer_arrived = asyncio.Event()
 
-    def leading(self) -> Term | None:
+    def leading_term(self) -> Term | None:
         """The running term, if this controller may give commands at this moment."""
         term = self.term
-        if term is None or term.over.is_set() or self.clock.now() >= term.valid_until:
+        if term is None or term.ended.is_set() or self.clock.now() >= term.lease_valid_until:
             return None
         return term
 
-    def holding(self) -> Term | None:
+    def valid_term(self) -> Term | None:
         """The running term, if leases may at least be renewed: by the lease, or by the promises of
         peers."""
         term = self.term
         return term if term is not None and self.lease_keeper.holds(term) else None
 
-    def answering(self) -> Term | None:
+    def answering_term(self) -> Term | None:
         """The running term, if a worker may be answered at this moment, which renews its lease.
 
-        Invariant: nobody answers later than `max_known` after a moment up to which it knows of
-        every cancellation that users were told of. What it does not know of is gone a lease later.
+        Invariant: nobody answers later than `max_cancellations_age` after a moment up to which it
+        has read every confirmed cancellation. The tasks of later ones end with the worker's lease.
         """
-        term = self.holding()
-        return None if term is None or term.known_at is None else term
+        term = self.valid_term()
+        return None if term is None or term.cancellations_known_at is None else term
 
     def no_answers_for(self) -> timedelta:
         """For how long nobody can have been answered by a term of this controller."""
-        return ZERO if self.term is not None else self.clock.now() - self.held_at
+        return ZERO if self.term is not None else self.clock.now() - self.last_possible_answer_at
 
-    def no_term_held(self) -> None:
+    def skip_restart_wait(self) -> None:
         """Every other controller has told that it holds no term, asked after this process began.
 
         A promise of an earlier process can only serve a term that has been held without a break
         since before that, so none is left that rests on one, and there is nothing to wait for.
         """
-        if self.voter.unknown_until > self.clock.now():
+        if self.voter.restart_wait_until > self.clock.now():
             log.info("nobody relies on a promise from before, standing at once")
-            self.voter.unknown_until = self.clock.now()
+            self.voter.restart_wait_until = self.clock.now()
 
     def resign(self, why: str, avoid: timedelta) -> None:
         """Give leadership up and don't stand again for a while."""
-        self.avoid_until = self.clock.now() + avoid
+        self.no_campaign_before = self.clock.now() + avoid
         self.transfers.note()
         if self.term is not None:
             log.warning("resigning: %s", why)
-            self.term.over.set()
+            self.term.ended.set()
 
     def may_transfer(self) -> bool:
         """Whether leadership may be handed over now, by the bound on how often."""
         term = self.term
-        return term is not None and not term.over.is_set() and self.transfers.allow(term.began)
+        return (
+            term is not None and not term.ended.is_set() and self.transfers.allow(term.started_at)
+        )
 
     def transfer_leadership(self, member: str, why: str) -> None:
         """Stop acting for good, then name a successor, which need not wait for the lease.
 
         The order matters: nothing may be answered once the successor can lead.
         """
-        term = self.holding()
+        term = self.valid_term()
         if term is not None:
             log.warning("handing over to %s: %s", member, why)
             term.successor = member
-            term.over.set()
+            term.ended.set()
 
     async def accept_leadership(self, request: TransferLeadership) -> bool:
         """A leader has stopped and names this controller; whether it leads now."""
@@ -150,7 +153,7 @@
         transfer = self._pending_transfer = PendingTransfer(request)
         self._transfer_arrived.set()
         try:
-            async with asyncio.timeout(TRANSFER_TIME.total_seconds()):
+            async with asyncio.timeout(TRANSFER_TIMEOUT.total_seconds()):
                 return await transfer.leads
         except TimeoutError:
             return False
@@ -171,8 +174,8 @@
 
     async def _round(self) -> None:
         """Look who leads; take over when nobody does, else wait for a change."""
-        entries, revision = await self.store.scan(LEADER, RequestPriority.LEASE)
-        holder = next((e for e in entries if e.key == LEADER), None)
+        entries, revision = await self.store.scan(LEADER_KEY, RequestPriority.LEASE)
+        holder = next((e for e in entries if e.key == LEADER_KEY), None)
         if holder is None:
             self._learn(None)
             if await self._may_campaign():
@@ -192,11 +195,11 @@
                 return
             events, revision = seen
             for event in events:
-                if event.put == LEADER:
+                if event.put == LEADER_KEY:
                     version = event.version  # a key that is handed over is replaced, not removed
                     self._learn(msgspec.json.decode(event.value, type=LeaderRecord))
                     await self._end_own_lease(version)
-                elif event.delete == LEADER:
+                elif event.delete == LEADER_KEY:
                     return
 
     async def _end_own_lease(self, version: int) -> None:
@@ -210,7 +213,7 @@
         """
         if self.leader is None or self.leader.member != self.member or self.term is not None:
             return
-        entry = await self.store.get(LEADER, RequestPriority.LEASE)
+        entry = await self.store.get(LEADER_KEY, RequestPriority.LEASE)
         if entry is not None and entry.version == version and entry.lease is not None:
             epoch = self.leader.epoch
             log.warning("ending the hold of epoch %d, under which nobody leads any more", epoch)
@@ -219,7 +222,7 @@
     async def _watch(self, revision: int) -> tuple[list[Event], int] | None:
         """Changes of the leader's key; None when a leader has offered its place meanwhile."""
         watch = asyncio.ensure_future(
-            self.store.watch(LEADER, revision, self.life * 2, RequestPriority.LEASE)
+            self.store.watch(LEADER_KEY, revision, self.lease_ttl * 2, RequestPriority.LEASE)
         )
         transfer_arrives = asyncio.ensure_future(self._transfer_arrived.wait())
         try:
@@ -249,7 +252,7 @@
 
     async def _may_campaign(self) -> bool:
         now = self.clock.now()
-        wait = max(self.voter.free_at(), self.avoid_until) - now
+        wait = max(self.voter.campaign_allowed_at(), self.no_campaign_before) - now
         if wait > ZERO:
             await asyncio.sleep(min(wait, timedelta(seconds=0.5)).total_seconds())
             return False
@@ -278,9 +281,9 @@
             await self.lease_keeper.keep(term)
         finally:
             clearing.cancel()
-            term.over.set()
+            term.ended.set()
             self.term = None
-            self.held_at = self.clock.now()
+            self.last_possible_answer_at = self.clock.now()
             self._learn(None)
             self.on_change()
             log.warning("no longer leading with epoch %d", term.epoch)
@@ -290,31 +293,37 @@
 
     async def _win(self, transfer: PendingTransfer | None) -> Term | None:
         """Stand for leader; the term, or None when another one leads or may do so."""
-        entry = await self.store.get(EPOCH, RequestPriority.LEASE)
+        entry = await self.store.get(EPOCH_KEY, RequestPriority.LEASE)
         epoch = (
             msgspec.json.decode(entry.value, type=EpochRecord).epoch if entry is not None else 0
         )
         if transfer is not None and transfer.request.epoch != epoch:
             return None
-        if transfer is None and await self.store.get(LEADER, RequestPriority.LEASE) is not None:
+        if (
+            transfer is None
+            and await self.store.get(LEADER_KEY, RequestPriority.LEASE) is not None
+        ):
             return None  # taken between the look and the epoch: nobody may be asked to stand
-        lease = await self.store.open_lease(self.life)
+        lease = await self.store.open_lease(self.lease_ttl)
         # Whoever offers its place and knew that it alone could answer is the only one that can
         # have answered anybody; its key stands, so whom this controller has promised has lapsed.
         if transfer is not None and transfer.request.clear:
             clear: timedelta | None = self.clock.now()
         else:
             clear = await self._others_stopped(epoch + 1)
-            if self.voter.free_at() > self.clock.now():
+            if self.voter.campaign_allowed_at() > self.clock.now():
                 await self._drop(lease)  # a promise was given while we were reading
                 return None
-        self.voter.tried = epoch
+        self.voter.campaigned_against_epoch = epoch
         sent = self.clock.now()
         replaced = transfer.request.version if transfer is not None else 0
-        guards = [Guard(LEADER, replaced), Guard(EPOCH, entry.version if entry is not None else 0)]
+        guards = [
+            Guard(LEADER_KEY, replaced),
+            Guard(EPOCH_KEY, entry.version if entry is not None else 0),
+        ]
         changes = [
-            Put(LEADER, raw(LeaderRecord(self.member, epoch + 1)), lease),
-            Put(EPOCH, raw(EpochRecord(epoch + 1))),
+            Put(LEADER_KEY, raw(LeaderRecord(self.member, epoch + 1)), lease),
+            Put(EPOCH_KEY, raw(EpochRecord(epoch + 1))),
         ]
         try:
             version = await commit_or_find(
@@ -323,7 +332,7 @@
                 changes,
                 RequestPriority.LEASE,
                 lambda: self._won(lease),
-                self.life / 2,
+                self.lease_ttl / 2,
             )
         except (ConflictError, LeaseLostError):
             await self._drop(lease)
@@ -349,13 +358,13 @@
         clear = term.others_stopped_at is not None
         transfers = [*self.transfers.ages_ms(), 0]
         request = TransferLeadership(self.member, term.epoch, term.version, transfers, clear)
-        leads = await self.send_transfer(successor, request, TRANSFER_TIME)
+        leads = await self.send_transfer(successor, request, TRANSFER_TIMEOUT)
         log.info("%s %s", successor, "leads" if leads else "does not lead, standing down")
 
     async def _won(self, lease: int) -> int | None:
         """The version of the leader's key if it hangs on this lease, which only one transaction of
         this process names; the key's content alone may be that of an earlier process."""
-        entry = await self.store.get(LEADER, RequestPriority.LEASE)
+        entry = await self.store.get(LEADER_KEY, RequestPriority.LEASE)
         return entry.version if entry is not None and entry.lease == lease else None
 
     async def _others_stopped(self, epoch: int) -> timedelta | None:
@@ -367,31 +376,33 @@
         """
         if not self.voter.pre_vote(epoch, self.clock.now(), False).free:
             return None
-        answers = await self.ask_pre_vote(PreVote(self.member, epoch), PRE_VOTE_TIME)
+        answers = await self.ask_pre_vote(PreVote(self.member, epoch), PRE_VOTE_TIMEOUT)
         if answers.old or majority(answers.yes, answers.asked):
             return self.clock.now()
         return None
 
     async def _learn_others_stopped(self, term: Term) -> None:
         """Ask on until it is known, or until every promise must have lapsed all the same."""
-        at_last = term.began + longer(self.lease_keeper.max_alone + LEASE_GRANT)
+        at_last = term.started_at + longer(
+            self.lease_keeper.max_time_on_majority_grants + LEASE_GRANT_DURATION
+        )
         while term.others_stopped_at is None:
             if self.clock.now() >= at_last:
                 term.others_stopped_at = at_last
                 return
-            await asyncio.sleep(OTHERS_STOPPED_PAUSE.total_seconds())
+            await asyncio.sleep(FORMER_LEADER_CHECK_INTERVAL.total_seconds())
             term.others_stopped_at = await self._others_stopped(term.epoch)
             if term.others_stopped_at is not None:
                 log.info("no former leader answers any more, by the word of a majority")
 
-    def promise(self, request: LeaseGrantRequest) -> LeaseGrantReply:
+    def grant_lease(self, request: LeaseGrantRequest) -> LeaseGrantReply:
         """Answer a leader that can't reach the store, and which this controller can't
         reach either."""
         leads, now = self.term is not None, self.clock.now()
-        reply = self.voter.promise(request, now, leads, self.epoch)
-        confirmed = self.lease_keeper.confirmed(timedelta(milliseconds=request.told_ms))
+        reply = self.voter.grant_lease(request, now, leads, self.epoch)
+        confirmed = self.lease_keeper.confirmed(timedelta(milliseconds=request.confirmed_span_ms))
         reply.cancelled = sorted(confirmed.cancelled)
-        reply.told_ms = int(confirmed.span.total_seconds() * 1000)
+        reply.confirmed_span_ms = int(confirmed.span.total_seconds() * 1000)
         return reply
 
     def pre_vote(self, question: PreVote) -> PreVoteReply:
--- a/dappledrum/election/lease_keeper.py
+++ b/dappledrum/election/lease_keeper.py
@@ -1,8 +1,9 @@
 """Keeping a term: by renewing its lease, and by promises of peers while the store is away.
 
 However a term is held, it answers workers only up to a bound from the last moment at which the
-leader knew of every cancellation that any controller had confirmed to a user (`Term.known_at`): an
-answer renews a worker's lease, and what runs there must be gone in time.
+leader knew of every cancellation that any controller had confirmed to a user
+(`Term.cancellations_known_at`): an answer renews a worker's lease, and what runs there must have
+ended in time.
 """
 
 import asyncio
@@ -15,7 +16,7 @@
 from dappledrum.election.messages import LeaseGrantRequest
 from dappledrum.election.quorum import Asker, majority
 from dappledrum.election.terms import Term
-from dappledrum.election.voter import LEASE_GRANT
+from dappledrum.election.voter import LEASE_GRANT_DURATION
 from dappledrum.jobs.confirmed_cancellations import CancellationWindow
 from dappledrum.store.client import LeaseLostError, StoreClient, StoreError
 from dappledrum.timing.clock import ZERO, Clock, shorter
@@ -24,9 +25,9 @@
 log = logging.getLogger(__name__)
 
 #: A leader stops this long before its lease, or a promise, can end.
-MARGIN = timedelta(milliseconds=100)
+LEASE_SAFETY_MARGIN = timedelta(milliseconds=100)
 #: An answer of a peer covers this much more than the time since all was known: what it takes.
-WINDOW_MARGIN = timedelta(seconds=2)
+CONFIRMED_WINDOW_MARGIN = timedelta(seconds=2)
 
 
 class LeaseKeeper:
@@ -40,20 +41,20 @@
         rng: random.Random,
         life: timedelta,
         ask_peers: Asker,
-        max_alone: timedelta,
-        max_known: timedelta,
+        max_time_on_majority_grants: timedelta,
+        max_cancellations_age: timedelta,
     ) -> None:
         self.member = member
         self.store = store
         self.clock = clock
         self.rng = rng
-        self.life = life
+        self.lease_ttl = life
         self.ask_peers = ask_peers
         #: How long a leader goes on, from its newest renewal, when a majority promises but not
         #: all: somebody may be served meanwhile, and tell a user that a job is cancelled.
-        self.max_alone = max_alone
+        self.max_time_on_majority_grants = max_time_on_majority_grants
         #: How long after it has known of all cancellations a leader may answer workers.
-        self.max_known = max_known
+        self.max_cancellations_age = max_cancellations_age
         #: The cancellations that this process has confirmed to users itself, in a span until now.
         self.confirmed: Callable[[timedelta], CancellationWindow] = lambda span: (
             CancellationWindow(frozenset(), ZERO)
@@ -68,21 +69,27 @@
 
     def holds(self, term: Term) -> bool:
         """Whether workers' leases may at least be renewed under this term at this moment."""
-        if term.over.is_set():
+        if term.ended.is_set():
             return False
-        until = min(max(term.valid_until, term.granted_until), self.known_until(term))
+        until = min(
+            max(term.lease_valid_until, term.grants_valid_until), self.answers_allowed_until(term)
+        )
         return self.clock.now() < until
 
-    def known_until(self, term: Term) -> timedelta:
+    def answers_allowed_until(self, term: Term) -> timedelta:
         """Until when workers may be answered, for what is known of cancellations. One that has not
         read them by then answers nobody, and lets another try."""
-        known = term.began if term.known_at is None else term.known_at
-        return known + shorter(self.max_known)
+        known = (
+            term.started_at if term.cancellations_known_at is None else term.cancellations_known_at
+        )
+        return known + shorter(self.max_cancellations_age)
 
     async def renew(self, term: Term) -> None:
         sent = self.clock.now()
-        await self.store.renew_lease(term.lease, self.life / 3)
-        term.valid_until = max(term.valid_until, sent + shorter(self.life) - MARGIN)
+        await self.store.renew_lease(term.lease, self.lease_ttl / 3)
+        term.lease_valid_until = max(
+            term.lease_valid_until, sent + shorter(self.lease_ttl) - LEASE_SAFETY_MARGIN
+        )
         term.renewed_at = max(term.renewed_at, sent)
         self.incomplete_confirmations.over()
 
@@ -91,34 +98,34 @@
 
         While the store is away, ask all peers to keep still.
         """
-        while not term.over.is_set():
+        while not term.ended.is_set():
             try:
                 if not await self._unless_over(term, self.renew(term)):
                     return
-                pause = self.life / 4
+                pause = self.lease_ttl / 4
             except LeaseLostError:
                 return
             except StoreError as error:
                 log.debug("renewal failed: %s", error)
                 await self.request_lease_grants(term)
-                pause = self.life / 12
+                pause = self.lease_ttl / 12
             if not self.holds(term):
                 self._log_why(term)
                 return
             with_jitter = pause * self.rng.uniform(0.9, 1.1)
             try:
                 async with asyncio.timeout(with_jitter.total_seconds()):
-                    await term.over.wait()
+                    await term.ended.wait()
             except TimeoutError:
                 pass
 
     def _log_why(self, term: Term) -> None:
         now = self.clock.now()
-        if now >= self.known_until(term):
+        if now >= self.answers_allowed_until(term):
             log.warning(
                 "answering no worker any more: not known what users were told is cancelled in the"
                 " last %.0f s",
-                (now - (term.known_at or term.began)).total_seconds(),
+                (now - (term.cancellations_known_at or term.started_at)).total_seconds(),
             )
 
     @staticmethod
@@ -126,7 +133,7 @@
         """Finish this, unless the term ends first: a renewal that hangs once kept a leader that
         was handing over waiting until its lease was over all the same."""
         task = asyncio.ensure_future(doing)
-        over = asyncio.ensure_future(term.over.wait())
+        over = asyncio.ensure_future(term.ended.wait())
         try:
             await asyncio.wait((task, over), return_when=asyncio.FIRST_COMPLETED)
             if over.done():
@@ -139,14 +146,18 @@
 
     async def request_lease_grants(self, term: Term) -> None:
         sent = self.clock.now()
-        back = ZERO if term.known_at is None else sent - term.known_at + WINDOW_MARGIN
+        back = (
+            ZERO
+            if term.cancellations_known_at is None
+            else sent - term.cancellations_known_at + CONFIRMED_WINDOW_MARGIN
+        )
         request = LeaseGrantRequest(
             self.member,
             term.epoch,
-            int(LEASE_GRANT.total_seconds() * 1000),
+            int(LEASE_GRANT_DURATION.total_seconds() * 1000),
             int(back.total_seconds() * 1000),
         )
-        answers = await self.ask_peers(request, self.life / 4)
+        answers = await self.ask_peers(request, self.lease_ttl / 4)
         # Still entitled when asking and when told: a lapsed term is never taken up again on a
         # promise.
         if not self.holds(term):
@@ -157,23 +168,25 @@
             self.incomplete_confirmations.seen(
                 f"complete for {answers.confirmed.span.total_seconds():.0f} s"
             )
-        until = sent + shorter(LEASE_GRANT) - MARGIN
+        until = sent + shorter(LEASE_GRANT_DURATION) - LEASE_SAFETY_MARGIN
         if answers.yes == answers.asked:
-            term.granted_until = until
+            term.grants_valid_until = until
         elif majority(answers.strong, answers.asked) and self.all_ask():
-            until = min(until, term.renewed_at + shorter(self.max_alone))
-            term.granted_until = max(term.granted_until, until)
+            until = min(until, term.renewed_at + shorter(self.max_time_on_majority_grants))
+            term.grants_valid_until = max(term.grants_valid_until, until)
 
     def _apply_confirmed(self, term: Term, asked: timedelta, by_peers: CancellationWindow) -> bool:
         """Take on what all controllers have told users, if that is complete since all was known
         the last time. Only then: one that is silent, began since, or is of an older version may
         have told anything."""
         now = self.clock.now()
-        if term.known_at is None:
+        if term.cancellations_known_at is None:
             return False
-        own = self.confirmed(now - term.known_at + WINDOW_MARGIN)
-        whole = own.covers(term.known_at, now) and by_peers.covers(term.known_at, now)
+        own = self.confirmed(now - term.cancellations_known_at + CONFIRMED_WINDOW_MARGIN)
+        whole = own.covers(term.cancellations_known_at, now) and by_peers.covers(
+            term.cancellations_known_at, now
+        )
         if not (whole and self.on_confirmed(own.cancelled | by_peers.cancelled)):
             return False
-        term.knows(asked)
+        term.record_cancellations_known(asked)
         return True
--- a/dappledrum/election/messages.py
+++ b/dappledrum/election/messages.py
@@ -22,19 +22,21 @@
     epoch: int
 
 
-class LeaseGrantRequest(msgspec.Struct):
+class LeaseGrantRequest(
+    msgspec.Struct, rename={"grant_ms": "for_ms", "confirmed_span_ms": "told_ms"}
+):
     """A leader that does not reach the store asks a peer not to stand for leader for a
     limited time."""
 
     member: str
     epoch: int
-    for_ms: int
+    grant_ms: int
     #: How far back it should be told which cancellations users were told of; see
     #: jobs/confirmed_cancellations.py.
-    told_ms: Age = 0
+    confirmed_span_ms: Age = 0
 
 
-class LeaseGrantReply(msgspec.Struct, omit_defaults=True):
+class LeaseGrantReply(msgspec.Struct, omit_defaults=True, rename={"confirmed_span_ms": "told_ms"}):
     """The peer's answer.
 
     A weak promise counts only if all peers promise, since a candidate may have been told that this
@@ -46,7 +48,7 @@
     reason: str = ""
     weak: bool = False
     cancelled: list[str] = []
-    told_ms: Age = 0
+    confirmed_span_ms: Age = 0
 
 
 class PreVote(msgspec.Struct, tag="standing", tag_field="kind"):
--- a/dappledrum/election/quorum.py
+++ b/dappledrum/election/quorum.py
@@ -12,7 +12,7 @@
 ALWAYS = timedelta(days=10_000)
 
 
-class Answers(NamedTuple):
+class PeerAnswers(NamedTuple):
     """The answers of all peers to one question."""
 
     yes: int
@@ -29,6 +29,6 @@
     return (peers + 1) * 2 > asked + 1
 
 
-Asker = Callable[[LeaseGrantRequest, timedelta], Awaitable[Answers]]
-PreVoteCall = Callable[[PreVote, timedelta], Awaitable[Answers]]
+Asker = Callable[[LeaseGrantRequest, timedelta], Awaitable[PeerAnswers]]
+PreVoteCall = Callable[[PreVote, timedelta], Awaitable[PeerAnswers]]
 TransferCall = Callable[[str, TransferLeadership, timedelta], Awaitable[bool]]
--- a/dappledrum/election/test_confirmed_cancellations.py
+++ b/dappledrum/election/test_confirmed_cancellations.py
@@ -8,9 +8,9 @@
 import pytest
 
 from dappledrum.election.elector import Elector
-from dappledrum.election.lease_keeper import WINDOW_MARGIN, LeaseKeeper
+from dappledrum.election.lease_keeper import CONFIRMED_WINDOW_MARGIN, LeaseKeeper
 from dappledrum.election.messages import LeaseGrantReply, LeaseGrantRequest
-from dappledrum.election.quorum import ALWAYS, Answers
+from dappledrum.election.quorum import ALWAYS, PeerAnswers
 from dappledrum.election.terms import Term
 from dappledrum.http.client import NoResponseError, Reply
 from dappledrum.jobs.confirmed_cancellations import (
@@ -48,22 +48,22 @@
         lease_keeper.on_confirmed = lambda names: bool(self.heard.append(names)) or True
         self.elector = Elector(lease_keeper, None, None)
         self.term = self.elector.term = Term(1, 1, 1, s(90))
-        self.term.valid_until = s(101)
-        self.term.known_at = None if known is None else s(known)
+        self.term.lease_valid_until = s(101)
+        self.term.cancellations_known_at = None if known is None else s(known)
 
     async def ask(self, request, _timeout):
-        span = timedelta(milliseconds=request.told_ms)
+        span = timedelta(milliseconds=request.confirmed_span_ms)
         said = [peer(span, self.clock.now()) for peer in self.peers]
         await asyncio.sleep(self.takes)
         said.append(CancellationWindow(frozenset(), ALWAYS))
-        return Answers(
+        return PeerAnswers(
             len(self.peers), len(self.peers), len(self.peers), confirmed=merge_windows(said)
         )
 
     async def asked(self):
         await asyncio.sleep(100 - self.clock.now().total_seconds())
         await self.elector.lease_keeper.request_lease_grants(self.term)
-        return self.term.known_at
+        return self.term.cancellations_known_at
 
 
 def peer(born=0.0, *confirmed):
@@ -104,7 +104,7 @@
 
 def test_an_answer_that_took_longer_than_what_was_asked_for_more_is_void():
     """From when to when it covers can't be told, but that it ended before now."""
-    over = (WINDOW_MARGIN + s(0.1)).total_seconds()
+    over = (CONFIRMED_WINDOW_MARGIN + s(0.1)).total_seconds()
     assert known([peer()], takes=over)[0] == s(95)
 
 
@@ -116,7 +116,7 @@
         young = ElectionModel([peer()])
         young.own = ConfirmedCancellations(s(98))
         await young.elector.lease_keeper.request_lease_grants(young.term)
-        assert young.term.known_at == s(95) and young.heard == []
+        assert young.term.cancellations_known_at == s(95) and young.heard == []
 
     run(main())
 
@@ -127,7 +127,10 @@
     async def main():
         election = ElectionModel([peer()], known=None)
         assert await election.asked() is None and election.heard == []
-        assert election.elector.holding() is election.term and election.elector.answering() is None
+        assert (
+            election.elector.valid_term() is election.term
+            and election.elector.answering_term() is None
+        )
 
     run(main())
 
@@ -136,23 +139,23 @@
     """Its right may be over, too, and others act on that."""
     # known for 20 s: lapsed when they answer
     at, election = known([peer()], known=80.5, takes=0.7)
-    assert at == s(80.5) and election.heard == [] and election.term.granted_until == ZERO
+    assert at == s(80.5) and election.heard == [] and election.term.grants_valid_until == ZERO
 
 
 def test_nobody_answers_longer_than_the_bound_however_the_term_is_held():
     async def main():
         election = ElectionModel([])
         term, elector = election.term, election.elector
-        for held in ("valid_until", "granted_until"):
-            term.valid_until = term.granted_until = ZERO
+        for held in ("lease_valid_until", "grants_valid_until"):
+            term.lease_valid_until = term.grants_valid_until = ZERO
             setattr(term, held, s(1000))
-            term.known_at = election.clock.now()
+            term.cancellations_known_at = election.clock.now()
             await asyncio.sleep(19.9)
-            assert elector.answering() is term
+            assert elector.answering_term() is term
             await asyncio.sleep(0.2)
-            assert elector.answering() is None and elector.holding() is None
-            term.known_at = election.clock.now()
-            assert elector.answering() is term
+            assert elector.answering_term() is None and elector.valid_term() is None
+            term.cancellations_known_at = election.clock.now()
+            assert elector.answering_term() is term
 
     run(main())
 
@@ -206,7 +209,9 @@
 def test_peers_attest_together_or_not_at_all(replies, span, names):
     async def main():
         peers = Peers({f"p-{n}": Says(reply) for n, reply in enumerate(replies)})
-        answers = await peers.promise(LeaseGrantRequest("drummer-0", 1, 2000, 7000), s(1))
+        answers = await peers.request_lease_grants(
+            LeaseGrantRequest("drummer-0", 1, 2000, 7000), s(1)
+        )
         assert answers.confirmed.span == s(span) and len(answers.confirmed.cancelled) == names
 
     run(main())
--- a/dappledrum/election/voter.py
+++ b/dappledrum/election/voter.py
@@ -15,8 +15,8 @@
 from dappledrum.election.messages import LeaseGrantReply, LeaseGrantRequest, PreVoteReply
 from dappledrum.timing.clock import longer
 
-LEASE_GRANT = timedelta(seconds=2)
-MAX_LEASE_GRANT = timedelta(seconds=60)
+LEASE_GRANT_DURATION = timedelta(seconds=2)
+MAX_LEASE_GRANT_DURATION = timedelta(seconds=60)
 
 
 class Voter:
@@ -25,18 +25,18 @@
     def __init__(self, now: timedelta) -> None:
         #: A process of this member before it may have promised something that this one does not
         #: know of, or may have told a candidate that it was free.
-        self.unremembered_until = now + longer(LEASE_GRANT)
+        self.weak_grants_until = now + longer(LEASE_GRANT_DURATION)
         #: The same for standing: shortened when nobody can rely on such a promise any more.
-        self.unknown_until = self.unremembered_until
-        self.no_candidacy_until = now  # what this process has promised
-        self.tried: int | None = None  # the epoch against which it has stood
-        self.least_epoch = 0  # no promise to a leader of a lower epoch than this
+        self.restart_wait_until = self.weak_grants_until
+        self.own_grants_until = now  # what this process has promised
+        self.campaigned_against_epoch: int | None = None  # the epoch against which it has stood
+        self.min_grant_epoch = 0  # no promise to a leader of a lower epoch than this
 
-    def free_at(self) -> timedelta:
+    def campaign_allowed_at(self) -> timedelta:
         """The moment from which no promise prevents this controller from standing for leader."""
-        return max(self.no_candidacy_until, self.unknown_until)
+        return max(self.own_grants_until, self.restart_wait_until)
 
-    def promise(
+    def grant_lease(
         self, request: LeaseGrantRequest, now: timedelta, leads: bool, epoch: int
     ) -> LeaseGrantReply:
         """Answer a leader that does not reach the store, which this controller does not
@@ -49,20 +49,25 @@
         """
         if leads:
             return LeaseGrantReply(False, "leading")
-        if self.tried is not None and self.tried >= request.epoch:
+        if (
+            self.campaigned_against_epoch is not None
+            and self.campaigned_against_epoch >= request.epoch
+        ):
             return LeaseGrantReply(False, "stood already")
         if epoch > request.epoch:
             return LeaseGrantReply(False, "newer leader known")
-        until = now + longer(min(timedelta(milliseconds=request.for_ms), MAX_LEASE_GRANT))
-        self.no_candidacy_until = max(self.no_candidacy_until, until)
+        until = now + longer(
+            min(timedelta(milliseconds=request.grant_ms), MAX_LEASE_GRANT_DURATION)
+        )
+        self.own_grants_until = max(self.own_grants_until, until)
         return LeaseGrantReply(
-            True, "", self.least_epoch > request.epoch or now < self.unremembered_until
+            True, "", self.min_grant_epoch > request.epoch or now < self.weak_grants_until
         )
 
     def pre_vote(self, epoch: int, now: timedelta, holds: bool) -> PreVoteReply:
         """Answer the pre-vote of a candidate for this epoch: free only if no leader can rely on a
         promise of this controller, which will promise nothing to a lower epoch from now on."""
-        if holds or now < self.free_at():
+        if holds or now < self.campaign_allowed_at():
             return PreVoteReply(False)
-        self.least_epoch = max(self.least_epoch, epoch)
+        self.min_grant_epoch = max(self.min_grant_epoch, epoch)
         return PreVoteReply(True)
--- a/dappledrum/golden/test_controllers.py
+++ b/dappledrum/golden/test_controllers.py
@@ -69,7 +69,9 @@
     "relay": Relay(method="POST", path="/submissions", body=b'{"id":"j-000007"}'),
     "report-attempts": HeartbeatAttemptsRequest(within_ms=10000),
     "promise": LeaseGrantCall(
-        request=LeaseGrantRequest(member="drummer-1", epoch=7, for_ms=2000, told_ms=45000)
+        request=LeaseGrantRequest(
+            member="drummer-1", epoch=7, grant_ms=2000, confirmed_span_ms=45000
+        )
     ),
     "version": VersionRequest(),
     "holding": HoldsTermRequest(),
@@ -90,7 +92,7 @@
         reason="why",
         weak=True,
         cancelled=["j-000003", "j-000004"],
-        told_ms=45000,
+        confirmed_span_ms=45000,
     ),
     "promise-refused": LeaseGrantReply(granted=False, reason="state service reached"),
     "version-reply": VersionReply(version="0.7.0"),
@@ -175,7 +177,9 @@
 
 async def test_a_promise_counts_with_what_it_tells():
     caller = RecordingCaller([GOLDEN["promise-reply"]])
-    answers = await Peers({"drummer-1": caller}).promise(QUESTIONS["promise"].request, SECOND)
+    answers = await Peers({"drummer-1": caller}).request_lease_grants(
+        QUESTIONS["promise"].request, SECOND
+    )
     assert caller.sent == [as_sent(GOLDEN["promise"])]
     assert (answers.yes, answers.strong) == (1, 0)
     assert answers.confirmed.cancelled == {"j-000003", "j-000004"}
--- a/dappledrum/golden/test_store.py
+++ b/dappledrum/golden/test_store.py
@@ -7,9 +7,9 @@
 import pytest
 
 from dappledrum.controller import catalog, peer_versions
-from dappledrum.election.elector import EPOCH
+from dappledrum.election.elector import EPOCH_KEY
 from dappledrum.election.messages import EpochRecord, LeaderRecord
-from dappledrum.election.terms import LEADER
+from dappledrum.election.terms import LEADER_KEY
 from dappledrum.fleet.fleet_facts import FLEET
 from dappledrum.fleet.messages import BootingRecord, Catalog, FleetRecord, MachineType
 from dappledrum.golden.entries import load
@@ -138,8 +138,8 @@
         EndedRecord(state=Outcome.CANCELLED, tasks=3),
         EndedRecord,
     ),
-    "leader": (LEADER, LeaderRecord(member="drummer-1", epoch=7), LeaderRecord),
-    "epoch": (EPOCH, EpochRecord(epoch=7), EpochRecord),
+    "leader": (LEADER_KEY, LeaderRecord(member="drummer-1", epoch=7), LeaderRecord),
+    "epoch": (EPOCH_KEY, EpochRecord(epoch=7), EpochRecord),
     "fleet": (
         FLEET,
         FleetRecord(
--- a/dappledrum/jobs/record_writer.py
+++ b/dappledrum/jobs/record_writer.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from dappledrum.election.terms import LEADER, Term
+from dappledrum.election.terms import LEADER_KEY, Term
 from dappledrum.jobs.job import Job
 from dappledrum.jobs.keys import ROWS_PREFIX, ended_key, head_key, rows_key, spec_key
 from dappledrum.jobs.messages import EndedRecord, JobRecord, Outcome
@@ -117,11 +117,11 @@
 
     async def run(self) -> None:
         """Write until the term is over."""
-        while not self.term.over.is_set():
+        while not self.term.ended.is_set():
             await self.wake.wait()
             self.wake.clear()
             await asyncio.sleep(GATHER.total_seconds())
-            while (self.dirty or self.ending or self.garbage) and not self.term.over.is_set():
+            while (self.dirty or self.ending or self.garbage) and not self.term.ended.is_set():
                 await SUPERVISOR.attempt("writing progress", self._flush_or_pause)
 
     async def _flush_or_pause(self) -> None:
@@ -236,7 +236,7 @@
         try:
             revision = await self._commit(guards, changes, evidence)
         except ConflictError as error:
-            if LEADER in error.failed:
+            if LEADER_KEY in error.failed:
                 self._replaced()
             failed = set(error.failed)
             for page in [row[0] for row in written] + [job.page(0) for job in jobs]:
@@ -292,7 +292,7 @@
         Read while the lease certainly lasted, so no other leader can have written the value.
         """
         entry = await self.store.get(evidence.key, RequestPriority.RECORD)
-        led = not self.term.over.is_set() and self.clock.now() < self.term.valid_until
+        led = not self.term.ended.is_set() and self.clock.now() < self.term.lease_valid_until
         if entry is None or not led or not evidence.shown_by(entry):
             return None
         return entry.version
@@ -375,7 +375,7 @@
                 self.store, guards, [Delete(key) for key in keys], RequestPriority.POLL
             )
         except ConflictError as error:
-            if LEADER in error.failed:
+            if LEADER_KEY in error.failed:
                 self._replaced()
                 return
             keys = [key for key in keys if heads[key] in error.failed]
@@ -385,4 +385,4 @@
 
     def _replaced(self) -> None:
         log.warning("leader key changed, stepping down")
-        self.term.over.set()
+        self.term.ended.set()
--- a/dappledrum/leader/heartbeat_responder.py
+++ b/dappledrum/leader/heartbeat_responder.py
@@ -64,7 +64,7 @@
             return None
         if heartbeat.token > self.term.epoch:
             log.warning("%s has seen token %d, stepping down", heartbeat.machine, heartbeat.token)
-            self.term.over.set()
+            self.term.ended.set()
             return None
         if heartbeat.machine in self.registry.gone:
             return None
--- a/dappledrum/leader/leader.py
+++ b/dappledrum/leader/leader.py
@@ -178,8 +178,8 @@
     def no_answers_since(self, moment: timedelta) -> None:
         """Note that no other controller has answered a worker since then."""
         term = self.term
-        if moment < term.began:
-            span = (term.began - moment).total_seconds()
+        if moment < term.started_at:
+            span = (term.started_at - moment).total_seconds()
             log.info("nobody has answered a worker for %.1f s before this term", span)
             term.others_stopped_at = (
                 moment if term.others_stopped_at is None else min(term.others_stopped_at, moment)
@@ -209,7 +209,7 @@
         ]
         tasks = [asyncio.get_running_loop().create_task(loop) for loop in loops]
         try:
-            await self.term.over.wait()
+            await self.term.ended.wait()
         finally:
             for task in tasks:
                 task.cancel()
@@ -217,7 +217,7 @@
 
     async def _keep_running(self, loop: Callable[[], Awaitable[None]]) -> None:
         """Run a loop, and start it again when it fails; the others are not affected."""
-        await SUPERVISOR.run_to_completion(loop.__name__, loop, self.term.over)
+        await SUPERVISOR.run_to_completion(loop.__name__, loop, self.term.ended)
 
     # records
 
@@ -233,7 +233,7 @@
             self.graph.add(job)
             self.record_writer.mark_dirty(job.page(0))
         self.revision = revision
-        self.term.knows(started)  # later cancellations are seen by the watch
+        self.term.record_cancellations_known(started)  # later cancellations are seen by the watch
         self.loaded.set()
         took = (self.clock.now() - started).total_seconds() * 1e3
         placed = sum(job.placement_count() for job in self.jobs.values())
@@ -258,7 +258,7 @@
                 if event.put is not None:
                     self._changed(event.put, event.value, event.version)
             self.revision = revision
-            self.term.knows(sent)
+            self.term.record_cancellations_known(sent)
             for name in list(self.incomplete):
                 await self._complete(name)
             await asyncio.sleep(WATCH_GAP.total_seconds())
--- a/dappledrum/leader/test_job_loader.py
+++ b/dappledrum/leader/test_job_loader.py
@@ -40,7 +40,7 @@
         await cluster.finish([fine["id"]], most=60)
         leader = cluster.controllers[cluster.leader()]
         assert "j-000077" not in leader.leader.jobs
-        known = leader.elector.term.known_at
+        known = leader.elector.term.cancellations_known_at
         assert (leader.clock.now() - known).total_seconds() < 3
 
     run(main())
--- a/dappledrum/membership/service.py
+++ b/dappledrum/membership/service.py
@@ -137,7 +137,7 @@
     def own(self) -> PeerHeartbeat:
         """This controller's own heartbeat."""
         now = self.clock.now()
-        term = self.elector.holding()
+        term = self.elector.valid_term()
         leader = self.elector.leader
         state, cloud = self.state.cost(), self.cloud.cost()
         heartbeat = PeerHeartbeat(
@@ -149,7 +149,7 @@
             epoch=self.elector.epoch,
             leader=leader.member if leader is not None else None,
             holds=term is not None,
-            term_ms=0 if term is None else ms(now - term.began),
+            term_ms=0 if term is None else ms(now - term.started_at),
             state_ms=None if state is None else ms(state),
             served_ms=None if self.state.served_at is None else ms(now - self.state.served_at),
             cloud_ms=None if cloud is None else ms(cloud),
@@ -254,7 +254,7 @@
                 for name, addresses in heartbeat.samples.items() if heartbeat.holds else ():
                     known = self.zone(name).addresses
                     known.extend(a for a in addresses if a not in known)
-            asked = self._to_ask(self.elector.holding() is not None)
+            asked = self._to_ask(self.elector.valid_term() is not None)
             await asyncio.gather(*(self._ask(name) for name in asked[: None if hurried else 1]))
 
     def _to_ask(self, leads: bool) -> list[str]:
@@ -355,12 +355,12 @@
         announced: set[str] = set()
         while True:
             await asyncio.sleep(LOOK.total_seconds())
-            term = self.elector.holding()
+            term = self.elector.valid_term()
             if term is None:
                 self.silent = {}
                 announced = set()
                 continue
-            self.silent = self._silent_zones(term.began)
+            self.silent = self._silent_zones(term.started_at)
             unreachable_zones = set(self._unreachable_zones())
             if unreachable_zones != announced:
                 if unreachable_zones - announced:
--- a/dappledrum/membership/test_outages.py
+++ b/dappledrum/membership/test_outages.py
@@ -47,9 +47,9 @@
         cluster.kill(next(m for m in FIVE if m != leader))
         cluster.store.out = True
         await cluster.wait(13)
-        assert cluster.controllers[leader].elector.holding() is not None
+        assert cluster.controllers[leader].elector.valid_term() is not None
         await cluster.wait(6)
-        assert cluster.controllers[leader].elector.holding() is None
+        assert cluster.controllers[leader].elector.valid_term() is None
         cluster.store.end_outage()
         await cluster.wait(10)
 
@@ -87,7 +87,7 @@
         leader, _ = two_sides(cluster)
         await cluster.until(lambda: cluster.leader() not in (None, leader), most=10)
         seen = 0.0
-        while cluster.controllers[leader].elector.holding() is not None:
+        while cluster.controllers[leader].elector.valid_term() is not None:
             # The former leader still answers: nothing may be given up meanwhile, whoever leads.
             second = cluster.leader()
             assert (
@@ -139,6 +139,9 @@
             for member in FIVE:
                 voter = cluster.controllers[member].elector.voter
                 epoch = cluster.controllers[cluster.leader()].elector.term.epoch
-                assert voter.least_epoch <= epoch and (voter.tried or 0) < epoch
+                assert (
+                    voter.min_grant_epoch <= epoch
+                    and (voter.campaigned_against_epoch or 0) < epoch
+                )
 
     run(main())
--- a/dappledrum/model/election.py
+++ b/dappledrum/model/election.py
@@ -19,7 +19,7 @@
 from datetime import timedelta
 
 from dappledrum.election.messages import LeaseGrantRequest
-from dappledrum.election.voter import LEASE_GRANT, Voter
+from dappledrum.election.voter import LEASE_GRANT_DURATION, Voter
 from dappledrum.jobs.confirmed_cancellations import (
     CancellationWindow,
     ConfirmedCancellations,
@@ -33,7 +33,7 @@
 WAITING = LIFE / 2  # for the answer to the transaction of an election
 PRE_VOTE_TIME = 1.5  # longer than in the program, so that more fits in between
 ALONE = 6.0  # how long a leader goes on for the promises of a majority that is not all
-PROMISED = LEASE_GRANT.total_seconds()
+PROMISED = LEASE_GRANT_DURATION.total_seconds()
 LEASE = 4.0  # of workers
 CANCEL = 11.0  # what runs must be gone so long after a user was told
 KNOWN = CANCEL - LEASE - MARGIN  # how long a leader answers after it knew of all cancellations
@@ -69,7 +69,7 @@
     epoch: int
     valid: float
     renewed: float
-    began: float
+    started_at: float
     promised: float = -1.0
     clear: float | None = None
     known: float | None = None  # every cancellation told until then is known
@@ -167,7 +167,7 @@
             self.confirmed[member] = ConfirmedCancellations(timedelta(0))
         voter = self.voter[member] = Voter(self._clock())
         if not self._has("one that has just begun promises weakly"):
-            voter.unremembered_until = timedelta(0)
+            voter.weak_grants_until = timedelta(0)
 
     def _end_hold(self, epoch: int) -> None:
         """The next process of a member ends the hold that the former one had."""
@@ -194,13 +194,13 @@
         if not known and not self._may_campaign(member):
             return
         confirmed = known or not self._has("a successor is told whether it is clear")
-        self.voter[member].tried = self.epoch
+        self.voter[member].campaigned_against_epoch = self.epoch
         self._lead(member, self.epoch + 1, confirmed)
 
     def _send(self, one: Round) -> None:
         """The transaction of an election is on its way: executed at once, or a while later."""
         if self._has("who has stood does not promise"):
-            self.voter[one.asker].tried = self.epoch
+            self.voter[one.asker].campaigned_against_epoch = self.epoch
         clear, sent = self._all_confirm(one), self.now
         wait = self.rng.choice((0.0, 0.0, self.rng.uniform(0, LIFE)))
         self._after(wait, lambda: self._apply(one, sent, clear))
@@ -287,13 +287,13 @@
         elif not self.served[member]:
             self._ask(member, "promise", term.epoch, ASKING)
         if term is not None and term.clear is None:
-            if self.now >= term.began + ALONE + PROMISED:
+            if self.now >= term.started_at + ALONE + PROMISED:
                 term.clear = self.now
             else:
                 self._ask(member, "clear", term.epoch, PRE_VOTE_TIME)
 
     def _may_campaign(self, member: int) -> bool:
-        free = self.voter[member].free_at() <= self._clock()
+        free = self.voter[member].campaign_allowed_at() <= self._clock()
         return free or not self._has("who has promised does not stand")
 
     def _ask(self, member: int, kind: str, epoch: int, limit: float) -> None:
@@ -319,7 +319,7 @@
             if self.served[peer]:
                 return
             request = LeaseGrantRequest(str(one.asker), one.epoch, int(PROMISED * 1000))
-            reply = voter.promise(request, self._clock(), peer in self.terms, 0)
+            reply = voter.grant_lease(request, self._clock(), peer in self.terms, 0)
             one.answers[peer] = (reply.granted, reply.granted and not reply.weak)
             one.confirmed[peer] = self.confirmed[peer].within(
                 timedelta(seconds=one.span), self._clock()
@@ -327,10 +327,10 @@
         elif not self._has("a promise is told to candidates"):
             one.answers[peer] = (True, True)
         else:
-            least_epoch = voter.least_epoch
+            min_grant_epoch = voter.min_grant_epoch
             free = voter.pre_vote(one.epoch, self._clock(), self.holding(peer)).free
             if not self._has("free leaves a bar"):
-                voter.least_epoch = least_epoch
+                voter.min_grant_epoch = min_grant_epoch
             one.answers[peer] = (free, free)
 
     def _gather(self, one: Round) -> None:
--- a/dappledrum/model/test_election.py
+++ b/dappledrum/model/test_election.py
@@ -41,7 +41,7 @@
         return timedelta(seconds=seconds)
 
     def promise(peer, seconds):
-        return peer.promise(LeaseGrantRequest("leader", 1, 2000), at(seconds), False, 1)
+        return peer.grant_lease(LeaseGrantRequest("leader", 1, 2000), at(seconds), False, 1)
 
     a, b, d = (Voter(at(-10)) for _ in range(3))
     assert not promise(a, 0.0).weak and not promise(d, 0.0).weak  # the leader goes on until 1.9
@@ -49,7 +49,7 @@
     if restarted:
         b = Voter(at(1.74))
     if not guarded:
-        b.least_epoch, b.unremembered_until = 0, at(0)
+        b.min_grant_epoch, b.weak_grants_until = 0, at(0)
     assert not promise(d, 1.80).weak
     strong = not promise(b, 1.80).weak  # with it, the leader goes on until 3.7
     assert a.pre_vote(2, at(2.05), False).free  # and the candidate has a majority
@@ -63,8 +63,10 @@
     next process may promise."""
     peer = Voter(timedelta(seconds=-10))
     assert peer.pre_vote(2, timedelta(0), False).free
-    peer.tried = 1
+    peer.campaigned_against_epoch = 1
     if ended:
         peer = Voter(timedelta(0))
-    reply = peer.promise(LeaseGrantRequest("leader", 1, 2000), timedelta(seconds=0.1), False, 1)
+    reply = peer.grant_lease(
+        LeaseGrantRequest("leader", 1, 2000), timedelta(seconds=0.1), False, 1
+    )
     assert reply.granted is ended and (reply.weak or not ended)
--- a/dappledrum/peers/client.py
+++ b/dappledrum/peers/client.py
@@ -13,7 +13,7 @@
     TransferLeadership,
     TransferLeadershipReply,
 )
-from dappledrum.election.quorum import ALWAYS, Answers, majority
+from dappledrum.election.quorum import ALWAYS, PeerAnswers, majority
 from dappledrum.http.client import Caller, NoResponseError
 from dappledrum.jobs.confirmed_cancellations import CancellationWindow, merge_windows
 from dappledrum.membership.messages import (
@@ -59,7 +59,9 @@
             log.debug("peer %s gave no usable answer: %s", member, error)
             return None
 
-    async def promise(self, request: LeaseGrantRequest, timeout: timedelta) -> Answers:
+    async def request_lease_grants(
+        self, request: LeaseGrantRequest, timeout: timedelta
+    ) -> PeerAnswers:
         """How many of the other controllers promise not to stand.
 
         One that does not answer has not promised.
@@ -80,12 +82,12 @@
             CancellationWindow(frozenset(), ZERO)
             if reply is None
             else CancellationWindow(
-                frozenset(reply.cancelled), timedelta(milliseconds=reply.told_ms)
+                frozenset(reply.cancelled), timedelta(milliseconds=reply.confirmed_span_ms)
             )
             for reply in replies
         ]
         confirmed.append(CancellationWindow(frozenset(), ALWAYS))
-        return Answers(len(granted), len(replies), strong, confirmed=merge_windows(confirmed))
+        return PeerAnswers(len(granted), len(replies), strong, confirmed=merge_windows(confirmed))
 
     async def is_served(self, member: str, request: LeaseGrantRequest, timeout: timedelta) -> bool:
         """Whether the store serves a peer now: asked for a promise, a peer makes a request
@@ -93,7 +95,7 @@
         reply = await self._ask(member, LeaseGrantCall(request), LeaseGrantReply, timeout)
         return reply is not None and not reply.granted
 
-    async def pre_vote(self, question: PreVote, timeout: timedelta) -> Answers:
+    async def pre_vote(self, question: PreVote, timeout: timedelta) -> PeerAnswers:
         """How many of the other controllers hold to no promise (pre-vote). Returns as soon as a
         majority has answered so."""
         asked = [
@@ -110,7 +112,7 @@
         finally:
             for task in asked:
                 task.cancel()
-        return Answers(yes, len(asked), old=old)
+        return PeerAnswers(yes, len(asked), old=old)
 
     async def _pre_vote(self, member: str, question: PreVote, timeout: timedelta) -> bool | None:
         """Whether a peer holds to no promise; None if it does not support the question."""
--- a/dappledrum/recovery/test_last_answers.py
+++ b/dappledrum/recovery/test_last_answers.py
@@ -128,7 +128,7 @@
             for member in others:
                 cluster.network.cut(member, worker.name)
         await cluster.until(lambda: cluster.leader() not in (None, leader), most=10)
-        assert cluster.controllers[leader].elector.holding() is not None
+        assert cluster.controllers[leader].elector.valid_term() is not None
         await cluster.wait(5)
         cluster.network.heal()
         cluster.store.refused.clear()
--- a/dappledrum/simulation/cluster.py
+++ b/dappledrum/simulation/cluster.py
@@ -313,7 +313,7 @@
         leading = [
             member
             for member, controller in self.controllers.items()
-            if self.alive(member) and controller.elector.leading()
+            if self.alive(member) and controller.elector.leading_term()
         ]
         assert len(leading) <= 1, f"two leaders: {leading}"
         return leading[0] if leading else None
--- a/dappledrum/store/test_hedged_commit.py
+++ b/dappledrum/store/test_hedged_commit.py
@@ -10,7 +10,7 @@
 
 from dappledrum.election.elector import Elector
 from dappledrum.election.lease_keeper import LeaseKeeper
-from dappledrum.election.quorum import Answers
+from dappledrum.election.quorum import PeerAnswers
 from dappledrum.election.terms import Term
 from dappledrum.jobs.api import JobApi
 from dappledrum.jobs.job import Job
@@ -179,7 +179,7 @@
     def __init__(self, lease_s=100.0):
         super().__init__()
         self.term = Term(1, self.write("leader", {"member": "node", "epoch": 1}), 1)
-        self.term.valid_until = self.clock.now() + timedelta(seconds=lease_s)
+        self.term.lease_valid_until = self.clock.now() + timedelta(seconds=lease_s)
         self.record_writer = RecordWriter(
             self.client, self.term, LIMITS, ValueLimit(LIMITS), self.clock
         )
@@ -300,7 +300,7 @@
         leader.finish(1, 0)
         loop = asyncio.get_running_loop()
         if why == "transfer":
-            loop.call_later(0.05, leader.term.over.set)
+            loop.call_later(0.05, leader.term.ended.set)
         record = leader.jobs[0].head_record(page_record(leader.jobs[0].page(0)))
         stored = json.loads(msgspec.json.encode(record))
         loop.call_later(0.06, leader.write, leader.jobs[0].page(0).key, stored)
@@ -423,7 +423,7 @@
         store = Store()
 
         async def pre_vote(_question, _timeout):
-            return Answers(1, 1)
+            return PeerAnswers(1, 1)
 
         span = timedelta(seconds=20)
         life = timedelta(seconds=3)
@@ -431,12 +431,12 @@
             "node", store.client, store.clock, store.rng, life, None, span, span
         )
         elector = Elector(lease_keeper, pre_vote, None)
-        elector.voter.unknown_until = ZERO
+        elector.voter.restart_wait_until = ZERO
         standing_for = asyncio.ensure_future(elector._campaign())
         if own:
             store.delay(0.0)
             await asyncio.sleep(0.2)
-            assert elector.leading() is not None
+            assert elector.leading_term() is not None
         else:
             store.delay(60.0)
             asyncio.get_running_loop().call_later(
