--- a/dappledrum/controller/controller.py
+++ b/dappledrum/controller/controller.py
@@ -15,8 +15,8 @@
 from dappledrum.controller.peer_endpoint import PeerEndpoint
 from dappledrum.controller.peer_versions import PeerVersions
 from dappledrum.controller.user_endpoint import UserEndpoint
+from dappledrum.election.context import ElectionContext, LeaseLimits
 from dappledrum.election.elector import Elector
-from dappledrum.election.lease_keeper import LeaseKeeper
 from dappledrum.election.messages import LeaseGrantRequest
 from dappledrum.election.voter import LEASE_GRANT_DURATION
 from dappledrum.fleet.cloud_client import CloudClient, CloudError
@@ -41,16 +41,16 @@
 HOLDERS_TIME = timedelta(milliseconds=200)
 SERVED_TIME = timedelta(milliseconds=450)  # a peer waits for the store for 300 ms
 NO_ANSWERS_ASKED = timedelta(seconds=5)  # later answers add nothing
-#: Margin within the time for cancellations: a leader with promises of only a majority stops early
-#: enough that its workers' leases have expired this long before that time is over.
-ALONE_MARGIN = timedelta(seconds=5)
-#: The same margin for a leader that last knew of all cancellations just before the user's.
-KNOWN_MARGIN = timedelta(seconds=1)
+#: Margin within the time for cancellations: a leader with lease grants of only a majority stops
+#: early enough that its workers' leases have expired this long before that time has passed.
+MAJORITY_GRANTS_MARGIN = timedelta(seconds=5)
+#: The same margin for a leader that last read all cancellations just before the user's.
+CANCELLATIONS_AGE_MARGIN = timedelta(seconds=1)
 #: Least time for which knowledge of all cancellations lasts. If the time for cancellations were no
 #: longer than a lease, leaders could otherwise answer no worker at all.
-MIN_KNOWN_SPAN = timedelta(seconds=6)
+MIN_CANCELLATIONS_AGE = timedelta(seconds=6)
 SETTLE = timedelta(milliseconds=500)
-MAX_LEASE_LIFE = timedelta(seconds=3)
+MAX_LEASE_TTL = timedelta(seconds=3)
 
 
 class Controller:
@@ -77,24 +77,20 @@
         self.store = StoreClient(store, self.params.state, clock, rng)
         self.cloud = CloudClient(cloud, self.params.cloud.rps * 0.9, clock)
         self.peers = Peers(peers)
-        life = min(MAX_LEASE_LIFE, self.params.workers.lease / 3)
-        left = self.params.workers.lease + KNOWN_MARGIN
-        lease_keeper = LeaseKeeper(
-            settings.member,
-            self.store,
-            clock,
-            rng,
-            life,
-            self.peers.request_lease_grants,
-            max(ZERO, self.params.workers.cancel - self.params.workers.lease - ALONE_MARGIN),
-            max(MIN_KNOWN_SPAN, self.params.workers.cancel - longer(left)),
-        )
-        lease_keeper.on_confirmed = self._apply_confirmed
-        self.elector = Elector(lease_keeper, self.peers.pre_vote, self.peers.transfer_leadership)
-        self.elector.on_change = self._leadership_changed
         self.value_limit = ValueLimit(limits)
         self.job_api = JobApi(self.store, self.params, clock, self.value_limit)
-        lease_keeper.confirmed = lambda span: self.job_api.confirmed.within(span, clock.now())
+        self.elector = Elector(
+            ElectionContext(
+                member=settings.member,
+                store=self.store,
+                clock=clock,
+                rng=rng,
+                limits=self._lease_limits(),
+                peers=self.peers,
+                host=self,
+                confirmed=self.job_api.confirmed,
+            )
+        )
         self.pause_detector = PauseDetector(clock)
         self.leader: Leader | None = None
         self.membership = Membership(
@@ -113,11 +109,6 @@
             self._ask_cloud,
             self._transfer_leadership,
         )
-        if tuning.reach:
-            self.elector.candidacy_delay = self.membership.candidacy_delay
-            lease_keeper.all_ask = lambda: (
-                len(self.membership.heartbeat_peers) == len(self.peers.callers)
-            )
         isolation = Isolation(self.store, self.membership, clock, self.pause_detector)
         self.catalog = CatalogLoader(
             self.store,
@@ -164,6 +155,19 @@
             *([self.membership.run()] if self.tuning.reach else []),
         )
 
+    def _lease_limits(self) -> LeaseLimits:
+        workers = self.params.workers
+        return LeaseLimits(
+            ttl=min(MAX_LEASE_TTL, workers.lease / 3),
+            max_time_on_majority_grants=max(
+                ZERO, workers.cancel - workers.lease - MAJORITY_GRANTS_MARGIN
+            ),
+            max_cancellations_age=max(
+                MIN_CANCELLATIONS_AGE,
+                workers.cancel - longer(workers.lease + CANCELLATIONS_AGE_MARGIN),
+            ),
+        )
+
     def _set_share(self) -> None:
         others = max(1, len(self.settings.seeds))
         alone = not self.settings.seeds
@@ -178,11 +182,33 @@
         # once, so each may use some seconds of its share in one burst.
         self.store.set_share(share * 0.95, 1.0 if share >= LEADER_SHARE else FOLLOWER_BURST)
 
-    def _leadership_changed(self) -> None:
+    # what the election asks of its host
+
+    def leadership_changed(self) -> None:
+        """Adapt to a change of the own term or of the known leader."""
         self._set_share()
         self._term_begun.set()
         self.membership.announce()
 
+    def apply_confirmed_cancellations(self, cancelled: frozenset[str]) -> bool:
+        """Apply cancellations that controllers have confirmed; False if no leader's part runs."""
+        if self.leader is None:
+            return False
+        self.leader.apply_confirmed_cancellations(cancelled)
+        return True
+
+    def candidacy_delay(self) -> timedelta:
+        """How long to let a better candidate campaign first."""
+        return self.membership.candidacy_delay() if self.tuning.reach else ZERO
+
+    def all_peers_pre_vote(self) -> bool:
+        """Whether all peers are known to run a version that asks for pre-votes."""
+        return self.tuning.reach and (
+            len(self.membership.heartbeat_peers) == len(self.peers.callers)
+        )
+
+    # leading
+
     async def _lead(self) -> None:
         """Run the leader's part for as long as each term lasts."""
         while True:
@@ -226,12 +252,6 @@
                 return
             await asyncio.sleep(HOLDERS_TIME.total_seconds())
 
-    def _apply_confirmed(self, cancelled: frozenset[str]) -> bool:
-        if self.leader is None:
-            return False
-        self.leader.apply_confirmed_cancellations(cancelled)
-        return True
-
     def _job_ended(self, job: Job) -> None:
         self.job_api.remember(job.id, job.ended_record())
 
@@ -257,7 +277,7 @@
         not go on by promises: all that ran was lost.
         """
         if self.store.failing_for() is not None and not await self._is_served(member):
-            log.info("not handing over to %s: the store does not serve it now", member)
+            log.info("not transferring leadership to %s: the store does not serve it now", member)
             return
         if self.leader is not None and not self.store.is_failing():
             await self.leader.settle(SETTLE)
--- a/dappledrum/election/__init__.py
+++ b/dappledrum/election/__init__.py
@@ -1,1 +1,1 @@
-"""Who may act for the controllers: one leader at a time, known by its token."""
+"""Election of the one controller that may give commands, and keeping its term valid."""
--- a/dappledrum/election/elector.py
+++ b/dappledrum/election/elector.py
@@ -1,26 +1,27 @@
-"""Taking, keeping and leaving leadership.
-
-The key `leader` hangs on a lease. Taking it is one transaction that also raises `epoch`; the epoch
-is the token under which commands are given, and the version of `leader` guards every write of the
-leader. By its own clock the leader stops acting before its lease can end: the lease is counted
-from the moment the renewal was *sent*, and shortened by the drift that the protocol allows.
-
-However a term is held, by its lease or by promises, it answers workers only up to a bound from the
-last moment at which the leader knew of every cancellation that any controller had told a user
-(`Term.cancellations_known_at`): an answer renews a worker's lease, and what runs there must have
-ended in time.
+"""Becoming, staying and ceasing to be leader.
+
+The key `leader` is attached to a lease. Winning it is one transaction that also raises `epoch`.
+The epoch is the fencing token under which commands are given, and the version of `leader` guards
+every write of the leader. By its own clock the leader stops answering before its lease can end:
+the lease is counted from the moment the renewal was *sent*, and shortened by the drift that the
+protocol allows.
+
+Whether a term is valid by its lease or by lease grants of peers, it answers workers only up to a
+bound from the last moment at which the leader had read every cancellation that any controller had
+confirmed to a user (`Term.cancellations_known_at`): an answer renews a worker's lease, and
+cancelled tasks must have ended in time.
 """
 
 import asyncio
 import logging
-from collections.abc import Callable
 from datetime import timedelta
 
-import msgspec
-
+from dappledrum.election.campaign import Campaign, close_lease
+from dappledrum.election.context import ElectionContext
+from dappledrum.election.former_leaders import FormerLeaderCheck
+from dappledrum.election.leader_watch import LeaderKey, LeaderWatch
 from dappledrum.election.lease_keeper import LeaseKeeper
 from dappledrum.election.messages import (
-    EpochRecord,
     LeaderRecord,
     LeaseGrantReply,
     LeaseGrantRequest,
@@ -28,61 +29,53 @@
     PreVoteReply,
     TransferLeadership,
 )
-from dappledrum.election.quorum import PreVoteCall, TransferCall, majority
 from dappledrum.election.terms import LEADER_KEY, Term
-from dappledrum.election.transfers import PendingTransfer, TransferLimit
-from dappledrum.election.voter import LEASE_GRANT_DURATION, Voter
-from dappledrum.store.client import (
-    CompactedError,
-    ConflictError,
-    LeaseLostError,
-    StoreError,
-    raw,
+from dappledrum.election.transfers import (
+    PendingTransfer,
+    TransferInbox,
+    TransferLimit,
+    offer_leadership,
 )
-from dappledrum.store.hedged_commit import commit_or_find
-from dappledrum.store.messages import Event, Guard, Put
+from dappledrum.election.voter import Voter
+from dappledrum.store.client import CompactedError, StoreError
 from dappledrum.store.rate_limiter import RequestPriority
-from dappledrum.timing.clock import ZERO, longer
+from dappledrum.timing.clock import ZERO
 from dappledrum.timing.supervisor import Supervisor
 
 log = logging.getLogger(__name__)
 
-EPOCH_KEY = "epoch"
-#: How long a leader waits for its successor to say that it leads, before it ends its own lease.
-TRANSFER_TIMEOUT = timedelta(seconds=1.5)
-#: How long a candidate waits for the answers of a majority at the most.
-PRE_VOTE_TIMEOUT = timedelta(milliseconds=400)
-FORMER_LEADER_CHECK_INTERVAL = timedelta(milliseconds=500)
+#: Longest wait before it is checked again whether a campaign is allowed.
+MAX_CAMPAIGN_WAIT = timedelta(seconds=0.5)
 
 
 class Elector:
-    """Stands for leader when there is none; renews while leading; knows who leads."""
-
-    def __init__(
-        self, lease_keeper: LeaseKeeper, ask_pre_vote: PreVoteCall, send_transfer: TransferCall
-    ) -> None:
-        self.lease_keeper = lease_keeper
-        self.member = lease_keeper.member
-        self.store = lease_keeper.store
-        self.clock = lease_keeper.clock
-        self.rng = lease_keeper.rng
-        self.lease_ttl = lease_keeper.lease_ttl
-        self.ask_pre_vote = ask_pre_vote
-        self.send_transfer = send_transfer
+    """One controller's part in the election: follows the leader, campaigns when there is none, and
+    keeps its own term valid while it leads."""
+
+    def __init__(self, context: ElectionContext) -> None:
+        self.context = context
+        self.member = context.member
+        self.store = context.store
+        self.clock = context.clock
+        self.rng = context.rng
+        self.host = context.host
+        self.lease_ttl = context.limits.ttl
         self.term: Term | None = None
         self.leader: LeaderRecord | None = None
-        self.on_change: Callable[[], None] = lambda: None
+        self.epoch = 0  # the highest that this controller is aware of
         self.voter = Voter(self.clock.now())
+        self.lease_keeper = LeaseKeeper(context)
+        self.transfer_limit = TransferLimit(self.clock)
         self.no_campaign_before = ZERO
-        self.epoch = 0  # the highest that was heard of
-        self.transfers = TransferLimit(self.clock)
-        #: How long this controller lets a better one stand first; asked once for each vacancy.
-        self.candidacy_delay: Callable[[], timedelta] = lambda: ZERO
-        self._delayed = False
         #: The last moment at which this process, or one before it, may have answered a worker.
         self.last_possible_answer_at = self.clock.now()
-        self._pending_transfer: PendingTransfer | None = None
-        self._transfer_arrived = asyncio.Event()
+        self._candidacy_delayed = False  # in this vacancy
+        self._transfer_inbox = TransferInbox()
+        self._leader_watch = LeaderWatch(self.store, self.lease_ttl * 2)
+        self._former_leaders = FormerLeaderCheck(context, self.voter)
+        self._campaigns = Campaign(context, self.voter, self.lease_keeper, self._former_leaders)
+
+    # the running term
 
     def leading_term(self) -> Term | None:
         """The running term, if this controller may give commands at this moment."""
@@ -92,75 +85,91 @@
         return term
 
     def valid_term(self) -> Term | None:
-        """The running term, if leases may at least be renewed: by the lease, or by the promises of
-        peers."""
+        """The running term, if it is valid by its lease or by lease grants of peers, so that
+        workers' leases may at least be renewed."""
         term = self.term
-        return term if term is not None and self.lease_keeper.holds(term) else None
+        return term if term is not None and self.lease_keeper.is_valid(term) else None
 
     def answering_term(self) -> Term | None:
         """The running term, if a worker may be answered at this moment, which renews its lease.
 
         Invariant: nobody answers later than `max_cancellations_age` after a moment up to which it
-        has read every confirmed cancellation. The tasks of later ones end with the worker's lease.
+        has read every confirmed cancellation. Tasks of later ones end with the worker's lease.
         """
         term = self.valid_term()
         return None if term is None or term.cancellations_known_at is None else term
 
     def no_answers_for(self) -> timedelta:
         """For how long nobody can have been answered by a term of this controller."""
-        return ZERO if self.term is not None else self.clock.now() - self.last_possible_answer_at
-
-    def skip_restart_wait(self) -> None:
-        """Every other controller has told that it holds no term, asked after this process began.
+        if self.term is not None:
+            return ZERO
+        return self.clock.now() - self.last_possible_answer_at
 
-        A promise of an earlier process can only serve a term that has been held without a break
-        since before that, so none is left that rests on one, and there is nothing to wait for.
-        """
-        if self.voter.restart_wait_until > self.clock.now():
-            log.info("nobody relies on a promise from before, standing at once")
-            self.voter.restart_wait_until = self.clock.now()
+    # giving leadership up
 
-    def resign(self, why: str, avoid: timedelta) -> None:
-        """Give leadership up and don't stand again for a while."""
-        self.no_campaign_before = self.clock.now() + avoid
-        self.transfers.note()
+    def resign(self, why: str, campaign_pause: timedelta) -> None:
+        """Give leadership up, and don't campaign again for this long."""
+        self.no_campaign_before = self.clock.now() + campaign_pause
+        self.transfer_limit.record()
         if self.term is not None:
             log.warning("resigning: %s", why)
             self.term.ended.set()
 
     def may_transfer(self) -> bool:
-        """Whether leadership may be handed over now, by the bound on how often."""
+        """Whether leadership may be transferred now, by the limit on how often it moves."""
         term = self.term
         return (
-            term is not None and not term.ended.is_set() and self.transfers.allow(term.started_at)
+            term is not None
+            and not term.ended.is_set()
+            and self.transfer_limit.allows(term.started_at)
         )
 
     def transfer_leadership(self, member: str, why: str) -> None:
-        """Stop acting for good, then name a successor, which need not wait for the lease.
+        """Stop answering for good, then name a successor, which need not wait for the lease.
 
         The order matters: nothing may be answered once the successor can lead.
         """
         term = self.valid_term()
         if term is not None:
-            log.warning("handing over to %s: %s", member, why)
+            log.warning("transferring leadership to %s: %s", member, why)
             term.successor = member
             term.ended.set()
 
+    # requests of peers
+
     async def accept_leadership(self, request: TransferLeadership) -> bool:
-        """A leader has stopped and names this controller; whether it leads now."""
-        if self.term is not None or self._pending_transfer is not None:
-            return False
-        transfer = self._pending_transfer = PendingTransfer(request)
-        self._transfer_arrived.set()
-        try:
-            async with asyncio.timeout(TRANSFER_TIMEOUT.total_seconds()):
-                return await transfer.leads
-        except TimeoutError:
+        """Handle the offer of a leader that has stopped; returns whether this controller leads."""
+        if self.term is not None:
             return False
-        finally:
-            if self._pending_transfer is transfer:
-                self._pending_transfer = None
-                self._transfer_arrived.clear()
+        return await self._transfer_inbox.accept(request)
+
+    def grant_lease(self, request: LeaseGrantRequest) -> LeaseGrantReply:
+        """Answer a leader that can't reach the store, which this controller can't reach either."""
+        leads, now = self.term is not None, self.clock.now()
+        reply = self.voter.grant_lease(request, now, leads, self.epoch)
+        span = timedelta(milliseconds=request.confirmed_span_ms)
+        confirmed = self.context.confirmed.within(span, now)
+        reply.cancelled = sorted(confirmed.cancelled)
+        reply.confirmed_span_ms = int(confirmed.span.total_seconds() * 1000)
+        return reply
+
+    def pre_vote(self, question: PreVote) -> PreVoteReply:
+        """Answer a candidate."""
+        leads = self.term is not None and self.term.epoch != question.epoch
+        return self.voter.pre_vote(question.epoch, self.clock.now(), leads)
+
+    def skip_restart_wait(self) -> None:
+        """Allow a campaign at once: every other controller, asked after this process began, has
+        answered that it has no term.
+
+        A lease grant of a former process can only serve a term that has been valid without a break
+        since before that, so no leader relies on one, and there is nothing to wait for.
+        """
+        if self.voter.restart_wait_until > self.clock.now():
+            log.info("no leader relies on lease grants of a former process, campaigning at once")
+            self.voter.restart_wait_until = self.clock.now()
+
+    # following and leading
 
     async def run(self) -> None:
         """Follow or lead, for ever."""
@@ -173,245 +182,116 @@
         await supervisor.repeat("leadership loop", self._round)
 
     async def _round(self) -> None:
-        """Look who leads; take over when nobody does, else wait for a change."""
-        entries, revision = await self.store.scan(LEADER_KEY, RequestPriority.LEASE)
-        holder = next((e for e in entries if e.key == LEADER_KEY), None)
-        if holder is None:
-            self._learn(None)
+        """Campaign if nobody leads, else follow the leader."""
+        key, revision = await self._leader_watch.read()
+        if key is None:
+            self._set_leader(None)
             if await self._may_campaign():
                 await self._campaign()
             return
-        self._delayed = False
-        version = holder.version
-        self._learn(msgspec.json.decode(holder.value, type=LeaderRecord))
-        await self._end_own_lease(version)
+        self._candidacy_delayed = False
+        await self._follow(key, revision)
+
+    async def _follow(self, key: LeaderKey, revision: int) -> None:
+        """Follow the leader until its key is removed, or leadership is offered to us."""
+        await self._leader_key_changed(key)
         while True:
             try:
-                seen = await self._watch(revision)
+                changes = await self._leader_watch.changes(revision, self._transfer_inbox.arrived)
             except CompactedError:
                 return
-            if seen is None:
-                await self._accept(version)
+            if changes is None:
+                await self._accept_transfer(key.version)
                 return
-            events, revision = seen
-            for event in events:
-                if event.put == LEADER_KEY:
-                    version = event.version  # a key that is handed over is replaced, not removed
-                    self._learn(msgspec.json.decode(event.value, type=LeaderRecord))
-                    await self._end_own_lease(version)
-                elif event.delete == LEADER_KEY:
+            keys, revision = changes
+            for changed in keys:
+                if changed is None:
                     return
+                key = changed  # a key that is transferred is replaced, not removed
+                await self._leader_key_changed(key)
 
-    async def _end_own_lease(self, version: int) -> None:
-        """End the hold of a key with this controller's own name, under which it does not lead.
+    async def _leader_key_changed(self, key: LeaderKey) -> None:
+        self._set_leader(key.record())
+        await self._close_former_lease(key.version)
 
-        A process begins when the one before it under its name is gone, so that one answers nobody
-        any more, and its key only keeps others from standing until its hold is over. The same goes
-        for an election whose outcome this process never learned. What was sent under the key
-        before is guarded by its version, a renewal finds no hold, and an answer on its way is
-        older than whatever its successor assumes (docs/design.md, "Immediate restarts").
+    async def _close_former_lease(self, version: int) -> None:
+        """Close the lease of a key with this controller's own name, under which it does not lead.
+
+        A process begins when the one before it under its name has ended, so that one answers
+        nobody any more, and its key only keeps others from campaigning until its lease expires.
+        The same goes for a campaign whose outcome is unknown to this process. What was sent under
+        the key before is guarded by its version, a renewal finds no lease, and an answer on its
+        way is older than whatever its successor assumes (docs/design.md, "Immediate restarts").
         """
         if self.leader is None or self.leader.member != self.member or self.term is not None:
             return
         entry = await self.store.get(LEADER_KEY, RequestPriority.LEASE)
         if entry is not None and entry.version == version and entry.lease is not None:
             epoch = self.leader.epoch
-            log.warning("ending the hold of epoch %d, under which nobody leads any more", epoch)
-            await self._drop(entry.lease)
-
-    async def _watch(self, revision: int) -> tuple[list[Event], int] | None:
-        """Changes of the leader's key; None when a leader has offered its place meanwhile."""
-        watch = asyncio.ensure_future(
-            self.store.watch(LEADER_KEY, revision, self.lease_ttl * 2, RequestPriority.LEASE)
-        )
-        transfer_arrives = asyncio.ensure_future(self._transfer_arrived.wait())
-        try:
-            await asyncio.wait((watch, transfer_arrives), return_when=asyncio.FIRST_COMPLETED)
-            return None if transfer_arrives.done() else await watch
-        finally:
-            transfer_arrives.cancel()
-            watch.cancel()
+            log.warning("closing the lease of epoch %d, under which nobody leads any more", epoch)
+            await close_lease(self.store, entry.lease)
 
-    async def _accept(self, seen: int) -> None:
-        """Stand in the place of a leader that has stopped, if its key is still as it says."""
-        transfer = self._pending_transfer
+    async def _accept_transfer(self, version: int) -> None:
+        """Campaign in the place of a leader that has stopped, if its key still has the version
+        that it has sent."""
+        transfer = self._transfer_inbox.pending
         if transfer is None:
             return
         try:
-            if transfer.request.version == seen:
+            if transfer.request.version == version:
                 await self._campaign(transfer)
         finally:
             transfer.resolve(False)
 
-    def _learn(self, leader: LeaderRecord | None) -> None:
-        if leader is not None:
-            self.epoch = max(self.epoch, leader.epoch)
-        if leader != self.leader:
-            self.leader = leader
-            self.on_change()
-
     async def _may_campaign(self) -> bool:
+        """Whether a campaign is allowed now; waits a while if not."""
         now = self.clock.now()
         wait = max(self.voter.campaign_allowed_at(), self.no_campaign_before) - now
         if wait > ZERO:
-            await asyncio.sleep(min(wait, timedelta(seconds=0.5)).total_seconds())
+            await asyncio.sleep(min(wait, MAX_CAMPAIGN_WAIT).total_seconds())
             return False
-        if not self._delayed:
-            self._delayed = True
-            wait = self.candidacy_delay()
+        if not self._candidacy_delayed:
+            self._candidacy_delayed = True
+            wait = self.host.candidacy_delay()
             if wait > ZERO:
                 await asyncio.sleep(wait.total_seconds())
                 return False
         return True
 
     async def _campaign(self, transfer: PendingTransfer | None = None) -> None:
-        """Take the key, when there is none or in the place of the leader that offers it, and lead
-        until the term is over."""
-        term = await self._win(transfer)
+        """Campaign when there is no leader, or in the place of the one that offers this transfer;
+        if won, lead until the term ends."""
+        term = await self._campaigns.win(transfer)
         if term is None:
             return
         self.term = term
-        self._learn(LeaderRecord(self.member, term.epoch))
-        self.on_change()
+        self._set_leader(LeaderRecord(self.member, term.epoch))
+        self.host.leadership_changed()
         if transfer is not None:
-            self.transfers.take_over(transfer.request.moves_ms)
+            self.transfer_limit.adopt(transfer.request.transfer_ages_ms)
             transfer.resolve(True)
-        clearing = asyncio.ensure_future(self._learn_others_stopped(term))
+        await self._lead(term)
+        if term.successor is not None:
+            await offer_leadership(self.context, self.transfer_limit, term, term.successor)
+        await close_lease(self.store, term.lease)
+
+    async def _lead(self, term: Term) -> None:
+        """Keep the term valid until it ends."""
+        former_leaders_check = asyncio.ensure_future(self._former_leaders.run(term))
         try:
             await self.lease_keeper.keep(term)
         finally:
-            clearing.cancel()
+            former_leaders_check.cancel()
             term.ended.set()
             self.term = None
             self.last_possible_answer_at = self.clock.now()
-            self._learn(None)
-            self.on_change()
+            self._set_leader(None)
+            self.host.leadership_changed()
             log.warning("no longer leading with epoch %d", term.epoch)
-        if term.successor is not None:
-            await self._offer(term, term.successor)
-        await self._drop(term.lease)
-
-    async def _win(self, transfer: PendingTransfer | None) -> Term | None:
-        """Stand for leader; the term, or None when another one leads or may do so."""
-        entry = await self.store.get(EPOCH_KEY, RequestPriority.LEASE)
-        epoch = (
-            msgspec.json.decode(entry.value, type=EpochRecord).epoch if entry is not None else 0
-        )
-        if transfer is not None and transfer.request.epoch != epoch:
-            return None
-        if (
-            transfer is None
-            and await self.store.get(LEADER_KEY, RequestPriority.LEASE) is not None
-        ):
-            return None  # taken between the look and the epoch: nobody may be asked to stand
-        lease = await self.store.open_lease(self.lease_ttl)
-        # Whoever offers its place and knew that it alone could answer is the only one that can
-        # have answered anybody; its key stands, so whom this controller has promised has lapsed.
-        if transfer is not None and transfer.request.clear:
-            clear: timedelta | None = self.clock.now()
-        else:
-            clear = await self._others_stopped(epoch + 1)
-            if self.voter.campaign_allowed_at() > self.clock.now():
-                await self._drop(lease)  # a promise was given while we were reading
-                return None
-        self.voter.campaigned_against_epoch = epoch
-        sent = self.clock.now()
-        replaced = transfer.request.version if transfer is not None else 0
-        guards = [
-            Guard(LEADER_KEY, replaced),
-            Guard(EPOCH_KEY, entry.version if entry is not None else 0),
-        ]
-        changes = [
-            Put(LEADER_KEY, raw(LeaderRecord(self.member, epoch + 1)), lease),
-            Put(EPOCH_KEY, raw(EpochRecord(epoch + 1))),
-        ]
-        try:
-            version = await commit_or_find(
-                self.store,
-                guards,
-                changes,
-                RequestPriority.LEASE,
-                lambda: self._won(lease),
-                self.lease_ttl / 2,
-            )
-        except (ConflictError, LeaseLostError):
-            await self._drop(lease)
-            return None
-        except StoreError:
-            # Won or not, nobody knows: without its lease the key can't stay.
-            await self._drop(lease)
-            raise
-        # The lease was opened before the transaction, so only a renewal tells how long it lasts.
-        term = Term(epoch + 1, version, lease, self.clock.now())
-        term.others_stopped_at = clear
-        try:
-            await self.lease_keeper.renew(term)
-        except StoreError:
-            await self._drop(lease)
-            raise
-        took = (self.clock.now() - sent).total_seconds() * 1e3
-        log.warning("leading with epoch %d after %.0f ms", term.epoch, took)
-        return term
-
-    async def _offer(self, term: Term, successor: str) -> None:
-        """Offer the key of a term that has ended to a successor, until it leads or refuses."""
-        clear = term.others_stopped_at is not None
-        transfers = [*self.transfers.ages_ms(), 0]
-        request = TransferLeadership(self.member, term.epoch, term.version, transfers, clear)
-        leads = await self.send_transfer(successor, request, TRANSFER_TIMEOUT)
-        log.info("%s %s", successor, "leads" if leads else "does not lead, standing down")
-
-    async def _won(self, lease: int) -> int | None:
-        """The version of the leader's key if it hangs on this lease, which only one transaction of
-        this process names; the key's content alone may be that of an earlier process."""
-        entry = await self.store.get(LEADER_KEY, RequestPriority.LEASE)
-        return entry.version if entry is not None and entry.lease == lease else None
-
-    async def _others_stopped(self, epoch: int) -> timedelta | None:
-        """The moment from which no former leader can go on for promises, by the word of a
-        majority; None when that many could not tell, or did not say so.
 
-        A peer that does not know the question shows that only the promise of *all* counts, and
-        this controller has given none that stands.
-        """
-        if not self.voter.pre_vote(epoch, self.clock.now(), False).free:
-            return None
-        answers = await self.ask_pre_vote(PreVote(self.member, epoch), PRE_VOTE_TIMEOUT)
-        if answers.old or majority(answers.yes, answers.asked):
-            return self.clock.now()
-        return None
-
-    async def _learn_others_stopped(self, term: Term) -> None:
-        """Ask on until it is known, or until every promise must have lapsed all the same."""
-        at_last = term.started_at + longer(
-            self.lease_keeper.max_time_on_majority_grants + LEASE_GRANT_DURATION
-        )
-        while term.others_stopped_at is None:
-            if self.clock.now() >= at_last:
-                term.others_stopped_at = at_last
-                return
-            await asyncio.sleep(FORMER_LEADER_CHECK_INTERVAL.total_seconds())
-            term.others_stopped_at = await self._others_stopped(term.epoch)
-            if term.others_stopped_at is not None:
-                log.info("no former leader answers any more, by the word of a majority")
-
-    def grant_lease(self, request: LeaseGrantRequest) -> LeaseGrantReply:
-        """Answer a leader that can't reach the store, and which this controller can't
-        reach either."""
-        leads, now = self.term is not None, self.clock.now()
-        reply = self.voter.grant_lease(request, now, leads, self.epoch)
-        confirmed = self.lease_keeper.confirmed(timedelta(milliseconds=request.confirmed_span_ms))
-        reply.cancelled = sorted(confirmed.cancelled)
-        reply.confirmed_span_ms = int(confirmed.span.total_seconds() * 1000)
-        return reply
-
-    def pre_vote(self, question: PreVote) -> PreVoteReply:
-        """Answer a candidate."""
-        leads = self.term is not None and self.term.epoch != question.epoch
-        return self.voter.pre_vote(question.epoch, self.clock.now(), leads)
-
-    async def _drop(self, lease: int) -> None:
-        try:
-            await self.store.close_lease(lease)
-        except StoreError as error:
-            log.info("lease not ended, it will run out: %s", error)
+    def _set_leader(self, leader: LeaderRecord | None) -> None:
+        if leader is not None:
+            self.epoch = max(self.epoch, leader.epoch)
+        if leader != self.leader:
+            self.leader = leader
+            self.host.leadership_changed()
--- a/dappledrum/election/messages.py
+++ b/dappledrum/election/messages.py
@@ -25,13 +25,12 @@
 class LeaseGrantRequest(
     msgspec.Struct, rename={"grant_ms": "for_ms", "confirmed_span_ms": "told_ms"}
 ):
-    """A leader that does not reach the store asks a peer not to stand for leader for a
-    limited time."""
+    """A leader that does not reach the store asks a peer not to campaign for a limited time."""
 
     member: str
     epoch: int
     grant_ms: int
-    #: How far back it should be told which cancellations users were told of; see
+    #: How far back the peer is asked for the cancellations that it has confirmed to users; see
     #: jobs/confirmed_cancellations.py.
     confirmed_span_ms: Age = 0
 
@@ -39,9 +38,10 @@
 class LeaseGrantReply(msgspec.Struct, omit_defaults=True, rename={"confirmed_span_ms": "told_ms"}):
     """The peer's answer.
 
-    A weak promise counts only if all peers promise, since a candidate may have been told that this
-    controller holds to none. `cancelled` names the jobs whose cancellation this process has
-    confirmed to users, all of the last `told_ms`; versions before 0.7.0 leave it out.
+    A weak grant counts only if all peers grant, since a candidate may have been answered that this
+    controller is free of lease grants. `cancelled` names the jobs whose cancellation this process
+    has confirmed to users, all of the last `confirmed_span_ms`; versions before 0.7.0 leave both
+    out.
     """
 
     granted: bool
@@ -52,33 +52,42 @@
 
 
 class PreVote(msgspec.Struct, tag="standing", tag_field="kind"):
-    """Pre-vote: a candidate for this epoch asks whether a peer holds to a promise; see votes.py.
+    """Pre-vote: a candidate for this epoch asks whether a peer is free of lease grants; see
+    `voter.py`.
+
     Supported from 0.5.0 on. A peer of an older version refuses it, and then a leader needs the
-    promises of all peers."""
+    lease grants of all peers.
+    """
 
     member: str
     epoch: Count
 
 
 class PreVoteReply(msgspec.Struct):
-    """Whether the peer holds to no promise, and will promise nothing to a lower epoch."""
+    """Whether the peer is free of lease grants, and will give no strong one to a lower epoch."""
 
     free: bool
 
 
-class TransferLeadership(msgspec.Struct, tag="hand_over", tag_field="kind"):
+class TransferLeadership(
+    msgspec.Struct,
+    tag="hand_over",
+    tag_field="kind",
+    rename={"transfer_ages_ms": "moves_ms", "others_stopped": "clear"},
+):
     """Leadership transfer: a leader that has stopped for good names its successor, which may
     replace the key `leader` of this version and raise the epoch from this one.
 
-    `moves_ms` are the ages of earlier transfers, since their rate is limited. `clear` is whether
-    the leader knew that no former leader could still be acting on promises.
+    `transfer_ages_ms` are the ages of earlier transfers, since their rate is limited.
+    `others_stopped` is whether the leader was aware that no former leader could still be answering
+    workers on lease grants.
     """
 
     member: str
     epoch: Count
     version: Count
-    moves_ms: list[Age] = []
-    clear: bool = False
+    transfer_ages_ms: list[Age] = []
+    others_stopped: bool = False
 
 
 class TransferLeadershipReply(msgspec.Struct):
--- /dev/null
+++ b/dappledrum/election/peer_lease_grants.py
@@ -0,0 +1,103 @@
+"""Lease grants of peers, by which a leader keeps its term valid while the store is out.
+
+With their grants the peers attest which cancellations they have confirmed to users. Where that is
+complete, the leader has read all of them without the store.
+"""
+
+import logging
+from datetime import timedelta
+
+from dappledrum.election.context import ElectionContext
+from dappledrum.election.messages import LeaseGrantRequest
+from dappledrum.election.quorum import PeerAnswers, majority
+from dappledrum.election.terms import Term
+from dappledrum.election.voter import LEASE_GRANT_DURATION
+from dappledrum.jobs.confirmed_cancellations import CancellationWindow
+from dappledrum.timing.clock import ZERO, shorter
+from dappledrum.timing.fault_log import FaultLog
+
+log = logging.getLogger(__name__)
+
+#: A leader stops this long before its lease, or a lease grant, can end.
+LEASE_SAFETY_MARGIN = timedelta(milliseconds=100)
+#: Peers are asked for confirmed cancellations of this much more than the time since all were
+#: known, which covers the time that their answers take.
+CONFIRMED_WINDOW_MARGIN = timedelta(seconds=2)
+
+
+class PeerLeaseGrants:
+    """Requests lease grants for the terms of this controller."""
+
+    def __init__(self, context: ElectionContext) -> None:
+        self.context = context
+        self.clock = context.clock
+        self.limits = context.limits
+        self.incomplete_confirmations = FaultLog(
+            log, context.clock, "not every controller reports its confirmed cancellations"
+        )
+
+    def is_valid(self, term: Term) -> bool:
+        """Whether workers' leases may at least be renewed under this term at this moment."""
+        if term.ended.is_set():
+            return False
+        valid_until = min(
+            max(term.lease_valid_until, term.grants_valid_until),
+            term.answers_allowed_until(self.limits.max_cancellations_age),
+        )
+        return self.clock.now() < valid_until
+
+    async def request(self, term: Term) -> None:
+        """Ask all peers for lease grants, and extend the term by what they answer."""
+        sent = self.clock.now()
+        answers = await self.context.peers.request_lease_grants(
+            self._request(term, sent), self.limits.ttl / 4
+        )
+        # The term has to be valid both when asking and when answered: one that has lapsed is never
+        # resumed on a lease grant.
+        if not self.is_valid(term):
+            return
+        if self._apply_confirmed(term, sent, answers.confirmed):
+            self.incomplete_confirmations.over()
+        elif majority(answers.agreed, answers.asked):
+            self.incomplete_confirmations.seen(
+                f"complete for {answers.confirmed.span.total_seconds():.0f} s"
+            )
+        self._extend(term, sent, answers)
+
+    def _request(self, term: Term, now: timedelta) -> LeaseGrantRequest:
+        known_at = term.cancellations_known_at
+        span = ZERO if known_at is None else now - known_at + CONFIRMED_WINDOW_MARGIN
+        return LeaseGrantRequest(
+            self.context.member,
+            term.epoch,
+            int(LEASE_GRANT_DURATION.total_seconds() * 1000),
+            int(span.total_seconds() * 1000),
+        )
+
+    def _extend(self, term: Term, sent: timedelta, answers: PeerAnswers) -> None:
+        """Extend the term by grants of all peers, or for a limited time by those of a majority."""
+        until = sent + shorter(LEASE_GRANT_DURATION) - LEASE_SAFETY_MARGIN
+        if answers.agreed == answers.asked:
+            term.grants_valid_until = until
+        elif majority(answers.strong, answers.asked) and self.context.host.all_peers_pre_vote():
+            limit = term.renewed_at + shorter(self.limits.max_time_on_majority_grants)
+            term.grants_valid_until = max(term.grants_valid_until, min(until, limit))
+
+    def _apply_confirmed(self, term: Term, asked: timedelta, by_peers: CancellationWindow) -> bool:
+        """Apply what all controllers have confirmed to users, if that is complete since all of it
+        was known the last time.
+
+        Only then: a peer that does not answer, has been restarted since, or is of an older version
+        may have confirmed anything.
+        """
+        now = self.clock.now()
+        known_at = term.cancellations_known_at
+        if known_at is None:
+            return False
+        own = self.context.confirmed.within(now - known_at + CONFIRMED_WINDOW_MARGIN, now)
+        complete = own.covers(known_at, now) and by_peers.covers(known_at, now)
+        cancelled = own.cancelled | by_peers.cancelled
+        if not (complete and self.context.host.apply_confirmed_cancellations(cancelled)):
+            return False
+        term.record_cancellations_known(asked)
+        return True
--- a/dappledrum/election/voter.py
+++ b/dappledrum/election/voter.py
@@ -1,11 +1,11 @@
-"""What one controller has promised to leaders, and what it has answered to candidates.
+"""What one controller has granted to leaders, and what it has answered to candidates.
 
-There are two kinds of voting. A leader that does not reach the store asks its peers to
-promise not to stand for leader, and goes on answering workers while a majority (itself included)
-or all of them do. A candidate asks its peers in a pre-vote whether they hold to a promise; until a
-majority says that they do not, it takes no leader's silence as proof. Any two majorities share a
-controller, so one round of voting meets what the other has left there: a promise that is still
-valid, or the lowest epoch that may still get promises.
+There are two kinds of voting. A leader that does not reach the store requests lease grants: its
+peers undertake not to campaign, and it goes on answering workers while a majority (itself
+included) or all of them grant. A candidate asks its peers in a pre-vote whether they are free of
+lease grants; until a majority says so, it does not take a leader's silence as proof that it has
+stopped. Any two majorities share a controller, which the one vote leaves with a valid lease grant
+or the other with the lowest epoch that may still get one.
 
 This module does no I/O and reads no clock; the model in `model/election.py` runs this very code.
 """
@@ -20,32 +20,36 @@
 
 
 class Voter:
-    """The promises and pre-votes of one process; they are lost with it."""
+    """The lease grants and pre-votes of one process; they are lost with it.
+
+    Moments are those of the controller's steady clock.
+    """
 
     def __init__(self, now: timedelta) -> None:
-        #: A process of this member before it may have promised something that this one does not
-        #: know of, or may have told a candidate that it was free.
+        #: A former process of this member may have answered a pre-vote that this one is not aware
+        #: of, so until then its lease grants are weak.
         self.weak_grants_until = now + longer(LEASE_GRANT_DURATION)
-        #: The same for standing: shortened when nobody can rely on such a promise any more.
+        #: A former process may have granted a lease, so this one does not campaign until then.
+        #: Shortened when no leader can rely on such a grant any more.
         self.restart_wait_until = self.weak_grants_until
-        self.own_grants_until = now  # what this process has promised
-        self.campaigned_against_epoch: int | None = None  # the epoch against which it has stood
-        self.min_grant_epoch = 0  # no promise to a leader of a lower epoch than this
+        self.own_grants_until = now  # the end of the lease grants of this process
+        self.campaigned_against_epoch: int | None = None
+        self.min_grant_epoch = 0  # leaders of lower epochs get no strong lease grant
 
     def campaign_allowed_at(self) -> timedelta:
-        """The moment from which no promise prevents this controller from standing for leader."""
+        """The moment from which no lease grant keeps this controller from campaigning."""
         return max(self.own_grants_until, self.restart_wait_until)
 
     def grant_lease(
         self, request: LeaseGrantRequest, now: timedelta, leads: bool, epoch: int
     ) -> LeaseGrantReply:
-        """Answer a leader that does not reach the store, which this controller does not
-        reach either.
+        """Answer a leader that does not reach the store, which this controller does not reach
+        either.
 
-        `epoch` is the highest that this controller knows of. The promise is refused if this
-        controller leads itself, or has stood for leader against this epoch (its transaction may
-        still be executed). It is weak if the controller has told a candidate that it was free, or
-        may have done so in a former process.
+        `epoch` is the highest that this controller is aware of. The grant is refused if this
+        controller leads itself, or has campaigned against this epoch (its transaction may still be
+        executed). It is weak if the controller has answered a pre-vote of a higher epoch that it
+        was free, or may have done so in a former process.
         """
         if leads:
             return LeaseGrantReply(False, "leading")
@@ -56,18 +60,18 @@
             return LeaseGrantReply(False, "stood already")
         if epoch > request.epoch:
             return LeaseGrantReply(False, "newer leader known")
-        until = now + longer(
-            min(timedelta(milliseconds=request.grant_ms), MAX_LEASE_GRANT_DURATION)
-        )
-        self.own_grants_until = max(self.own_grants_until, until)
-        return LeaseGrantReply(
-            True, "", self.min_grant_epoch > request.epoch or now < self.weak_grants_until
-        )
+        duration = min(timedelta(milliseconds=request.grant_ms), MAX_LEASE_GRANT_DURATION)
+        self.own_grants_until = max(self.own_grants_until, now + longer(duration))
+        weak = self.min_grant_epoch > request.epoch or now < self.weak_grants_until
+        return LeaseGrantReply(True, "", weak)
+
+    def pre_vote(self, epoch: int, now: timedelta, leads: bool) -> PreVoteReply:
+        """Answer the pre-vote of a candidate for this epoch.
 
-    def pre_vote(self, epoch: int, now: timedelta, holds: bool) -> PreVoteReply:
-        """Answer the pre-vote of a candidate for this epoch: free only if no leader can rely on a
-        promise of this controller, which will promise nothing to a lower epoch from now on."""
-        if holds or now < self.campaign_allowed_at():
+        The answer is free only if no leader can rely on a lease grant of this controller. From
+        then on it gives no strong grant to a lower epoch.
+        """
+        if leads or now < self.campaign_allowed_at():
             return PreVoteReply(False)
         self.min_grant_epoch = max(self.min_grant_epoch, epoch)
         return PreVoteReply(True)
--- a/dappledrum/golden/test_controllers.py
+++ b/dappledrum/golden/test_controllers.py
@@ -79,7 +79,11 @@
     "heartbeats-none-heard": PeerHeartbeats(own=SHORT_HEARTBEAT),
     "forwarded-reports": ForwardedHeartbeats(heartbeats=[b'{"drum":"host-000231"}', b"{}"]),
     "transfer-leadership": TransferLeadership(
-        member="drummer-1", epoch=7, version=412, moves_ms=[1000, 60000], clear=True
+        member="drummer-1",
+        epoch=7,
+        version=412,
+        transfer_ages_ms=[1000, 60000],
+        others_stopped=True,
     ),
     "pre-vote": PreVote(member="drummer-1", epoch=8),
 }
@@ -181,7 +185,7 @@
         QUESTIONS["promise"].request, SECOND
     )
     assert caller.sent == [as_sent(GOLDEN["promise"])]
-    assert (answers.yes, answers.strong) == (1, 0)
+    assert (answers.agreed, answers.strong) == (1, 0)
     assert answers.confirmed.cancelled == {"j-000003", "j-000004"}
     assert answers.confirmed.span == timedelta(seconds=45)
 
@@ -190,7 +194,7 @@
     caller = RecordingCaller([GOLDEN["pre-vote-reply"]])
     answers = await Peers({"drummer-1": caller}).pre_vote(QUESTIONS["pre-vote"], SECOND)
     assert caller.sent == [as_sent(GOLDEN["pre-vote"])]
-    assert answers.yes == 1
+    assert answers.agreed == 1
 
 
 async def test_a_leader_answers_on_its_address_for_peers():
--- a/dappledrum/golden/test_store.py
+++ b/dappledrum/golden/test_store.py
@@ -7,9 +7,8 @@
 import pytest
 
 from dappledrum.controller import catalog, peer_versions
-from dappledrum.election.elector import EPOCH_KEY
 from dappledrum.election.messages import EpochRecord, LeaderRecord
-from dappledrum.election.terms import LEADER_KEY
+from dappledrum.election.terms import EPOCH_KEY, LEADER_KEY
 from dappledrum.fleet.fleet_facts import FLEET
 from dappledrum.fleet.messages import BootingRecord, Catalog, FleetRecord, MachineType
 from dappledrum.golden.entries import load
--- a/dappledrum/membership/test_partitions.py
+++ b/dappledrum/membership/test_partitions.py
@@ -152,7 +152,7 @@
         refused = [m for n, m in enumerate(FIVE) if (n + second // 2) % 2]
         cluster.store.refused = set(refused)
         await cluster.wait(1)
-    moves = [r for r in caplog.records if "handing over" in r.getMessage()]
+    moves = [r for r in caplog.records if "transferring leadership" in r.getMessage()]
     assert 0 < len(moves) <= 3
     assert (
         max(controller.elector.epoch for controller in cluster.controllers.values()) <= before + 4
--- a/dappledrum/model/election.py
+++ b/dappledrum/model/election.py
@@ -1,431 +1,465 @@
-"""Leaders that go on for promises, and candidates that ask before silence is a proof to them.
-
-The peers' part is the real `Voter`; leader and candidate are the plainest that follow the
-rules of docs/membership.md. A schedule is drawn from a seed: messages come late, in any order, or
-never, processes end and begin again without memory, at any moment and at once, transactions are
-executed late, also when the process that sent them has ended, and the store serves whom it
-likes. Users cancel jobs at whoever is served, and are told so there, or later by another. After
-each event: once a leader takes silence for a proof, nobody of a lower epoch answers workers; and
-nobody answers workers who does not know of a cancellation that is too old for the lease that this
-renews.
-
-`without` leaves out one of the conditions that the argument needs, to see that it does.
+"""Model of the election: leaders that go on by lease grants, and candidates that ask for pre-votes
+before they take a leader's silence as proof that it has stopped.
+
+The peers' part is the real `Voter`; leader and candidate are the simplest that follow the rules of
+docs/membership.md. A schedule is drawn from a seed: messages arrive late, in any order, or never;
+processes end and restart without memory, at any moment and several at once; transactions are
+executed late, also when the process that sent them has ended; and the store serves any of the
+controllers. Users cancel jobs at a controller that is served, and get the confirmation there, or
+later from another.
+
+After each event two invariants are checked. Once a leader takes silence as proof, nobody of a
+lower epoch answers workers; and nobody answers workers who is not aware of a cancellation that is
+too old for the lease that this renews.
 """
 
 import heapq
 import random
 from collections.abc import Callable
-from dataclasses import dataclass, field
 from datetime import timedelta
+from functools import partial
 
 from dappledrum.election.messages import LeaseGrantRequest
-from dappledrum.election.voter import LEASE_GRANT_DURATION, Voter
+from dappledrum.election.voter import Voter
 from dappledrum.jobs.confirmed_cancellations import (
     CancellationWindow,
     ConfirmedCancellations,
     merge_windows,
 )
-
-LIFE = 3.0
-MARGIN = 0.1
-ASKING = 0.75
-PAUSE = 0.25
-WAITING = LIFE / 2  # for the answer to the transaction of an election
-PRE_VOTE_TIME = 1.5  # longer than in the program, so that more fits in between
-ALONE = 6.0  # how long a leader goes on for the promises of a majority that is not all
-PROMISED = LEASE_GRANT_DURATION.total_seconds()
-LEASE = 4.0  # of workers
-CANCEL = 11.0  # what runs must be gone so long after a user was told
-KNOWN = CANCEL - LEASE - MARGIN  # how long a leader answers after it knew of all cancellations
-READING = 2.5  # how long a reading of all records takes at most
-WINDOW_MARGIN = 1.5  # more than the time since all was known, that peers are asked for
-
-GUARDS = (
-    "candidates ask a majority",
-    "a promise is told to candidates",
-    "free leaves a bar",
-    "one that has just begun promises weakly",
-    "a majority, not half, is needed to go on",
-    "a lapsed term is not taken up again",
-    "going on without all is bounded",
-    "who has promised does not stand",
-    "a successor is told whether it is clear",
-    "who has stood does not promise",
-    "answers end with what is known",
-    "a reading counts from its sending",
-    "a renewal tells nothing of cancellations",
-    "all attest, not those that answer",
-    "a process attests only its own time",
-    "an attestation reaches back to what was known",
-    "an attestation counts from the question",
-    "a leader attests for itself",
+from dappledrum.model.election_conditions import (
+    CANCELLATION_DEADLINE,
+    CONFIRMED_WINDOW_MARGIN,
+    GRANT_DURATION,
+    GRANT_REQUEST_TIMEOUT,
+    LEASE_SAFETY_MARGIN,
+    LEASE_TTL,
+    LOOP_INTERVAL,
+    MAX_CANCELLATIONS_AGE,
+    MAX_READ_TIME,
+    MAX_TIME_ON_MAJORITY_GRANTS,
+    PRE_VOTE_TIMEOUT,
+    TRANSACTION_TIMEOUT,
+    WORKER_LEASE,
+    Condition,
+    ModelTerm,
+    RequestKind,
+    RequestRound,
+    Vote,
 )
 
 
-@dataclass
-class Term:
-    """Of whoever leads, or thinks so."""
-
-    epoch: int
-    valid: float
-    renewed: float
-    started_at: float
-    promised: float = -1.0
-    clear: float | None = None
-    known: float | None = None  # every cancellation told until then is known
-    jobs: set[int] = field(default_factory=set)  # that are known to be cancelled
-
-
-@dataclass
-class Round:
-    """One question to all peers, and the answers so far: (promised or free, strong)."""
-
-    asker: int
-    process: int  # of the asker: a restarted one knows nothing of it
-    kind: str
-    epoch: int
-    sent: float
-    free: bool = True  # whether the asker itself holds to no promise
-    answers: dict[int, tuple[bool, bool]] = field(default_factory=dict)
-    span: float = 0.0  # how far back the peers are asked for what they have told
-    confirmed: dict[int, CancellationWindow] = field(default_factory=dict)
-
-
 class ElectionModel:
-    """Some controllers, the key `leader`, and time."""
+    """Some controllers, the key `leader`, and time.
+
+    `without` leaves out one of the conditions that the argument needs.
+    """
 
-    def __init__(self, members: int, rng: random.Random, without: str | None = None) -> None:
+    def __init__(self, members: int, rng: random.Random, without: Condition | None = None) -> None:
         self.members = range(members)
         self.rng = rng
         self.without = without
         self.now = 10.0
         self.events: list[tuple[float, int, Callable[[], None]]] = []
-        self.voter = [Voter(timedelta(0)) for _ in self.members]
-        self.process = [0] * members
-        # Who is served changes rarely; the first leader is not, and the others mostly not.
+        self.voters = [Voter(timedelta(0)) for _ in self.members]
+        self.processes = [0] * members
+        # The store serves a controller or not for long; the first leader is not served, and the
+        # others mostly not.
         self.served = [False] + [rng.random() < 0.3 for _ in self.members[1:]]
-        self.terms: dict[int, Term] = {0: Term(1, self.now + LIFE - MARGIN, self.now, self.now)}
-        self.terms[0].known = self.now
+        first = ModelTerm(1, self.now + LEASE_TTL - LEASE_SAFETY_MARGIN, self.now, self.now)
+        first.cancellations_known_at = self.now
+        self.terms: dict[int, ModelTerm] = {0: first}
         self.confirmed = [ConfirmedCancellations(timedelta(0)) for _ in self.members]
-        self.stored: list[int] = []  # jobs that are cancelled
-        self.users: dict[int, float] = {}  # when a user was first told of each
-        for _ in range(rng.choice((0, 4, 20))):
-            self._after(rng.uniform(0, 8), self._cancel)
-        self.key: int | None = 1
-        self.key_end = self.now + LIFE
+        self.cancelled_jobs: list[int] = []  # as stored
+        self.first_confirmed_at: dict[int, float] = {}  # to a user, of each job
+        self.key_epoch: int | None = 1  # of the key `leader`; None: absent
+        self.key_expires_at = self.now + LEASE_TTL
         self.epoch = 1
-        self.lost = rng.choice((0.0, 0.2, 0.4, 0.6))
-        self.late = rng.choice((0.05, 0.3, 1.2))
-        self.cut: set[frozenset[int]] = set()
+        self.cut_links: set[frozenset[int]] = set()
+        self._draw_cancellations()
+        self.loss_rate = rng.choice((0.0, 0.2, 0.4, 0.6))
+        self.max_delay = rng.choice((0.05, 0.3, 1.2))
+        self._draw_events()
+
+    def _draw_cancellations(self) -> None:
+        for _ in range(self.rng.choice((0, 4, 20))):
+            self._schedule(self.rng.uniform(0, 8), self._cancel)
+
+    def _draw_events(self) -> None:
+        rng = self.rng
         for _ in range(rng.choice((0, 10, 40))):
-            self._after(rng.uniform(0, 12), self._cut)
+            self._schedule(rng.uniform(0, 12), self._toggle_link)
         for member in self.members:
-            self._after(rng.uniform(0, PAUSE), lambda m=member: self._loop(m))
+            self._schedule(rng.uniform(0, LOOP_INTERVAL), partial(self._run_step, member))
         for _ in range(rng.choice((0, 1, 8))):
-            self._after(rng.uniform(0, 15), self._restart)
-        if rng.random() < 0.2:  # one in a loop of ends
-            looping, began = rng.choice(self.members), rng.uniform(0, 8)
+            self._schedule(rng.uniform(0, 15), self._restart)
+        if rng.random() < 0.2:  # one controller crashes in a loop
+            crashing, start = rng.choice(self.members), rng.uniform(0, 8)
             for turn in range(20):
-                self._after(began + turn * rng.uniform(0.1, 0.4), lambda: self._restart(looping))
+                delay = start + turn * rng.uniform(0.1, 0.4)
+                self._schedule(delay, lambda: self._restart(crashing))
         for _ in range(rng.choice((0, 12))):
-            self._after(rng.uniform(0, 15), self._transfer_leadership)
+            self._schedule(rng.uniform(0, 15), self._transfer_leadership)
         for _ in range(rng.choice((1, 4, 15))):
-            self._after(rng.uniform(0, 12), self._serve)
+            self._schedule(rng.uniform(0, 12), self._change_served)
 
-    def _after(self, delay: float, event: Callable[[], None]) -> None:
+    def _schedule(self, delay: float, event: Callable[[], None]) -> None:
         heapq.heappush(self.events, (self.now + delay, self.rng.getrandbits(32), event))
 
-    def _has(self, guard: str) -> bool:
-        return self.without != guard
+    def _has(self, condition: Condition) -> bool:
+        return self.without is not condition
 
     def step(self) -> None:
-        """The next event."""
+        """Run the next event."""
         self.now, _, event = heapq.heappop(self.events)
-        if self.key is not None and self.now > self.key_end:
-            self.key = None
+        if self.key_epoch is not None and self.now > self.key_expires_at:
+            self.key_epoch = None
         event()
 
     def _clock(self) -> timedelta:
         return timedelta(seconds=self.now)
 
-    def _serve(self) -> None:
+    # faults
+
+    def _change_served(self) -> None:
+        """The store begins or ceases to serve a controller."""
         self.served[self.rng.choice(self.members)] = self.rng.random() < 0.5
 
-    def _cut(self) -> None:
-        """A link between two goes, or comes back."""
-        self.cut ^= {frozenset(self.rng.sample(self.members, 2))}
+    def _toggle_link(self) -> None:
+        """A link between two controllers fails, or recovers."""
+        self.cut_links ^= {frozenset(self.rng.sample(self.members, 2))}
 
     def _restart(self, member: int | None = None) -> None:
         member = self.rng.choice(self.members) if member is None else member
-        self.process[member] += 1
+        self.processes[member] += 1
         former = self.terms.pop(member, None)
-        if former is not None and self.served[member] and former.epoch == self.key:
-            self._after(self.rng.uniform(0, 1), lambda: self._end_hold(former.epoch))
-        if self._has("a process attests only its own time"):
+        if former is not None and self.served[member] and former.epoch == self.key_epoch:
+            self._schedule(self.rng.uniform(0, 1), lambda: self._close_lease(former.epoch))
+        if self._has(Condition.PROCESSES_ATTEST_ONLY_THEIR_LIFETIME):
             self.confirmed[member] = ConfirmedCancellations(self._clock())
-        else:  # it says that it is complete, though it has forgotten all
+        else:  # it attests all of the time, though it has forgotten everything
             self.confirmed[member] = ConfirmedCancellations(timedelta(0))
-        voter = self.voter[member] = Voter(self._clock())
-        if not self._has("one that has just begun promises weakly"):
+        voter = self.voters[member] = Voter(self._clock())
+        if not self._has(Condition.RESTARTED_VOTERS_GRANT_WEAKLY):
             voter.weak_grants_until = timedelta(0)
 
-    def _end_hold(self, epoch: int) -> None:
-        """The next process of a member ends the hold that the former one had."""
-        if self.key == epoch:
-            self.key = None
+    def _close_lease(self, epoch: int) -> None:
+        """The next process of a member closes the lease that the former one had."""
+        if self.key_epoch == epoch:
+            self.key_epoch = None
+
+    # terms
 
-    def holding(self, member: int) -> bool:
+    def has_valid_term(self, member: int) -> bool:
         """Whether a controller may answer workers now, once it has read the records."""
         term = self.terms.get(member)
-        if term is None or self.now >= max(term.valid, term.promised):
+        if term is None or self.now >= max(term.lease_valid_until, term.grants_valid_until):
             return False
-        bound = self._has("answers end with what is known") and term.known is not None
-        return not bound or self.now < (term.known or 0.0) + KNOWN
+        known_at = term.cancellations_known_at
+        if known_at is None or not self._has(Condition.ANSWERS_END_WITH_KNOWN_CANCELLATIONS):
+            return True
+        return self.now < known_at + MAX_CANCELLATIONS_AGE
+
+    def answers_workers(self, member: int) -> bool:
+        """Whether a controller answers workers now."""
+        return (
+            self.has_valid_term(member) and self.terms[member].cancellations_known_at is not None
+        )
 
     def _transfer_leadership(self) -> None:
-        """The leader whose key stands stops, and names a successor that the service serves."""
-        leaders = [m for m, term in self.terms.items() if term.epoch == self.key]
-        able = [m for m in self.members if self.served[m] and m not in self.terms]
-        if not leaders or not able:
+        """The leader that has the key stops, and names a successor that the store serves."""
+        leaders = [m for m, term in self.terms.items() if term.epoch == self.key_epoch]
+        successors = [m for m in self.members if self.served[m] and m not in self.terms]
+        if not leaders or not successors:
             return
-        before = self.terms.pop(leaders[0])
-        member = self.rng.choice(able)
-        known = before.clear is not None
-        if not known and not self._may_campaign(member):
+        former = self.terms.pop(leaders[0])
+        successor = self.rng.choice(successors)
+        others_stopped = former.others_stopped_at is not None
+        if not others_stopped and not self._may_campaign(successor):
             return
-        confirmed = known or not self._has("a successor is told whether it is clear")
-        self.voter[member].campaigned_against_epoch = self.epoch
-        self._lead(member, self.epoch + 1, confirmed)
-
-    def _send(self, one: Round) -> None:
-        """The transaction of an election is on its way: executed at once, or a while later."""
-        if self._has("who has stood does not promise"):
-            self.voter[one.asker].campaigned_against_epoch = self.epoch
-        clear, sent = self._all_confirm(one), self.now
-        wait = self.rng.choice((0.0, 0.0, self.rng.uniform(0, LIFE)))
-        self._after(wait, lambda: self._apply(one, sent, clear))
-
-    def _apply(self, one: Round, sent: float, clear: bool) -> None:
-        """It is executed, under a lease that was opened when it was sent."""
-        if self.key is not None or self.epoch + 1 != one.epoch or self.now > sent + LIFE:
+        if not self._has(Condition.SUCCESSORS_ARE_INFORMED_OF_OTHERS):
+            others_stopped = True
+        self.voters[successor].campaigned_against_epoch = self.epoch
+        self._lead(successor, self.epoch + 1, others_stopped)
+
+    def _send_transaction(self, request: RequestRound) -> None:
+        """Send the transaction of a campaign, which is executed at once, or a while later."""
+        if self._has(Condition.CAMPAIGNS_PREVENT_GRANTS):
+            self.voters[request.asker].campaigned_against_epoch = self.epoch
+        others_stopped, sent_at = self._majority_is_free(request), self.now
+        delay = self.rng.choice((0.0, 0.0, self.rng.uniform(0, LEASE_TTL)))
+        self._schedule(delay, lambda: self._execute(request, sent_at, others_stopped))
+
+    def _execute(self, request: RequestRound, sent_at: float, others_stopped: bool) -> None:
+        """Execute the transaction, under a lease that was opened when it was sent."""
+        if self.key_epoch is not None or self.epoch + 1 != request.epoch:
             return
-        if self.process[one.asker] == one.process and self.now < sent + WAITING:
-            self._lead(one.asker, one.epoch, clear)
-        else:  # whoever sent it has ended, or given it up: nobody leads under this key
-            self.epoch = self.key = one.epoch
-            self.key_end = sent + LIFE
-
-    def _lead(self, member: int, epoch: int, clear: bool) -> None:
-        self.epoch = self.key = epoch
-        self.key_end = self.now + LIFE
-        term = Term(epoch, self.key_end - MARGIN, self.now, self.now)
-        term.clear = self.now if clear else None
+        if self.now > sent_at + LEASE_TTL:
+            return
+        same_process = self.processes[request.asker] == request.process
+        if same_process and self.now < sent_at + TRANSACTION_TIMEOUT:
+            self._lead(request.asker, request.epoch, others_stopped)
+        else:  # the sender has ended, or has given it up: nobody leads under this key
+            self.epoch = self.key_epoch = request.epoch
+            self.key_expires_at = sent_at + LEASE_TTL
+
+    def _lead(self, member: int, epoch: int, others_stopped: bool) -> None:
+        self.epoch = self.key_epoch = epoch
+        self.key_expires_at = self.now + LEASE_TTL
+        valid_until = self.key_expires_at - LEASE_SAFETY_MARGIN
+        term = ModelTerm(epoch, valid_until, self.now, self.now)
+        term.others_stopped_at = self.now if others_stopped else None
         self.terms[member] = term
-        self._read(member, term)
+        self._read_records(member, term)
 
     # cancellations
 
     def _cancel(self) -> None:
-        """A user cancels a job at somebody who is served; who is told so at once, or asks again
-        later, wherever it is."""
-        able = [m for m in self.members if self.served[m]]
-        if not able:
+        """A user cancels a job at a controller that is served, and gets the confirmation at once,
+        or polls for it later at any other."""
+        served = [m for m in self.members if self.served[m]]
+        if not served:
             return
-        job = len(self.stored)
-        self.stored.append(job)
+        job = len(self.cancelled_jobs)
+        self.cancelled_jobs.append(job)
         if self.rng.random() < 0.7:
-            self._tell(self.rng.choice(able), job)
+            self._confirm(self.rng.choice(served), job)
         for _ in range(2):
-            self._after(self.rng.uniform(0, 3), lambda: self._poll(job))
+            self._schedule(self.rng.uniform(0, 3), lambda: self._poll(job))
 
     def _poll(self, job: int) -> None:
-        able = [m for m in self.members if self.served[m]]
-        if able:
-            self._tell(self.rng.choice(able), job)
+        served = [m for m in self.members if self.served[m]]
+        if served:
+            self._confirm(self.rng.choice(served), job)
 
-    def _tell(self, member: int, job: int) -> None:
+    def _confirm(self, member: int, job: int) -> None:
         self.confirmed[member].note(str(job), self._clock())
-        self.users.setdefault(job, self.now)
+        self.first_confirmed_at.setdefault(job, self.now)
 
-    def _read(self, member: int, term: Term) -> None:
-        """All records are read: as they are at some moment between the sending and the answer."""
+    def _read_records(self, member: int, term: ModelTerm) -> None:
+        """Read all records, as they are at some moment between the request and the response."""
         if not self.served[member]:
             return
-        sent, took = self.now, self.rng.uniform(0, READING)
-        seen: list[int] = []
-        self._after(took * self.rng.random(), lambda: seen.extend(self.stored))
-        self._after(took + 1e-6, lambda: self._know(member, term, sent, seen))
-
-    def _know(self, member: int, term: Term, sent: float, jobs: list[int]) -> None:
-        if self.terms.get(member) is term:
-            term.jobs.update(jobs)
-            at = sent if self._has("a reading counts from its sending") else self.now
-            term.known = at if term.known is None else max(term.known, at)
-
-    def answering(self, member: int) -> bool:
-        """Whether a controller answers workers now."""
-        return self.holding(member) and self.terms[member].known is not None
+        sent_at, duration = self.now, self.rng.uniform(0, MAX_READ_TIME)
+        jobs: list[int] = []
+        self._schedule(duration * self.rng.random(), lambda: jobs.extend(self.cancelled_jobs))
+        self._schedule(duration + 1e-6, lambda: self._finish_read(member, term, sent_at, jobs))
+
+    def _finish_read(self, member: int, term: ModelTerm, sent_at: float, jobs: list[int]) -> None:
+        if self.terms.get(member) is not term:
+            return
+        term.known_cancelled.update(jobs)
+        at = sent_at if self._has(Condition.READS_COUNT_FROM_THEIR_SENDING) else self.now
+        known_at = term.cancellations_known_at
+        term.cancellations_known_at = at if known_at is None else max(known_at, at)
 
     # what a controller does by itself
 
-    def _loop(self, member: int) -> None:
-        """Renew, or ask for promises; stand, when nobody leads."""
-        self._after(PAUSE, lambda: self._loop(member))
+    def _run_step(self, member: int) -> None:
+        """Renew the lease or request lease grants; campaign when nobody leads."""
+        self._schedule(LOOP_INTERVAL, lambda: self._run_step(member))
         term = self.terms.get(member)
         if term is None:
-            if self.key is None and self.served[member] and self._may_campaign(member):
-                self._ask(member, "standing", self.epoch + 1, PRE_VOTE_TIME)
-        elif not self.holding(member) and self._has("a lapsed term is not taken up again"):
+            if self.key_epoch is None and self.served[member] and self._may_campaign(member):
+                self._ask_peers(member, RequestKind.PRE_VOTE, self.epoch + 1, PRE_VOTE_TIMEOUT)
+            return
+        self._keep_term(member, term)
+        if term.others_stopped_at is not None:
+            return
+        if self.now >= term.started_at + MAX_TIME_ON_MAJORITY_GRANTS + GRANT_DURATION:
+            term.others_stopped_at = self.now
+        else:
+            self._ask_peers(member, RequestKind.FORMER_LEADERS, term.epoch, PRE_VOTE_TIMEOUT)
+
+    def _keep_term(self, member: int, term: ModelTerm) -> None:
+        if not self.has_valid_term(member) and self._has(Condition.LAPSED_TERMS_ARE_NOT_RESUMED):
             del self.terms[member]
-        elif self.served[member] and self.key == term.epoch:
-            self.key_end = self.now + LIFE
-            term.valid, term.renewed = self.now + LIFE - MARGIN, self.now
-            if not self._has("a renewal tells nothing of cancellations"):
-                term.known = self.now
-            if self.rng.random() < 0.5:  # what it has on its way may be held up
-                self._read(member, term)
+        elif self.served[member] and self.key_epoch == term.epoch:
+            self._renew(member, term)
         elif not self.served[member]:
-            self._ask(member, "promise", term.epoch, ASKING)
-        if term is not None and term.clear is None:
-            if self.now >= term.started_at + ALONE + PROMISED:
-                term.clear = self.now
-            else:
-                self._ask(member, "clear", term.epoch, PRE_VOTE_TIME)
+            self._ask_peers(member, RequestKind.GRANT_LEASE, term.epoch, GRANT_REQUEST_TIMEOUT)
+
+    def _renew(self, member: int, term: ModelTerm) -> None:
+        self.key_expires_at = self.now + LEASE_TTL
+        term.lease_valid_until = self.now + LEASE_TTL - LEASE_SAFETY_MARGIN
+        term.renewed_at = self.now
+        if not self._has(Condition.RENEWALS_SHOW_NO_CANCELLATIONS):
+            term.cancellations_known_at = self.now
+        if self.rng.random() < 0.5:  # a read may be delayed
+            self._read_records(member, term)
 
     def _may_campaign(self, member: int) -> bool:
-        free = self.voter[member].campaign_allowed_at() <= self._clock()
-        return free or not self._has("who has promised does not stand")
+        allowed = self.voters[member].campaign_allowed_at() <= self._clock()
+        return allowed or not self._has(Condition.GRANTS_PREVENT_CAMPAIGNS)
 
-    def _ask(self, member: int, kind: str, epoch: int, limit: float) -> None:
-        one = Round(member, self.process[member], kind, epoch, self.now)
+    def _ask_peers(self, member: int, kind: RequestKind, epoch: int, timeout: float) -> None:
+        request = RequestRound(member, self.processes[member], kind, epoch, self.now)
         term = self.terms.get(member)
-        if term is not None and term.known is not None:
-            one.span = self.now - term.known + WINDOW_MARGIN
-        if kind != "promise":
-            free = self.voter[member].pre_vote(epoch, self._clock(), False).free
-            one.free = free or not self._has("who has promised does not stand")
+        if term is not None and term.cancellations_known_at is not None:
+            request.confirmed_span = (
+                self.now - term.cancellations_known_at + CONFIRMED_WINDOW_MARGIN
+            )
+        if kind is not RequestKind.GRANT_LEASE:
+            free = self.voters[member].pre_vote(epoch, self._clock(), False).free
+            request.asker_free = free or not self._has(Condition.GRANTS_PREVENT_CAMPAIGNS)
         for peer in self.members:
-            if peer != member and self.rng.random() >= self.lost:
-                self._after(self.rng.uniform(0, self.late), lambda p=peer: self._arrive(one, p))
-        self._after(limit * self.rng.choice((0.3, 0.6, 1)), lambda: self._gather(one))
+            if peer != member and self.rng.random() >= self.loss_rate:
+                delay = self.rng.uniform(0, self.max_delay)
+                self._schedule(delay, partial(self._deliver, request, peer))
+        delay = timeout * self.rng.choice((0.3, 0.6, 1))
+        self._schedule(delay, lambda: self._finish_round(request))
 
-    # what becomes of it
+    # requests to peers
 
-    def _arrive(self, one: Round, peer: int) -> None:
-        voter = self.voter[peer]
-        if frozenset((one.asker, peer)) in self.cut:
+    def _deliver(self, request: RequestRound, peer: int) -> None:
+        if frozenset((request.asker, peer)) in self.cut_links:
             return
-        if one.kind == "promise":
-            if self.served[peer]:
-                return
-            request = LeaseGrantRequest(str(one.asker), one.epoch, int(PROMISED * 1000))
-            reply = voter.grant_lease(request, self._clock(), peer in self.terms, 0)
-            one.answers[peer] = (reply.granted, reply.granted and not reply.weak)
-            one.confirmed[peer] = self.confirmed[peer].within(
-                timedelta(seconds=one.span), self._clock()
-            )
-        elif not self._has("a promise is told to candidates"):
-            one.answers[peer] = (True, True)
+        if request.kind is RequestKind.GRANT_LEASE:
+            self._deliver_grant_request(request, peer)
+        elif not self._has(Condition.CANDIDATES_ARE_INFORMED_OF_GRANTS):
+            request.votes[peer] = Vote(True, True)
+        else:
+            self._deliver_pre_vote(request, peer)
+
+    def _deliver_grant_request(self, request: RequestRound, peer: int) -> None:
+        if self.served[peer]:
+            return
+        message = LeaseGrantRequest(str(request.asker), request.epoch, int(GRANT_DURATION * 1000))
+        reply = self.voters[peer].grant_lease(message, self._clock(), peer in self.terms, 0)
+        request.votes[peer] = Vote(reply.granted, reply.granted and not reply.weak)
+        request.confirmed[peer] = self.confirmed[peer].within(
+            timedelta(seconds=request.confirmed_span), self._clock()
+        )
+
+    def _deliver_pre_vote(self, request: RequestRound, peer: int) -> None:
+        voter = self.voters[peer]
+        min_grant_epoch = voter.min_grant_epoch
+        leads = self.has_valid_term(peer)
+        free = voter.pre_vote(request.epoch, self._clock(), leads).free
+        if not self._has(Condition.FREE_ANSWERS_BAR_LOWER_EPOCHS):
+            voter.min_grant_epoch = min_grant_epoch
+        request.votes[peer] = Vote(free, free)
+
+    def _finish_round(self, request: RequestRound) -> None:
+        if self.processes[request.asker] != request.process:
+            return
+        if request.kind is RequestKind.GRANT_LEASE:
+            self._finish_grant_request(request)
+        elif request.kind is RequestKind.PRE_VOTE:
+            self._finish_pre_vote(request)
         else:
-            min_grant_epoch = voter.min_grant_epoch
-            free = voter.pre_vote(one.epoch, self._clock(), self.holding(peer)).free
-            if not self._has("free leaves a bar"):
-                voter.min_grant_epoch = min_grant_epoch
-            one.answers[peer] = (free, free)
-
-    def _gather(self, one: Round) -> None:
-        if self.process[one.asker] == one.process:
-            getattr(self, "_gather_" + one.kind)(one)
-
-    def _gather_promise(self, one: Round) -> None:
-        term = self.terms.get(one.asker)
-        if term is None or term.epoch != one.epoch:
+            self._finish_former_leader_check(request)
+
+    def _finish_grant_request(self, request: RequestRound) -> None:
+        term = self.terms.get(request.asker)
+        if term is None or term.epoch != request.epoch:
             return
-        if not self.holding(one.asker) and self._has("a lapsed term is not taken up again"):
+        lapsed = not self.has_valid_term(request.asker)
+        if lapsed and self._has(Condition.LAPSED_TERMS_ARE_NOT_RESUMED):
             return
-        others = len(self.members) - 1
-        self._gather_confirmed(one, term)
-        until = one.sent + PROMISED - MARGIN
-        yes = sum(granted for granted, _ in one.answers.values())
-        strong = sum(strong for _, strong in one.answers.values())
-        half = not self._has("a majority, not half, is needed to go on")
-        if yes == others:
-            term.promised = until
-        elif (strong + 1 + half) * 2 > others + 1:
-            if self._has("going on without all is bounded"):
-                until = min(until, term.renewed + ALONE)
-            term.promised = max(term.promised, until)
-
-    def _gather_confirmed(self, one: Round, term: Term) -> None:
-        """What all have told, if that is complete since all was known the last time."""
-        if term.known is None:
+        self._apply_attestations(request, term)
+        peers = len(self.members) - 1
+        until = request.sent_at + GRANT_DURATION - LEASE_SAFETY_MARGIN
+        granted = sum(vote.agreed for vote in request.votes.values())
+        strong = sum(vote.strong for vote in request.votes.values())
+        half_suffices = not self._has(Condition.MORE_THAN_HALF_EXTENDS_A_TERM)
+        if granted == peers:
+            term.grants_valid_until = until
+        elif (strong + 1 + half_suffices) * 2 > peers + 1:
+            if self._has(Condition.TIME_ON_MAJORITY_GRANTS_IS_BOUNDED):
+                until = min(until, term.renewed_at + MAX_TIME_ON_MAJORITY_GRANTS)
+            term.grants_valid_until = max(term.grants_valid_until, until)
+
+    def _apply_attestations(self, request: RequestRound, term: ModelTerm) -> None:
+        """Apply the cancellations that all controllers have confirmed, if that is complete since
+        all were known the last time."""
+        if term.cancellations_known_at is None:
             return
-        now, since = self._clock(), timedelta(seconds=term.known)
-        said = list(one.confirmed.values())
-        if len(said) < len(self.members) - 1 and self._has("all attest, not those that answer"):
+        windows = self._attested_windows(request, term.cancellations_known_at)
+        if not windows:
             return
-        if self._has("a leader attests for itself"):
-            span = timedelta(seconds=self.now - term.known + WINDOW_MARGIN)
-            said.append(self.confirmed[one.asker].within(span, now))
-        if not said:
+        merged = merge_windows(windows)
+        complete = merged.covers(timedelta(seconds=term.cancellations_known_at), self._clock())
+        if not complete and self._has(Condition.ATTESTATIONS_LEAVE_NO_GAP):
             return
-        all_confirmed = merge_windows(said)
-        reaches = all_confirmed.covers(since, now)
-        if not reaches and self._has("an attestation reaches back to what was known"):
+        term.known_cancelled.update(int(job) for job in merged.cancelled)
+        from_request = self._has(Condition.ATTESTATIONS_COUNT_FROM_THE_REQUEST)
+        at = request.sent_at if from_request else self.now
+        term.cancellations_known_at = max(term.cancellations_known_at, at)
+
+    def _attested_windows(
+        self, request: RequestRound, known_at: float
+    ) -> list[CancellationWindow]:
+        """What the peers and the leader attest; empty if it may not be relied on."""
+        windows = list(request.confirmed.values())
+        if len(windows) < len(self.members) - 1 and self._has(Condition.ALL_PEERS_ATTEST):
+            return []
+        if self._has(Condition.LEADERS_ATTEST_FOR_THEMSELVES):
+            span = timedelta(seconds=self.now - known_at + CONFIRMED_WINDOW_MARGIN)
+            windows.append(self.confirmed[request.asker].within(span, self._clock()))
+        return windows
+
+    def _majority_is_free(self, request: RequestRound) -> bool:
+        free = sum(vote.agreed for vote in request.votes.values()) + request.asker_free
+        majority = free * 2 > len(self.members)
+        return majority or not self._has(Condition.CANDIDATES_ASK_A_MAJORITY)
+
+    def _finish_pre_vote(self, request: RequestRound) -> None:
+        if self.key_epoch is not None or self.epoch + 1 != request.epoch:
             return
-        term.jobs.update(int(job) for job in all_confirmed.cancelled)
-        at = one.sent if self._has("an attestation counts from the question") else self.now
-        term.known = max(term.known, at)
+        if self.served[request.asker] and self._may_campaign(request.asker):
+            self._send_transaction(request)
 
-    def _all_confirm(self, one: Round) -> bool:
-        free = sum(free for free, _ in one.answers.values())
-        free += one.free
-        return free * 2 > len(self.members) or not self._has("candidates ask a majority")
-
-    def _gather_standing(self, one: Round) -> None:
-        if self.key is not None or self.epoch + 1 != one.epoch or not self.served[one.asker]:
-            return
-        if not self._may_campaign(one.asker):
+    def _finish_former_leader_check(self, request: RequestRound) -> None:
+        term = self.terms.get(request.asker)
+        if term is None or term.epoch != request.epoch:
             return
-        self._send(one)
+        if self._majority_is_free(request):
+            term.others_stopped_at = term.others_stopped_at or self.now
 
-    def _gather_clear(self, one: Round) -> None:
-        term = self.terms.get(one.asker)
-        if term is not None and term.epoch == one.epoch and self._all_confirm(one):
-            term.clear = term.clear or self.now
+    # invariants
 
-    # the rule
+    def violation(self) -> str | None:
+        """The invariant that is violated now, with the figures; None if there is none."""
+        return self._missed_cancellation() or self._former_leader_answers()
 
-    def broken(self) -> str | None:
-        """What must never be so, if it is."""
+    def _missed_cancellation(self) -> str | None:
         for member, term in self.terms.items():
-            for job, at in self.users.items():
-                late = self.now + LEASE > at + CANCEL
-                if late and job not in term.jobs and self.answering(member):
+            for job, confirmed_at in self.first_confirmed_at.items():
+                too_late = self.now + WORKER_LEASE > confirmed_at + CANCELLATION_DEADLINE
+                if not too_late or job in term.known_cancelled:
+                    continue
+                if self.answers_workers(member):
                     return (
-                        f"{member} answers with epoch {term.epoch} at {self.now:.2f}, and does not"
-                        f" know that job {job} was called cancelled at {at:.2f}"
+                        f"{member} answers with epoch {term.epoch} at {self.now:.2f}, and is not"
+                        f" aware of the cancellation of job {job}, confirmed at {confirmed_at:.2f}"
                     )
+        return None
+
+    def _former_leader_answers(self) -> str | None:
         for member, term in self.terms.items():
-            if term.clear is None or self.now < term.clear:
+            stopped_at = term.others_stopped_at
+            if stopped_at is None or self.now < stopped_at:
                 continue
             for other, former in self.terms.items():
-                if former.epoch < term.epoch and self.holding(other):
+                if former.epoch < term.epoch and self.has_valid_term(other):
                     return (
                         f"{other} answers with epoch {former.epoch} at {self.now:.2f}, while"
-                        f" {member} takes silence for a proof since {term.clear:.2f}"
+                        f" {member} takes silence as proof since {stopped_at:.2f}"
                     )
         return None
 
 
-def search(members: int, schedules: int, seconds: float, without: str | None = None) -> str | None:
-    """The first schedule found on which the rule is broken."""
+def search(
+    members: int, schedules: int, duration: float, without: Condition | None = None
+) -> str | None:
+    """The first violation found in this many schedules of `duration` seconds; None if there is
+    none."""
     for seed in range(schedules):
         election = ElectionModel(members, random.Random(seed), without)
-        end = election.now + seconds
+        end = election.now + duration
         while election.now < end:
             election.step()
-            broken = election.broken()
-            if broken is not None:
-                return f"seed {seed}: {broken}"
+            violation = election.violation()
+            if violation is not None:
+                return f"seed {seed}: {violation}"
     return None
--- a/dappledrum/peers/client.py
+++ b/dappledrum/peers/client.py
@@ -13,7 +13,7 @@
     TransferLeadership,
     TransferLeadershipReply,
 )
-from dappledrum.election.quorum import ALWAYS, PeerAnswers, majority
+from dappledrum.election.quorum import UNLIMITED_SPAN, PeerAnswers, majority
 from dappledrum.http.client import Caller, NoResponseError
 from dappledrum.jobs.confirmed_cancellations import CancellationWindow, merge_windows
 from dappledrum.membership.messages import (
@@ -47,7 +47,8 @@
 
     def __init__(self, callers: dict[str, Caller]) -> None:
         self.callers = callers
-        self.refusals: dict[str, str] = {}  # why each refused its newest promise, as logged
+        #: Why each peer refused the newest request for a lease grant, as logged; empty: granted.
+        self.refusals: dict[str, str] = {}
 
     async def _ask(
         self, member: str, question: PeerRequest, kind: type, timeout: timedelta
@@ -62,10 +63,7 @@
     async def request_lease_grants(
         self, request: LeaseGrantRequest, timeout: timedelta
     ) -> PeerAnswers:
-        """How many of the other controllers promise not to stand.
-
-        One that does not answer has not promised.
-        """
+        """Ask all other controllers for lease grants; one that does not answer has not granted."""
         asked = [
             self._ask(member, LeaseGrantCall(request), LeaseGrantReply, timeout)
             for member in self.callers
@@ -74,7 +72,7 @@
         for member, reply in zip(self.callers, replies, strict=True):
             why = "no answer" if reply is None else "" if reply.granted else reply.reason
             if why and self.refusals.get(member) != why:
-                log.info("no promise from %s: %s", member, why)
+                log.info("no lease grant from %s: %s", member, why)
             self.refusals[member] = why
         granted = [reply for reply in replies if reply is not None and reply.granted]
         strong = sum(not reply.weak for reply in granted)
@@ -86,43 +84,43 @@
             )
             for reply in replies
         ]
-        confirmed.append(CancellationWindow(frozenset(), ALWAYS))
+        confirmed.append(CancellationWindow(frozenset(), UNLIMITED_SPAN))
         return PeerAnswers(len(granted), len(replies), strong, confirmed=merge_windows(confirmed))
 
     async def is_served(self, member: str, request: LeaseGrantRequest, timeout: timedelta) -> bool:
-        """Whether the store serves a peer now: asked for a promise, a peer makes a request
-        of its own, and refuses if that is answered."""
+        """Whether the store serves a peer now: asked for a lease grant, a peer makes a request of
+        its own to the store, and refuses if that is answered."""
         reply = await self._ask(member, LeaseGrantCall(request), LeaseGrantReply, timeout)
         return reply is not None and not reply.granted
 
     async def pre_vote(self, question: PreVote, timeout: timedelta) -> PeerAnswers:
-        """How many of the other controllers hold to no promise (pre-vote). Returns as soon as a
+        """Ask all other controllers whether they are free of lease grants; returns as soon as a
         majority has answered so."""
         asked = [
             asyncio.ensure_future(self._pre_vote(member, question, timeout))
             for member in self.callers
         ]
-        yes, old = 0, False
+        free, unsupported = 0, False
         try:
             for done in asyncio.as_completed(asked):
-                free = await done
-                yes, old = yes + (free is True), old or free is None
-                if majority(yes, len(asked)):
+                answer = await done
+                free, unsupported = free + (answer is True), unsupported or answer is None
+                if majority(free, len(asked)):
                     break
         finally:
             for task in asked:
                 task.cancel()
-        return PeerAnswers(yes, len(asked), old=old)
+        return PeerAnswers(free, len(asked), unsupported=unsupported)
 
     async def _pre_vote(self, member: str, question: PreVote, timeout: timedelta) -> bool | None:
-        """Whether a peer holds to no promise; None if it does not support the question."""
+        """Whether a peer is free of lease grants; None if it does not support the request."""
         try:
             reply = await self.callers[member].request("POST", "/peer", encode(question), timeout)
             if reply.status == 400:
                 return None
             return bool(reply.status == 200 and decode(reply.body, PreVoteReply).free)
         except (NoResponseError, MalformedError) as error:
-            log.debug("peer %s does not say whether it is free: %s", member, error)
+            log.debug("no pre-vote from %s: %s", member, error)
             return False
 
     async def heartbeat_attempts(self, within: timedelta, timeout: timedelta) -> dict[str, int]:
@@ -154,7 +152,8 @@
 
     async def _holders(self, timeout: timedelta) -> list[HoldsTermReply | None]:
         asked = [self._ask(m, HoldsTermRequest(), HoldsTermReply, timeout) for m in self.callers]
-        return await asyncio.gather(*asked)
+        replies: list[HoldsTermReply | None] = await asyncio.gather(*asked)
+        return replies
 
     async def version(self, member: str, timeout: timedelta) -> str | None:
         """The version that a peer runs; None if it does not answer."""
--- a/dappledrum/store/test_hedged_commit.py
+++ b/dappledrum/store/test_hedged_commit.py
@@ -8,11 +8,12 @@
 import msgspec
 import pytest
 
+from dappledrum.election.context import ElectionContext, LeaseLimits
 from dappledrum.election.elector import Elector
-from dappledrum.election.lease_keeper import LeaseKeeper
 from dappledrum.election.quorum import PeerAnswers
 from dappledrum.election.terms import Term
 from dappledrum.jobs.api import JobApi
+from dappledrum.jobs.confirmed_cancellations import ConfirmedCancellations
 from dappledrum.jobs.job import Job
 from dappledrum.jobs.keys import head_key
 from dappledrum.jobs.messages import JobRecord, PageRecord, Spec
@@ -415,6 +416,20 @@
     run(main())
 
 
+class FreePeer:
+    """One peer, which is free of lease grants."""
+
+    async def pre_vote(self, _question, _timeout):
+        return PeerAnswers(1, 1)
+
+
+class SilentHost:
+    """A controller that does nothing when leadership changes."""
+
+    def leadership_changed(self):
+        pass
+
+
 @pytest.mark.parametrize("own", [True, False])
 def test_only_the_own_lease_proves_an_election(own):
     """A transaction of an earlier process of the same member puts the same key there."""
@@ -422,17 +437,21 @@
     async def main():
         store = Store()
 
-        async def pre_vote(_question, _timeout):
-            return PeerAnswers(1, 1)
-
         span = timedelta(seconds=20)
-        life = timedelta(seconds=3)
-        lease_keeper = LeaseKeeper(
-            "node", store.client, store.clock, store.rng, life, None, span, span
+        elector = Elector(
+            ElectionContext(
+                "node",
+                store.client,
+                store.clock,
+                store.rng,
+                LeaseLimits(timedelta(seconds=3), span, span),
+                FreePeer(),
+                SilentHost(),
+                ConfirmedCancellations(ZERO),
+            )
         )
-        elector = Elector(lease_keeper, pre_vote, None)
         elector.voter.restart_wait_until = ZERO
-        standing_for = asyncio.ensure_future(elector._campaign())
+        campaign = asyncio.ensure_future(elector._campaign())
         if own:
             store.delay(0.0)
             await asyncio.sleep(0.2)
@@ -444,6 +463,6 @@
             )
             await asyncio.sleep(1.4)
             assert elector.term is None
-        standing_for.cancel()
+        campaign.cancel()
 
     run(main())
