--- a/dappledrum/model/election.py
+++ b/dappledrum/model/election.py
@@ -8,9 +8,7 @@
 controllers. Users cancel jobs at a controller that is served, and get the confirmation there, or
 later from another.
 
-After each event two invariants are checked. Once a leader takes silence as proof, nobody of a
-lower epoch answers workers; and nobody answers workers who is not aware of a cancellation that is
-too old for the lease that this renews.
+The invariants are in `election_search.py`, which also searches schedules for a violation.
 """
 
 import heapq
@@ -27,7 +25,6 @@
     merge_windows,
 )
 from dappledrum.model.election_conditions import (
-    CANCELLATION_DEADLINE,
     CONFIRMED_WINDOW_MARGIN,
     GRANT_DURATION,
     GRANT_REQUEST_TIMEOUT,
@@ -39,7 +36,6 @@
     MAX_TIME_ON_MAJORITY_GRANTS,
     PRE_VOTE_TIMEOUT,
     TRANSACTION_TIMEOUT,
-    WORKER_LEASE,
     Condition,
     ModelTerm,
     RequestKind,
@@ -415,51 +411,3 @@
             return
         if self._majority_is_free(request):
             term.others_stopped_at = term.others_stopped_at or self.now
-
-    # invariants
-
-    def violation(self) -> str | None:
-        """The invariant that is violated now, with the figures; None if there is none."""
-        return self._missed_cancellation() or self._former_leader_answers()
-
-    def _missed_cancellation(self) -> str | None:
-        for member, term in self.terms.items():
-            for job, confirmed_at in self.first_confirmed_at.items():
-                too_late = self.now + WORKER_LEASE > confirmed_at + CANCELLATION_DEADLINE
-                if not too_late or job in term.known_cancelled:
-                    continue
-                if self.answers_workers(member):
-                    return (
-                        f"{member} answers with epoch {term.epoch} at {self.now:.2f}, and is not"
-                        f" aware of the cancellation of job {job}, confirmed at {confirmed_at:.2f}"
-                    )
-        return None
-
-    def _former_leader_answers(self) -> str | None:
-        for member, term in self.terms.items():
-            stopped_at = term.others_stopped_at
-            if stopped_at is None or self.now < stopped_at:
-                continue
-            for other, former in self.terms.items():
-                if former.epoch < term.epoch and self.has_valid_term(other):
-                    return (
-                        f"{other} answers with epoch {former.epoch} at {self.now:.2f}, while"
-                        f" {member} takes silence as proof since {stopped_at:.2f}"
-                    )
-        return None
-
-
-def search(
-    members: int, schedules: int, duration: float, without: Condition | None = None
-) -> str | None:
-    """The first violation found in this many schedules of `duration` seconds; None if there is
-    none."""
-    for seed in range(schedules):
-        election = ElectionModel(members, random.Random(seed), without)
-        end = election.now + duration
-        while election.now < end:
-            election.step()
-            violation = election.violation()
-            if violation is not None:
-                return f"seed {seed}: {violation}"
-    return None
--- a/dappledrum/model/test_election.py
+++ b/dappledrum/model/test_election.py
@@ -6,8 +6,8 @@
 
 from dappledrum.election.messages import LeaseGrantRequest
 from dappledrum.election.voter import Voter
-from dappledrum.model.election import search
 from dappledrum.model.election_conditions import Condition
+from dappledrum.model.election_search import search
 
 #: Conditions whose absence random schedules show too rarely. The first three are tested below.
 RARELY_VIOLATED = (
