--- a/dappledrum/dispatch/bag_builder.py
+++ b/dappledrum/dispatch/bag_builder.py
@@ -15,7 +15,7 @@
 from dappledrum.scheduling.deadlines import next_deadline
 from dappledrum.scheduling.stages import Stage
 from dappledrum.timing.clock import ZERO, Clock
-from dappledrum.workers.failure_attribution import suspected
+from dappledrum.workers.failure_attribution import is_suspected
 
 MAX_READY_TASKS = 2_000  # tasks of one job that a plan considers
 #: A job of which nothing has begun for so long gets its first task before all others. Users count
@@ -73,7 +73,7 @@
 
     def build(self, job: Job, now: timedelta) -> Bag | None:
         """The ready tasks of a job; None if none of them may be placed now."""
-        suspect = suspected(job)
+        suspect = is_suspected(job)
         if not self._may_start(job, now, suspect):
             return None
         best_effort = self.deadlines.is_best_effort(job, self.stages)
--- a/dappledrum/fleet/autoscaler.py
+++ b/dappledrum/fleet/autoscaler.py
@@ -205,7 +205,7 @@
             return
         log.info("rented %d of %d %s (%s)", len(names), count, kind, ", ".join(names))
         for name in names:
-            if name not in self.registry.gone:
+            if name not in self.registry.terminated:
                 machine = self.registry.ensure(name, kind, sent)
                 machine.rented_at = sent
                 if not machine.up:
@@ -253,7 +253,7 @@
                             self.aside.pop(
                                 machine.kind, None
                             )  # what has just been given back can be had again
-                        self.reconciler.returned(machine)
+                        self.reconciler.remove_returned(machine)
 
     def _why_return(self, machine: Machine) -> str | None:
         now = self.clock.now()
@@ -312,7 +312,7 @@
     def _reconcile(self, listed: list[ListedMachine]) -> None:
         now = self.clock.now()
         for item in listed:
-            if item.id in self.registry.gone:
+            if item.id in self.registry.terminated:
                 continue
             machine = self.registry.get(item.id)
             if machine is None:
--- a/dappledrum/fleet/test_autoscaler.py
+++ b/dappledrum/fleet/test_autoscaler.py
@@ -2,7 +2,9 @@
 
 import asyncio
 from datetime import timedelta
+from unittest.mock import Mock
 
+from dappledrum.accounting.ledger import Ledger
 from dappledrum.fleet.autoscaler import Autoscaler
 from dappledrum.fleet.cloud_client import CloudError, NoCapacityError
 from dappledrum.fleet.messages import MachineType
@@ -12,6 +14,7 @@
 from dappledrum.timing.clock import Clock, seconds
 from dappledrum.workers.machine_registry import MachineRegistry
 from dappledrum.workers.reconciler import Reconciler
+from dappledrum.workers.reconciliation_context import ReconciliationContext, ReconciliationObserver
 
 SPOT = InstanceKind("small", "a", True)
 
@@ -41,13 +44,13 @@
 def keeping(cloud):
     params = SimulatedCluster(seed=1, members=()).params
     registry = MachineRegistry()
-    books = Reconciler(
-        {}, registry, Estimates(), params.workers, Clock(), 3, lambda _: None, lambda _: None
-    )
+    context = ReconciliationContext({}, registry, params.workers, Clock(), 3)
+    ledger = Ledger(registry, context.clock)
+    reconciler = Reconciler(context, Estimates(), ledger, Mock(spec=ReconciliationObserver))
     autoscaler = Autoscaler(
         cloud,
         registry,
-        books,
+        reconciler,
         params,
         Clock(),
         3,
@@ -148,7 +151,8 @@
     autoscaler, registry = keeping(cloud)
     autoscaler.order({SPOT: 1}, {"h1"}, autoscaler.clock.now())
     await while_running(autoscaler, autoscaler.rent_loop, autoscaler.list_loop, for_s=28)
-    assert registry.get("h1") is not None and "h1" not in registry.gone
+    assert registry.get("h1") is not None
+    assert "h1" not in registry.terminated
 
 
 async def test_a_plan_made_while_a_request_was_out_does_not_ask_again():
--- a/dappledrum/leader/heartbeat_responder.py
+++ b/dappledrum/leader/heartbeat_responder.py
@@ -66,9 +66,9 @@
             log.warning("%s has seen token %d, stepping down", heartbeat.machine, heartbeat.token)
             self.term.ended.set()
             return None
-        if heartbeat.machine in self.registry.gone:
+        if heartbeat.machine in self.registry.terminated:
             return None
-        machine = self.reconciler.take(heartbeat)
+        machine = self.reconciler.process_heartbeat(heartbeat)
         known = self.registry.get(heartbeat.machine)
         if machine is None:
             if known is None or not holding():
@@ -78,7 +78,7 @@
             return Commands(self.term.epoch, [])
         if self.leading():
             await self._wait_for_work(machine, most)
-        if not holding() or machine.name in self.registry.gone:
+        if not holding() or machine.name in self.registry.terminated:
             return None
         return self._commands(machine, heartbeat)
 
--- a/dappledrum/leader/leader.py
+++ b/dappledrum/leader/leader.py
@@ -24,6 +24,7 @@
 from dappledrum.jobs.job import Job
 from dappledrum.jobs.keys import head_key, spec_key
 from dappledrum.jobs.messages import JobRecord, SpecPart
+from dappledrum.jobs.page import Page
 from dappledrum.jobs.record_writer import RecordWriter
 from dappledrum.leader.heartbeat_responder import MAX_IDLE_WAIT, HeartbeatResponder
 from dappledrum.leader.job_loader import JOBS, JobLoader
@@ -42,6 +43,7 @@
 from dappledrum.workers.machine_registry import MachineRegistry
 from dappledrum.workers.messages import Commands, WorkerHeartbeat
 from dappledrum.workers.reconciler import Reconciler
+from dappledrum.workers.reconciliation_context import ReconciliationContext
 
 log = logging.getLogger(__name__)
 
@@ -94,19 +96,16 @@
         self.graph = DependencyGraph(self.jobs, self.record_writer.mark_dirty, self.wake)
         self.record_writer.on_cancelled = self.graph.cancelled
         self.resolver = DependencyResolver(store, self.graph, clock)
-        self.reconciler = Reconciler(
+        context = ReconciliationContext(
             self.jobs,
             self.registry,
-            self.estimates,
             params.workers,
             clock,
             term.epoch,
-            self.record_writer.mark_dirty,
-            self.wake,
-            self.ledger,
             lambda: term.others_stopped_at,
             awake_since,
         )
+        self.reconciler = Reconciler(context, self.estimates, self.ledger, self)
         self.autoscaler = Autoscaler(
             cloud,
             self.registry,
@@ -122,7 +121,6 @@
         self.recovery = RecoveryProgress(
             self.registry, clock, params.workers.lease, lambda: self.autoscaler.listed
         )
-        self.reconciler.on_lost = self.recovery.lost
         most = params.state.value_bytes
         self.memory = FleetFacts(
             AdvisoryRecord(store, term.guard(), FLEET, FleetRecord, most, RequestPriority.RECORD),
@@ -173,7 +171,7 @@
     def set_types(self, types: list[MachineType]) -> None:
         """Take over a catalog."""
         self.autoscaler.types = {t.name: t for t in types}
-        self.reconciler.cache_gb = {t.name: t.cache_gb for t in types}
+        self.reconciler.set_cache_sizes({t.name: t.cache_gb for t in types})
 
     def no_answers_since(self, moment: timedelta) -> None:
         """Note that no other controller has answered a worker since then."""
@@ -186,6 +184,18 @@
             )
             self.reconciler.no_answers_since(moment)
 
+    def page_changed(self, page: Page) -> None:
+        """Have a changed page stored."""
+        self.record_writer.mark_dirty(page)
+
+    def planning_needed(self, reason: str) -> None:
+        """Trigger a planning round; `reason` is for debugging."""
+        self.wake(reason)
+
+    def placement_lost(self, reason: str) -> None:
+        """Count a placement that was given up."""
+        self.recovery.lost(reason)
+
     def wake(self, why: str) -> None:
         """Trigger a planning round; `why` is for debugging."""
         self.woken.set()
@@ -405,7 +415,7 @@
             # A leader that was paused until its term was over does not know what others have
             # answered since: one took hundreds of tasks for lost, though it could store nothing.
             if self.leading():
-                self.reconciler.sweep()
+                self.reconciler.lose_expired()
             self.recovery.look()
             self.record_writer.shrink(self.jobs.values())
             await asyncio.sleep(0.5)
--- a/dappledrum/recovery/test_last_answers.py
+++ b/dappledrum/recovery/test_last_answers.py
@@ -9,7 +9,7 @@
 from dappledrum.membership.test_outages import two_sides
 from dappledrum.simulation.cluster import SimulatedCluster, job
 from dappledrum.simulation.virtual_time import run
-from dappledrum.workers.reconciler import Reconciler
+from dappledrum.workers.attempt_ends import AttemptEnds
 
 FIVE = tuple(f"drummer-{index}" for index in range(5))
 LEASE = 9.0
@@ -20,19 +20,19 @@
     """Each proof by silence is told with its time, and checked against what is on the machine: a
     loop of the leader would only log a failure and go on."""
     found, clusters, wrong = [], [], []
-    lost = Reconciler._lost
+    lose = AttemptEnds.lose
 
-    def checked(self, machine, placement, why, entry):
+    def checked(self, machine, placement, reason, entry):
         rented = clusters[-1].cloud.machines.get(machine.name)
         key = (f"{placement.page.job.id}/{placement.task}", placement.attempt)
-        if "silent" in why:
+        if "silent" in reason:
             found.append((asyncio.get_running_loop().time(), machine.name))
             on = rented.worker.attempts.get(key) if rented is not None and rented.worker else None
             if on is not None and on.state != "ended":
                 wrong.append(f"{key} is on {machine.name}")
-        lost(self, machine, placement, why, entry)
+        lose(self, machine, placement, reason, entry)
 
-    monkeypatch.setattr(Reconciler, "_lost", checked)
+    monkeypatch.setattr(AttemptEnds, "lose", checked)
     yield found, clusters
     assert not wrong
 
--- a/dappledrum/recovery/test_reconciliation.py
+++ b/dappledrum/recovery/test_reconciliation.py
@@ -4,10 +4,12 @@
 import itertools
 from datetime import UTC, datetime
 from typing import NamedTuple
+from unittest.mock import Mock
 
 import msgspec
 import pytest
 
+from dappledrum.accounting.ledger import Ledger
 from dappledrum.jobs.job import Job
 from dappledrum.jobs.messages import JobRecord, PageRecord, Spec
 from dappledrum.scheduling.estimates import Estimates
@@ -18,6 +20,7 @@
 from dappledrum.workers.machine_registry import MachineRegistry
 from dappledrum.workers.messages import TaskStatus, WorkerHeartbeat
 from dappledrum.workers.reconciler import Reconciler
+from dappledrum.workers.reconciliation_context import ReconciliationContext, ReconciliationObserver
 
 TOKEN = 5
 
@@ -105,26 +108,20 @@
             page.place(0, "m", case.recorded[1], "a", datetime.now(UTC), case.recorded[0])
         page.stored_revision = page.revision
         own.cancelled = case.cancelled
-        books = Reconciler(
-            {own.id: own},
-            MachineRegistry(),
-            Estimates(),
-            WorkerLimits(1.0, 9.0, 30.0),
-            Clock(),
-            TOKEN,
-            lambda page: None,
-            lambda why: None,
-        )
-        books.restore(own)
+        limits = WorkerLimits(1.0, 9.0, 30.0)
+        context = ReconciliationContext({own.id: own}, MachineRegistry(), limits, Clock(), TOKEN)
+        ledger = Ledger(context.registry, context.clock)
+        reconciler = Reconciler(context, Estimates(), ledger, Mock(spec=ReconciliationObserver))
+        reconciler.restore(own)
         tasks = [] if case.shown is None else [TaskStatus("j-000001/0", *case.shown)]
         token = TOKEN - 1 if case.held_back else TOKEN
         heartbeat = WorkerHeartbeat(
             "m", "10.1.0.1:1", "small", "a", True, case.session, 7, token, None, tasks
         )
-        machine = books.take(heartbeat)
+        machine = reconciler.process_heartbeat(heartbeat)
         assert machine is not None
         instruction = ", ".join(
-            command.op for command in books.commands.of_records(machine, heartbeat)
+            command.op for command in reconciler.commands.of_records(machine, heartbeat)
         )
         return Outcome(0 in page.placements, page.is_done(0), instruction or None)
 
--- a/dappledrum/simulation/costs.py
+++ b/dappledrum/simulation/costs.py
@@ -91,19 +91,20 @@
     report = run(play(day, options.seed, options.machines, 0.3, options.until))
     profile.disable()
     number, seconds, functions = by_slice(pstats.Stats(profile))
-    reports = functions["workers/reconciler.py:take"]
+    heartbeats = functions["workers/reconciler.py:process_heartbeat"]
     placed = functions["jobs/job.py:place"]
     plans = functions["dispatch/dispatcher.py:run"]
     print(
-        f"{options.machines} machines, seed {options.seed}, {options.until:g} s: {reports} reports"
-        f" taken, {placed} placements, {plans} plans, {report.accepted} jobs;"
+        f"{options.machines} machines, seed {options.seed}, {options.until:g} s: {heartbeats}"
+        f" heartbeats processed, {placed} placements, {plans} plans, {report.accepted} jobs;"
         f" {report.state_requests_per_s:g} requests and {report.state_changes_per_s:g} changes a"
         " second"
     )
-    print(f"{'slice':12} {'calls':>10} {'a report':>9} {'a placement':>12} {'seconds':>9}")
+    print(f"{'slice':12} {'calls':>10} {'a heartbeat':>11} {'a placement':>12} {'seconds':>9}")
     for part, count in number.most_common():
         print(
-            f"{part:12} {count:10} {count / max(reports, 1):9.1f} {count / max(placed, 1):12.1f}"
+            f"{part:12} {count:10} {count / max(heartbeats, 1):11.1f}"
+            f" {count / max(placed, 1):12.1f}"
             f" {seconds[part]:9.2f}"
         )
     return 0
--- a/dappledrum/simulation/ground_truth.py
+++ b/dappledrum/simulation/ground_truth.py
@@ -13,6 +13,7 @@
 from dappledrum.accounting.entries import Entry
 from dappledrum.jobs.placement import Placement
 from dappledrum.simulation.fleet import CloudService
+from dappledrum.workers.attempt_ends import AttemptEnds
 from dappledrum.workers.machine_registry import Machine
 from dappledrum.workers.messages import WorkerHeartbeat
 from dappledrum.workers.reconciler import Reconciler
@@ -43,10 +44,10 @@
                 return True
         return False
 
-    def check_alive(self, books: Reconciler, machine: Machine) -> None:
+    def check_alive(self, reconciler: Reconciler, machine: Machine) -> None:
         """A leader has taken a heartbeat of a machine."""
         gone = self.gone_at.get(machine.name)
-        if machine.up and gone is not None and gone < self.began_at[books]:
+        if machine.up and gone is not None and gone < self.began_at[reconciler]:
             self.wrong.append(f"{machine.name} is gone and looks alive")
 
     def check_never_begun(self, machine: Machine, lost_before: set[Placement]) -> None:
@@ -65,29 +66,30 @@
 def watched() -> Iterator[GroundTruth]:
     """Watch all leaders and clouds until the end of the block."""
     truth = GroundTruth()
-    begin, take, lose = Reconciler.__init__, Reconciler.take, Reconciler._lost
+    begin, process = Reconciler.__init__, Reconciler.process_heartbeat
+    lose = AttemptEnds.lose
     open_cloud, remove = CloudService.__init__, CloudService.take
 
-    def begun(books: Reconciler, *parts: Any, **more: Any) -> None:  # noqa: ANN401 - passed on
-        begin(books, *parts, **more)
-        truth.began_at[books] = asyncio.get_running_loop().time()
+    def begun(reconciler: Reconciler, *parts: Any, **more: Any) -> None:  # noqa: ANN401 - passed on
+        begin(reconciler, *parts, **more)
+        truth.began_at[reconciler] = asyncio.get_running_loop().time()
 
-    def taken(books: Reconciler, heartbeat: WorkerHeartbeat) -> Machine | None:
-        known = books.registry.get(heartbeat.machine)
+    def processed(reconciler: Reconciler, heartbeat: WorkerHeartbeat) -> Machine | None:
+        known = reconciler.registry.get(heartbeat.machine)
         placements = known.placements.values() if known is not None else ()
         lost_before = {placement for placement in placements if placement.lost}
-        machine = take(books, heartbeat)
+        machine = process(reconciler, heartbeat)
         if machine is not None:
-            truth.check_alive(books, machine)
+            truth.check_alive(reconciler, machine)
             truth.check_never_begun(machine, lost_before)
         return machine
 
     def lost(
-        books: Reconciler, machine: Machine, placement: Placement, why: str, entry: Entry
+        ends: AttemptEnds, machine: Machine, placement: Placement, reason: str, entry: Entry
     ) -> None:
         task = placement.name
-        truth.check_gone(machine.name, task, placement.attempt, why)
-        lose(books, machine, placement, why, entry)
+        truth.check_gone(machine.name, task, placement.attempt, reason)
+        lose(ends, machine, placement, reason, entry)
 
     def opened(cloud: CloudService, *parts: Any, **more: Any) -> None:  # noqa: ANN401 - passed on
         open_cloud(cloud, *parts, **more)
@@ -99,8 +101,8 @@
 
     with (
         patch.object(Reconciler, "__init__", begun),
-        patch.object(Reconciler, "take", taken),
-        patch.object(Reconciler, "_lost", lost),
+        patch.object(Reconciler, "process_heartbeat", processed),
+        patch.object(AttemptEnds, "lose", lost),
         patch.object(CloudService, "__init__", opened),
         patch.object(CloudService, "take", removed),
     ):
--- a/dappledrum/simulation/test_costs.py
+++ b/dappledrum/simulation/test_costs.py
@@ -3,7 +3,9 @@
 
 import gc
 from datetime import timedelta
+from unittest.mock import Mock
 
+from dappledrum.accounting.ledger import Ledger
 from dappledrum.scheduling.estimates import Estimates
 from dappledrum.scheduling.plan import Bag, Planner, TeamCapacity
 from dappledrum.scheduling.timeline import InstanceKind, MachineTimeline, Offer, Size
@@ -15,6 +17,7 @@
 from dappledrum.workers.machine_registry import MachineRegistry
 from dappledrum.workers.messages import WorkerHeartbeat
 from dappledrum.workers.reconciler import Reconciler
+from dappledrum.workers.reconciliation_context import ReconciliationContext, ReconciliationObserver
 
 SPOT, ORDINARY = InstanceKind("small", "a", True), InstanceKind("small", "a", False)
 SIZE = Size(1.0, 0.0, 1.0)
@@ -87,21 +90,15 @@
 def test_a_heartbeat_costs_no_more_for_all_the_other_machines():
     async def one(machines):
         registry = MachineRegistry()
-        books = Reconciler(
-            {},
-            registry,
-            Estimates(),
-            WorkerLimits(1.0, 10.0, 30.0),
-            Clock(),
-            5,
-            lambda page: None,
-            lambda why: None,
-        )
+        limits = WorkerLimits(1.0, 10.0, 30.0)
+        context = ReconciliationContext({}, registry, limits, Clock(), 5)
+        ledger = Ledger(registry, context.clock)
+        reconciler = Reconciler(context, Estimates(), ledger, Mock(spec=ReconciliationObserver))
 
         def comes(name, tick):
             heartbeat = WorkerHeartbeat(name, "10.1.0.1:1", "small", "a", True, 1, tick, 5)
-            machine = books.take(heartbeat)
-            return books.commands.of_records(machine, heartbeat)
+            machine = reconciler.process_heartbeat(heartbeat)
+            return reconciler.commands.of_records(machine, heartbeat)
 
         for index in range(machines):
             comes(f"m{index}", 1)
--- a/dappledrum/workers/failure_attribution.py
+++ b/dappledrum/workers/failure_attribution.py
@@ -26,25 +26,28 @@
     FAULTY = "faulty"
 
 
-def suspected(job: Job) -> bool:
-    """The job fails wherever it is tried."""
+def is_suspected(job: Job) -> bool:
+    """Whether the job seems to fail wherever it is tried."""
     return len(job.failures_by_machine) >= (
         PROVEN_JOB_MACHINES if job.done else FRESH_JOB_MACHINES
     )
 
 
-def failed(job: Job, machine: Machine) -> None:
-    """A task of the job has failed on the machine."""
+def record_failure(job: Job, machine: Machine) -> None:
+    """Count a failure of a task of the job on the machine."""
     job.failures_by_machine[machine.name] = job.failures_by_machine.get(machine.name, 0) + 1
     machine.errors[job.id] = machine.errors.get(job.id, 0) + 1
 
 
 def judge(machine: Machine, jobs: Mapping[str, Job]) -> Verdict:
-    """Look at the failures since anything last succeeded on the machine."""
+    """What the failures since anything last succeeded on a machine say about it.
+
+    `jobs` are the live jobs, by name.
+    """
     blamed = {
         name: count
         for name, count in machine.errors.items()
-        if (job := jobs.get(name)) is not None and not suspected(job)
+        if (job := jobs.get(name)) is not None and not is_suspected(job)
     }
     if sum(blamed.values()) < MACHINE_ERRORS:
         return Verdict.SOUND
--- a/dappledrum/workers/machine_registry.py
+++ b/dappledrum/workers/machine_registry.py
@@ -8,9 +8,9 @@
 from dappledrum.jobs.placement import Placement
 from dappledrum.scheduling.timeline import InstanceKind
 from dappledrum.timing.clock import longer
-from dappledrum.workers.reachability import GONE_MARGIN, Reachability
+from dappledrum.workers.reachability import LEASE_EXPIRY_MARGIN, Reachability
 
-KEPT_NAMES = 2_000
+MAX_TERMINATED_NAMES = 2_000
 
 
 class Machine:
@@ -76,7 +76,7 @@
             if self.last_heartbeat is None
             else max(self.last_answer, self.last_heartbeat)
         )
-        return now > heard + longer(lease) + GONE_MARGIN
+        return now > heard + longer(lease) + LEASE_EXPIRY_MARGIN
 
     def silent(
         self, now: timedelta, heartbeat_interval: timedelta, awake_since: timedelta
@@ -99,11 +99,11 @@
 
 
 class MachineRegistry:
-    """All machines, and the names of those that are gone."""
+    """All machines, and the names of those that have terminated."""
 
     def __init__(self) -> None:
         self.machines: dict[str, Machine] = {}
-        self.gone: OrderedDict[str, None] = OrderedDict()
+        self.terminated: OrderedDict[str, None] = OrderedDict()
 
     def __iter__(self) -> Iterator[Machine]:
         return iter(list(self.machines.values()))
@@ -127,9 +127,9 @@
         up = [machine for machine in self.machines.values() if machine.up]
         return sum(machine.reachability.unreachable for machine in up) * 2 > len(up)
 
-    def drop(self, name: str) -> None:
-        """Remove a machine that is gone; late heartbeats of it must not bring it back."""
+    def remove_terminated(self, name: str) -> None:
+        """Remove a machine that has terminated; late heartbeats of it must not bring it back."""
         self.machines.pop(name, None)
-        self.gone[name] = None
-        while len(self.gone) > KEPT_NAMES:
-            self.gone.popitem(last=False)
+        self.terminated[name] = None
+        while len(self.terminated) > MAX_TERMINATED_NAMES:
+            self.terminated.popitem(last=False)
--- /dev/null
+++ b/dappledrum/workers/placement_comparison.py
@@ -0,0 +1,124 @@
+"""Compares the tasks in a heartbeat with the placements in the records."""
+
+import logging
+from datetime import timedelta
+
+from dappledrum.accounting.entries import Entry
+from dappledrum.jobs.job import Job
+from dappledrum.jobs.placement import Placement
+from dappledrum.workers.attempt_ends import AttemptEnds
+from dappledrum.workers.commands import wanted
+from dappledrum.workers.machine_registry import Machine
+from dappledrum.workers.messages import TaskState, TaskStatus, WorkerHeartbeat, job_and_number
+from dappledrum.workers.reachability_updates import record_missed_answer, record_received_answer
+from dappledrum.workers.reconciliation_context import ReconciliationContext
+
+log = logging.getLogger(__name__)
+
+#: Image cache of a machine whose type the catalog does not name, in GB: never full.
+UNKNOWN_CACHE_GB = 1e9
+
+#: Job, task and attempt.
+AttemptKey = tuple[str, int, int]
+
+
+class PlacementComparison:
+    """Brings the placements on a machine in step with its heartbeats."""
+
+    def __init__(self, context: ReconciliationContext, ends: AttemptEnds) -> None:
+        self.context = context
+        self.ends = ends
+        self.cache_gb: dict[str, float] = {}  # size of the image cache, by machine type
+
+    def apply(self, machine: Machine, heartbeat: WorkerHeartbeat, now: timedelta) -> None:
+        """Process the tasks that a heartbeat shows, and the placements that it does not show."""
+        shown = self._process_shown(machine, heartbeat, now)
+        missed_start = False
+        for placement in list(machine.placements.values()):
+            missed_start |= _lacks_offered_start(placement, heartbeat)
+            if placement.session < heartbeat.session:
+                self.ends.lose(machine, placement, "its session has ended", Entry.LOST_SILENT)
+            elif (
+                placement.session == heartbeat.session
+                and _attempt_key(placement) not in shown
+                and self._proves_termination(placement, heartbeat)
+            ):
+                self.ends.lose(machine, placement, "no longer there", Entry.LOST_STOPPED)
+        if missed_start:
+            record_missed_answer(machine, "does not begin what it is given")
+        # Only once it has shown this term's token: before, old copies look like heartbeats that
+        # show neither the token nor what a predecessor has started since, and stopped what was
+        # running.
+        if machine.reachability.unreachable and machine.up:
+            for placement in machine.placements.values():
+                # Not offered any more, so the next heartbeat without it proves that it is not
+                # there.
+                placement.lost |= not placement.observed
+
+    def _process_shown(
+        self, machine: Machine, heartbeat: WorkerHeartbeat, now: timedelta
+    ) -> set[AttemptKey]:
+        shown: set[AttemptKey] = set()
+        for status in heartbeat.tasks:
+            job_id, number = job_and_number(status.task)
+            if number is None:
+                continue
+            shown.add((job_id, number, status.attempt))
+            job = self.context.jobs.get(job_id)
+            if job is not None and number < job.spec.tasks:
+                self._process_status(machine, job, number, status, now)
+        return shown
+
+    def _process_status(
+        self, machine: Machine, job: Job, task: int, status: TaskStatus, now: timedelta
+    ) -> None:
+        placement = machine.placements.get((job.id, task))
+        if placement is not None and placement.attempt != status.attempt:
+            placement = None
+        if status.state == TaskState.ENDED:
+            self.ends.end(machine, job.page_of(task), task, placement, status)
+        elif placement is not None:
+            if not placement.observed and placement.offered_sequence >= 0:
+                record_received_answer(machine)
+            placement.observed = True
+            placement.waiting_for_gang = status.state == TaskState.WAITING
+            if status.state == TaskState.RUNNING and placement.running_since is None:
+                self._record_run(machine, job, placement, now)
+
+    def _record_run(
+        self, machine: Machine, job: Job, placement: Placement, now: timedelta
+    ) -> None:
+        """Record that an attempt runs, and so has its image."""
+        placement.running_since = now
+        if not job.has_run:
+            job.has_run = True
+            waited = (self.context.clock.today() - job.accepted_at).total_seconds()
+            log.info("%s began %.1f s after it came", job.id, waited)
+        cache_gb = UNKNOWN_CACHE_GB
+        if machine.kind is not None:
+            cache_gb = self.cache_gb.get(machine.kind.type, UNKNOWN_CACHE_GB)
+        machine.remember_image(job.spec.image, job.spec.image_gb, cache_gb)
+
+    def _proves_termination(self, placement: Placement, heartbeat: WorkerHeartbeat) -> bool:
+        """Whether the absence of an attempt from a heartbeat of its session is proof: the worker
+        has processed or dropped the answer that carried the start, and gets no other."""
+        return (
+            heartbeat.token == self.context.token
+            and heartbeat.sequence > placement.offered_sequence
+            and (placement.observed or placement.lost or not wanted(placement))
+        )
+
+
+def _attempt_key(placement: Placement) -> AttemptKey:
+    return placement.page.job.id, placement.task, placement.attempt
+
+
+def _lacks_offered_start(placement: Placement, heartbeat: WorkerHeartbeat) -> bool:
+    """Whether the answer to an earlier heartbeat of this session carried the start of an attempt
+    that no heartbeat has shown."""
+    return (
+        0 <= placement.offered_sequence < heartbeat.sequence
+        and not placement.observed
+        and not placement.lost
+        and placement.session == heartbeat.session
+    )
--- a/dappledrum/workers/reachability.py
+++ b/dappledrum/workers/reachability.py
@@ -30,19 +30,19 @@
 #: that gets no answer sends its heartbeats to one controller after the other, 5 s apart; one that
 #: was cut off both ways for so long that its session ended has not been heard for nearly a lease.
 STEADY = 0.75
-GONE_MARGIN = timedelta(milliseconds=500)
+LEASE_EXPIRY_MARGIN = timedelta(milliseconds=500)
 
 
 class Reachability:
     """What is known about the answers to one machine in one term."""
 
     __slots__ = (
-        "unreachable",
-        "session_at",
         "answered_at",
+        "missed_answers",
+        "session_at",
         "steady_at",
         "token_shown",
-        "missed_answers",
+        "unreachable",
     )
 
     def __init__(self) -> None:
@@ -59,7 +59,7 @@
             self.steady_at = now
         self.answered_at = now
 
-    def note_missed_answer(self) -> bool:
+    def record_missed_answer(self) -> bool:
         """Note a heartbeat that does not show what an earlier answer carried; True: the machine
         counts as unreachable from now on."""
         self.missed_answers += 1
@@ -95,4 +95,7 @@
     def outlasts_lease(self, now: timedelta, lease: timedelta) -> bool:
         """Whether the session is older than one can be that has got no answer since it began, or
         since it was first heard of."""
-        return self.session_at is not None and now > self.session_at + longer(lease) + GONE_MARGIN
+        return (
+            self.session_at is not None
+            and now > self.session_at + longer(lease) + LEASE_EXPIRY_MARGIN
+        )
--- /dev/null
+++ b/dappledrum/workers/reconciliation_context.py
@@ -0,0 +1,43 @@
+"""What the parts of the reconciliation share during one term of a leader."""
+
+from collections.abc import Callable
+from dataclasses import dataclass
+from datetime import timedelta
+from typing import Protocol
+
+from dappledrum.jobs.job import Job
+from dappledrum.jobs.page import Page
+from dappledrum.settings import WorkerLimits
+from dappledrum.timing.clock import ZERO, Clock
+from dappledrum.workers.machine_registry import MachineRegistry
+
+
+class ReconciliationObserver(Protocol):
+    """Receives what a heartbeat, or the lack of one, changes."""
+
+    def page_changed(self, page: Page) -> None:
+        """The progress or the placements of a page have changed, and must be stored."""
+
+    def planning_needed(self, reason: str) -> None:
+        """Something has changed that a plan depends on; `reason` is for debugging."""
+
+    def placement_lost(self, reason: str) -> None:
+        """A placement was given up, since it is proven to have terminated without an end."""
+
+
+@dataclass(frozen=True)
+class ReconciliationContext:
+    """Records, limits and clock of one term.
+
+    `token` is the fencing token of the term. `others_stopped_at` returns the moment since which no
+    other controller has answered a worker, or None if that is not known. `awake_since` returns the
+    end of the last pause of this process.
+    """
+
+    jobs: dict[str, Job]
+    registry: MachineRegistry
+    limits: WorkerLimits
+    clock: Clock
+    token: int
+    others_stopped_at: Callable[[], timedelta | None] = lambda: ZERO
+    awake_since: Callable[[], timedelta] = lambda: ZERO
--- a/dappledrum/workers/test_failure_attribution.py
+++ b/dappledrum/workers/test_failure_attribution.py
@@ -7,7 +7,7 @@
 from dappledrum.scheduling.timeline import InstanceKind
 from dappledrum.simulation.cluster import job
 from dappledrum.timing.clock import ZERO
-from dappledrum.workers.failure_attribution import Verdict, failed, judge, suspected
+from dappledrum.workers.failure_attribution import Verdict, is_suspected, judge, record_failure
 from dappledrum.workers.machine_registry import Machine
 
 
@@ -32,13 +32,13 @@
     broken = made(1)
     machines = [machine(f"m{n}") for n in range(4)]
     for _ in range(8):
-        failed(broken, machines[0])
+        record_failure(broken, machines[0])
     assert judge(machines[0], table(broken)) is Verdict.DOUBTFUL
-    failed(broken, machines[1])
-    assert suspected(broken)
+    record_failure(broken, machines[1])
+    assert is_suspected(broken)
     for one in machines[2:]:
         for _ in range(5):
-            failed(broken, one)
+            record_failure(broken, one)
     assert all(judge(one, table(broken)) is Verdict.SOUND for one in machines)
 
 
@@ -46,7 +46,7 @@
     jobs = [made(number) for number in range(3)]
     bad = machine("m")
     for one in jobs:
-        failed(one, bad)
+        record_failure(one, bad)
     assert judge(bad, table(*jobs)) is Verdict.FAULTY
 
 
@@ -54,7 +54,7 @@
     proven = made(1, done=1)
     bad = machine("m")
     for _ in range(3):
-        failed(proven, bad)
+        record_failure(proven, bad)
     assert judge(bad, table(proven)) is Verdict.FAULTY
 
 
@@ -63,12 +63,12 @@
     machines = [machine("m"), machine("n")]
     for one in jobs:
         for where in machines:
-            failed(one, where)
+            record_failure(one, where)
     assert all(judge(where, table(*jobs)) is Verdict.SOUND for where in machines)
 
 
 def test_a_sound_job_with_a_few_failing_tasks_is_not_suspected():
     sound = made(1, done=1)
     for name in ("m", "n"):
-        failed(sound, machine(name))
-    assert not suspected(sound)
+        record_failure(sound, machine(name))
+    assert not is_suspected(sound)
--- a/dappledrum/workers/test_reachability.py
+++ b/dappledrum/workers/test_reachability.py
@@ -4,7 +4,9 @@
 import asyncio
 import random
 from datetime import timedelta
+from unittest.mock import Mock
 
+from dappledrum.accounting.ledger import Ledger
 from dappledrum.scheduling.estimates import Estimates
 from dappledrum.settings import WorkerLimits
 from dappledrum.simulation.virtual_time import run
@@ -13,6 +15,7 @@
 from dappledrum.workers.messages import WorkerHeartbeat
 from dappledrum.workers.reachability import Reachability
 from dappledrum.workers.reconciler import Reconciler
+from dappledrum.workers.reconciliation_context import ReconciliationContext, ReconciliationObserver
 
 LEASE = timedelta(seconds=10)
 
@@ -43,34 +46,24 @@
 
 def test_it_serves_again_when_it_shows_that_it_hears():
     reachability = answered(1)
-    assert (
-        not reachability.note_missed_answer()
-        and reachability.note_missed_answer()
-        and reachability.unreachable
-    )
-    assert not reachability.note_missed_answer(), "said once"
-    assert (
-        reachability.confirm_reachable()
-        and not reachability.unreachable
-        and not reachability.note_missed_answer()
-    )
+    assert not reachability.record_missed_answer()
+    assert reachability.record_missed_answer()
+    assert reachability.unreachable
+    assert not reachability.record_missed_answer(), "said once"
+    assert reachability.confirm_reachable()
+    assert not reachability.unreachable
+    assert not reachability.record_missed_answer()
 
 
 def desk(registry, clock):
     """A leader that has taken over now, with token 5, and knows nothing."""
     began = clock.now()
     limits = WorkerLimits(1.0, 10.0, 30.0)
-    return Reconciler(
-        {},
-        registry,
-        Estimates(),
-        limits,
-        clock,
-        5,
-        lambda page: None,
-        lambda why: None,
-        others_stopped_at=lambda: began,
+    context = ReconciliationContext(
+        {}, registry, limits, clock, 5, others_stopped_at=lambda: began
     )
+    observer = Mock(spec=ReconciliationObserver)
+    return Reconciler(context, Estimates(), Ledger(registry, clock), observer)
 
 
 class Plain:
@@ -106,19 +99,20 @@
         clock = Clock()
         began = clock.now()
         registry = MachineRegistry()
-        books = desk(registry, clock)
+        reconciler = desk(registry, clock)
         for tick in range(40):
             heartbeat = WorkerHeartbeat("m", "10.1.0.1:1", "small", "a", True, 1, tick, 4)
-            if books.take(heartbeat) is not None:
+            if reconciler.process_heartbeat(heartbeat) is not None:
                 registry.get("m").reachability.answered(clock.now(), LEASE)
                 registry.get("m").last_answer = clock.now()
             await asyncio.sleep(1)
         machine = registry.get("m")
-        assert not machine.up and machine.unconfirmed
+        assert not machine.up
+        assert machine.unconfirmed
         assert seconds(9) < machine.last_heartbeat - began < seconds(12)
         assert machine.expired(clock.now(), LEASE)
         back = WorkerHeartbeat("m", "10.1.0.1:1", "small", "a", True, 2, 41, 4)
-        assert books.take(back) is machine, "a new session was begun by somebody"
+        assert reconciler.process_heartbeat(back) is machine, "a new session was begun by somebody"
 
     run(main())
 
@@ -131,7 +125,7 @@
         rng = random.Random(seed)
         clock = Clock()
         began = clock.now()
-        books = desk(MachineRegistry(), clock)
+        reconciler = desk(MachineRegistry(), clock)
         worker = Plain(rng)
         for _ in range(rng.randint(0, 20)):  # under the predecessor
             worker.step(-rng.uniform(0, 30))
@@ -142,7 +136,7 @@
         def comes(heartbeat, copy):
             at, session, sequence, token = heartbeat
             text = WorkerHeartbeat("m", "10.1.0.1:1", "small", "a", True, session, sequence, token)
-            machine = books.take(text)
+            machine = reconciler.process_heartbeat(text)
             if machine is None:
                 return
             taken.append((now, heartbeat, copy))
@@ -157,7 +151,7 @@
                 comes(worker.step(now), False)
             for heartbeat in rng.sample(worker.sent, min(len(worker.sent), rng.randint(0, 3))):
                 comes(heartbeat, True)
-            machine = books.registry.get("m")
+            machine = reconciler.registry.get("m")
             shown |= machine is not None and machine.reachability.token_shown
             assert machine is None or machine.up == shown, "no copy of a former term's is life"
             assert shown <= (worker.token == 5)
--- a/dappledrum/workers/test_reconciler.py
+++ b/dappledrum/workers/test_reconciler.py
@@ -2,10 +2,12 @@
 
 import asyncio
 from datetime import UTC, datetime, timedelta
+from unittest.mock import Mock
 
 import msgspec
 import pytest
 
+from dappledrum.accounting.ledger import Ledger
 from dappledrum.jobs.job import Job
 from dappledrum.jobs.messages import JobRecord, PageRecord, Spec
 from dappledrum.scheduling.estimates import Estimates
@@ -16,6 +18,7 @@
 from dappledrum.workers.machine_registry import MachineRegistry
 from dappledrum.workers.messages import TaskStatus, WorkerHeartbeat
 from dappledrum.workers.reconciler import Reconciler
+from dappledrum.workers.reconciliation_context import ReconciliationContext, ReconciliationObserver
 
 TOKEN = 5
 
@@ -29,16 +32,11 @@
         self.job = Job(JobRecord(msgspec.convert(spec, Spec), 0, 256, PageRecord()), 1)
         self.registry = MachineRegistry()
         limits = WorkerLimits(1.0, 9.0, 30.0)
-        self.books = Reconciler(
-            {self.job.id: self.job},
-            self.registry,
-            Estimates(),
-            limits,
-            Clock(),
-            TOKEN,
-            lambda page: None,
-            lambda why: None,
-        )
+        jobs = {self.job.id: self.job}
+        context = ReconciliationContext(jobs, self.registry, limits, Clock(), TOKEN)
+        ledger = Ledger(self.registry, context.clock)
+        observer = Mock(spec=ReconciliationObserver)
+        self.reconciler = Reconciler(context, Estimates(), ledger, observer)
         self.page = self.job.page(0)
         self.heartbeat(1)
         machine = self.registry.get("m")
@@ -56,11 +54,11 @@
         heartbeat = WorkerHeartbeat(
             "m", "10.1.0.1:1", "small", "a", True, session, sequence, token, None, items
         )
-        machine = self.books.take(heartbeat)
+        machine = self.reconciler.process_heartbeat(heartbeat)
         if machine is None:
             return None
-        machine.last_answer = self.books.clock.now()
-        return [(c.op, c.attempt) for c in self.books.commands.of_records(machine, heartbeat)]
+        machine.last_answer = self.reconciler.clock.now()
+        return [(c.op, c.attempt) for c in self.reconciler.commands.of_records(machine, heartbeat)]
 
     @property
     def gone(self):
@@ -131,7 +129,8 @@
     desk = stored_desk()
     desk.heartbeat(2)
     assert desk.heartbeat(3, DONE) == []
-    assert desk.page.is_done(0) and desk.gone
+    assert desk.page.is_done(0)
+    assert desk.gone
     desk.save()
     assert desk.heartbeat(4, DONE) == [("forget", 1)]
 
@@ -167,7 +166,7 @@
     desk = stored_desk()
     desk.heartbeat(2, RUNNING)
     await asyncio.sleep(silence)
-    desk.books.sweep()
+    desk.reconciler.lose_expired()
     assert desk.gone is gone
 
 
@@ -175,18 +174,18 @@
     desk = stored_desk()
     await asyncio.sleep(100)
     desk.registry.machines.clear()
-    desk.books.restore(desk.job)
+    desk.reconciler.restore(desk.job)
     await asyncio.sleep(8.9)
-    desk.books.sweep()
+    desk.reconciler.lose_expired()
     assert not desk.gone
     await asyncio.sleep(0.7)
-    desk.books.sweep()
+    desk.reconciler.lose_expired()
     assert desk.gone
 
 
 async def test_returned_machines_stay_gone():
     desk = Desk()
-    desk.books.returned(desk.registry.get("m"))
+    desk.reconciler.remove_returned(desk.registry.get("m"))
     assert desk.gone
     assert desk.heartbeat(9, RUNNING) is None
     assert desk.registry.get("m") is None
@@ -199,10 +198,11 @@
         desk.placement = desk.page.place(0, "m", 1, "a", datetime.now(UTC))
         desk.registry.get("m").placements[(desk.job.id, 0)] = desk.placement
     machine = desk.registry.get("m")
-    assert not machine.draining and machine.blocked_until > desk.books.clock.now()
+    assert not machine.draining
+    assert machine.blocked_until > desk.reconciler.clock.now()
     assert desk.job.retry_at == timedelta(0)
     done = [TaskStatus("j-000001/1", 9, "ended", "done")]
-    desk.books.take(
+    desk.reconciler.process_heartbeat(
         WorkerHeartbeat("n", "10.1.0.2:1", "small", "a", True, 1, 1, TOKEN, None, done)
     )
     assert machine.draining
@@ -221,15 +221,15 @@
     """Its first tasks were given up, or the machine was returned, in the moment between its
     heartbeat and the answer."""
     desk = Desk()
-    machine = desk.registry.ensure("slow", None, desk.books.clock.now())
+    machine = desk.registry.ensure("slow", None, desk.reconciler.clock.now())
     await asyncio.sleep(60)
     heartbeat = WorkerHeartbeat("slow", "10.1.0.1:1", "small", "a", True, 1, 1, 0)
-    assert desk.books.take(heartbeat) is machine
+    assert desk.reconciler.process_heartbeat(heartbeat) is machine
     placement = desk.page.place(1, "slow", 1, "a", datetime.now(UTC))
     machine.placements[(desk.job.id, 1)] = placement
-    desk.books.sweep()
+    desk.reconciler.lose_expired()
     assert 1 in desk.page.placements
-    assert not machine.expired(desk.books.clock.now(), desk.books.limits.lease)
+    assert not machine.expired(desk.reconciler.clock.now(), desk.reconciler.limits.lease)
 
 
 async def test_an_answer_stays_short():
@@ -243,9 +243,10 @@
         machine.placements[(big.id, task)] = placement
     page.stored_revision = page.revision
     heartbeat = WorkerHeartbeat("m", "10.1.0.1:1", "small", "a", True, 1, 2, TOKEN)
-    desk.books.take(heartbeat)
-    first = desk.books.commands.of_records(machine, heartbeat)
-    assert len(first) == 400 and len(msgspec.json.encode(first)) < 64 * 1024
+    desk.reconciler.process_heartbeat(heartbeat)
+    first = desk.reconciler.commands.of_records(machine, heartbeat)
+    assert len(first) == 400
+    assert len(msgspec.json.encode(first)) < 64 * 1024
 
 
 async def test_what_an_unreachable_machine_never_began_is_lost_with_its_next_heartbeat():
@@ -253,7 +254,8 @@
     desk = stored_desk()
     for tick in (2, 3):
         assert desk.heartbeat(tick) == [("start", 1)]
-    assert desk.heartbeat(4) == [] and desk.registry.get("m").reachability.unreachable
+    assert desk.heartbeat(4) == []
+    assert desk.registry.get("m").reachability.unreachable
     assert not desk.gone, "the answer to heartbeat 3 may have been heard"
     desk.heartbeat(5)
     assert desk.gone
@@ -266,7 +268,7 @@
     desk = Desk()
     machine = desk.registry.get("m")
     desk.registry.machines.clear()
-    desk.books.restore(desk.job)
+    desk.reconciler.restore(desk.job)
     assert desk.registry.get("m") is not machine
     desk.save()
     for sequence in range(2, 2 + copies):
