--- a/dappledrum/controller/controller.py
+++ b/dappledrum/controller/controller.py
@@ -25,7 +25,13 @@
 from dappledrum.jobs.api import JobApi, refusal
 from dappledrum.jobs.job import Job
 from dappledrum.leader.leader import Leader
-from dappledrum.membership.service import Membership, Probe
+from dappledrum.membership.context import (
+    LeaderActions,
+    MembershipContext,
+    ProbedService,
+    WorkerProbe,
+)
+from dappledrum.membership.service import Membership
 from dappledrum.peers.client import Peers
 from dappledrum.settings import Settings, Tuning
 from dappledrum.store.client import StoreClient, StoreError
@@ -66,7 +72,7 @@
         store: Caller,
         cloud: Caller,
         peers: dict[str, Caller],
-        probe: Probe,
+        probe: WorkerProbe,
     ) -> None:
         self.settings = settings
         limits = settings.params.state
@@ -94,20 +100,22 @@
         self.pause_detector = PauseDetector(clock)
         self.leader: Leader | None = None
         self.membership = Membership(
-            settings.member,
-            clock,
-            rng,
-            self.peers,
-            self.elector,
-            self.params.workers,
-            self.pause_detector,
-            self.store.link,
-            self.cloud.link,
-            lambda: self.leader.reporting() if self.leader is not None else {},
+            MembershipContext(
+                settings.member,
+                clock,
+                rng,
+                self.peers,
+                self.elector,
+                self.params.workers,
+                self.pause_detector,
+            ),
+            ProbedService(self.store.link, self._ask_state),
+            ProbedService(self.cloud.link, self._ask_cloud),
             probe,
-            self._ask_state,
-            self._ask_cloud,
-            self._transfer_leadership,
+            LeaderActions(
+                lambda: self.leader.reporting() if self.leader is not None else {},
+                self._transfer_leadership,
+            ),
         )
         isolation = Isolation(self.store, self.membership, clock, self.pause_detector)
         self.catalog = CatalogLoader(
--- a/dappledrum/controller/heartbeat_endpoint.py
+++ b/dappledrum/controller/heartbeat_endpoint.py
@@ -94,7 +94,7 @@
             log.warning("unusable heartbeat: %s", error)
             return refusal(HTTPStatus.BAD_REQUEST, str(error))
         self.heartbeat_attempts.note(heartbeat.machine, self.clock.now())
-        self.membership.zone(heartbeat.zone).heard(self.clock.now(), heartbeat.address)
+        self.membership.record_worker_heartbeat(heartbeat)
         commands = await self._commands(heartbeat, MAX_IDLE_WAIT)
         if commands is not None:
             return Response(HTTPStatus.OK, msgspec.json.encode(commands))
--- a/dappledrum/controller/test_crash_points.py
+++ b/dappledrum/controller/test_crash_points.py
@@ -52,11 +52,11 @@
     await cluster.wait(3)
     member = cluster.others(cluster.leader())[0]
     await cluster.restart(member, 0.1)
-    cluster.controllers[member].membership.born -= 5_000
+    cluster.controllers[member].membership.monitor.incarnation -= 5_000
     await cluster.wait(6)  # what the one before has told is not fresh any more
     for other in cluster.others(member):
         membership = cluster.controllers[other].membership
-        assert membership.table.is_connected(member, membership.clock.now())
+        assert membership.monitor.table.is_connected(member, membership.clock.now())
 
 
 async def test_a_process_in_a_loop_of_ends_slows_nobody():
--- a/dappledrum/fleet/cloud_client.py
+++ b/dappledrum/fleet/cloud_client.py
@@ -60,13 +60,13 @@
             # The process may have stood still since this was decided, and another controller may
             # be using the machines by now.
             raise CloudError("no longer entitled")
-        sent = self.link.sent()
+        sent = self.link.request_sent()
         try:
             reply = await self.caller.request(method, path, body, REQUEST_TIMEOUT)
         except NoResponseError as error:
             raise CloudError(str(error)) from error
         if reply.status < 500 or b"no capacity" in reply.body:
-            self.link.served(sent)
+            self.link.response_received(sent)
         if reply.status == 503 and b"no capacity" in reply.body:
             raise NoCapacityError("no capacity")
         if reply.status != 200:
--- a/dappledrum/golden/test_controllers.py
+++ b/dappledrum/golden/test_controllers.py
@@ -45,24 +45,24 @@
 
 FULL_HEARTBEAT = PeerHeartbeat(
     member="drummer-0",
-    born=1764000000000,
-    tick=81234,
+    incarnation=1764000000000,
+    uptime_ms=81234,
     age_ms=12,
-    awake_ms=80000,
+    unpaused_ms=80000,
     epoch=7,
     leader="drummer-1",
-    holds=True,
+    leads=True,
     term_ms=70000,
-    state_ms=15,
-    served_ms=16,
-    cloud_ms=17,
-    heard_ms={"a": 21, "b": 22},
-    probed_ms={"a": 31, "b": 32},
-    lost=["c"],
-    samples={"a": ["10.1.0.232:9000"]},
+    store_delay_ms=15,
+    store_response_age_ms=16,
+    cloud_delay_ms=17,
+    heartbeat_ages_ms={"a": 21, "b": 22},
+    probe_ages_ms={"a": 31, "b": 32},
+    unreachable_zones=["c"],
+    probe_addresses={"a": ["10.1.0.232:9000"]},
 )
 SHORT_HEARTBEAT = PeerHeartbeat(
-    member="drummer-2", born=1764000000001, tick=5, age_ms=6, awake_ms=4
+    member="drummer-2", incarnation=1764000000001, uptime_ms=5, age_ms=6, unpaused_ms=4
 )
 
 QUESTIONS = {
@@ -75,7 +75,7 @@
     ),
     "version": VersionRequest(),
     "holding": HoldsTermRequest(),
-    "heartbeats": PeerHeartbeats(own=FULL_HEARTBEAT, heard=[SHORT_HEARTBEAT]),
+    "heartbeats": PeerHeartbeats(own=FULL_HEARTBEAT, relayed=[SHORT_HEARTBEAT]),
     "heartbeats-none-heard": PeerHeartbeats(own=SHORT_HEARTBEAT),
     "forwarded-reports": ForwardedHeartbeats(heartbeats=[b'{"drum":"host-000231"}', b"{}"]),
     "transfer-leadership": TransferLeadership(
@@ -102,7 +102,7 @@
     "version-reply": VersionReply(version="0.7.0"),
     "holding-reply": HoldsTermReply(holds=True, quiet_ms=0),
     "holding-reply-unknown": HoldsTermReply(holds=False),
-    "heartbeats-reply": PeerHeartbeatsReply(own=FULL_HEARTBEAT, heard=[SHORT_HEARTBEAT]),
+    "heartbeats-reply": PeerHeartbeatsReply(own=FULL_HEARTBEAT, relayed=[SHORT_HEARTBEAT]),
     "forwarded-reports-reply": ForwardedHeartbeatsReply(answers=[b'{"baton":7,"calls":[]}', None]),
     "transfer-leadership-reply": TransferLeadershipReply(leads=True),
     "pre-vote-reply": PreVoteReply(free=True),
--- /dev/null
+++ b/dappledrum/membership/leader_claims.py
@@ -0,0 +1,77 @@
+"""Which controller leads, as concluded from peer heartbeats.
+
+Pure functions, so that tests can compare them with a slow model. The conclusion entitles nobody to
+anything: commands depend on the lease of the key `leader` alone. The worst effect of a wrong
+heartbeat is a detour of a second.
+"""
+
+from collections.abc import Iterable, Mapping
+from datetime import timedelta
+from typing import NamedTuple
+
+from dappledrum.membership.messages import PeerHeartbeat
+from dappledrum.membership.peer_table import ReceivedHeartbeat, from_ms
+
+#: For how long a leadership transfer keeps workers waiting (docs/membership.md).
+TRANSFER_COST = timedelta(seconds=1)
+#: A controller with a response of the store this recent is aware by its own watch of the leader.
+MAX_STORE_RESPONSE_AGE = timedelta(seconds=2)
+
+
+class LeaderClaim(NamedTuple):
+    """What one controller reports about who leads; `member` is None if nobody does."""
+
+    epoch: int
+    member: str | None
+    at: timedelta
+    strong: bool  # by the leader itself, or by one that the store serves
+
+
+def collect_claims(
+    received: Iterable[ReceivedHeartbeat], own: LeaderClaim | None
+) -> list[LeaderClaim]:
+    """The claims of all heartbeats, and our own."""
+    claims = [] if own is None else [own]
+    for known in received:
+        heartbeat = known.heartbeat
+        age = heartbeat.store_response_age_ms
+        served = age is not None and from_ms(age) <= MAX_STORE_RESPONSE_AGE
+        claims.append(
+            LeaderClaim(
+                heartbeat.epoch,
+                heartbeat.member if heartbeat.leads else heartbeat.leader,
+                known.described_at,
+                heartbeat.leads or (served and not store_is_slow(heartbeat)),
+            )
+        )
+    return claims
+
+
+def store_is_slow(heartbeat: PeerHeartbeat) -> bool:
+    """Whether the store answers a controller more slowly than a transfer would take."""
+    delay = heartbeat.store_delay_ms
+    return delay is None or from_ms(delay) > TRANSFER_COST
+
+
+def believed_leader(
+    claims: Iterable[LeaderClaim], heartbeats: Mapping[str, PeerHeartbeat]
+) -> str | None:
+    """The controller to which workers are redirected; None: not known.
+
+    Never one of a lower epoch than the highest claimed, and never one whose own heartbeat denies
+    that it leads. Within an epoch the newest strong claim decides, since a key may expire before
+    the heartbeat of its owner is old. Weak claims count only if there is no strong one, as in an
+    outage with a leader of a version that sends no heartbeats.
+    """
+    claims = list(claims)
+    epoch = max((claim.epoch for claim in claims), default=0)
+    newest = [claim for claim in claims if claim.epoch == epoch and epoch > 0]
+    strong = [claim for claim in newest if claim.strong]
+    pool = strong or [claim for claim in newest if claim.member is not None]
+    if not pool:
+        return None
+    member = max(pool, key=lambda claim: claim.at).member
+    heartbeat = heartbeats.get(member) if member is not None else None
+    if heartbeat is not None and (not heartbeat.leads or heartbeat.epoch < epoch):
+        return None
+    return member
--- a/dappledrum/membership/leader_placement.py
+++ b/dappledrum/membership/leader_placement.py
@@ -1,177 +1,183 @@
-"""Conclusions from heartbeats: who leads, who would lead better, and who stands for leader first.
+"""Which controller should lead, by the health of its links.
 
-Pure functions, so that tests can compare them with a slow model. None of the conclusions entitles
-a controller to anything: commands depend on the lease of the key `leader` alone. The worst effect
-of a wrong heartbeat is a detour of a second.
+Pure functions, so that tests can compare them with a slow model. Leadership itself depends on the
+lease of the key `leader` alone.
 """
 
 from collections.abc import Iterable, Mapping
 from datetime import timedelta
 from typing import NamedTuple
 
+from dappledrum.membership.leader_claims import TRANSFER_COST, store_is_slow
 from dappledrum.membership.messages import PeerHeartbeat
-from dappledrum.membership.peer_table import PeerTable, ReceivedHeartbeat, reached_at, span
+from dappledrum.membership.peer_table import PeerTable, ReceivedHeartbeat, event_time, from_ms
 from dappledrum.timing.clock import ZERO
 
-#: A difference between two links that is worth a move: what moving costs (docs/membership.md).
-MIN_GAIN = timedelta(seconds=1)
-#: A controller that was served this lately knows by its own watch whether the key stands.
-SERVED = timedelta(seconds=2)
-#: The cloud is asked rarely, and machines that are there go on without it.
-CLOUD_MIN_GAIN = timedelta(seconds=20)
+#: The cloud is called rarely, and machines that run already go on without it.
+MAX_CLOUD_DELAY = timedelta(seconds=20)
 CANDIDACY_DELAY = timedelta(milliseconds=400)
-MIN_AWAKE = timedelta(seconds=2)
-RECENTLY_HEARD = timedelta(seconds=3)
-
-
-class Claim(NamedTuple):
-    """What one controller knows about who leads; `member` is None if nobody does."""
-
-    epoch: int
-    member: str | None
-    at: timedelta
-    strong: bool  # by the leader itself, or by one that the store serves
-
-
-def claims(known: Iterable[ReceivedHeartbeat], own: Claim | None) -> list[Claim]:
-    """All claims, our own knowledge included."""
-    result = [] if own is None else [own]
-    for one in known:
-        heartbeat = one.heartbeat
-        served = heartbeat.served_ms is not None and span(heartbeat.served_ms) <= SERVED
-        result.append(
-            Claim(
-                heartbeat.epoch,
-                heartbeat.member if heartbeat.holds else heartbeat.leader,
-                one.at,
-                heartbeat.holds or (served and not late(heartbeat)),
-            )
-        )
-    return result
-
+MIN_UNPAUSED_TIME = timedelta(seconds=2)
+MAX_CONTACT_AGE = timedelta(seconds=3)
 
-def late(heartbeat: PeerHeartbeat) -> bool:
-    """Whether the store answers a controller more slowly than a transfer would take."""
-    return heartbeat.state_ms is None or span(heartbeat.state_ms) > MIN_GAIN
 
+class LeaderLinks(NamedTuple):
+    """The state of a leader's own links."""
 
-def who_leads(claimed: Iterable[Claim], heartbeats: Mapping[str, PeerHeartbeat]) -> str | None:
-    """The controller to which workers are redirected; None: not known.
-
-    Never one of a lower epoch than the highest known, and never one that says it does not lead.
-    Within an epoch the newest strong claim decides, since a key may end before the heartbeat of
-    its holder is old. Weak claims count only if there is no strong one, as in an outage with a
-    leader of a version that sends no heartbeats.
-    """
-    claimed = list(claimed)
-    epoch = max((claim.epoch for claim in claimed), default=0)
-    newest = [claim for claim in claimed if claim.epoch == epoch and epoch > 0]
-    strong = [claim for claim in newest if claim.strong]
-    pool = strong or [claim for claim in newest if claim.member is not None]
-    if not pool:
-        return None
-    member = max(pool, key=lambda claim: claim.at).member
-    heartbeat = heartbeats.get(member) if member is not None else None
-    if heartbeat is not None and (not heartbeat.holds or heartbeat.epoch < epoch):
-        return None
-    return member
+    now: timedelta
+    #: What a request to the store would take, and since when it has not responded.
+    store_delay: timedelta
+    store_waiting_since: timedelta | None
+    #: The same of the cloud.
+    cloud_delay: timedelta
+    cloud_waiting_since: timedelta | None
+    #: Zones without heartbeats, and since when: those that its own probes do not reach either, and
+    #: those that they do, but whose workers had the time to find this controller.
+    unreachable_zones: Mapping[str, timedelta]
+    silent_zones: Mapping[str, timedelta]
+    #: Zones whose heartbeats arrive.
+    connected_zones: frozenset[str]
 
 
-class Situation(NamedTuple):
-    """What a leader knows about its own links."""
+class Successor(NamedTuple):
+    """A controller that would clearly be a better leader, and why, for the log."""
 
-    now: timedelta
-    state: timedelta  # what a request to the store would take
-    state_since: timedelta | None  # nothing was served since
-    cloud: timedelta  # the same of the cloud
-    cloud_since: timedelta | None
-    # Zones of which it hears nothing any more, and since when: those that its own probes do not
-    # reach either, and those that they do, but whose workers had the time to come.
-    unreachable_zones: Mapping[str, timedelta]
-    not_reporting: Mapping[str, timedelta]
-    heard: frozenset[str]  # zones whose workers it hears
+    member: str
+    reason: str
 
 
-def successor(
-    ours: Situation, table: PeerTable, heartbeat_peers: Iterable[str]
-) -> tuple[str, str] | None:
-    """A controller that would clearly be a better leader, and why; None: the leader stays.
+def better_leader(
+    own: LeaderLinks, table: PeerTable, heartbeat_peers: Iterable[str]
+) -> Successor | None:
+    """A controller that would clearly be a better leader; None: the leader stays.
 
     The store counts first, then workers, then the cloud. Only a controller qualifies that
     has sent a heartbeat itself since the fault began, and that was not paused just before. So if
     all controllers have the same fault the leader stays, and so does a controller that is the only
     one left.
+
+    `heartbeat_peers`: peers whose version supports heartbeats.
     """
-    able: list[ReceivedHeartbeat] = []
+    candidates = _candidates(own, table, heartbeat_peers)
+    if own.store_waiting_since is not None and own.store_delay > TRANSFER_COST:
+        return _better_served_by_store(own.store_waiting_since, candidates)
+    candidates = [known for known in candidates if not store_is_slow(known.heartbeat)]
+    if own.unreachable_zones or own.silent_zones:
+        return _better_connected_to_workers(own, candidates)
+    if own.cloud_waiting_since is not None and own.cloud_delay > MAX_CLOUD_DELAY:
+        return _better_served_by_cloud(candidates)
+    return None
+
+
+def _candidates(
+    own: LeaderLinks, table: PeerTable, heartbeat_peers: Iterable[str]
+) -> list[ReceivedHeartbeat]:
+    """Peers that are connected and were not paused just before, by name."""
+    candidates = []
     for member in sorted(heartbeat_peers):
-        known = table.known.get(member)
+        known = table.received.get(member)
         if (
             known is not None
-            and table.is_connected(member, ours.now)
-            and table.heartbeat(member, ours.now) is not None
-            and span(known.heartbeat.awake_ms) >= MIN_AWAKE
+            and table.is_connected(member, own.now)
+            and table.heartbeat(member, own.now) is not None
+            and from_ms(known.heartbeat.unpaused_ms) >= MIN_UNPAUSED_TIME
         ):
-            able.append(known)
-    if ours.state_since is not None and ours.state > MIN_GAIN:
-        served = [one for one in able if _since(one, one.heartbeat.served_ms, ours.state_since)]
-        served = [one for one in served if not late(one.heartbeat)]
-        if served:
-            best = min(
-                served, key=lambda one: (len(one.heartbeat.lost), one.heartbeat.state_ms or 0)
-            )
-            return best.heartbeat.member, "the state service serves it, and not this controller"
+            candidates.append(known)
+    return candidates
+
+
+def _better_served_by_store(
+    waiting_since: timedelta, candidates: Iterable[ReceivedHeartbeat]
+) -> Successor | None:
+    served = [
+        known.heartbeat
+        for known in candidates
+        if _is_after(known, known.heartbeat.store_response_age_ms, waiting_since)
+        and not store_is_slow(known.heartbeat)
+    ]
+    if not served:
+        return None
+    best = min(served, key=lambda one: (len(one.unreachable_zones), one.store_delay_ms or 0))
+    return Successor(best.member, "the store serves it, and not this controller")
+
+
+def _better_connected_to_workers(
+    own: LeaderLinks, candidates: Iterable[ReceivedHeartbeat]
+) -> Successor | None:
+    best = max(candidates, key=lambda known: len(_reached_zones(known, own)), default=None)
+    if best is None:
         return None
-    able = [one for one in able if not late(one.heartbeat)]
-    if ours.unreachable_zones or ours.not_reporting:
-        best_of = max(able, key=lambda one: len(_reached(one, ours)), default=None)
-        if best_of is not None and len(_reached(best_of, ours)) > len(ours.heard):
-            return best_of.heartbeat.member, (
-                f"workers of {', '.join(sorted(_reached(best_of, ours)))} reach it,"
-                f" here only {', '.join(sorted(ours.heard)) or 'none'}"
-            )
+    reached = _reached_zones(best, own)
+    if len(reached) <= len(own.connected_zones):
         return None
-    if ours.cloud_since is not None and ours.cloud > CLOUD_MIN_GAIN:
-        for one in able:
-            cost = one.heartbeat.cloud_ms
-            if cost is not None and span(cost) < MIN_GAIN and not one.heartbeat.lost:
-                return one.heartbeat.member, "the cloud answers it, and not this controller"
+    return Successor(
+        best.heartbeat.member,
+        f"workers of {', '.join(sorted(reached))} reach it,"
+        f" here only {', '.join(sorted(own.connected_zones)) or 'none'}",
+    )
+
+
+def _better_served_by_cloud(candidates: Iterable[ReceivedHeartbeat]) -> Successor | None:
+    for known in candidates:
+        heartbeat = known.heartbeat
+        delay = heartbeat.cloud_delay_ms
+        if (
+            delay is not None
+            and from_ms(delay) < TRANSFER_COST
+            and not heartbeat.unreachable_zones
+        ):
+            reason = "the cloud answers it, and not this controller"
+            return Successor(heartbeat.member, reason)
     return None
 
 
-def _since(known: ReceivedHeartbeat, age: int | None, since: timedelta) -> bool:
-    at = reached_at(known.at, age)
+def _is_after(known: ReceivedHeartbeat, age_ms: int | None, since: timedelta) -> bool:
+    """Whether an event of this age in a heartbeat happened after `since`."""
+    at = event_time(known.described_at, age_ms)
     return at is not None and at > since
 
 
-def _reached(known: ReceivedHeartbeat, ours: Situation) -> set[str]:
-    """Zones whose workers this controller reaches: of those that we have lost, the ones from which
-    it has heard since; of the others, those that it does not report as lost.
+def _reached_zones(known: ReceivedHeartbeat, own: LeaderLinks) -> set[str]:
+    """Zones whose workers this controller reaches: of those that we have lost, the ones with which
+    it has had contact since; of the others, those that it does not report as unreachable.
 
     Where our own probes get through, only workers that came there by themselves count: a leader
     that had just begun, and that workers had not found yet, once transferred leadership for
     nothing.
     """
     heartbeat = known.heartbeat
-    back = set()
-    for zone, since in {**ours.unreachable_zones, **ours.not_reporting}.items():
-        after = max(since, ours.now - RECENTLY_HEARD)
-        probed = zone in ours.unreachable_zones and _since(
-            known, heartbeat.probed_ms.get(zone), after
+    regained = set()
+    for zone, since in {**own.unreachable_zones, **own.silent_zones}.items():
+        after = max(since, own.now - MAX_CONTACT_AGE)
+        probed = zone in own.unreachable_zones and _is_after(
+            known, heartbeat.probe_ages_ms.get(zone), after
         )
-        if probed or _since(known, heartbeat.heard_ms.get(zone), after):
-            back.add(zone)
-    return back | {zone for zone in ours.heard if zone not in heartbeat.lost}
+        if probed or _is_after(known, heartbeat.heartbeat_ages_ms.get(zone), after):
+            regained.add(zone)
+    return regained | {
+        zone for zone in own.connected_zones if zone not in heartbeat.unreachable_zones
+    }
 
 
 def candidacy_delay(own: PeerHeartbeat, others: Iterable[PeerHeartbeat]) -> timedelta:
-    """How long to let a better candidate stand for leader first; zero among equals."""
-    mine = _rank(own)
-    return CANDIDACY_DELAY if any(_rank(heartbeat) < mine for heartbeat in others) else ZERO
+    """How long to let a better candidate campaign first; zero among equals."""
+    own_rank = _rank(own)
+    if any(_rank(heartbeat) < own_rank for heartbeat in others):
+        return CANDIDACY_DELAY
+    return ZERO
+
+
+class _Rank(NamedTuple):
+    """Order of candidates: the lowest campaigns first."""
+
+    slow_store: bool
+    unreachable_zones: int
+    slow_cloud: bool
 
 
-def _rank(heartbeat: PeerHeartbeat) -> tuple[bool, int, bool]:
-    return (
-        late(heartbeat),
-        len(heartbeat.lost),
-        heartbeat.cloud_ms is not None and span(heartbeat.cloud_ms) > (CLOUD_MIN_GAIN),
+def _rank(heartbeat: PeerHeartbeat) -> _Rank:
+    delay = heartbeat.cloud_delay_ms
+    return _Rank(
+        store_is_slow(heartbeat),
+        len(heartbeat.unreachable_zones),
+        delay is not None and from_ms(delay) > MAX_CLOUD_DELAY,
     )
--- a/dappledrum/membership/messages.py
+++ b/dappledrum/membership/messages.py
@@ -1,10 +1,11 @@
-"""Heartbeats between controllers: what each knows about its links. They carry ages, not times; the
-heartbeats of one controller are ordered by its own clocks.
+"""Peer heartbeats: what controllers report to each other about their links.
+
+They carry ages, not times; the heartbeats of one controller are ordered by its own clocks.
 
 A heartbeat is small (about 220 bytes in CBOR). It is sent to each peer about once a second,
 together with the heartbeats received directly from the others, so that two controllers that can't
-reach each other still know about each other. Versions before 0.5.0 refuse heartbeats, and get
-none.
+reach each other still get each other's heartbeats. Versions before 0.5.0 refuse heartbeats, and
+get none.
 """
 
 from typing import Annotated
@@ -18,54 +19,70 @@
 Text = Annotated[str, Meta(min_length=1, max_length=200)]
 
 
-class PeerHeartbeat(msgspec.Struct, omit_defaults=True):
-    """What one controller knew about its own links at one moment.
+class PeerHeartbeat(
+    msgspec.Struct,
+    omit_defaults=True,
+    rename={
+        "incarnation": "born",
+        "uptime_ms": "tick",
+        "unpaused_ms": "awake_ms",
+        "leads": "holds",
+        "store_delay_ms": "state_ms",
+        "store_response_age_ms": "served_ms",
+        "cloud_delay_ms": "cloud_ms",
+        "heartbeat_ages_ms": "heard_ms",
+        "probe_ages_ms": "probed_ms",
+        "unreachable_zones": "lost",
+        "probe_addresses": "samples",
+    },
+):
+    """The state of one controller's links at one moment.
 
-    `age_ms` is how long ago that moment was, as far as the sender knows; all other ages count from
-    it. `born` is the time of day at which the controller's process began, in milliseconds, and
-    `tick` its steady time since. The newer heartbeat is the one with the larger pair, however late
-    it arrives.
+    `age_ms` is how long ago that moment was, by the sender's estimate; all other ages count from
+    it. `incarnation` is the time of day at which the controller's process began, in milliseconds,
+    and `uptime_ms` its steady time since. The newer heartbeat is the one with the larger pair,
+    however late it arrives.
     """
 
     member: Text
-    born: Count
-    tick: Count
+    incarnation: Count
+    uptime_ms: Count
     age_ms: Age
-    #: For how long it has not stood still; one that has just woken up judges nobody.
-    awake_ms: Age
-    #: The highest epoch it knows of, whose that is, and whether that is itself, entitled,
-    #: and since when.
+    #: For how long the process has run without a pause; one that was just paused judges nobody.
+    unpaused_ms: Age
+    #: The highest epoch it has heard of, the leader of that epoch, and whether that is the sender
+    #: itself with a valid term, and for how long.
     epoch: Count = 0
     leader: Text | None = None
-    holds: bool = False
+    leads: bool = False
     term_ms: Age = 0
     #: What a request to the store would take, by what the last ones took and by how long
-    #: the oldest without an answer waits; and when it was last served.
-    state_ms: Age | None = None
-    served_ms: Age | None = None
-    #: The same of the cloud; None: not asked yet.
-    cloud_ms: Age | None = None
-    #: By zone: when a worker was last heard by itself, and when one last answered a probe.
-    heard_ms: dict[Text, Age] = {}
-    probed_ms: dict[Text, Age] = {}
+    #: the oldest without a response waits; and the age of the last response.
+    store_delay_ms: Age | None = None
+    store_response_age_ms: Age | None = None
+    #: The same delay of the cloud; None: no request was sent yet.
+    cloud_delay_ms: Age | None = None
+    #: By zone: the age of the last heartbeat of a worker, and of the last answer to a probe.
+    heartbeat_ages_ms: dict[Text, Age] = {}
+    probe_ages_ms: dict[Text, Age] = {}
     #: Zones that probes do not reach; of a leader those that are silent besides.
-    lost: list[Text] = []
+    unreachable_zones: list[Text] = []
     #: Of a leader: some addresses of workers by zone, for probes.
-    samples: dict[Text, list[Address]] = {}
+    probe_addresses: dict[Text, list[Address]] = {}
 
 
-class PeerHeartbeats(msgspec.Struct, tag="reach", tag_field="kind"):
+class PeerHeartbeats(msgspec.Struct, tag="reach", tag_field="kind", rename={"relayed": "heard"}):
     """A controller's own heartbeat, and those that it has received directly from others."""
 
     own: PeerHeartbeat
-    heard: list[PeerHeartbeat] = []
+    relayed: list[PeerHeartbeat] = []
 
 
-class PeerHeartbeatsReply(msgspec.Struct):
+class PeerHeartbeatsReply(msgspec.Struct, rename={"relayed": "heard"}):
     """The same from the controller that was asked."""
 
     own: PeerHeartbeat
-    heard: list[PeerHeartbeat] = []
+    relayed: list[PeerHeartbeat] = []
 
 
 class ForwardedHeartbeats(
--- a/dappledrum/membership/peer_table.py
+++ b/dappledrum/membership/peer_table.py
@@ -2,105 +2,130 @@
 
 from collections.abc import Iterable
 from datetime import timedelta
+from typing import NamedTuple
 
 import msgspec
 
 from dappledrum.membership.messages import PeerHeartbeat
 from dappledrum.timing.clock import DRIFT, ZERO
 
-FRESH = timedelta(seconds=3.5)  # three heartbeats of a second, with a margin
-MAX_AGE = timedelta(seconds=10)
+MAX_RECENT_AGE = timedelta(seconds=3.5)  # three heartbeats of a second, with a margin
+MAX_RELAYED_AGE = timedelta(seconds=10)
+
+
+class HeartbeatOrder(NamedTuple):
+    """Order of the heartbeats of one controller: the larger one is the newer."""
+
+    incarnation: int
+    uptime_ms: int
+
+
+def heartbeat_order(heartbeat: PeerHeartbeat) -> HeartbeatOrder:
+    """The place of a heartbeat among those of its controller."""
+    return HeartbeatOrder(heartbeat.incarnation, heartbeat.uptime_ms)
 
 
 class ReceivedHeartbeat:
     """The newest heartbeat of one controller, and the moment on our clock that it describes."""
 
-    def __init__(self, heartbeat: PeerHeartbeat, at: timedelta, direct: bool) -> None:
+    def __init__(self, heartbeat: PeerHeartbeat, described_at: timedelta, direct: bool) -> None:
         self.heartbeat = heartbeat
-        self.at = at
+        self.described_at = described_at
         self.direct = direct
-        self.direct_at: timedelta | None = None  # of the newest that came from itself
-        self.offset = at - span(heartbeat.tick)
-
-    @property
-    def key(self) -> tuple[int, int]:
-        """Order of the heartbeats of one controller."""
-        return self.heartbeat.born, self.heartbeat.tick
+        #: The moment that the newest heartbeat describes that came from the controller itself.
+        self.direct_at: timedelta | None = None
+        #: Our clock less the uptime of the sender, by the quickest heartbeat.
+        self.clock_offset = described_at - from_ms(heartbeat.uptime_ms)
 
 
-def ms(span: timedelta) -> int:
-    """Whole milliseconds, as in heartbeats."""
+def to_ms(span: timedelta) -> int:
+    """Whole milliseconds, as in heartbeats; never negative."""
     return max(0, int(span.total_seconds() * 1000))
 
 
-def span(value: int) -> timedelta:
+def from_ms(value: int) -> timedelta:
     """A duration from a number of milliseconds."""
     return timedelta(milliseconds=value)
 
 
 class PeerTable:
-    """The heartbeats of the other controllers, by member."""
+    """The newest heartbeats of the other controllers, by member."""
 
     def __init__(self, member: str, members: Iterable[str]) -> None:
         self.member = member
         self.members = frozenset(members)
-        self.known: dict[str, ReceivedHeartbeat] = {}
+        self.received: dict[str, ReceivedHeartbeat] = {}
 
-    def note(self, heartbeat: PeerHeartbeat, now: timedelta, direct: bool) -> None:
-        """Store a heartbeat unless a newer one is known. Heartbeats of unknown members are
-        ignored."""
+    def record(self, heartbeat: PeerHeartbeat, now: timedelta, direct: bool) -> None:
+        """Store a heartbeat unless a newer one is stored. Heartbeats of unknown members are
+        ignored.
+
+        `direct`: it came from the controller itself, not through another one.
+        """
         if heartbeat.member not in self.members or heartbeat.member == self.member:
             return
-        known = self.known.get(heartbeat.member)
-        if known is not None and (heartbeat.born, heartbeat.tick) <= known.key:
-            if direct and known.heartbeat.born == heartbeat.born:
-                said = known.offset + span(heartbeat.tick)
-                known.direct_at = max(said, known.direct_at or said)
+        known = self.received.get(heartbeat.member)
+        if known is not None and heartbeat_order(heartbeat) <= heartbeat_order(known.heartbeat):
+            if direct and known.heartbeat.incarnation == heartbeat.incarnation:
+                sent_at = known.clock_offset + from_ms(heartbeat.uptime_ms)
+                known.direct_at = max(sent_at, known.direct_at or sent_at)
             return
-        at = now - span(heartbeat.age_ms)
-        new = ReceivedHeartbeat(heartbeat, at, direct)
-        if known is not None and known.heartbeat.born == heartbeat.born:
-            # A message may be held back for minutes and still tell an age of nothing. It comes
-            # later than its tick says by the quickest one before it, drift allowed for.
-            latest = known.offset + span(heartbeat.tick - known.heartbeat.tick) * (2 * DRIFT)
-            new.offset = min(new.offset, latest)
-            new.at = min(at, span(heartbeat.tick) + new.offset)
+        described_at = now - from_ms(heartbeat.age_ms)
+        new = ReceivedHeartbeat(heartbeat, described_at, direct)
+        if known is not None and known.heartbeat.incarnation == heartbeat.incarnation:
+            # A message may be delayed for minutes and still carry an age of zero. It comes later
+            # than its uptime says by the quickest one before it, drift allowed for.
+            elapsed = from_ms(heartbeat.uptime_ms - known.heartbeat.uptime_ms)
+            max_offset = known.clock_offset + elapsed * (2 * DRIFT)
+            new.clock_offset = min(new.clock_offset, max_offset)
+            new.described_at = min(described_at, from_ms(heartbeat.uptime_ms) + new.clock_offset)
             new.direct_at = known.direct_at
         if direct:
-            new.direct_at = new.at
-        self.known[heartbeat.member] = new
+            new.direct_at = new.described_at
+        self.received[heartbeat.member] = new
 
     def heartbeat(
-        self, member: str, now: timedelta, within: timedelta = FRESH
+        self, member: str, now: timedelta, max_age: timedelta = MAX_RECENT_AGE
     ) -> PeerHeartbeat | None:
-        """The heartbeat of a controller, if it is not older than `within`."""
-        known = self.known.get(member)
-        return known.heartbeat if known is not None and now - known.at <= within else None
-
-    def at(self, member: str) -> timedelta:
-        """The moment on our clock that a known heartbeat describes."""
-        return self.known[member].at
-
-    def is_connected(self, member: str, now: timedelta, within: timedelta = FRESH) -> bool:
-        """Whether the controller itself has sent a heartbeat lately."""
-        known = self.known.get(member)
+        """The heartbeat of a controller, if it is not older than `max_age`."""
+        known = self.received.get(member)
+        if known is None or now - known.described_at > max_age:
+            return None
+        return known.heartbeat
+
+    def described_at(self, member: str) -> timedelta:
+        """The moment on our clock that the stored heartbeat of a member describes."""
+        return self.received[member].described_at
+
+    def is_connected(
+        self, member: str, now: timedelta, max_age: timedelta = MAX_RECENT_AGE
+    ) -> bool:
+        """Whether the controller itself has sent a heartbeat that is not older than `max_age`."""
+        known = self.received.get(member)
         return (
-            known is not None and known.direct_at is not None and now - known.direct_at <= within
+            known is not None and known.direct_at is not None and now - known.direct_at <= max_age
         )
 
-    def fresh(self, now: timedelta) -> list[PeerHeartbeat]:
-        """All heartbeats that are not old."""
-        return [known.heartbeat for known in self.known.values() if now - known.at <= FRESH]
+    def recent(self, now: timedelta) -> list[PeerHeartbeat]:
+        """All heartbeats that are not older than MAX_RECENT_AGE."""
+        return [
+            known.heartbeat
+            for known in self.received.values()
+            if now - known.described_at <= MAX_RECENT_AGE
+        ]
 
-    def to_forward(self, now: timedelta) -> list[PeerHeartbeat]:
-        """Heartbeats that were received directly: each is passed on once, with its present age."""
+    def to_relay(self, now: timedelta) -> list[PeerHeartbeat]:
+        """Heartbeats that were received directly: each is relayed once, with its present age."""
         return [
-            msgspec.structs.replace(known.heartbeat, age_ms=ms(now - known.at), samples={})
-            for known in self.known.values()
-            if known.direct and now - known.at <= MAX_AGE
+            msgspec.structs.replace(
+                known.heartbeat, age_ms=to_ms(now - known.described_at), probe_addresses={}
+            )
+            for known in self.received.values()
+            if known.direct and now - known.described_at <= MAX_RELAYED_AGE
         ]
 
 
-def reached_at(at: timedelta, age: int | None) -> timedelta | None:
-    """The moment on our clock of an event whose age a heartbeat of the moment `at` gives."""
-    return None if age is None else max(at - span(age), ZERO)
+def event_time(described_at: timedelta, age_ms: int | None) -> timedelta | None:
+    """The moment on our clock of an event whose age is given by a heartbeat that describes the
+    moment `described_at`; None if there was no such event."""
+    return None if age_ms is None else max(described_at - from_ms(age_ms), ZERO)
--- a/dappledrum/membership/test_partitions.py
+++ b/dappledrum/membership/test_partitions.py
@@ -197,6 +197,6 @@
     await cluster.accept(job(1, beats=4, runS=20.0))
     await cluster.wait(5)
     for controller in cluster.controllers.values():
-        assert not controller.membership.table.known
+        assert not controller.membership.monitor.table.received
     await cluster.restart(cluster.leader())
     await cluster.finish(["j-000001"])
--- /dev/null
+++ b/dappledrum/membership/test_redirected_workers.py
@@ -0,0 +1,34 @@
+"""Workers are redirected to the leader, but never in a circle."""
+
+import asyncio
+
+from dappledrum.membership.redirected_workers import FORWARDING_PERIOD, RedirectedWorkers
+from dappledrum.simulation.virtual_time import SkewedClock, run
+
+
+def test_no_worker_is_redirected_in_a_circle():
+    async def main():
+        workers = RedirectedWorkers(SkewedClock())
+
+        def must_forward(token, epoch=5, machine="m", unreachable=False, searching=False):
+            return workers.must_forward(machine, token, epoch, unreachable, searching)
+
+        assert not must_forward(4)  # redirected to the leader
+        await asyncio.sleep(40)
+        assert must_forward(4)  # and back, unanswered, however long that took
+        assert must_forward(5)
+        await asyncio.sleep(FORWARDING_PERIOD.total_seconds() + 1)
+        assert not must_forward(5)  # the link may have healed
+        assert must_forward(5)  # it has not
+        await asyncio.sleep(FORWARDING_PERIOD.total_seconds() + 1)
+        assert must_forward(5)  # redirected more rarely
+        assert not must_forward(5, epoch=6)  # another leader
+        # never answered: nothing to lose
+        assert not must_forward(0, 6, machine="new", searching=True)
+        assert must_forward(0, 6, machine="unreachable", unreachable=True)
+        # forwarded once, and then redirected
+        assert must_forward(5, 6, machine="searching", searching=True)
+        assert not must_forward(6, 6, machine="searching", searching=True)
+        assert must_forward(6, 6, machine="searching", searching=True)
+
+    run(main())
--- a/dappledrum/simulation/test_costs.py
+++ b/dappledrum/simulation/test_costs.py
@@ -117,15 +117,18 @@
         await cluster.until(lambda: cluster.leader() is not None and cluster.cloud.workers())
         await cluster.wait(10)
         membership = cluster.controllers[cluster.leader()].membership
-        count, counted = membership.reporting, []
-        membership.reporting = lambda: counted.append(1) or count()
+        silent_zones, counted = membership.silent_zones, []
+        count = silent_zones.count_machines
+        silent_zones.count_machines = lambda: counted.append(1) or count()
         await cluster.wait(10)
         assert 3 <= len(counted) <= 12, "40 times, at each look"
         counted.clear()
         for worker in cluster.cloud.workers():
             worker.hung = True
         await cluster.wait(4)
-        assert len(counted) > 8 and membership.silent, "it looks closely where nothing comes"
+        assert len(counted) > 8 and silent_zones.silent_since, (
+            "it looks closely where nothing comes"
+        )
 
     run(main())
 
--- a/dappledrum/store/client.py
+++ b/dappledrum/store/client.py
@@ -152,7 +152,7 @@
             self.writes.take(writes, now)
         # A watch is open for long, also in an outage, so it tells nothing of the link.
         watching = path.startswith("/watch")
-        sent = now if watching else self.link.sent()
+        sent = now if watching else self.link.request_sent()
         try:
             reply = await self.caller.request(method, path, body, timeout)
         except NotSentError as error:
@@ -166,12 +166,12 @@
             if reply.status == 503:
                 self._failed(False, "status 503")
             elif not watching:
-                self.link.served(sent)
+                self.link.response_received(sent)
             raise RefusedError(f"status {reply.status}")
         if reply.status >= 500:
             raise UnknownError(f"status {reply.status}")
         if not watching:
-            self.link.served(sent)
+            self.link.response_received(sent)
             # A watch that was open when an outage began may still end in time, so it proves
             # nothing.
             self.backoff = ZERO
--- a/dappledrum/store/hedged_commit.py
+++ b/dappledrum/store/hedged_commit.py
@@ -110,7 +110,7 @@
     timeout: timedelta,
 ) -> T | None:
     """Read until something is proven; None when it is not worth while any more."""
-    delay = max(MIN_DELAY, store.link.usual * DELAY_FACTOR)
+    delay = max(MIN_DELAY, store.link.smoothed_delay * DELAY_FACTOR)
     await asyncio.sleep(queued.total_seconds())
     for _ in range(READS):
         if delay > timeout / 2:
--- a/dappledrum/store/test_hedged_commit.py
+++ b/dappledrum/store/test_hedged_commit.py
@@ -137,7 +137,7 @@
         if why == "budget":
             asyncio.get_running_loop().call_later(0.01, lambda: use_up(store.client.requests))
         elif why == "slow":
-            store.client.link.usual = timedelta(seconds=0.25)
+            store.client.link.smoothed_delay = timedelta(seconds=0.25)
         else:
             store.client.failing_since = store.clock.now() - timedelta(seconds=1)
         store.network.late_writes = LOST
