--- a/dappledrum/accounting/ledger.py
+++ b/dappledrum/accounting/ledger.py
@@ -41,7 +41,7 @@
 class _Account:
     """The account of one machine."""
 
-    __slots__ = ("at", "lines", "kind")
+    __slots__ = ("at", "kind", "lines")
 
     def __init__(self, at: timedelta, kind: InstanceKind) -> None:
         self.at = at
--- a/dappledrum/controller/catalog.py
+++ b/dappledrum/controller/catalog.py
@@ -54,8 +54,8 @@
                 self.job_api.types = types
                 leader = self.leader()
                 if leader is not None:
-                    leader.set_types(types)
-                    leader.wake("catalog")
+                    leader.set_machine_types(types)
+                    leader.request_plan("catalog")
                 log.info("machine types: %s", ", ".join(t.name for t in types))
                 return
             await asyncio.sleep(self.rng.uniform(0.5, 1.5))
--- a/dappledrum/controller/controller.py
+++ b/dappledrum/controller/controller.py
@@ -18,12 +18,14 @@
 from dappledrum.election.context import ElectionContext, LeaseLimits
 from dappledrum.election.elector import Elector
 from dappledrum.election.messages import LeaseGrantRequest
+from dappledrum.election.terms import Term
 from dappledrum.election.voter import LEASE_GRANT_DURATION
 from dappledrum.fleet.cloud_client import CloudClient, CloudError
 from dappledrum.http.client import Caller
 from dappledrum.http.server import Request, Response
 from dappledrum.jobs.api import JobApi, refusal
 from dappledrum.jobs.job import Job
+from dappledrum.leader.context import TermContext
 from dappledrum.leader.leader import Leader
 from dappledrum.membership.service import Membership, Probe
 from dappledrum.peers.client import Peers
@@ -103,7 +105,7 @@
             self.pause_detector,
             self.store.link,
             self.cloud.link,
-            lambda: self.leader.reporting() if self.leader is not None else {},
+            lambda: self.leader.expected_heartbeats() if self.leader is not None else {},
             probe,
             self._ask_state,
             self._ask_cloud,
@@ -218,17 +220,7 @@
             if term is None or term.ended.is_set():
                 continue
             self.leader = Leader(
-                term,
-                lambda: self.elector.leading_term() is not None,
-                self.store,
-                self.value_limit,
-                self.cloud,
-                self.params,
-                self.clock,
-                self.tuning,
-                self.job_api.types or [],
-                self._job_ended,
-                self.pause_detector.awake_since,
+                self._term_context(term), self.job_api.types or [], self._job_ended
             )
             asking = asyncio.ensure_future(self._learn_no_answers(self.leader))
             try:
@@ -240,6 +232,19 @@
                 asking.cancel()
                 self.leader = None
 
+    def _term_context(self, term: Term) -> TermContext:
+        return TermContext(
+            term,
+            may_command=lambda: self.elector.leading_term() is not None,
+            store=self.store,
+            value_limit=self.value_limit,
+            cloud=self.cloud,
+            params=self.params,
+            tuning=self.tuning,
+            clock=self.clock,
+            awake_since=self.pause_detector.awake_since,
+        )
+
     async def _learn_no_answers(self, leader: Leader) -> None:
         """Ask the peers since when no other controller can have answered a worker. It matters
         after all controllers were down, and when the former leader is back."""
@@ -280,7 +285,7 @@
             log.info("not transferring leadership to %s: the store does not serve it now", member)
             return
         if self.leader is not None and not self.store.is_failing():
-            await self.leader.settle(SETTLE)
+            await self.leader.flush_records(SETTLE)
         self.elector.transfer_leadership(member, why)
 
     async def _is_served(self, member: str) -> bool:
--- a/dappledrum/controller/heartbeat_endpoint.py
+++ b/dappledrum/controller/heartbeat_endpoint.py
@@ -12,7 +12,8 @@
 from dappledrum.election.elector import Elector
 from dappledrum.http.server import Request, Response
 from dappledrum.jobs.api import refusal
-from dappledrum.leader.leader import MAX_IDLE_WAIT, Leader
+from dappledrum.leader.heartbeat_responder import MAX_IDLE_WAIT
+from dappledrum.leader.leader import Leader
 from dappledrum.membership.service import Membership
 from dappledrum.peers.client import Peers
 from dappledrum.settings import Tuning, WorkerLimits
--- a/dappledrum/golden/test_store.py
+++ b/dappledrum/golden/test_store.py
@@ -28,7 +28,7 @@
 )
 from dappledrum.jobs.page_encoding import page_changes
 from dappledrum.leader import job_loader
-from dappledrum.leader.leader import LEARNED
+from dappledrum.leader.advisory_records import LEARNED
 from dappledrum.learning.messages import BootRow, ClassRow, LearnedRecord
 from dappledrum.peers.client import Peers
 from dappledrum.settings import StateLimits
--- /dev/null
+++ b/dappledrum/leader/accounting_loop.py
@@ -0,0 +1,37 @@
+"""Books what machines cost, and logs the cost and the served jobs of a term once a minute."""
+
+import asyncio
+import logging
+
+from dappledrum.accounting.ledger import STEP
+from dappledrum.dispatch.dispatcher import Dispatcher
+from dappledrum.leader.context import TermState
+
+log = logging.getLogger(__name__)
+
+
+class AccountingLoop:
+    """Keeps the ledger of one term up to date."""
+
+    def __init__(self, state: TermState, dispatcher: Dispatcher) -> None:
+        self.state = state
+        self.ledger = state.ledger
+        self.dispatcher = dispatcher
+
+    async def run(self) -> None:
+        """Book for ever; what is not logged yet is logged when the term ends."""
+        try:
+            while True:
+                await asyncio.sleep(STEP.total_seconds())
+                self.ledger.step(
+                    self.dispatcher.autoscaler.types,
+                    self.dispatcher.work.demands(),
+                    self.dispatcher.machines.available(),
+                )
+                self._log_totals()
+        finally:
+            self._log_totals(at_once=True)
+
+    def _log_totals(self, at_once: bool = False) -> None:
+        if self.ledger.log_totals(at_once):
+            log.info("served in this term: %s", self.state.served.shown(self.state.jobs.values()))
--- /dev/null
+++ b/dappledrum/leader/advisory_records.py
@@ -0,0 +1,40 @@
+"""The advisory records of a leader: booting machines and learned estimates, for its successor."""
+
+from collections.abc import Mapping
+from datetime import timedelta
+
+from dappledrum.fleet.boot_times import BootTimes
+from dappledrum.fleet.fleet_facts import FLEET, FleetFacts
+from dappledrum.fleet.messages import FleetRecord
+from dappledrum.leader.context import TermContext, TermState
+from dappledrum.learning.learned_estimates import LearnedEstimates
+from dappledrum.learning.messages import LearnedRecord
+from dappledrum.store.advisory_record import AdvisoryRecord
+from dappledrum.store.rate_limiter import RequestPriority
+
+#: Key of the learned estimates.
+LEARNED = "learned"
+
+
+class AdvisoryRecords:
+    """Reads what a predecessor has left, and keeps this term's own records up to date."""
+
+    def __init__(self, context: TermContext, state: TermState, boot_times: BootTimes) -> None:
+        store, guard, clock = context.store, context.term.guard(), context.clock
+        max_bytes = context.params.state.value_bytes
+        self.fleet = FleetFacts(
+            AdvisoryRecord(store, guard, FLEET, FleetRecord, max_bytes, RequestPriority.RECORD),
+            state.registry,
+            clock,
+        )
+        self.estimates = LearnedEstimates(
+            AdvisoryRecord(store, guard, LEARNED, LearnedRecord, max_bytes, RequestPriority.POLL),
+            state.estimates,
+            boot_times,
+            clock,
+        )
+
+    async def recall(self, catalog_boot_times: Mapping[str, timedelta]) -> None:
+        """Read the predecessor's records; `catalog_boot_times` are by machine type."""
+        await self.fleet.recall()
+        await self.estimates.recall(catalog_boot_times)
--- a/dappledrum/leader/heartbeat_responder.py
+++ b/dappledrum/leader/heartbeat_responder.py
@@ -6,26 +6,27 @@
 from datetime import timedelta
 
 from dappledrum.dispatch.candidate_machines import CandidateMachines
-from dappledrum.election.terms import Term
 from dappledrum.jobs.record_writer import RecordWriter
-from dappledrum.settings import WorkerLimits
-from dappledrum.timing.clock import ZERO, Clock
+from dappledrum.leader.context import TermContext, TermState
+from dappledrum.timing.clock import ZERO
 from dappledrum.workers.commands import pending
-from dappledrum.workers.machine_registry import Machine, MachineRegistry
+from dappledrum.workers.machine_registry import Machine
 from dappledrum.workers.messages import Command, Commands, WorkerHeartbeat
 from dappledrum.workers.reconciler import Reconciler
 
 log = logging.getLogger(__name__)
 
 #: The longest that an answer to a worker waits for a record that it could carry.
-HOLD = timedelta(milliseconds=400)
-PLAN_TIME = timedelta(milliseconds=250)
-#: Part of the time between two heartbeats for which the answer to an idle worker is held back. The
+MAX_RECORD_WAIT = timedelta(milliseconds=400)
+#: The longest that an answer to a worker waits for the plan that its heartbeat has triggered.
+MAX_PLAN_WAIT = timedelta(milliseconds=250)
+#: Part of the time between two heartbeats for which the answer to an idle worker is delayed. The
 #: worker sends heartbeats at the same rate all the same, and nearly always gets new work at once.
-IDLE_SHARE = 0.85
+IDLE_WAIT_SHARE = 0.85
 #: Well within the 4 s after which a worker turns to another controller.
 MAX_IDLE_WAIT = timedelta(seconds=2.6)
-LOAD_TIME = timedelta(seconds=1.5)  # the longest that a heartbeat waits for the records to be read
+#: The longest that a heartbeat waits for the records to be read.
+MAX_LOADING_WAIT = timedelta(seconds=1.5)
 
 
 class HeartbeatResponder:
@@ -33,69 +34,81 @@
 
     def __init__(
         self,
-        term: Term,
-        leading: Callable[[], bool],
-        limits: WorkerLimits,
-        clock: Clock,
-        registry: MachineRegistry,
+        context: TermContext,
+        state: TermState,
         reconciler: Reconciler,
         record_writer: RecordWriter,
         machines: CandidateMachines,
-        loaded: asyncio.Event,
-        woken: asyncio.Event,
     ) -> None:
-        self.term = term
-        self.leading = leading
-        self.limits = limits
-        self.clock = clock
-        self.registry = registry
+        self.term = context.term
+        self.may_command = context.may_command
+        self.limits = context.params.workers
+        self.clock = context.clock
+        self.state = state
+        self.registry = state.registry
         self.reconciler = reconciler
         self.record_writer = record_writer
         self.machines = machines
-        self.loaded = loaded  # the records are read
-        self.woken = woken  # a plan is about to be made
 
-    async def answer(
-        self, heartbeat: WorkerHeartbeat, holding: Callable[[], bool], most: timedelta
+    async def respond(
+        self, heartbeat: WorkerHeartbeat, may_answer: Callable[[], bool], max_wait: timedelta
     ) -> Commands | None:
-        """The answer to a worker, which is held back for up to `most` while there is no work for
-        it; None when this controller is not entitled to answer."""
-        if not self.loaded.is_set() and not await self._happens(self.loaded.wait(), LOAD_TIME):
-            return None
-        if heartbeat.token > self.term.epoch:
-            log.warning("%s has seen token %d, stepping down", heartbeat.machine, heartbeat.token)
-            self.term.ended.set()
+        """The answer to a worker; None when this controller is not entitled to answer.
+
+        `may_answer`: whether a worker may be answered at the moment of the call.
+        `max_wait`: the longest that the answer is delayed while there is no work for the worker.
+        """
+        if not await self._records_loaded() or self._is_superseded(heartbeat):
             return None
         if heartbeat.machine in self.registry.gone:
             return None
         machine = self.reconciler.take(heartbeat)
-        known = self.registry.get(heartbeat.machine)
         if machine is None:
-            if known is None or not holding():
-                return None
-            # No sign of life, and no new lease either: what an answer renews counts from the
-            # sending of its heartbeat, and this worker has sent a newer one since, which has come.
-            return Commands(self.term.epoch, [])
-        if self.leading():
-            await self._wait_for_work(machine, most)
-        if not holding() or machine.name in self.registry.gone:
+            return self._answer_to_outdated(heartbeat, may_answer)
+        if self.may_command():
+            await self._wait_for_work(machine, max_wait)
+        if not may_answer() or machine.name in self.registry.gone:
             return None
         return self._commands(machine, heartbeat)
 
+    async def _records_loaded(self) -> bool:
+        loaded = self.state.loaded
+        return loaded.is_set() or await self._completes(loaded.wait(), MAX_LOADING_WAIT)
+
+    def _is_superseded(self, heartbeat: WorkerHeartbeat) -> bool:
+        """Whether the worker has been answered by a later leader; ends this term then."""
+        if heartbeat.token <= self.term.epoch:
+            return False
+        log.warning("%s has seen token %d, stepping down", heartbeat.machine, heartbeat.token)
+        self.term.ended.set()
+        return True
+
+    def _answer_to_outdated(
+        self, heartbeat: WorkerHeartbeat, may_answer: Callable[[], bool]
+    ) -> Commands | None:
+        """The answer to a heartbeat that is older than one that was processed before.
+
+        It is no sign of life, and gives no new lease either: what an answer renews counts from the
+        sending of its heartbeat, and this worker has sent a newer one since, which has arrived.
+        """
+        if self.registry.get(heartbeat.machine) is None or not may_answer():
+            return None
+        return Commands(self.term.epoch, [])
+
     def _commands(self, machine: Machine, heartbeat: WorkerHeartbeat) -> Commands:
         now = self.clock.now()
         machine.last_answer = max(machine.last_answer, now)
-        fresh = (machine.session, machine.sequence) == (heartbeat.session, heartbeat.sequence)
-        if fresh:
+        newest = (machine.session, machine.sequence) == (heartbeat.session, heartbeat.sequence)
+        if newest:
             machine.reachability.answered(now, self.limits.lease)
         commands: list[Command] = []
-        if fresh and self.leading():
+        if newest and self.may_command():
             commands = self.reconciler.commands.of_records(machine, heartbeat)
-        elif fresh:
+        elif newest:
             commands = self.reconciler.commands.of_cancellations(machine, heartbeat)
         return Commands(self.term.epoch, commands)
 
-    async def _wait_for_work(self, machine: Machine, most: timedelta) -> None:
+    async def _wait_for_work(self, machine: Machine, max_wait: timedelta) -> None:
         """Wait a little before answering, so that the answer can carry starts.
 
         Starts are sent only in answers, and the next heartbeat may be seconds away. So an answer
@@ -103,32 +116,36 @@
         for any plan that places something there; then for the record of what was placed.
         """
         if not machine.up:
-            # The next heartbeat shows whether it gets our answers; until then it gets nothing.
+            return  # the next heartbeat shows whether answers reach it; until then it gets nothing
+        if not pending(machine) and not await self._placed_within(
+            machine, self._placement_wait(machine, max_wait)
+        ):
             return
-        if not pending(machine):
-            time_limit = ZERO
-            if self.woken.is_set():
-                time_limit = PLAN_TIME
-            hold = min(self.limits.heartbeat_interval * IDLE_SHARE, most)
-            if not machine.placements or self.machines.may_wait(machine, hold):
-                time_limit = hold
-            machine.given.clear()
-            if time_limit <= ZERO or not await self._happens(machine.given.wait(), time_limit):
-                return
-        until = self.clock.now() + HOLD
-        while self.leading() and pending(machine):
-            left = until - self.clock.now()
-            if left <= ZERO or not await self._happens(self._saved(), left):
+        deadline = self.clock.now() + MAX_RECORD_WAIT
+        while self.may_command() and pending(machine):
+            left = deadline - self.clock.now()
+            if left <= ZERO or not await self._completes(self._records_stored(), left):
                 return
 
-    async def _saved(self) -> bool:
+    def _placement_wait(self, machine: Machine, max_wait: timedelta) -> timedelta:
+        """How long to wait for a task to be placed on a machine that has nothing to start."""
+        idle_wait = min(self.limits.heartbeat_interval * IDLE_WAIT_SHARE, max_wait)
+        if not machine.placements or self.machines.may_wait(machine, idle_wait):
+            return idle_wait
+        return MAX_PLAN_WAIT if self.state.plan_trigger.pending else ZERO
+
+    async def _placed_within(self, machine: Machine, timeout: timedelta) -> bool:
+        machine.given.clear()
+        return timeout > ZERO and await self._completes(machine.given.wait(), timeout)
+
+    async def _records_stored(self) -> bool:
         async with self.record_writer.stored:
             return await self.record_writer.stored.wait()
 
     @staticmethod
-    async def _happens(wait: Awaitable[bool], time_limit: timedelta) -> bool:
+    async def _completes(wait: Awaitable[bool], timeout: timedelta) -> bool:
         try:
-            async with asyncio.timeout(time_limit.total_seconds()):
+            async with asyncio.timeout(timeout.total_seconds()):
                 await wait
         except TimeoutError:
             return False
--- a/dappledrum/leader/leader.py
+++ b/dappledrum/leader/leader.py
@@ -1,213 +1,189 @@
-"""One term of leadership: reads the records, then runs the loops that act on them until the term
-is over."""
+"""One term of leadership: builds the parts of a leader, and runs their loops until the term ends.
+
+`Leader.__init__` shows all parts and who uses whom, from the term's memory up to the loops.
+"""
 
 import asyncio
 import logging
-from collections import Counter, OrderedDict
+from collections import Counter
 from collections.abc import Awaitable, Callable
 from datetime import timedelta
-from itertools import islice
-
-import msgspec
+from functools import partial
 
-from dappledrum.accounting.ledger import STEP, Ledger
-from dappledrum.accounting.served_counts import ServedCounts, described, ending
 from dappledrum.dependencies.graph import DependencyGraph
 from dappledrum.dependencies.resolver import DependencyResolver
 from dappledrum.dispatch.context import DispatchContext
 from dappledrum.dispatch.dispatcher import Dispatcher
-from dappledrum.election.terms import Term
 from dappledrum.fleet.autoscaler import Autoscaler
-from dappledrum.fleet.cloud_client import CloudClient
-from dappledrum.fleet.fleet_facts import FLEET, FleetFacts
-from dappledrum.fleet.messages import FleetRecord, MachineType
+from dappledrum.fleet.messages import MachineType
 from dappledrum.jobs.job import Job
-from dappledrum.jobs.keys import head_key, spec_key
-from dappledrum.jobs.messages import JobRecord, SpecPart
 from dappledrum.jobs.record_writer import RecordWriter
+from dappledrum.leader.accounting_loop import AccountingLoop
+from dappledrum.leader.advisory_records import AdvisoryRecords
+from dappledrum.leader.context import TermContext, TermState
+from dappledrum.leader.expected_heartbeats import expected_heartbeats
 from dappledrum.leader.heartbeat_responder import MAX_IDLE_WAIT, HeartbeatResponder
-from dappledrum.leader.job_loader import JOBS, JobLoader
-from dappledrum.learning.learned_estimates import LearnedEstimates
-from dappledrum.learning.messages import LearnedRecord
+from dappledrum.leader.job_loader import JobLoader
+from dappledrum.leader.job_records import JobRecords
+from dappledrum.leader.job_watch import JobWatch
+from dappledrum.leader.live_jobs import LiveJobs
+from dappledrum.leader.maintenance_loop import MaintenanceLoop
+from dappledrum.leader.planning_loop import PlanningLoop
+from dappledrum.leader.term_loader import TermLoader
 from dappledrum.recovery.progress import RecoveryProgress
-from dappledrum.scheduling.estimates import Estimates
-from dappledrum.settings import Params, Tuning
-from dappledrum.store.advisory_record import AdvisoryRecord
-from dappledrum.store.client import CompactedError, StoreClient, StoreError
-from dappledrum.store.messages import Event
-from dappledrum.store.rate_limiter import RequestPriority
-from dappledrum.store.value_limit import ValueLimit
-from dappledrum.timing.clock import ZERO, Clock
+from dappledrum.store.client import StoreError
 from dappledrum.timing.supervisor import Supervisor
-from dappledrum.workers.machine_registry import MachineRegistry
 from dappledrum.workers.messages import Commands, WorkerHeartbeat
 from dappledrum.workers.reconciler import Reconciler
 
 log = logging.getLogger(__name__)
 
-LEARNED = "learned"
-TIMER = timedelta(seconds=1)  # slow boots and overruns trigger no plan, so a timer does
-GATHER = timedelta(milliseconds=100)
-LOAD = 4  # a plan is followed by a pause of at least this many times its own duration
-WATCH_GAP = timedelta(milliseconds=150)
-#: A watch shows nothing about the time in which it waits, so it is short: how long a leader may
-#: answer workers is counted from the moment at which the watch was sent.
-WATCH_WAIT = timedelta(seconds=2)
-KEPT_OVER = 10_000
+Loop = Callable[[], Awaitable[None]]
+
 SUPERVISOR = Supervisor(
     log, fault_pause_s=0.5, transient_errors=(StoreError,), transient_pause_s=lambda: 0.1
 )
+FLUSH_CHECK_INTERVAL = timedelta(milliseconds=20)
 
 
 class Leader:
-    """State and loops of one term."""
+    """The parts of one term."""
 
     def __init__(
         self,
-        term: Term,
-        leading: Callable[[], bool],
-        store: StoreClient,
-        value_limit: ValueLimit,
-        cloud: CloudClient,
-        params: Params,
-        clock: Clock,
-        tuning: Tuning,
-        types: list[MachineType],
-        on_ended: Callable[[Job], None],
-        awake_since: Callable[[], timedelta] = lambda: ZERO,
+        context: TermContext,
+        machine_types: list[MachineType],
+        on_job_finished: Callable[[Job], None],
     ) -> None:
-        self.term = term
-        self.leading = leading
-        self.store = store
-        self.params = params
-        self.clock = clock
-        self.on_ended = on_ended
-        self.jobs: dict[str, Job] = {}
-        self.over: OrderedDict[str, None] = OrderedDict()
-        self.registry = MachineRegistry()
-        self.ledger = Ledger(self.registry, clock)
-        self.served = ServedCounts()
-        self.estimates = Estimates()
-        self.record_writer = RecordWriter(store, term, params.state, value_limit, clock)
-        self.record_writer.on_ended = self._ended
-        self.records = JobLoader(store, self.jobs, self.record_writer.garbage)
-        self.graph = DependencyGraph(self.jobs, self.record_writer.mark_dirty, self.wake)
+        """`machine_types` is empty while no catalog is known; `on_job_finished` is called with
+        each job whose end is stored."""
+        self.context = context
+        self.term = context.term
+        self.clock = context.clock
+        self.began = context.clock.now()
+
+        self.state = TermState(context.clock)
+        self.jobs = self.state.jobs
+        self.registry = self.state.registry
+        self.estimates = self.state.estimates
+        self.loaded = self.state.loaded
+
+        self.record_writer = self._make_record_writer()
+        self.graph = DependencyGraph(self.jobs, self.record_writer.mark_dirty, self.request_plan)
+        self.resolver = DependencyResolver(context.store, self.graph, context.clock)
+        loader = JobLoader(context.store, self.jobs, self.record_writer.garbage)
+        self.records = JobRecords(loader, self.record_writer, self.graph)
+        self.live_jobs = LiveJobs(context, self.state, self.records, on_job_finished)
+        self.job_watch = JobWatch(context, self.state, self.records, self.live_jobs)
         self.record_writer.on_cancelled = self.graph.cancelled
-        self.resolver = DependencyResolver(store, self.graph, clock)
-        self.reconciler = Reconciler(
-            self.jobs,
-            self.registry,
-            self.estimates,
-            params.workers,
-            clock,
-            term.epoch,
-            self.record_writer.mark_dirty,
-            self.wake,
-            self.ledger,
-            lambda: term.others_stopped_at,
-            awake_since,
+        self.record_writer.on_ended = self.live_jobs.finish
+
+        self.reconciler = self._make_reconciler()
+        self.autoscaler = self._make_autoscaler()
+        self.set_machine_types(machine_types)
+        self.dispatcher = self._make_dispatcher()
+        self.planning = PlanningLoop(context, self.dispatcher, self.state.plan_trigger)
+        self.accounting = AccountingLoop(self.state, self.dispatcher)
+        self.responder = HeartbeatResponder(
+            context, self.state, self.reconciler, self.record_writer, self.dispatcher.machines
         )
-        self.autoscaler = Autoscaler(
-            cloud,
+
+        self.recovery = RecoveryProgress(
             self.registry,
+            context.clock,
+            context.params.workers.lease,
+            lambda: self.autoscaler.listed,
+        )
+        self.reconciler.on_lost = self.recovery.lost
+        self.maintenance = MaintenanceLoop(
+            context, self.state, self.reconciler, self.recovery, self.record_writer
+        )
+        self.advisory_records = AdvisoryRecords(context, self.state, self.autoscaler.boots)
+        self.loader = TermLoader(
+            context,
+            self.state,
+            self.records,
             self.reconciler,
-            params,
-            clock,
-            term.epoch,
-            tuning.interval,
-            leading,
-            self.wake,
-            awake_since,
+            self.autoscaler,
+            self.advisory_records,
+            self.recovery,
         )
-        self.recovery = RecoveryProgress(
-            self.registry, clock, params.workers.lease, lambda: self.autoscaler.listed
+
+    def _make_record_writer(self) -> RecordWriter:
+        context = self.context
+        return RecordWriter(
+            context.store, context.term, context.params.state, context.value_limit, context.clock
         )
-        self.reconciler.on_lost = self.recovery.lost
-        most = params.state.value_bytes
-        self.memory = FleetFacts(
-            AdvisoryRecord(store, term.guard(), FLEET, FleetRecord, most, RequestPriority.RECORD),
+
+    def _make_reconciler(self) -> Reconciler:
+        context = self.context
+        return Reconciler(
+            self.jobs,
             self.registry,
-            clock,
-        )
-        self.learned = LearnedEstimates(
-            AdvisoryRecord(
-                store, term.guard(), LEARNED, LearnedRecord, most, RequestPriority.POLL
-            ),
             self.estimates,
-            self.autoscaler.boots,
-            clock,
-        )
-        self.set_types(types)
-        self.dispatcher = Dispatcher(
-            DispatchContext(
-                self.jobs,
-                self.registry,
-                self.estimates,
-                self.autoscaler,
-                params,
-                clock,
-                tuning,
-            ),
-            self.record_writer,
-            # Pages of the version before may be larger than new ones, and are stored in parts.
-            min(value_limit.now, value_limit.least * (params.state.txn_ops - 2)),
+            context.params.workers,
+            context.clock,
+            context.term.epoch,
+            self.record_writer.mark_dirty,
+            self.request_plan,
+            self.state.ledger,
+            lambda: context.term.others_stopped_at,
+            context.awake_since,
         )
-        self.incomplete: dict[str, None] = {}  # new jobs whose specification is in parts
-        self.loaded = asyncio.Event()
-        self.woken = asyncio.Event()
-        self.revision = 0
-        self.began = clock.now()
-        self.answers = HeartbeatResponder(
-            term,
-            leading,
-            params.workers,
-            clock,
+
+    def _make_autoscaler(self) -> Autoscaler:
+        context = self.context
+        return Autoscaler(
+            context.cloud,
             self.registry,
             self.reconciler,
-            self.record_writer,
-            self.dispatcher.machines,
-            self.loaded,
-            self.woken,
+            context.params,
+            context.clock,
+            context.term.epoch,
+            context.tuning.interval,
+            context.may_command,
+            self.request_plan,
+            context.awake_since,
         )
 
-    def set_types(self, types: list[MachineType]) -> None:
-        """Take over a catalog."""
-        self.autoscaler.types = {t.name: t for t in types}
-        self.reconciler.cache_gb = {t.name: t.cache_gb for t in types}
-
-    def no_answers_since(self, moment: timedelta) -> None:
-        """Note that no other controller has answered a worker since then."""
-        term = self.term
-        if moment < term.started_at:
-            span = (term.started_at - moment).total_seconds()
-            log.info("nobody has answered a worker for %.1f s before this term", span)
-            term.others_stopped_at = (
-                moment if term.others_stopped_at is None else min(term.others_stopped_at, moment)
-            )
-            self.reconciler.no_answers_since(moment)
-
-    def wake(self, why: str) -> None:
-        """Trigger a planning round; `why` is for debugging."""
-        self.woken.set()
+    def _make_dispatcher(self) -> Dispatcher:
+        context = self.context
+        # Pages of the version before may be larger than new ones, and are stored in parts.
+        in_parts = context.value_limit.least * (context.params.state.txn_ops - 2)
+        dispatch_context = DispatchContext(
+            self.jobs,
+            self.registry,
+            self.estimates,
+            self.autoscaler,
+            context.params,
+            context.clock,
+            context.tuning,
+        )
+        return Dispatcher(
+            dispatch_context, self.record_writer, min(context.value_limit.now, in_parts)
+        )
 
     async def run(self) -> None:
-        """Lead until the term is over."""
-        loops = [
-            self._keep_running(self._load_once),
-            self._keep_running(self._watch),
-            self._keep_running(self.record_writer.run),
-            self._keep_running(self._plan),
-            self._keep_running(self._sweep),
-            self._keep_running(self._resolve),
-            self._keep_running(self._store_fleet),
-            self._keep_running(self._store_learned),
-            self._keep_running(self._account),
-            self._keep_running(self.autoscaler.rent_loop),
-            self._keep_running(self.autoscaler.return_loop),
-            self._keep_running(self.autoscaler.list_loop),
-            self._keep_running(self.autoscaler.catalog_loop),
+        """Lead until the term has ended."""
+        loops: dict[str, Loop] = {
+            "loading": self.loader.load,
+            "job watch": self._after_loading(self.job_watch.run),
+            "record writer": self.record_writer.run,
+            "planning": self._after_loading(self.planning.run),
+            "maintenance": self._after_loading(self.maintenance.run),
+            "dependency resolver": self._after_loading(self.resolver.run),
+            "fleet record": self._after_loading(self.advisory_records.fleet.run),
+            "estimates record": self._after_loading(self.advisory_records.estimates.run),
+            "accounting": self._after_loading(self.accounting.run),
+            "renting": self.autoscaler.rent_loop,
+            "returning": self.autoscaler.return_loop,
+            "machine list": self.autoscaler.list_loop,
+            "catalog": self.autoscaler.catalog_loop,
+        }
+        tasks = [
+            asyncio.create_task(SUPERVISOR.run_to_completion(name, loop, self.term.ended))
+            for name, loop in loops.items()
         ]
-        tasks = [asyncio.get_running_loop().create_task(loop) for loop in loops]
         try:
             await self.term.ended.wait()
         finally:
@@ -215,228 +191,55 @@
                 task.cancel()
             await asyncio.gather(*tasks, return_exceptions=True)
 
-    async def _keep_running(self, loop: Callable[[], Awaitable[None]]) -> None:
-        """Run a loop, and start it again when it fails; the others are not affected."""
-        await SUPERVISOR.run_to_completion(loop.__name__, loop, self.term.ended)
+    def _after_loading(self, loop: Loop) -> Loop:
+        return partial(self._run_after_loading, loop)
 
-    # records
+    async def _run_after_loading(self, loop: Loop) -> None:
+        await self.loaded.wait()
+        await loop()
 
-    async def _load_once(self) -> None:
-        started = self.clock.now()
-        revision = await self.records.read()
-        self.graph.clear()
-        for job in self.jobs.values():
-            self.reconciler.restore(job)
-        await self.memory.recall()
-        await self.learned.recall({t.name: t.boot for t in self.autoscaler.types.values()})
-        for job in list(self.jobs.values()):
-            self.graph.add(job)
-            self.record_writer.mark_dirty(job.page(0))
-        self.revision = revision
-        self.term.record_cancellations_known(started)  # later cancellations are seen by the watch
-        self.loaded.set()
-        took = (self.clock.now() - started).total_seconds() * 1e3
-        placed = sum(job.placement_count() for job in self.jobs.values())
-        log.info("read %d live jobs with %d placements in %.0f ms", len(self.jobs), placed, took)
-        self.recovery.begin()
-        self.wake("loaded")
+    def set_machine_types(self, machine_types: list[MachineType]) -> None:
+        """Replace the catalog of machine types."""
+        self.autoscaler.types = {model.name: model for model in machine_types}
+        self.reconciler.cache_gb = {model.name: model.cache_gb for model in machine_types}
 
-    async def _watch(self) -> None:
-        """Follow the submissions and cancellations that all controllers store."""
-        await self.loaded.wait()
-        while True:
-            sent = self.clock.now()
-            try:
-                events, revision = await self.store.watch(
-                    JOBS, self.revision, WATCH_WAIT, RequestPriority.RECORD
-                )
-            except CompactedError:
-                sent = self.clock.now()
-                entries, revision = await self.store.scan(JOBS, RequestPriority.RECORD)
-                events = [Event(e.version, put=e.key, value=e.value) for e in entries]
-            for event in events:
-                if event.put is not None:
-                    self._changed(event.put, event.value, event.version)
-            self.revision = revision
-            self.term.record_cancellations_known(sent)
-            for name in list(self.incomplete):
-                await self._complete(name)
-            await asyncio.sleep(WATCH_GAP.total_seconds())
+    def request_plan(self, reason: str) -> None:
+        """Request a planning round; `reason` is for debugging."""
+        self.state.plan_trigger.request(reason)
 
-    def _changed(self, key: str, value: msgspec.Raw, version: int) -> None:
-        name = key.removeprefix(JOBS)
-        job = self.jobs.get(name)
-        if name in self.over or (job is not None and version <= job.page(0).version):
+    def no_answers_since(self, moment: timedelta) -> None:
+        """Record that no other controller has answered a worker since `moment` (steady time)."""
+        term = self.term
+        if moment >= term.started_at:
             return
-        record = (
-            self.records.decode(name, value, JobRecord)
-            if name not in self.records.unreadable
-            else None
+        span = (term.started_at - moment).total_seconds()
+        log.info("no controller answered a worker in the last %.1f s before this term", span)
+        others_stopped_at = term.others_stopped_at
+        term.others_stopped_at = (
+            moment if others_stopped_at is None else min(others_stopped_at, moment)
         )
-        if record is None:
-            return
-        if job is None and record.spec_parts:
-            self.incomplete[name] = None
-            return
-        if job is None:
-            made = self.records.make_job(record, version, [])
-            if made is None:
-                return
-            job = self._new(made)
-        else:
-            job.page(0).version = version
-            if record.cancelled:
-                self._cancel(job, "is cancelled")
-        self.record_writer.mark_dirty(job.page(0))
-        self.wake("job changed")
-
-    def _cancel(self, job: Job, why: str) -> None:
-        if not job.cancelled:
-            job.cancelled = job.cancel_stored = True
-            log.info("%s %s", job.id, why)
-            self.graph.cancelled(job)
-
-    def apply_confirmed_cancellations(self, names: frozenset[str]) -> None:
-        """Cancel jobs whose cancellation other controllers have confirmed to users, so that it is
-        stored and final. Their tasks are stopped from now on, also while this leader only keeps
-        its term by promises. A record that this leader writes without knowing the cancellation
-        fails by its version, and is read again."""
-        for name in names:
-            job = self.jobs.get(name)
-            if job is not None and not job.cancelled:
-                self._cancel(job, "is cancelled, as other controllers say")
-                self.record_writer.mark_dirty(job.page(0))
-                self.wake("job cancelled")
-
-    def _new(self, job: Job) -> Job:
-        self.jobs[job.id] = job
-        spec = job.spec
-        log.info("new job %s: %s", job.id, described(spec.tasks, spec.job_class, spec.team))
-        self.graph.add(job)
-        return job
-
-    async def _complete(self, name: str) -> None:
-        """Read a new job whose specification is stored in parts."""
-        entry = await self.store.get(head_key(name), RequestPriority.RECORD)
-        if entry is not None and name not in self.jobs:
-            record = msgspec.json.decode(entry.value, type=JobRecord)
-            parts = []
-            for number in range(record.spec_parts):
-                part = await self.store.get(spec_key(name, number), RequestPriority.RECORD)
-                if part is None:
-                    log.error("%s lacks a part of its specification", name)
-                    return
-                parts.append(msgspec.json.decode(part.value, type=SpecPart))
-            made = self.records.make_job(record, entry.version, parts)
-            if made is not None:
-                self.record_writer.mark_dirty(self._new(made).page(0))
-                self.wake("job changed")
-        self.incomplete.pop(name, None)
-
-    def _ended(self, job: Job) -> None:
-        log.info("%s", ending(job, self.params.objectives))
-        self.jobs.pop(job.id, None)
-        self.graph.ended(job)
-        self.estimates.forget(job.id)
-        self.over[job.id] = None
-        while len(self.over) > KEPT_OVER:
-            self.over.popitem(last=False)
-        for placement in list(job.placements()):
-            machine = self.registry.get(placement.machine)
-            if machine is not None:
-                machine.placements.pop((job.id, placement.task), None)
-        self.served.ended(job)
-        self.on_ended(job)
-
-    # loops
-
-    async def _plan(self) -> None:
-        await self.loaded.wait()
-        while True:
-            try:
-                async with asyncio.timeout(TIMER.total_seconds()):
-                    await self.woken.wait()
-            except TimeoutError:
-                pass
-            self.woken.clear()
-            pause = GATHER
-            if self.leading() and self.autoscaler.types:
-                started = self.clock.now()
-                plan = await self.dispatcher.run()
-                took = self.clock.now() - started
-                pause = max(GATHER, min(took * LOAD, TIMER))
-                log.debug("plan in %.0f ms: %s", took.total_seconds() * 1e3, plan)
-            await asyncio.sleep(pause.total_seconds())
-
-    async def _store_fleet(self) -> None:
-        await self.loaded.wait()
-        await self.memory.run()
-
-    async def _store_learned(self) -> None:
-        await self.loaded.wait()
-        await self.learned.run()
-
-    async def _account(self) -> None:
-        """Book what is spent; the rest is logged when the term ends."""
-        await self.loaded.wait()
-        try:
-            while True:
-                await asyncio.sleep(STEP.total_seconds())
-                self.ledger.step(
-                    self.autoscaler.types,
-                    self.dispatcher.work.demands(),
-                    self.dispatcher.machines.available(),
-                )
-                self._log_totals()
-        finally:
-            self._log_totals(at_once=True)
-
-    def _log_totals(self, at_once: bool = False) -> None:
-        if self.ledger.log_totals(at_once):
-            log.info("served in this term: %s", self.served.shown(self.jobs.values()))
-
-    async def _resolve(self) -> None:
-        await self.loaded.wait()
-        await self.resolver.run()
-
-    async def _sweep(self) -> None:
-        await self.loaded.wait()
-        while True:
-            # A leader that was paused until its term was over does not know what others have
-            # answered since: one took hundreds of tasks for lost, though it could store nothing.
-            if self.leading():
-                self.reconciler.sweep()
-            self.recovery.look()
-            self.record_writer.shrink(self.jobs.values())
-            await asyncio.sleep(0.5)
+        self.reconciler.no_answers_since(moment)
 
-    # workers
+    def apply_confirmed_cancellations(self, job_ids: frozenset[str]) -> None:
+        """Cancel jobs whose cancellation other controllers have confirmed to users."""
+        self.live_jobs.apply_confirmed_cancellations(job_ids)
 
-    def reporting(self) -> Counter[str]:
-        """How many machines should report, by zone."""
-        now, lease = self.clock.now(), self.params.workers.lease
-        result: Counter[str] = Counter()
-        for machine in self.registry:
-            if machine.returning or machine.failed or machine.expired(now, lease):
-                continue
-            if machine.up and machine.kind is not None:
-                result[machine.kind.zone] += 1
-            else:
-                result.update(p.zone for p in islice(machine.placements.values(), 1))
-        return result
+    def expected_heartbeats(self) -> Counter[str]:
+        """How many machines should send heartbeats, by zone."""
+        lease = self.context.params.workers.lease
+        return expected_heartbeats(self.registry, self.clock.now(), lease)
 
-    async def settle(self, time_limit: timedelta) -> None:
-        """Write pending records before another controller leads."""
-        until = self.clock.now() + time_limit
-        while self.record_writer.dirty and self.clock.now() < until:
-            await asyncio.sleep(0.02)
+    async def flush_records(self, timeout: timedelta) -> None:
+        """Wait up to `timeout` until all changes are stored, before another controller leads."""
+        deadline = self.clock.now() + timeout
+        while self.record_writer.dirty and self.clock.now() < deadline:
+            await asyncio.sleep(FLUSH_CHECK_INTERVAL.total_seconds())
 
     async def answer_heartbeat(
         self,
         heartbeat: WorkerHeartbeat,
-        holding: Callable[[], bool],
-        most: timedelta = MAX_IDLE_WAIT,
+        may_answer: Callable[[], bool],
+        max_wait: timedelta = MAX_IDLE_WAIT,
     ) -> Commands | None:
-        """The answer to a worker, which is held back for up to `most` while there is no work for
-        it; None when this controller is not entitled to answer."""
-        return await self.answers.answer(heartbeat, holding, most)
+        """The answer to a worker; see `HeartbeatResponder.respond`."""
+        return await self.responder.respond(heartbeat, may_answer, max_wait)
--- /dev/null
+++ b/dappledrum/leader/maintenance_loop.py
@@ -0,0 +1,41 @@
+"""Checks twice a second what no message triggers: leases that have expired, the end of the
+recovery, and records that have become too large."""
+
+import asyncio
+from datetime import timedelta
+
+from dappledrum.jobs.record_writer import RecordWriter
+from dappledrum.leader.context import TermContext, TermState
+from dappledrum.recovery.progress import RecoveryProgress
+from dappledrum.workers.reconciler import Reconciler
+
+CHECK_INTERVAL = timedelta(milliseconds=500)
+
+
+class MaintenanceLoop:
+    """Periodic checks of one term."""
+
+    def __init__(
+        self,
+        context: TermContext,
+        state: TermState,
+        reconciler: Reconciler,
+        recovery: RecoveryProgress,
+        record_writer: RecordWriter,
+    ) -> None:
+        self.may_command = context.may_command
+        self.state = state
+        self.reconciler = reconciler
+        self.recovery = recovery
+        self.record_writer = record_writer
+
+    async def run(self) -> None:
+        """Check for ever."""
+        while True:
+            # A leader that was paused until its term had ended is not aware of what others have
+            # answered since: one counted hundreds of tasks as lost, though it could store nothing.
+            if self.may_command():
+                self.reconciler.sweep()
+            self.recovery.look()
+            self.record_writer.shrink(self.state.jobs.values())
+            await asyncio.sleep(CHECK_INTERVAL.total_seconds())
--- a/dappledrum/recovery/test_reconciliation.py
+++ b/dappledrum/recovery/test_reconciliation.py
@@ -62,7 +62,7 @@
         unstored = True
     instruction = None
     if case.shown is not None and ended:
-        instruction = None if placed and mine or unstored else "forget"
+        instruction = None if (placed and mine) or unstored else "forget"
     elif case.shown is not None:
         instruction = None if placed and mine and not unwanted else "stop"
     if (
