--- a/dappledrum/leader/job_loader.py
+++ b/dappledrum/leader/job_loader.py
@@ -18,26 +18,24 @@
 
 log = logging.getLogger(__name__)
 
-T = TypeVar("T")
+RecordType = TypeVar("RecordType")
 JOBS = "job/"
 PAGES = "page/"
 ROWS = "rows/"
 SPECS = "spec/"
 #: Errors of a record that can be decoded, but has impossible values, as numbers of zones or tasks.
-BROKEN = (ValueError, LookupError, TypeError)
+IMPOSSIBLE_VALUE_ERRORS = (ValueError, LookupError, TypeError)
 
 
 class JobLoader:
-    """Reads all records of live jobs into `jobs`.
-
-    `garbage` gets the keys of records whose job does not exist any more.
-    """
+    """Reads all records of live jobs."""
 
     def __init__(self, store: StoreClient, jobs: dict[str, Job], garbage: dict[str, None]) -> None:
+        """`jobs` is filled, by ids; `garbage` gets the keys of records without a job."""
         self.store = store
         self.jobs = jobs
         self.garbage = garbage
-        self.unreadable: set[str] = set()  # jobs with a record that can't be read
+        self.unreadable: set[str] = set()  # ids of jobs with a record that can't be used
 
     async def read(self) -> int:
         """Replace all jobs by those that are stored; returns the revision from which to watch."""
@@ -55,8 +53,8 @@
         parts = self._spec_parts(specs)
         self.jobs.clear()
         self._add_jobs(jobs, parts)
-        for name, left in parts.items():
-            self.garbage.update((spec_key(name, number), None) for number in left)
+        for job_id, left in parts.items():
+            self.garbage.update((spec_key(job_id, number), None) for number in left)
         self._add_pages(pages)
         self._add_rows(rows)
         return revision
@@ -64,63 +62,65 @@
     def _spec_parts(self, entries: Iterable[Entry]) -> dict[str, dict[int, SpecPart]]:
         parts: dict[str, dict[int, SpecPart]] = {}
         for entry in entries:
-            _, name, number = entry.key.split("/")
-            part = self.decode(name, entry.value, SpecPart)
+            _, job_id, number = entry.key.split("/")
+            part = self.decode(job_id, entry.value, SpecPart)
             if part is not None:
-                parts.setdefault(name, {})[int(number)] = part
+                parts.setdefault(job_id, {})[int(number)] = part
         return parts
 
     def _add_jobs(self, entries: Iterable[Entry], parts: dict[str, dict[int, SpecPart]]) -> None:
         """Add the jobs; their parts of specifications are taken out of `parts`."""
         for entry in entries:
-            name = entry.key.removeprefix(JOBS)
-            record = self.decode(name, entry.value, JobRecord)
-            own = parts.pop(name, {})
-            if record is None or name in self.unreadable:
+            job_id = entry.key.removeprefix(JOBS)
+            record = self.decode(job_id, entry.value, JobRecord)
+            own = parts.pop(job_id, {})
+            if record is None or job_id in self.unreadable:
                 continue
             job = self.make_job(record, entry.version, [own[number] for number in sorted(own)])
             if job is not None:
                 job.page(0).stored_bytes = len(bytes(entry.value))
-                self.jobs[name] = job
+                self.jobs[job_id] = job
 
     def _add_pages(self, entries: Iterable[Entry]) -> None:
         for entry in entries:
-            _, name, index = entry.key.split("/")
-            found = self.jobs.get(name)
-            page = self.decode(name, entry.value, PageRecord)
-            if name in self.unreadable:
+            _, job_id, index = entry.key.split("/")
+            job = self.jobs.get(job_id)
+            page = self.decode(job_id, entry.value, PageRecord)
+            if job_id in self.unreadable:
                 continue
-            if found is None:
+            if job is None:
                 self.garbage[entry.key] = None
             elif page is not None:
                 try:
-                    found.add_page(int(index), page, entry.version)
-                except BROKEN as error:
-                    self._set_aside(name, error)
+                    job.add_page(int(index), page, entry.version)
+                except IMPOSSIBLE_VALUE_ERRORS as error:
+                    self._quarantine(job_id, error)
                     continue
-                found.page(int(index)).stored_bytes = len(bytes(entry.value))
+                job.page(int(index)).stored_bytes = len(bytes(entry.value))
 
     def _add_rows(self, entries: Iterable[Entry]) -> None:
         outgrown: dict[Page, int] = {}
         for entry in entries:
-            _, name, index, number = entry.key.split("/")
-            found = self.jobs.get(name)
-            record_rows = self.decode(name, entry.value, RowsRecord)
-            if name in self.unreadable:
+            _, job_id, index, number = entry.key.split("/")
+            job = self.jobs.get(job_id)
+            record_rows = self.decode(job_id, entry.value, RowsRecord)
+            if job_id in self.unreadable:
                 continue
-            if found is None:
+            if job is None:
                 self.garbage[entry.key] = None
-            elif int(number) >= found.page(int(index)).parts:
-                outgrown[found.page(int(index))] = int(number) + 1
+            elif int(number) >= job.page(int(index)).parts:
+                outgrown[job.page(int(index))] = int(number) + 1
             elif record_rows is not None:
                 try:
-                    load_rows(found.page(int(index)), record_rows)
-                except BROKEN as error:
-                    self._set_aside(name, error)
-        for page_of, count in outgrown.items():  # those of jobs set aside meanwhile, too
-            page_of.parts = max(page_of.parts, count)  # removed with the page's next record
-
-    def decode(self, name: str, value: msgspec.Raw, kind: type[T]) -> T | None:
+                    load_rows(job.page(int(index)), record_rows)
+                except IMPOSSIBLE_VALUE_ERRORS as error:
+                    self._quarantine(job_id, error)
+        for page, count in outgrown.items():  # those of quarantined jobs, too
+            page.parts = max(page.parts, count)  # removed with the page's next record
+
+    def decode(
+        self, job_id: str, value: msgspec.Raw, record_type: type[RecordType]
+    ) -> RecordType | None:
         """A record of a job; None: it can't be read.
 
         Its job is left alone then, with all its records: nothing of it is removed or started, as
@@ -128,9 +128,9 @@
         one such record would keep every leader from beginning its term.
         """
         try:
-            return msgspec.json.decode(value, type=kind)
+            return msgspec.json.decode(value, type=record_type)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
-            self._set_aside(name, error)
+            self._quarantine(job_id, error)
             return None
 
     def make_job(self, record: JobRecord, version: int, parts: list[SpecPart]) -> Job | None:
@@ -140,12 +140,12 @@
             if len(parts) < record.spec_parts:
                 raise ValueError(f"{len(parts)} of {record.spec_parts} parts of its specification")
             return Job(record, version, parts)
-        except BROKEN as error:
-            self._set_aside(record.spec.id, error)
+        except IMPOSSIBLE_VALUE_ERRORS as error:
+            self._quarantine(record.spec.id, error)
             return None
 
-    def _set_aside(self, name: str, error: Exception) -> None:
-        if name not in self.unreadable:
-            log.error("a record of %s can't be read, its job is left alone: %s", name, error)
-        self.unreadable.add(name)
-        self.jobs.pop(name, None)
+    def _quarantine(self, job_id: str, error: Exception) -> None:
+        if job_id not in self.unreadable:
+            log.error("a record of %s can't be read, its job is left alone: %s", job_id, error)
+        self.unreadable.add(job_id)
+        self.jobs.pop(job_id, None)
--- a/dappledrum/leader/leader.py
+++ b/dappledrum/leader/leader.py
@@ -94,7 +94,7 @@
             context.params.workers.lease,
             lambda: self.autoscaler.listed,
         )
-        self.reconciler.on_lost = self.recovery.lost
+        self.reconciler.on_lost = self.recovery.count_lost
         self.maintenance = MaintenanceLoop(
             context, self.state, self.reconciler, self.recovery, self.record_writer
         )
--- a/dappledrum/leader/maintenance_loop.py
+++ b/dappledrum/leader/maintenance_loop.py
@@ -36,6 +36,6 @@
             # answered since: one counted hundreds of tasks as lost, though it could store nothing.
             if self.may_command():
                 self.reconciler.sweep()
-            self.recovery.look()
+            self.recovery.check()
             self.record_writer.shrink(self.state.jobs.values())
             await asyncio.sleep(CHECK_INTERVAL.total_seconds())
--- a/dappledrum/leader/term_loader.py
+++ b/dappledrum/leader/term_loader.py
@@ -52,7 +52,8 @@
             graph.add(job)
             self.records.writer.mark_dirty(job.page(0))
         self.state.watch_revision = revision
-        self.term.record_cancellations_known(started_at)  # later cancellations are seen by the watch
+        # Cancellations that are confirmed later are seen by the watch.
+        self.term.record_cancellations_known(started_at)
         self.state.loaded.set()
         duration = (self.clock.now() - started_at).total_seconds() * 1e3
         placed = sum(job.placement_count() for job in jobs.values())
--- a/dappledrum/recovery/progress.py
+++ b/dappledrum/recovery/progress.py
@@ -1,5 +1,5 @@
 """Logs once in each term what became of the machines and tasks from before it, when all of them
-have reported or are given up."""
+have sent a heartbeat or are given up."""
 
 import logging
 from collections import Counter
@@ -11,53 +11,70 @@
 
 log = logging.getLogger(__name__)
 
-LEASES = 2  # by then everything that could be proven is, and what is missing stays so
+#: After so many leases everything that can be proven is, and what is missing stays so.
+MAX_RECOVERY_LEASES = 2
 
 
 class RecoveryProgress:
-    """Watches the recovery of one term; it changes nothing."""
+    """Observes the recovery of one term; it changes nothing."""
 
     def __init__(
-        self, registry: MachineRegistry, clock: Clock, lease: timedelta, listed: Callable[[], bool]
+        self,
+        registry: MachineRegistry,
+        clock: Clock,
+        lease: timedelta,
+        is_fleet_listed: Callable[[], bool],
     ) -> None:
+        """`lease`: how long a worker keeps its tasks without an answer.
+
+        `is_fleet_listed`: whether the cloud has given a list of machines in this term.
+        """
         self.registry = registry
         self.clock = clock
-        self.most = lease * LEASES
-        self.listed = listed
-        self.gone: Counter[str] = Counter()  # placements given up, by why
-        self.placed: set[str] = set()  # machines that the records name
-        self.began: timedelta | None = None  # None: nothing to tell (any more)
+        self.max_duration = lease * MAX_RECOVERY_LEASES
+        self.is_fleet_listed = is_fleet_listed
+        self._lost_placements: Counter[str] = Counter()  # by the reason
+        self._recorded_machines: set[str] = set()  # machines with placements in the records
+        self._began: timedelta | None = None  # None: not begun yet, or finished
 
     def begin(self) -> None:
         """Start when the records are read."""
-        self.began = self.clock.now()
-        self.placed = {machine.name for machine in self.registry if machine.placements}
+        self._began = self.clock.now()
+        self._recorded_machines = {machine.name for machine in self.registry if machine.placements}
 
-    def lost(self, why: str) -> None:
+    def count_lost(self, reason: str) -> None:
         """Count a placement that was given up."""
-        self.gone[why] += 1
+        self._lost_placements[reason] += 1
 
-    def look(self) -> None:
-        """Log the outcome once nothing is awaited any more."""
-        if self.began is None:
+    def check(self) -> None:
+        """Log the outcome once no machine is awaited any more, or when the time is up."""
+        if self._began is None:
             return
-        waited = self.clock.now() - self.began
-        awaited = [machine for machine in self.registry if self._awaited(machine)]
-        if (awaited or not self.listed()) and waited <= self.most:
+        elapsed = self.clock.now() - self._began
+        awaited = [machine for machine in self.registry if self._is_awaited(machine)]
+        if (awaited or not self.is_fleet_listed()) and elapsed <= self.max_duration:
             return
-        back = [m for m in self.registry if m.up and (m.listed_up or m.name in self.placed)]
-        at = max((m.up_at for m in back if m.up_at is not None), default=self.began)
-        missing = len(awaited) + sum(self.registry.get(name) is None for name in self.placed)
-        gone = "; ".join(f"{count} for {why}" for why, count in self.gone.most_common())
+        self._log_outcome(self._began, len(awaited))
+        self._began = None
+
+    def _log_outcome(self, began: timedelta, awaited: int) -> None:
+        recorded = self._recorded_machines
+        back = [m for m in self.registry if m.up and (m.listed_up or m.name in recorded)]
+        last_up_at = max((m.up_at for m in back if m.up_at is not None), default=began)
+        missing = awaited + sum(self.registry.get(name) is None for name in recorded)
+        lost = "; ".join(
+            f"{count} for {reason}" for reason, count in self._lost_placements.most_common()
+        )
         log.info(
-            "the start is over: %d machines back within %.1f s, %d missing; tasks given up: %s",
+            "recovery finished: %d machines back within %.1f s, %d missing; tasks lost: %s",
             len(back),
-            (at - self.began).total_seconds(),
+            (last_up_at - began).total_seconds(),
             missing,
-            gone or "none",
+            lost or "none",
         )
-        self.began = None
 
-    def _awaited(self, machine: Machine) -> bool:
-        known = machine.awaiting_heartbeat or (machine.name in self.placed and not machine.up)
-        return known and not machine.returning and not machine.failed
+    def _is_awaited(self, machine: Machine) -> bool:
+        was_up = machine.awaiting_heartbeat or (
+            machine.name in self._recorded_machines and not machine.up
+        )
+        return was_up and not machine.returning and not machine.failed
--- a/dappledrum/recovery/test_last_answers.py
+++ b/dappledrum/recovery/test_last_answers.py
@@ -1,5 +1,5 @@
-"""Since when nobody can have answered a worker: what dies with the controllers is proven gone a
-lease after that, not a lease after the next leader has begun."""
+"""Since when nobody can have answered a worker: what ends with the controllers is proven
+terminated a lease after that, not a lease after the next leader's term has begun."""
 
 import asyncio
 import random
@@ -8,16 +8,16 @@
 
 from dappledrum.membership.test_outages import two_sides
 from dappledrum.simulation.cluster import SimulatedCluster, job
+from dappledrum.simulation.fault_combinations import FIVE
 from dappledrum.simulation.virtual_time import run
 from dappledrum.workers.reconciler import Reconciler
 
-FIVE = tuple(f"drummer-{index}" for index in range(5))
 LEASE = 9.0
 
 
 @pytest.fixture
 def proofs(monkeypatch):
-    """Each proof by silence is told with its time, and checked against what is on the machine: a
+    """Each proof by silence is recorded with its time, and compared with what is on the machine: a
     loop of the leader would only log a failure and go on."""
     found, clusters, wrong = [], [], []
     lost = Reconciler._lost
@@ -53,7 +53,9 @@
         worker.hung = True
 
 
-def test_what_died_with_all_controllers_is_proven_gone_a_lease_after_they_are_back(proofs):
+def test_what_ends_with_all_controllers_is_proven_terminated_a_lease_later(
+    proofs,
+):
     """They come back in an outage, so the next leader begins seconds later."""
     found, clusters = proofs
 
@@ -70,7 +72,8 @@
         began = asyncio.get_running_loop().time()
         assert began > back + 5
         await cluster.wait(back + LEASE + 2.5 - began)
-        assert found and max(at for at, _ in found) < back + LEASE + 2.5
+        assert found
+        assert max(at for at, _ in found) < back + LEASE + 2.5
         for worker in cluster.cloud.workers():
             worker.hung = False
         await cluster.finish([f"j-{n:06d}" for n in range(6)], most=400)
@@ -79,8 +82,8 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_nothing_is_taken_for_gone_that_is_there(proofs, seed):
-    """Leaders that end, stand still, go on for promises and are cut off, while machines are cut
+def test_no_running_task_is_proven_terminated(proofs, seed):
+    """Leaders that exit, are paused, go on by lease grants and are cut off, while machines are cut
     off too, and go on at any moment: at each proof nothing is on the machine."""
     _, clusters = proofs
 
@@ -116,9 +119,9 @@
     run(main())
 
 
-def test_a_leader_that_others_know_nothing_of_may_still_answer(proofs):
-    """Leader and two others are refused and go on for promises, two are served and lead, and the
-    two sides can't talk: what the two hear of each other says nothing of the three."""
+def test_a_leader_that_others_are_not_aware_of_may_still_answer(proofs):
+    """Leader and two others are refused and go on by lease grants, two are served and lead, and
+    the two sides can't talk: what the two hear of each other says nothing of the three."""
     _, clusters = proofs
 
     async def main():
@@ -138,7 +141,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_a_leader_that_has_handed_over_answered_until_then(proofs, seed):
+def test_a_leader_answered_until_it_transferred_leadership(proofs, seed):
     _, clusters = proofs
 
     async def main():
--- a/dappledrum/recovery/test_reconciliation.py
+++ b/dappledrum/recovery/test_reconciliation.py
@@ -1,5 +1,5 @@
 """Heartbeat against record, at the start of a term: the table of docs/recovery.md as a plain
-model, and the real bookkeeper on everything that the two can say of one task on one machine."""
+model, and the real reconciler on everything that the two can say of one task on one machine."""
 
 import itertools
 from datetime import UTC, datetime
@@ -23,7 +23,7 @@
 
 
 class Case(NamedTuple):
-    """What is known of a task, from both sides."""
+    """A task as the records and as a heartbeat show it."""
 
     recorded: tuple[int, int] | None  # attempt and session
     done: bool  # its end is stored
@@ -34,15 +34,15 @@
 
 
 class Outcome(NamedTuple):
-    """What follows at the first heartbeat, and what the worker is told."""
+    """What follows at the first heartbeat, and the commands in its answer."""
 
     placed: bool  # it still counts as on the machine
     done: bool
     instruction: str | None
 
 
-def plainly(case: Case) -> Outcome:
-    """The table."""
+def expected_outcome(case: Case) -> Outcome:
+    """The table of docs/recovery.md."""
     placed, done = case.recorded is not None, case.done
     attempt, recorded_in = case.recorded or (0, 0)
     mine = case.shown is not None and placed and case.shown[0] == attempt
@@ -58,7 +58,7 @@
         unstored = True
     unwanted = case.cancelled or done
     if placed and unwanted and not mine and not case.held_back and recorded_in == case.session:
-        placed = False  # never begun there, or gone
+        placed = False  # never begun there, or terminated
         unstored = True
     instruction = None
     if case.shown is not None and ended:
@@ -92,8 +92,8 @@
     return Outcome(placed, done, instruction)
 
 
-def really(case: Case) -> Outcome:
-    """The bookkeeper, after it has taken a predecessor's record over."""
+def actual_outcome(case: Case) -> Outcome:
+    """What the reconciler makes of it, after it has restored a predecessor's record."""
 
     async def main() -> Outcome:
         spec = {key: value for key, value in job(1, beats=1).items() if key != "runS"}
@@ -105,26 +105,26 @@
             page.place(0, "m", case.recorded[1], "a", datetime.now(UTC), case.recorded[0])
         page.stored_revision = page.revision
         own.cancelled = case.cancelled
-        books = Reconciler(
+        reconciler = Reconciler(
             {own.id: own},
             MachineRegistry(),
             Estimates(),
             WorkerLimits(1.0, 9.0, 30.0),
             Clock(),
             TOKEN,
-            lambda page: None,
-            lambda why: None,
+            lambda _page: None,
+            lambda _reason: None,
         )
-        books.restore(own)
+        reconciler.restore(own)
         tasks = [] if case.shown is None else [TaskStatus("j-000001/0", *case.shown)]
         token = TOKEN - 1 if case.held_back else TOKEN
         heartbeat = WorkerHeartbeat(
             "m", "10.1.0.1:1", "small", "a", True, case.session, 7, token, None, tasks
         )
-        machine = books.take(heartbeat)
+        machine = reconciler.take(heartbeat)
         assert machine is not None
         instruction = ", ".join(
-            command.op for command in books.commands.of_records(machine, heartbeat)
+            command.op for command in reconciler.commands.of_records(machine, heartbeat)
         )
         return Outcome(0 in page.placements, page.is_done(0), instruction or None)
 
@@ -158,20 +158,24 @@
 
 
 def test_everything_that_a_heartbeat_and_a_record_can_say_of_a_task():
-    different = [case for case in CASES if really(case) != plainly(case)]
-    assert len(CASES) > 500 and not different, (
+    different = [case for case in CASES if actual_outcome(case) != expected_outcome(case)]
+    assert len(CASES) > 500
+    assert not different, (
         f"{len(different)} of {len(CASES)}, as {different[0]}:"
-        f" {really(different[0])}, not {plainly(different[0])}"
+        f" {actual_outcome(different[0])}, not {expected_outcome(different[0])}"
     )
 
 
 @pytest.mark.parametrize("case", CASES[::7])
-def test_nothing_is_started_that_may_be_elsewhere_or_is_over(case):
+def test_nothing_is_started_that_may_be_elsewhere_or_has_ended(case):
     """Whatever the table says: a start is for what is recorded here, in this session, and not
     done or cancelled; a forget is for what is stored."""
-    outcome = really(case)
+    outcome = actual_outcome(case)
     if outcome.instruction is not None and "start" in outcome.instruction:
-        assert outcome.placed and not outcome.done and not case.cancelled
-        assert case.recorded is not None and case.recorded[1] == case.session
+        assert outcome.placed
+        assert not outcome.done
+        assert not case.cancelled
+        assert case.recorded is not None
+        assert case.recorded[1] == case.session
     if outcome.instruction is not None and "forget" in outcome.instruction:
         assert outcome.done == case.done
--- a/dappledrum/recovery/test_return_times.py
+++ b/dappledrum/recovery/test_return_times.py
@@ -6,28 +6,30 @@
 
 from dappledrum.recovery.return_times import expected_heartbeat_in
 from dappledrum.simulation.cluster import SimulatedCluster, job
+from dappledrum.simulation.fault_combinations import FIVE
 from dappledrum.simulation.virtual_time import run
 
-FIVE = tuple(f"drummer-{index}" for index in range(5))
 
+def test_a_machine_is_expected_the_later_the_longer_it_is_missing():
+    def expected_after(missing_s):
+        return expected_heartbeat_in(
+            timedelta(seconds=missing_s), interval=timedelta(seconds=3)
+        ).total_seconds()
 
-def test_a_machine_is_the_further_away_the_longer_it_is_missing():
-    interval = timedelta(seconds=3)
-    usual = [
-        expected_heartbeat_in(timedelta(seconds=s), interval).total_seconds() for s in range(6)
-    ]
-    assert usual == sorted(usual, reverse=True) and 0 < usual[-1] < 1 < usual[0] < 7
-    missing = [
-        expected_heartbeat_in(timedelta(seconds=s), interval).total_seconds() for s in range(6, 60)
-    ]
-    assert missing == sorted(missing) and missing[0] < 2 and missing[-1] > 60
+    usual = [expected_after(missing_s) for missing_s in range(6)]
+    assert usual == sorted(usual, reverse=True)
+    assert 0 < usual[-1] < 1 < usual[0] < 7
+    overdue = [expected_after(missing_s) for missing_s in range(6, 60)]
+    assert overdue == sorted(overdue)
+    assert overdue[0] < 2
+    assert overdue[-1] > 60
 
 
 @pytest.mark.long
-@pytest.mark.parametrize("comes", [True, False])
-def test_nothing_is_rented_for_what_is_about_to_come_back(comes):
-    """Idle machines that the list shows were taken for boots of minutes, and others were rented in
-    the seconds in which their workers came. Those that don't come are replaced soon."""
+@pytest.mark.parametrize("comes_back", [True, False])
+def test_nothing_is_rented_for_what_is_about_to_come_back(comes_back):
+    """Idle machines that the list shows were counted as boots of minutes, and others were rented
+    in the seconds in which their workers came. Those that don't come are replaced soon."""
 
     async def main():
         cluster = SimulatedCluster(seed=1, members=FIVE, lease_s=12.0)
@@ -35,7 +37,7 @@
         for _ in range(30):
             cluster.cloud.add(("small", "a", True))
         await cluster.until(lambda: cluster.leader() is not None)
-        # One on each, with room for one of the others beside it.
+        # One on each, with capacity for one of the others beside it.
         long = job(
             1,
             beats=30,
@@ -57,7 +59,7 @@
         assert await cluster.submit(job(2, beats=30, dueS=50.0)) == 201
         await cluster.wait(2.5)
         assert cluster.cloud.next == rented, "they may be back any moment"
-        if comes:
+        if comes_back:
             for worker in cluster.cloud.workers():
                 worker.hung = False
             await cluster.finish(["j-000001", "j-000002"])
@@ -77,7 +79,7 @@
 def test_a_fleet_that_comes_back_is_not_rented_again(seed):
     """All controllers end in the midst of much work, and come back before the workers' leases
     end. On 26 seeds 0 to 12 machines were rented, for the work itself and not in the place of
-    what comes back; 20 to 26 if that is not waited for."""
+    what comes back; 20 to 26 when that was not waited for."""
 
     async def main():
         cluster = SimulatedCluster(seed=seed, members=FIVE, lease_s=12.0)
@@ -94,7 +96,8 @@
         await cluster.restart_all(8.0)
         await cluster.until(lambda: cluster.leader() is not None)
         await cluster.wait(8)
-        assert up >= 20 and cluster.cloud.next - rented <= 13
+        assert up >= 20
+        assert cluster.cloud.next - rented <= 13
         await cluster.finish(names, most=600)
 
     run(main())
