--- a/dappledrum/accounting/__init__.py
+++ b/dappledrum/accounting/__init__.py
@@ -1,1 +1,1 @@
-"""Accounts: assigns each paid second of each machine to what it was spent on."""
+"""Cost accounting: assigns each paid second of each machine to what it was spent on."""
--- a/dappledrum/accounting/served_counts.py
+++ b/dappledrum/accounting/served_counts.py
@@ -1,5 +1,5 @@
-"""Counts the accepted, started and completed jobs of each team for the log, and logs the end of
-each job.
+"""Counts the accepted, started and completed jobs of each team for the log, and describes jobs in
+its lines.
 
 The service is judged by the smallest share of any team or class; `shares.py` sums up the logs of
 all controllers.
@@ -14,16 +14,19 @@
 from dappledrum.settings import Objective
 
 
-def described(tasks: int, job_class: str, team: str) -> str:
+def describe_job(tasks: int, job_class: str, team: str) -> str:
     """A job's class, team and size, in the wording that `shares.py` parses."""
     return f"{tasks} tasks of {job_class} for {team}"
 
 
-def ending(job: Job, objectives: Sequence[Objective]) -> str:
-    """A log line for a job that is over: its time since acceptance, and the time allowed, which is
-    its owner's deadline or the earliest deadline of its class."""
+def describe_finished_job(job: Job, objectives: Sequence[Objective]) -> str:
+    """A log line for a job that has finished, in the wording that `shares.py` parses.
+
+    It has the job's time since acceptance, and the time allowed, which is its owner's deadline or
+    else the earliest deadline of its class among the `objectives`.
+    """
     record = job.ended_record()
-    result = f"{job.id} is {record.state}: " + described(
+    result = f"{job.id} is {record.state}: " + describe_job(
         job.spec.tasks, job.spec.job_class, job.spec.team
     )
     if job.ended_at is None:
@@ -44,17 +47,19 @@
         self.done: Counter[str] = Counter()
         self.cancelled: Counter[str] = Counter()
 
-    def ended(self, job: Job) -> None:
+    def count_finished(self, job: Job) -> None:
         """Count a job whose end is stored."""
         (self.cancelled if job.cancelled else self.done)[job.spec.team] += 1
 
-    def shown(self, live: Iterable[Job]) -> str:
-        """The counts as text, ordered by the names of the teams."""
+    def summary(self, live: Iterable[Job]) -> str:
+        """The counts as text, ordered by the names of the teams; `live` are the live jobs."""
         waiting: Counter[str] = Counter()
         started: Counter[str] = Counter()
         for job in live:
-            begun = job.done > 0 or any(p.running_since is not None for p in job.placements())
-            (started if begun else waiting)[job.spec.team] += 1
+            has_started = job.done > 0 or any(
+                p.running_since is not None for p in job.placements()
+            )
+            (started if has_started else waiting)[job.spec.team] += 1
         teams = sorted(waiting.keys() | started.keys() | self.done.keys() | self.cancelled.keys())
         return "; ".join(
             f"{team}: {sum(c[team] for c in (waiting, started, self.done, self.cancelled))}"
--- a/dappledrum/accounting/shares.py
+++ b/dappledrum/accounting/shares.py
@@ -1,4 +1,4 @@
-"""Reports how each class, each team and the largest jobs of each class were served, from the logs
+"""Shows how each class, each team and the largest jobs of each class were served, from the logs
 of all controllers.
 
     python3 -m dappledrum.accounting.shares [--least 0.5] LOG [LOG ...]
@@ -12,29 +12,34 @@
 import argparse
 import re
 import sys
-from collections.abc import Iterable, Iterator
+from collections.abc import Callable, Iterable, Iterator
 from dataclasses import dataclass
+from operator import attrgetter
 from pathlib import Path
 
-CAME = re.compile(r"(?:accepted|new job) (j-\d+): (\d+) tasks of (.+) for (.+)$")
-BEGAN = re.compile(r"(j-\d+) began (-?[\d.]+) s after it came$")
-LARGEST = 10  # the largest tenth of the jobs of a class, by tasks, at least one
-LATE_S = 240.0  # the largest should have begun by then
-ENDED = re.compile(
+#: Lines of `api.py` and of the leader, with the job described by `served_counts.describe_job`.
+SUBMITTED_LINE = re.compile(r"(?:accepted|new job) (j-\d+): (\d+) tasks of (.+) for (.+)$")
+STARTED_LINE = re.compile(r"(j-\d+) began (-?[\d.]+) s after it came$")
+FINISHED_LINE = re.compile(
     r"(j-\d+) is (done|cancelled): (\d+) tasks of (.+) for (.+?)"
     r"(?:, (-?[\d.]+) s after it came)?(?:, due after ([\d.]+) s)?$"
 )
+#: One in so many jobs of a class, those with the most tasks, are its largest; at least one is.
+JOBS_PER_LARGEST_JOB = 10
+#: The largest jobs of a class should have started by then.
+MAX_START_DELAY_S = 240.0
+EXIT_BELOW_LEAST = 1
 
 
 @dataclass
-class Known:
-    """What the logs say about one job."""
+class JobHistory:
+    """What the logs say about one job; times are in seconds after its submission."""
 
     job_class: str
     team: str
     tasks: int = 0
     state: str | None = None
-    began_s: float | None = None  # after it came, as far as any leader saw
+    started_s: float | None = None  # the first start that any leader saw
     took_s: float | None = None
     due_s: float | None = None
 
@@ -46,77 +51,113 @@
 
 
 @dataclass
-class Share:
-    """How the jobs of a class or team were served, without the cancelled ones."""
+class ServiceShare:
+    """How a group of jobs was served, without the cancelled ones."""
 
-    of: str
+    group: str
     jobs: int
     done: int
-    due: int  # of them, of classes of which something is expected
+    due: int  # of them, those of classes with deadlines
     in_time: int
-    longest_s: float = 0.0  # from a job's coming until its first task ran, as far as logs tell
-    largest: bool = False
+    max_start_delay_s: float = 0.0  # from submission to the first start, as far as logs show
+    is_largest: bool = False  # the group is the largest jobs of a class
 
     @property
     def least(self) -> float:
         """The smaller of the shares done and in time; for the largest jobs of a class only the
         share done, as there are few of them."""
-        if self.largest:
+        if self.is_largest:
             return self.done / self.jobs
-        timely = self.in_time / self.due if self.due else 1.0
-        return min(self.done / self.jobs, timely)
+        in_time = self.in_time / self.due if self.due else 1.0
+        return min(self.done / self.jobs, in_time)
 
 
-def read(lines: Iterable[str]) -> dict[str, Known]:
-    """Jobs by their ids, from lines of any controller, in any order."""
-    jobs: dict[str, Known] = {}
+def parse(lines: Iterable[str]) -> dict[str, JobHistory]:
+    """Jobs by their ids, from log lines of any controller, in any order."""
+    jobs: dict[str, JobHistory] = {}
     for line in lines:
-        if (came := CAME.search(line.rstrip())) is not None:
-            job, tasks, job_class, team = came.groups()
-            jobs.setdefault(job, Known(job_class, team, int(tasks)))
-        elif (ended := ENDED.search(line.rstrip())) is not None:
-            job, state, tasks, job_class, team, took, due = ended.groups()
-            known = jobs.setdefault(job, Known(job_class, team, int(tasks)))
-            known.state = state
-            known.took_s = None if took is None else float(took)
-            known.due_s = None if due is None else float(due)
-        elif (began := BEGAN.search(line.rstrip())) is not None and began[1] in jobs:
-            known = jobs[began[1]]
-            waited = float(began[2])
-            known.began_s = waited if known.began_s is None else min(known.began_s, waited)
+        if (submitted := SUBMITTED_LINE.search(line.rstrip())) is not None:
+            job_id, tasks, job_class, team = submitted.groups()
+            jobs.setdefault(job_id, JobHistory(job_class, team, int(tasks)))
+        elif (finished := FINISHED_LINE.search(line.rstrip())) is not None:
+            job_id, state, tasks, job_class, team, took, due = finished.groups()
+            job = jobs.setdefault(job_id, JobHistory(job_class, team, int(tasks)))
+            job.state = state
+            job.took_s = None if took is None else float(took)
+            job.due_s = None if due is None else float(due)
+        elif (started := STARTED_LINE.search(line.rstrip())) is not None and started[1] in jobs:
+            job = jobs[started[1]]
+            delay = float(started[2])
+            job.started_s = delay if job.started_s is None else min(job.started_s, delay)
     return jobs
 
 
-def shares(jobs: Iterable[Known]) -> Iterator[Share]:
-    """One row for each class, then one for each team, by name."""
+def shares(jobs: Iterable[JobHistory]) -> Iterator[ServiceShare]:
+    """One row for each class, for each team, and for the largest jobs of each class, by name."""
     counted = [job for job in jobs if job.state != "cancelled"]
-    expected = {job.job_class for job in counted if job.due_s is not None}
-    for what, name in [("class", "job_class"), ("team", "team"), ("largest of", "job_class")]:
-        for value in sorted({getattr(job, name) for job in counted}):
-            own = [job for job in counted if getattr(job, name) == value]
-            if what == "largest of":
-                own.sort(key=lambda job: -job.tasks)
-                own = own[: max(1, len(own) // LARGEST)]
-            due = [job for job in own if job.job_class in expected]
-            yield Share(
-                f"{what} {value}",
-                len(own),
-                sum(job.state == "done" for job in own),
-                len(due),
-                sum(job.in_time for job in due),
-                max((job.began_s for job in own if job.began_s is not None), default=0.0),
-                what == "largest of",
-            )
+    classes_with_deadlines = {job.job_class for job in counted if job.due_s is not None}
+    by_class, by_team = attrgetter("job_class"), attrgetter("team")
+    for name, group in _groups(counted, by_class):
+        yield _share(f"class {name}", group, classes_with_deadlines)
+    for name, group in _groups(counted, by_team):
+        yield _share(f"team {name}", group, classes_with_deadlines)
+    for name, group in _groups(counted, by_class):
+        group.sort(key=lambda job: -job.tasks)
+        largest = group[: max(1, len(group) // JOBS_PER_LARGEST_JOB)]
+        share = _share(f"largest of {name}", largest, classes_with_deadlines)
+        share.is_largest = True
+        yield share
+
+
+def _groups(
+    jobs: list[JobHistory], key: Callable[[JobHistory], str]
+) -> Iterator[tuple[str, list[JobHistory]]]:
+    for name in sorted({key(job) for job in jobs}):
+        yield name, [job for job in jobs if key(job) == name]
+
+
+def _share(group: str, jobs: list[JobHistory], classes_with_deadlines: set[str]) -> ServiceShare:
+    due = [job for job in jobs if job.job_class in classes_with_deadlines]
+    return ServiceShare(
+        group,
+        jobs=len(jobs),
+        done=sum(job.state == "done" for job in jobs),
+        due=len(due),
+        in_time=sum(job.in_time for job in due),
+        max_start_delay_s=max(
+            (job.started_s for job in jobs if job.started_s is not None), default=0.0
+        ),
+    )
 
 
-def main(argv: list[str] | None = None) -> int:
-    """Print the table; the status tells whether a share is below the least."""
+def _row(share: ServiceShare, least: float) -> str:
+    """One line of the table, marked if the share is below `least` or its jobs started late."""
+    mark = "  below" if share.least < least else ""
+    if share.is_largest and share.max_start_delay_s > MAX_START_DELAY_S:
+        mark += "  late"
+    return (
+        f"{share.group:28} {share.jobs:6} jobs {share.done / share.jobs:6.2f} done"
+        f" {share.in_time:6} of {share.due} in time, began after"
+        f" {share.max_start_delay_s:.0f} s at most{mark}"
+    )
+
+
+def _parser() -> argparse.ArgumentParser:
     parser = argparse.ArgumentParser(
         prog="python3 -m dappledrum.accounting.shares",
         description="What each class of jobs and each team was served, from controllers' logs.",
     )
     parser.add_argument("logs", nargs="+", type=Path, metavar="LOG", help="written at info")
     parser.add_argument("--least", type=float, default=0.5, metavar="X", help="default 0.5")
+    return parser
+
+
+def main(argv: list[str] | None = None) -> int:
+    """Print the table; returns the exit status, 1 if a share is below the least.
+
+    Raises `SystemExit` with status 2 if a log can't be read, or shows no jobs.
+    """
+    parser = _parser()
     options = parser.parse_args(argv)
     lines: list[str] = []
     for path in options.logs:
@@ -124,20 +165,14 @@
             lines += path.read_text(encoding="utf-8", errors="replace").splitlines()
         except OSError as error:
             parser.error(str(error))
-    found = list(shares(read(lines).values()))
-    if not found:
+    rows = list(shares(parse(lines).values()))
+    if not rows:
         parser.error("no jobs in these logs: they must be written at info or debug")
-    for share in found:
-        mark = "  below" if share.least < options.least else ""
-        mark += "  late" if share.largest and share.longest_s > LATE_S else ""
-        print(
-            f"{share.of:28} {share.jobs:6} jobs {share.done / share.jobs:6.2f} done"
-            f" {share.in_time:6} of {share.due} in time, began after"
-            f" {share.longest_s:.0f} s at most{mark}"
-        )
-    least = min(found, key=lambda share: share.least)
-    print(f"least: {least.of}, {least.least:.2f}")
-    return 1 if least.least < options.least else 0
+    for row in rows:
+        print(_row(row, options.least))
+    least = min(rows, key=lambda row: row.least)
+    print(f"least: {least.group}, {least.least:.2f}")
+    return EXIT_BELOW_LEAST if least.least < options.least else 0
 
 
 if __name__ == "__main__":
--- a/dappledrum/accounting/test_accounting.py
+++ b/dappledrum/accounting/test_accounting.py
@@ -1,4 +1,4 @@
-"""The account against a plain sum, and the reasons of idle time."""
+"""The ledger compared with a plain sum, the categories of idle time, and the served counts."""
 
 from datetime import UTC, datetime, timedelta
 
@@ -6,8 +6,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from dappledrum.accounting.entries import Demand, Entry, why_idle
-from dappledrum.accounting.ledger import Ledger, shown
+from dappledrum.accounting.cost_categories import CostCategory, Demand, idle_category
+from dappledrum.accounting.ledger import Ledger, format_shares
 from dappledrum.accounting.served_counts import ServedCounts
 from dappledrum.fleet.messages import MachineType
 from dappledrum.jobs.job import Job
@@ -21,7 +21,7 @@
 KIND = InstanceKind("small", "a", True)
 
 
-class Steps:
+class ManualClock:
     """A clock that is set by hand."""
 
     def __init__(self):
@@ -53,8 +53,8 @@
 
 @settings(max_examples=150, derandomize=True, deadline=None)
 @given(steps)
-def test_all_money_is_booked_once_whatever_happens(drawn):
-    clock, registry = Steps(), MachineRegistry()
+def test_all_cost_is_booked_once_whatever_happens(drawn):
+    clock, registry = ManualClock(), MachineRegistry()
     ledger = Ledger(registry, clock)
     work = live_job(beats=200, vcpus=2.0)
     names = ["host-0", "host-1", "host-2"]
@@ -75,51 +75,56 @@
         elif what in ("done", "lose") and free:
             placement = free[0]
             kept += placement.accrued_cost if what == "done" else 0.0
-            ledger.settle(placement, Entry.KEPT if what == "done" else Entry.LOST_SILENT)
+            ledger.settle(
+                placement, CostCategory.KEPT if what == "done" else CostCategory.LOST_LEASE_EXPIRED
+            )
             machine.placements.pop((work.id, placement.task))
             work.page(0).remove(placement.task)
         elif what == "return":
             machine.returning = True
         clock.at += span
         total += span / 3600 * MODEL.hourly(True) * len(registry.machines)
-        ledger.step({"small": MODEL}, [])
-    booked = sum(ledger.recent.values())
+        ledger.book_elapsed({"small": MODEL}, [])
+    booked = sum(ledger.unlogged.values())
     assert abs(booked - total) < 1e-9
-    assert abs(ledger.recent[Entry.KEPT] - kept) < 1e-9
-    assert min(ledger.recent.values(), default=0.0) > -1e-9
-    by_machine = sum(sum(a.lines.values()) for a in ledger.accounts.values())
+    assert abs(ledger.unlogged[CostCategory.KEPT] - kept) < 1e-9
+    assert min(ledger.unlogged.values(), default=0.0) > -1e-9
+    by_machine = sum(sum(a.costs.values()) for a in ledger.accounts.values())
     assert abs(by_machine - total) < 1e-9
     ledger.log_totals(at_once=True)
-    assert not ledger.recent
+    assert not ledger.unlogged
 
 
 def test_why_a_machine_is_idle():
     free = Size(4, 0, 16)
 
     def why(*demands, empty=True):
-        return why_idle(KIND, free, empty, demands)
+        return idle_category(KIND, free, empty, demands)
 
-    fits = Demand(Size(2, 0, 2), lambda kind: True, True)
-    large = Demand(Size(8, 0, 2), lambda kind: True, True)
+    fits = Demand(Size(2, 0, 2), lambda _kind: True, True)
+    large = Demand(Size(8, 0, 2), lambda _kind: True, True)
     elsewhere = Demand(Size(2, 0, 2), lambda kind: not kind.spot, True)
-    limited = Demand(Size(2, 0, 2), lambda kind: True, False)
-    assert why() is Entry.IDLE and why(empty=False) is Entry.REST
-    assert why(elsewhere) is Entry.NO_KIND
-    assert why(elsewhere, limited) is Entry.NO_TEAM
-    assert why(elsewhere, limited, large) is Entry.NO_FIT
-    assert why(elsewhere, limited, large, fits) is Entry.KEEPING
-    assert shown({Entry.BOOT: 1.0, Entry.KEPT: 3.0}) == "kept 75.0%; boot 25.0%"
-    assert shown({}) == "nothing"
+    limited = Demand(Size(2, 0, 2), lambda _kind: True, False)
+    assert why() is CostCategory.IDLE_EMPTY
+    assert why(empty=False) is CostCategory.IDLE_BESIDE_WORK
+    assert why(elsewhere) is CostCategory.IDLE_WRONG_KIND
+    assert why(elsewhere, limited) is CostCategory.IDLE_TEAM_LIMIT
+    assert why(elsewhere, limited, large) is CostCategory.IDLE_TOO_SMALL
+    assert why(elsewhere, limited, large, fits) is CostCategory.IDLE_KEPT_FREE
+    assert (
+        format_shares({CostCategory.BOOT: 1.0, CostCategory.KEPT: 3.0}) == "kept 75.0%; boot 25.0%"
+    )
+    assert format_shares({}) == "nothing"
 
 
-def test_what_a_team_is_served():
+def test_served_jobs_are_counted_by_team():
     served = ServedCounts()
     done, cancelled, started, waiting = (live_job(crew=c) for c in ("b", "b", "b", "a"))
     cancelled.cancelled = True
     started.page(0).finish(0)
-    served.ended(done)
-    served.ended(cancelled)
-    assert served.shown([started, waiting]) == (
+    served.count_finished(done)
+    served.count_finished(cancelled)
+    assert served.summary([started, waiting]) == (
         "a: 1 accepted, 0 started, 0 done, 0 cancelled;"
         " b: 3 accepted, 2 started, 1 done, 1 cancelled"
     )
--- a/dappledrum/accounting/test_shares.py
+++ b/dappledrum/accounting/test_shares.py
@@ -1,4 +1,4 @@
-"""Shares of classes and teams, from the logs of whole controllers that end meanwhile."""
+"""Shares of classes and teams, from the logs of whole controllers that restart meanwhile."""
 
 import pytest
 
@@ -9,7 +9,7 @@
 
 
 def test_logs_of_all_controllers_add_up_to_what_users_were_served(caplog, tmp_path, capsys):
-    """Two teams, two classes, a cancelled job, and leaders that end meanwhile."""
+    """Two teams, two classes, a cancelled job, and a leader that restarts meanwhile."""
 
     async def day():
         cluster = SimulatedCluster(seed=8, teams=(Team("blue"), Team("red")))
@@ -47,12 +47,13 @@
         "least: class slow, 0.50",
     ]
     began = [int(row.split("after ")[1].split()[0]) for row in rows[:-1]]
-    assert min(began) > 0 and max(began) < 60
+    assert min(began) > 0
+    assert max(began) < 60
     assert main(["--least", "0.9", str(logs[0]), str(logs[1])]) == 1
     assert capsys.readouterr().out.count("below") == 4
 
 
-def test_the_largest_that_begin_late_or_are_not_done_are_marked(tmp_path, capsys):
+def test_largest_jobs_that_start_late_or_are_not_done_are_marked(tmp_path, capsys):
     log = tmp_path / "a.log"
     lines = [f"x: accepted j-{n:06d}: {n + 1} tasks of plain for blue" for n in range(11)]
     lines += [f"x: j-{n:06d} began 5.0 s after it came" for n in range(10)]
@@ -61,7 +62,8 @@
     log.write_text("\n".join([*lines, late]))
     assert main([str(log)]) == 1
     rows = capsys.readouterr().out.splitlines()
-    assert "below  late" in rows[2] and rows[2].startswith("largest of plain")
+    assert "below  late" in rows[2]
+    assert rows[2].startswith("largest of plain")
     assert "below" not in rows[0] + rows[1]
 
 
--- a/dappledrum/dispatch/pending_work.py
+++ b/dappledrum/dispatch/pending_work.py
@@ -4,7 +4,7 @@
 from collections.abc import Hashable
 from datetime import timedelta
 
-from dappledrum.accounting.entries import Demand
+from dappledrum.accounting.cost_categories import Demand
 from dappledrum.dispatch.bag_builder import OPTIMISTIC_RUN_TIME_SHARE, BagBuilder
 from dappledrum.dispatch.bag_combination import may_be_combined, merge, similarity_key
 from dappledrum.dispatch.context import DispatchContext
--- a/dappledrum/jobs/api.py
+++ b/dappledrum/jobs/api.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from dappledrum.accounting.served_counts import described
+from dappledrum.accounting.served_counts import describe_job
 from dappledrum.dependencies.lookup import DependencyLookup
 from dappledrum.fleet.messages import MachineType
 from dappledrum.http.server import Response
@@ -175,7 +175,7 @@
             if isinstance(found, tuple):
                 self.polls.note(spec.id, seen(found[0]), found[1])
             return busy() if found is None else self._present(spec.id, found, HTTPStatus.OK)
-        log.info("accepted %s: %s", spec.id, described(spec.tasks, spec.job_class, spec.team))
+        log.info("accepted %s: %s", spec.id, describe_job(spec.tasks, spec.job_class, spec.team))
         if not isinstance(stored, int):
             return self._present(spec.id, stored, HTTPStatus.OK)
         record = msgspec.json.decode(puts[0].value, type=JobRecord)
--- a/dappledrum/leader/accounting_loop.py
+++ b/dappledrum/leader/accounting_loop.py
@@ -3,7 +3,7 @@
 import asyncio
 import logging
 
-from dappledrum.accounting.ledger import STEP
+from dappledrum.accounting.ledger import BOOKING_INTERVAL
 from dappledrum.dispatch.dispatcher import Dispatcher
 from dappledrum.leader.context import TermState
 
@@ -22,8 +22,8 @@
         """Book for ever; what is not logged yet is logged when the term ends."""
         try:
             while True:
-                await asyncio.sleep(STEP.total_seconds())
-                self.ledger.step(
+                await asyncio.sleep(BOOKING_INTERVAL.total_seconds())
+                self.ledger.book_elapsed(
                     self.dispatcher.autoscaler.types,
                     self.dispatcher.work.demands(),
                     self.dispatcher.machines.available(),
@@ -34,4 +34,6 @@
 
     def _log_totals(self, at_once: bool = False) -> None:
         if self.ledger.log_totals(at_once):
-            log.info("served in this term: %s", self.state.served.shown(self.state.jobs.values()))
+            log.info(
+                "served in this term: %s", self.state.served.summary(self.state.jobs.values())
+            )
--- a/dappledrum/leader/live_jobs.py
+++ b/dappledrum/leader/live_jobs.py
@@ -4,7 +4,7 @@
 from collections import OrderedDict
 from collections.abc import Callable, Iterable
 
-from dappledrum.accounting.served_counts import described, ending
+from dappledrum.accounting.served_counts import describe_finished_job, describe_job
 from dappledrum.jobs.job import Job
 from dappledrum.leader.context import TermContext, TermState
 from dappledrum.leader.job_records import JobRecords
@@ -36,7 +36,7 @@
         """Add a job that a user has submitted; it is planned and its record is written."""
         self.state.jobs[job.id] = job
         spec = job.spec
-        log.info("new job %s: %s", job.id, described(spec.tasks, spec.job_class, spec.team))
+        log.info("new job %s: %s", job.id, describe_job(spec.tasks, spec.job_class, spec.team))
         self.records.graph.add(job)
 
     def is_finished(self, job_id: str) -> bool:
@@ -69,7 +69,7 @@
 
     def finish(self, job: Job) -> None:
         """Remove a job whose end is stored."""
-        log.info("%s", ending(job, self.objectives))
+        log.info("%s", describe_finished_job(job, self.objectives))
         self.state.jobs.pop(job.id, None)
         self.records.graph.ended(job)
         self.state.estimates.forget(job.id)
@@ -80,5 +80,5 @@
             machine = self.state.registry.get(placement.machine)
             if machine is not None:
                 machine.placements.pop((job.id, placement.task), None)
-        self.state.served.ended(job)
+        self.state.served.count_finished(job)
         self.on_finished(job)
--- a/dappledrum/simulation/ground_truth.py
+++ b/dappledrum/simulation/ground_truth.py
@@ -10,7 +10,7 @@
 from typing import Any
 from unittest.mock import patch
 
-from dappledrum.accounting.entries import Entry
+from dappledrum.accounting.cost_categories import Entry
 from dappledrum.jobs.placement import Placement
 from dappledrum.simulation.fleet import CloudService
 from dappledrum.workers.machine_registry import Machine
--- a/dappledrum/workers/reconciler.py
+++ b/dappledrum/workers/reconciler.py
@@ -18,7 +18,7 @@
 from collections.abc import Callable
 from datetime import timedelta
 
-from dappledrum.accounting.entries import Entry
+from dappledrum.accounting.cost_categories import CostCategory
 from dappledrum.accounting.ledger import Ledger
 from dappledrum.gangs.all_or_nothing import stop_broken_gangs
 from dappledrum.jobs.job import Job
@@ -213,7 +213,9 @@
                 and placement.session == heartbeat.session
             )
             if placement.session < heartbeat.session:
-                self._lost(machine, placement, "its session is over", Entry.LOST_SILENT)
+                self._lost(
+                    machine, placement, "its session is over", CostCategory.LOST_LEASE_EXPIRED
+                )
             elif (
                 job_id,
                 placement.task,
@@ -225,7 +227,7 @@
                 and heartbeat.sequence > placement.offered_sequence
                 and (placement.observed or placement.lost or not wanted(placement))
             ):
-                self._lost(machine, placement, "no longer there", Entry.LOST_STOPPED)
+                self._lost(machine, placement, "no longer there", CostCategory.LOST_STOPPED)
         if missed:
             self._note_missed_answer(machine, "does not begin what it is given")
         # Only once it has shown this term's token: before, old copies look like heartbeats that
@@ -348,15 +350,15 @@
             self.mark(page)
 
     @staticmethod
-    def _worth(job: Job, item: TaskStatus) -> Entry:
+    def _worth(job: Job, item: TaskStatus) -> CostCategory:
         """Whether the time of an attempt that has ended was kept."""
         if item.cause == Cause.DONE or item.saved:
-            return Entry.KEPT
+            return CostCategory.KEPT
         if job.cancelled:
-            return Entry.LOST_CANCELLED
-        return Entry.LOST_ERROR if item.cause == Cause.ERROR else Entry.LOST_STOPPED
+            return CostCategory.LOST_CANCELLED
+        return CostCategory.LOST_ERROR if item.cause == Cause.ERROR else CostCategory.LOST_STOPPED
 
-    def _lost(self, machine: Machine, placement: Placement, why: str, entry: Entry) -> None:
+    def _lost(self, machine: Machine, placement: Placement, why: str, entry: CostCategory) -> None:
         log.info(
             "%s/%d on %s is gone: %s", placement.page.job.id, placement.task, machine.name, why
         )
@@ -379,12 +381,12 @@
             if machine.placements and machine.expired(now, self.limits.lease):
                 for placement in list(machine.placements.values()):
                     why = "the machine is silent for longer than its lease"
-                    self._lost(machine, placement, why, Entry.LOST_SILENT)
+                    self._lost(machine, placement, why, CostCategory.LOST_LEASE_EXPIRED)
 
     def returned(self, machine: Machine) -> None:
         """The cloud has confirmed that the machine, with all that was on it, is gone."""
         for placement in list(machine.placements.values()):
-            self._lost(machine, placement, "the machine was returned", Entry.LOST_TAKEN)
+            self._lost(machine, placement, "the machine was returned", CostCategory.LOST_RECLAIMED)
         self.registry.drop(machine.name)
 
     def evict(self, placement: Placement) -> None:
