--- a/dappledrum/workers/attempt_ends.py
+++ b/dappledrum/workers/attempt_ends.py
@@ -3,7 +3,7 @@
 import logging
 from datetime import timedelta
 
-from dappledrum.accounting.entries import Entry
+from dappledrum.accounting.cost_categories import CostCategory
 from dappledrum.accounting.ledger import Ledger
 from dappledrum.jobs.job import Job
 from dappledrum.jobs.page import Page
@@ -76,20 +76,22 @@
         elif placement is not None:
             self._process_unsuccessful(machine, job, status, now)
         if placement is not None:
-            self.ledger.settle(placement, _entry_of_end(job, status))
+            self.ledger.settle(placement, _category_of_end(job, status))
             self._remove(machine, placement)
             self.observer.planning_needed("task ended")
         self.observer.page_changed(page)
 
-    def lose(self, machine: Machine, placement: Placement, reason: str, entry: Entry) -> None:
+    def lose(
+        self, machine: Machine, placement: Placement, reason: str, category: CostCategory
+    ) -> None:
         """Give up a placement that is proven to be off its machine without an end.
 
-        `entry` is the line of the accounts that its time is booked on.
+        `category` is the line of the accounts that its time is booked on.
         """
         log.info(
             "%s/%d on %s is lost: %s", placement.page.job.id, placement.task, machine.name, reason
         )
-        self.ledger.settle(placement, entry)
+        self.ledger.settle(placement, category)
         self._remove(machine, placement)
         self.observer.placement_lost(reason)
         self.observer.planning_needed("task lost")
@@ -158,10 +160,10 @@
             machine.blocked_until = max(machine.blocked_until, now + DOUBTFUL_PAUSE)
 
 
-def _entry_of_end(job: Job, status: TaskStatus) -> Entry:
+def _category_of_end(job: Job, status: TaskStatus) -> CostCategory:
     """The line of the accounts for an attempt that has ended: whether its time was kept."""
     if status.cause == Cause.DONE or status.saved:
-        return Entry.KEPT
+        return CostCategory.KEPT
     if job.cancelled:
-        return Entry.LOST_CANCELLED
-    return Entry.LOST_ERROR if status.cause == Cause.ERROR else Entry.LOST_STOPPED
+        return CostCategory.LOST_CANCELLED
+    return CostCategory.LOST_ERROR if status.cause == Cause.ERROR else CostCategory.LOST_STOPPED
--- a/dappledrum/workers/placement_comparison.py
+++ b/dappledrum/workers/placement_comparison.py
@@ -3,7 +3,7 @@
 import logging
 from datetime import timedelta
 
-from dappledrum.accounting.entries import Entry
+from dappledrum.accounting.cost_categories import CostCategory
 from dappledrum.jobs.job import Job
 from dappledrum.jobs.placement import Placement
 from dappledrum.workers.attempt_ends import AttemptEnds
@@ -37,13 +37,15 @@
         for placement in list(machine.placements.values()):
             missed_start |= _lacks_offered_start(placement, heartbeat)
             if placement.session < heartbeat.session:
-                self.ends.lose(machine, placement, "its session has ended", Entry.LOST_SILENT)
+                self.ends.lose(
+                    machine, placement, "its session has ended", CostCategory.LOST_LEASE_EXPIRED
+                )
             elif (
                 placement.session == heartbeat.session
                 and _attempt_key(placement) not in shown
                 and self._proves_termination(placement, heartbeat)
             ):
-                self.ends.lose(machine, placement, "no longer there", Entry.LOST_STOPPED)
+                self.ends.lose(machine, placement, "no longer there", CostCategory.LOST_STOPPED)
         if missed_start:
             record_missed_answer(machine, "does not begin what it is given")
         # Only once it has shown this term's token: before, old copies look like heartbeats that
--- a/dappledrum/workers/reconciler.py
+++ b/dappledrum/workers/reconciler.py
@@ -17,7 +17,7 @@
 import logging
 from datetime import timedelta
 
-from dappledrum.accounting.entries import Entry
+from dappledrum.accounting.cost_categories import CostCategory
 from dappledrum.accounting.ledger import Ledger
 from dappledrum.gangs.all_or_nothing import stop_broken_gangs
 from dappledrum.jobs.job import Job
@@ -141,17 +141,17 @@
         for machine in self.registry:
             if machine.placements and machine.expired(now, lease):
                 reason = "the machine is silent for longer than its lease"
-                self._lose_all(machine, reason, Entry.LOST_SILENT)
+                self._lose_all(machine, reason, CostCategory.LOST_LEASE_EXPIRED)
 
     def remove_returned(self, machine: Machine) -> None:
         """Remove a machine, after the cloud's confirmation that it has terminated with all that
         was on it."""
-        self._lose_all(machine, "the machine was returned", Entry.LOST_TAKEN)
+        self._lose_all(machine, "the machine was returned", CostCategory.LOST_RECLAIMED)
         self.registry.remove_terminated(machine.name)
 
-    def _lose_all(self, machine: Machine, reason: str, entry: Entry) -> None:
+    def _lose_all(self, machine: Machine, reason: str, category: CostCategory) -> None:
         for placement in list(machine.placements.values()):
-            self.ends.lose(machine, placement, reason, entry)
+            self.ends.lose(machine, placement, reason, category)
 
     # the beginning of a term
 
