--- a/dappledrum/jobs/garbage_collector.py
+++ b/dappledrum/jobs/garbage_collector.py
@@ -7,7 +7,7 @@
 from dappledrum.jobs.job import Job
 from dappledrum.jobs.keys import head_key, job_of_key, rows_key, spec_key
 from dappledrum.jobs.term_committer import TermCommitter
-from dappledrum.store.client import ConflictError
+from dappledrum.store.errors import ConflictError
 from dappledrum.store.messages import Guard
 
 log = logging.getLogger(__name__)
@@ -44,9 +44,9 @@
         try:
             await self.committer.delete(guards, keys)
         except ConflictError as error:
-            if LEADER_KEY in error.failed:
+            if LEADER_KEY in error.conflicting_keys:
                 return
-            keys = [key for key in keys if heads[key] in error.failed]
+            keys = [key for key in keys if heads[key] in error.conflicting_keys]
             log.info("not removed, as their jobs live: %s", ", ".join(keys))
         for key in keys:
             del self.keys[key]
--- a/dappledrum/jobs/record_batch.py
+++ b/dappledrum/jobs/record_batch.py
@@ -6,10 +6,10 @@
 from dappledrum.jobs.keys import ROWS_PREFIX, ended_key, head_key
 from dappledrum.jobs.page import Page
 from dappledrum.jobs.page_encoding import page_changes
-from dappledrum.settings import StateLimits
-from dappledrum.store.client import TXN_BYTES, raw
+from dappledrum.settings import StoreLimits
+from dappledrum.store.client import MAX_TRANSACTION_BYTES
 from dappledrum.store.hedged_commit import Evidence
-from dappledrum.store.messages import Delete, Guard, Put
+from dappledrum.store.messages import Delete, Guard, Put, encode_value
 from dappledrum.store.value_limit import ValueLimit
 
 ENDED_JOB_BYTES = 600  # at most, of the changes that end a job
@@ -29,7 +29,7 @@
 class RecordBatch:
     """Changes that fit into one transaction, with the guards they need."""
 
-    def __init__(self, limits: StateLimits, value_limit: ValueLimit) -> None:
+    def __init__(self, limits: StoreLimits, value_limit: ValueLimit) -> None:
         self.limits = limits
         self.value_limit = value_limit
         self.guards: list[Guard] = []
@@ -43,7 +43,7 @@
         """Move a job from the live ones to the ended ones."""
         head = job.page(0)
         self.guards.append(Guard(head_key(job.id), head.version))
-        final = Put(ended_key(job.id), raw(job.ended_record()))
+        final = Put(ended_key(job.id), encode_value(job.ended_record()))
         self.changes += [Delete(head_key(job.id)), final]
         self.ended.append(job)
         self._bytes += ENDED_JOB_BYTES
@@ -52,11 +52,13 @@
 
     def add_page(self, page: Page) -> bool:
         """Store a page; False if the transaction has no capacity left for it."""
-        changes = page_changes(page, self.value_limit.whole, self.value_limit.least)
+        changes = page_changes(
+            page, self.value_limit.max_whole_bytes, self.value_limit.reduced_bytes
+        )
         puts = [change for change in changes if isinstance(change, Put)]
         size = sum(len(bytes(put.value)) + CHANGE_OVERHEAD_BYTES for put in puts)
         too_many = len(self.changes) + len(changes) > self.limits.txn_ops
-        if self.changes and (too_many or self._bytes + size > TXN_BYTES):
+        if self.changes and (too_many or self._bytes + size > MAX_TRANSACTION_BYTES):
             return False
         self._bytes += size
         main = puts[0]
--- a/dappledrum/jobs/record_writer.py
+++ b/dappledrum/jobs/record_writer.py
@@ -23,13 +23,9 @@
 from dappledrum.jobs.page import Page
 from dappledrum.jobs.record_batch import RecordBatch
 from dappledrum.jobs.term_committer import TermCommitter
-from dappledrum.settings import StateLimits
-from dappledrum.store.client import (
-    ConflictError,
-    StoreClient,
-    StoreError,
-    TooLargeError,
-)
+from dappledrum.settings import StoreLimits
+from dappledrum.store.client import StoreClient
+from dappledrum.store.errors import ConflictError, StoreError, TooLargeError
 from dappledrum.store.rate_limiter import RequestPriority
 from dappledrum.store.value_limit import ValueLimit
 from dappledrum.timing.clock import Clock
@@ -59,7 +55,7 @@
         self,
         store: StoreClient,
         term: Term,
-        limits: StateLimits,
+        limits: StoreLimits,
         value_limit: ValueLimit,
         clock: Clock,
     ) -> None:
@@ -89,7 +85,7 @@
         # attempt, whose heartbeat was held back. It counts for the team's limit, also for the next
         # leader, so the job stays until the attempt is proven gone.
         if (job.complete() or job.cancelled) and not job.placement_count():
-            job.ended_at = job.ended_at or self.clock.today()
+            job.ended_at = job.ended_at or self.clock.utc_now()
             self.ending[job] = None
         elif page.dirty:
             now = self.clock.now()
@@ -103,12 +99,12 @@
     def shrink(self, jobs: Iterable[Job]) -> None:
         """Write again what is stored in one value that would now be refused: a controller that
         cancels a job writes its head as it is."""
-        if self.shrunk or not self.value_limit.settled:
+        if self.shrunk or not self.value_limit.is_reduced:
             return
         self.shrunk = True
         for job in jobs:
             for page in job.pages.values():
-                if page.stored_bytes > self.value_limit.least and not job.finished:
+                if page.stored_bytes > self.value_limit.reduced_bytes and not job.finished:
                     page.bump_revision()
                     self.mark_dirty(page)
 
@@ -176,7 +172,12 @@
 
     def _deferrable_pages(self, urgent: list[Page], capacity: int) -> list[Page]:
         """Further pages, as many as leave half of the rate limiter's burst to urgent ones."""
-        spare = min(capacity, int(self.store.writes.level - 0.5 * self.store.writes.size))
+        spare = min(
+            capacity,
+            int(
+                self.store.budget.write_limiter.level - 0.5 * self.store.budget.write_limiter.size
+            ),
+        )
         chosen = set(urgent)
         return [page for page in self.dirty if page not in chosen][: max(0, spare)]
 
@@ -220,7 +221,9 @@
     def _capacity(self) -> int:
         """Number of changes for the next transaction: what the rate allows now, but always a
         few."""
-        allowed = int(self.store.writes.level - 0.2 * self.store.writes.size)
+        allowed = int(
+            self.store.budget.write_limiter.level - 0.2 * self.store.budget.write_limiter.size
+        )
         return max(4, min(self.limits.txn_ops, allowed))
 
     async def _write(self, selection: "_Selection") -> None:
@@ -234,10 +237,10 @@
         try:
             revision = await self.committer.commit(batch.guards, batch.changes, batch.evidence)
         except ConflictError as error:
-            batch.mark_conflicts(set(error.failed))
+            batch.mark_conflicts(set(error.conflicting_keys))
             return
         except TooLargeError as error:
-            if not self.value_limit.refused(batch.largest_value_bytes(), str(error)):
+            if not self.value_limit.record_refusal(batch.largest_value_bytes(), str(error)):
                 raise
             return  # certainly not executed: again, in parts
         except StoreError:
--- a/dappledrum/jobs/term_committer.py
+++ b/dappledrum/jobs/term_committer.py
@@ -4,7 +4,8 @@
 from collections.abc import Sequence
 
 from dappledrum.election.terms import LEADER_KEY, Term
-from dappledrum.store.client import ConflictError, StoreClient
+from dappledrum.store.client import StoreClient
+from dappledrum.store.errors import ConflictError
 from dappledrum.store.hedged_commit import Evidence, commit_idempotent, commit_or_find
 from dappledrum.store.messages import Delete, Guard, Put
 from dappledrum.store.rate_limiter import RequestPriority
@@ -69,6 +70,6 @@
         return entry.version
 
     def _end_term_if_replaced(self, error: ConflictError) -> None:
-        if LEADER_KEY in error.failed:
+        if LEADER_KEY in error.conflicting_keys:
             log.warning("leader key changed, stepping down")
             self.term.ended.set()
--- a/dappledrum/leader/context.py
+++ b/dappledrum/leader/context.py
@@ -25,7 +25,7 @@
 
     `may_command`: whether this controller may give commands at this moment; false while it only
         keeps its workers' leases renewed by lease grants of its peers.
-    `awake_since`: since when this process has been running without a pause.
+    `running_since`: since when this process has been running without a pause.
     """
 
     term: Term
@@ -36,7 +36,7 @@
     params: Params
     tuning: Tuning
     clock: Clock
-    awake_since: Callable[[], timedelta]
+    running_since: Callable[[], timedelta]
 
 
 class TermState:
--- a/dappledrum/leader/heartbeat_responder.py
+++ b/dappledrum/leader/heartbeat_responder.py
@@ -100,7 +100,7 @@
         machine.last_answer = max(machine.last_answer, now)
         newest = (machine.session, machine.sequence) == (heartbeat.session, heartbeat.sequence)
         if newest:
-            machine.reachability.answered(now, self.limits.lease)
+            machine.reachability.answered(now, self.limits.lease_duration)
         commands: list[Command] = []
         if newest and self.may_command():
             commands = self.reconciler.commands.of_records(machine, heartbeat)
--- a/dappledrum/leader/job_watch.py
+++ b/dappledrum/leader/job_watch.py
@@ -13,7 +13,7 @@
 from dappledrum.leader.job_loader import JOBS
 from dappledrum.leader.job_records import JobRecords
 from dappledrum.leader.live_jobs import LiveJobs
-from dappledrum.store.client import CompactedError
+from dappledrum.store.errors import CompactedError
 from dappledrum.store.messages import Event
 from dappledrum.store.rate_limiter import RequestPriority
 
--- a/dappledrum/leader/leader.py
+++ b/dappledrum/leader/leader.py
@@ -32,7 +32,7 @@
 from dappledrum.leader.planning_loop import PlanningLoop
 from dappledrum.leader.term_loader import TermLoader
 from dappledrum.recovery.progress import RecoveryProgress
-from dappledrum.store.client import StoreError
+from dappledrum.store.errors import StoreError
 from dappledrum.timing.supervisor import Supervisor
 from dappledrum.workers.messages import Commands, WorkerHeartbeat
 from dappledrum.workers.reconciler import Reconciler
@@ -93,7 +93,7 @@
         self.recovery = RecoveryProgress(
             self.registry,
             context.clock,
-            context.params.workers.lease,
+            context.params.workers.lease_duration,
             lambda: self.autoscaler.listed,
         )
         self.maintenance = MaintenanceLoop(
@@ -125,7 +125,7 @@
             context.clock,
             context.term.epoch,
             lambda: context.term.others_stopped_at,
-            context.awake_since,
+            context.running_since,
         )
         return Reconciler(reconciliation_context, self.estimates, self.state.ledger, self)
 
@@ -141,13 +141,13 @@
             context.tuning.interval,
             context.may_command,
             self.request_plan,
-            context.awake_since,
+            context.running_since,
         )
 
     def _make_dispatcher(self) -> Dispatcher:
         context = self.context
         # Pages of the version before may be larger than new ones, and are stored in parts.
-        in_parts = context.value_limit.least * (context.params.state.txn_ops - 2)
+        in_parts = context.value_limit.reduced_bytes * (context.params.state.txn_ops - 2)
         dispatch_context = DispatchContext(
             self.jobs,
             self.registry,
@@ -158,7 +158,7 @@
             context.tuning,
         )
         return Dispatcher(
-            dispatch_context, self.record_writer, min(context.value_limit.now, in_parts)
+            dispatch_context, self.record_writer, min(context.value_limit.current_bytes, in_parts)
         )
 
     async def run(self) -> None:
@@ -236,7 +236,7 @@
 
     def expected_heartbeats(self) -> Counter[str]:
         """How many machines should send heartbeats, by zone."""
-        lease = self.context.params.workers.lease
+        lease = self.context.params.workers.lease_duration
         return expected_heartbeats(self.registry, self.clock.now(), lease)
 
     async def flush_records(self, timeout: timedelta) -> None:
--- a/dappledrum/membership/monitor.py
+++ b/dappledrum/membership/monitor.py
@@ -48,7 +48,7 @@
         self.heartbeat_peers: set[str] = set()
         self.table = PeerTable(context.member, context.peers.callers)
         self.started_at = self.clock.now()
-        self.incarnation = int(self.clock.today().timestamp() * 1000)
+        self.incarnation = int(self.clock.utc_now().timestamp() * 1000)
         #: When the last heartbeat of any peer was received.
         self.received_at: timedelta | None = None
         self._send_now = {peer: asyncio.Event() for peer in context.peers.callers}
@@ -67,7 +67,7 @@
             self.incarnation,
             to_ms(now - self.started_at),
             0,
-            to_ms(now - self.context.pause_detector.awake_since()),
+            to_ms(now - self.context.pause_detector.running_since()),
             epoch=elector.epoch,
             leader=leader.member if leader is not None else None,
             leads=term is not None,
@@ -114,7 +114,7 @@
         that.
         """
         own = HeartbeatOrder(self.incarnation, to_ms(self.clock.now() - self.started_at))
-        newest = int((self.clock.today() + MAX_CLOCK_DIFFERENCE).timestamp() * 1000)
+        newest = int((self.clock.utc_now() + MAX_CLOCK_DIFFERENCE).timestamp() * 1000)
         if own < heartbeat_order(heartbeat) and heartbeat.incarnation <= newest:
             log.info("heartbeats of the former process look newer, continuing after them")
             self.incarnation = heartbeat.incarnation + 1
--- a/dappledrum/membership/peer_table.py
+++ b/dappledrum/membership/peer_table.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from dappledrum.membership.messages import PeerHeartbeat
-from dappledrum.timing.clock import DRIFT, ZERO
+from dappledrum.timing.clock import MAX_CLOCK_DRIFT, ZERO
 
 MAX_RECENT_AGE = timedelta(seconds=3.5)  # three heartbeats of a second, with a margin
 MAX_RELAYED_AGE = timedelta(seconds=10)
@@ -76,7 +76,7 @@
             # A message may be delayed for minutes and still carry an age of zero. It comes later
             # than its uptime says by the quickest one before it, drift allowed for.
             elapsed = from_ms(heartbeat.uptime_ms - known.heartbeat.uptime_ms)
-            max_offset = known.clock_offset + elapsed * (2 * DRIFT)
+            max_offset = known.clock_offset + elapsed * (2 * MAX_CLOCK_DRIFT)
             new.clock_offset = min(new.clock_offset, max_offset)
             new.described_at = min(described_at, from_ms(heartbeat.uptime_ms) + new.clock_offset)
             new.direct_at = known.direct_at
--- a/dappledrum/membership/silent_zones.py
+++ b/dappledrum/membership/silent_zones.py
@@ -59,7 +59,7 @@
     def _find(self, term_started_at: timedelta) -> dict[str, timedelta]:
         now = self.clock.now()
         # Time in which this controller itself was paused does not count.
-        since = max(term_started_at, self.pause_detector.awake_since())
+        since = max(term_started_at, self.pause_detector.running_since())
         if now - since <= MIN_SILENCE:
             return {}
         # To count all machines four times a second costs more than to process their heartbeats.
--- a/dappledrum/settings.py
+++ b/dappledrum/settings.py
@@ -92,7 +92,7 @@
     txn_ops: Changes | None = None
 
 
-class StateLimits(msgspec.Struct, frozen=True):
+class StoreLimits(msgspec.Struct, frozen=True):
     """Rates and sizes that the store allows."""
 
     rps: Positive
@@ -106,12 +106,12 @@
         """The largest value that may be written."""
         return int(self.value_kb * 1024)
 
-    def binding(self) -> "StateLimits":
+    def strictest(self) -> "StoreLimits":
         """The smaller of the present and the next limits. This controller keeps to them from its
         start, since the change comes without notice."""
         if self.next is None:
             return self
-        return StateLimits(
+        return StoreLimits(
             min(self.rps, self.next.rps or self.rps),
             min(self.write_rps, self.next.write_rps or self.write_rps),
             min(self.value_kb, self.next.value_kb or self.value_kb),
@@ -144,7 +144,7 @@
 
     teams: list[Team]
     workers: WorkerLimits
-    state: StateLimits
+    state: StoreLimits
     cloud: CloudLimits
     zones: list[Name] = []
     objectives: list[Objective] = []
--- a/dappledrum/store/advisory_record.py
+++ b/dappledrum/store/advisory_record.py
@@ -9,8 +9,9 @@
 
 import msgspec
 
-from dappledrum.store.client import StoreClient, StoreError, raw
-from dappledrum.store.messages import Guard, Put
+from dappledrum.store.client import StoreClient
+from dappledrum.store.errors import StoreError
+from dappledrum.store.messages import Guard, Put, encode_value
 from dappledrum.store.rate_limiter import RequestPriority
 
 log = logging.getLogger(__name__)
@@ -28,26 +29,26 @@
         key: str,
         kind: type[T],
         value_bytes: int,
-        rank: RequestPriority,
+        priority: RequestPriority,
     ) -> None:
         self.store = store
         self.guard = guard
         self.key = key
         self.kind = kind
         self.value_bytes = value_bytes
-        self.rank = rank
+        self.priority = priority
         self.stored: T | None = None
 
     async def keep(self, record: T) -> None:
         """Write the record if it differs from what is stored, as far as that is known."""
         if record == self.stored:
             return
-        value = raw(record)
+        value = encode_value(record)
         if len(bytes(value)) > self.value_bytes:
             log.warning("%s is too large to be kept", self.key)
             return
         try:
-            await self.store.commit([self.guard], [Put(self.key, value)], self.rank)
+            await self.store.commit([self.guard], [Put(self.key, value)], self.priority)
             self.stored = record
         except StoreError as error:
             log.debug("%s not written: %s", self.key, error)
--- a/dappledrum/store/client.py
+++ b/dappledrum/store/client.py
@@ -14,9 +14,9 @@
 
 import msgspec
 
-from dappledrum.http.client import Caller, NoResponseError, NotSentError, Reply
+from dappledrum.http.client import HttpClient, NoResponseError, NotSentError, Reply
 from dappledrum.membership.link_health import LinkHealth
-from dappledrum.settings import StateLimits
+from dappledrum.settings import StoreLimits
 from dappledrum.store.messages import (
     Conflict,
     Delete,
@@ -39,7 +39,7 @@
 
 T = TypeVar("T")
 REQUEST_TIMEOUT = timedelta(seconds=1.5)
-TXN_BYTES = 60 * 1024
+MAX_TRANSACTION_BYTES = 60 * 1024
 CHAIN = 8.0  # changes that may go out at once: users submit the jobs of a chain within a moment
 FAILING_AFTER = timedelta(milliseconds=400)
 
@@ -52,7 +52,7 @@
     """Certainly not executed: no connection, 429 or 503."""
 
 
-class UnknownError(StoreError):
+class UnknownOutcomeError(StoreError):
     """No usable answer: executed or not, now or later."""
 
 
@@ -80,7 +80,7 @@
     """Client with budgets; one for each controller."""
 
     def __init__(
-        self, caller: Caller, limits: StateLimits, clock: Clock, rng: random.Random
+        self, caller: HttpClient, limits: StoreLimits, clock: Clock, rng: random.Random
     ) -> None:
         self.caller = caller
         self.limits = limits
@@ -107,12 +107,12 @@
         """How long no request has been served, although some were tried; None: the newest was."""
         return None if self.failing_since is None else self.clock.now() - self.failing_since
 
-    def hanging(self) -> bool:
+    def last_request_hung(self) -> bool:
         """The newest failure was one without an answer, so the next request would wait in vain,
         too."""
         return self.last_hung
 
-    def set_share(self, share: float, burst: float = 1.0) -> None:
+    def set_rate_share(self, share: float, burst: float = 1.0) -> None:
         """Change the part of the service's rates that this controller may use, and the seconds'
         worth of it that may go out at once."""
         now = self.clock.now()
@@ -120,13 +120,13 @@
         rate = self.limits.write_rps * share
         self.writes.resize(rate, now, max(burst, min(CHAIN, self.limits.write_rps / 2) / rate))
 
-    def busy_for(self, rank: RequestPriority, writes: int = 0) -> timedelta:
+    def queueing_delay(self, priority: RequestPriority, writes: int = 0) -> timedelta:
         """How long a request of this rank would have to wait; zero means that it can go now."""
         now = self.clock.now()
-        wait = self.requests.wait(1, rank, now)
+        wait = self.requests.wait(1, priority, now)
         if writes:
-            wait = max(wait, self.writes.wait(writes, rank, now))
-        if rank is not RequestPriority.LEASE:
+            wait = max(wait, self.writes.wait(writes, priority, now))
+        if priority is not RequestPriority.LEASE:
             wait = max(wait, self.blocked_until - now)
         return wait
 
@@ -135,13 +135,13 @@
         method: str,
         path: str,
         body: bytes | None,
-        rank: RequestPriority,
+        priority: RequestPriority,
         timeout: timedelta = REQUEST_TIMEOUT,
         writes: int = 0,
     ) -> Reply:
-        wait = self.busy_for(rank, writes)
+        wait = self.queueing_delay(priority, writes)
         if wait > ZERO:
-            if rank in (RequestPriority.POLL, RequestPriority.INTAKE) and wait > timedelta(
+            if priority in (RequestPriority.POLL, RequestPriority.SUBMISSION) and wait > timedelta(
                 seconds=0.5
             ):
                 raise RefusedError("over this controller's share of requests")
@@ -160,7 +160,7 @@
             raise RefusedError(str(error)) from error
         except NoResponseError as error:
             self._failed(True, str(error))
-            raise UnknownError(str(error)) from error
+            raise UnknownOutcomeError(str(error)) from error
         if reply.status in (429, 503):
             self._back_off(reply.status)
             if reply.status == 503:
@@ -169,7 +169,7 @@
                 self.link.response_received(sent)
             raise RefusedError(f"status {reply.status}")
         if reply.status >= 500:
-            raise UnknownError(f"status {reply.status}")
+            raise UnknownOutcomeError(f"status {reply.status}")
         if not watching:
             self.link.response_received(sent)
             # A watch that was open when an outage began may still end in time, so it proves
@@ -177,12 +177,12 @@
             self.backoff = ZERO
             self.failing_since = None
             self.reached = True
-            self.fault.over()
+            self.fault.recovered()
         return reply
 
     def _failed(self, hung: bool, why: str) -> None:
         self.last_hung = hung
-        self.fault.seen(why)
+        self.fault.failed(why)
         if self.failing_since is None:
             self.failing_since = self.clock.now()
 
@@ -196,21 +196,21 @@
         try:
             return msgspec.json.decode(reply.body, type=kind)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
-            raise UnknownError(f"unusable answer: {error}") from error
+            raise UnknownOutcomeError(f"unusable answer: {error}") from error
 
     async def get(
-        self, key: str, rank: RequestPriority, timeout: timedelta = REQUEST_TIMEOUT
+        self, key: str, priority: RequestPriority, timeout: timedelta = REQUEST_TIMEOUT
     ) -> Entry | None:
         """Read one key; None when it does not exist."""
-        reply = await self._call("GET", f"/keys/{key}", None, rank, timeout)
+        reply = await self._call("GET", f"/keys/{key}", None, priority, timeout)
         if reply.status == 404:
             self._decode(reply, Revision)  # a 404 from anything but the service proves nothing
             return None
         if reply.status != 200:
-            raise UnknownError(f"status {reply.status} for a read")
+            raise UnknownOutcomeError(f"status {reply.status} for a read")
         return self._decode(reply, Entry)
 
-    async def scan(self, prefix: str, rank: RequestPriority) -> tuple[list[Entry], int]:
+    async def scan(self, prefix: str, priority: RequestPriority) -> tuple[list[Entry], int]:
         """Read all keys with a prefix, and the revision from which a watch must start."""
         entries: list[Entry] = []
         start: int | None = None
@@ -218,9 +218,9 @@
         while True:
             since = f"&from={after}" if after else ""
             path = f"/keys?prefix={prefix}{since}&page=500"
-            reply = await self._call("GET", path, None, rank, timedelta(seconds=4))
+            reply = await self._call("GET", path, None, priority, timedelta(seconds=4))
             if reply.status != 200:
-                raise UnknownError(f"status {reply.status} for a list")
+                raise UnknownOutcomeError(f"status {reply.status} for a list")
             page = self._decode(reply, Listing)
             entries += page.entries
             start = page.revision if start is None else start
@@ -232,12 +232,12 @@
         self,
         guards: Sequence[Guard],
         changes: Sequence[Put | Delete],
-        rank: RequestPriority,
+        priority: RequestPriority,
         timeout: timedelta = REQUEST_TIMEOUT,
     ) -> int:
         """Run a transaction and return its revision."""
         body = msgspec.json.encode(Transaction(list(guards), list(changes)))
-        reply = await self._call("POST", "/multi", body, rank, timeout, writes=len(changes))
+        reply = await self._call("POST", "/multi", body, priority, timeout, writes=len(changes))
         if reply.status == 200:
             return self._decode(reply, Revision).revision
         if reply.status == 409:
@@ -248,14 +248,14 @@
             log.error("transaction refused: %.200r", reply.body)
             raise TooLargeError(f"the state service refused a value: {reply.body[:100]!r}")
         log.error("transaction refused with %d: %.200r", reply.status, reply.body)
-        raise UnknownError(f"status {reply.status} for a transaction")
+        raise UnknownOutcomeError(f"status {reply.status} for a transaction")
 
     async def open_lease(self, life: timedelta) -> int:
         """Get a new lease."""
         body = msgspec.json.encode(TimeToLive(int(life.total_seconds() * 1000)))
         reply = await self._call("POST", "/holds", body, RequestPriority.LEASE)
         if reply.status != 200:
-            raise UnknownError(f"status {reply.status} for a lease")
+            raise UnknownOutcomeError(f"status {reply.status} for a lease")
         return self._decode(reply, Lease).lease
 
     async def renew_lease(self, lease: int, timeout: timedelta) -> None:
@@ -266,26 +266,26 @@
         if reply.status == 404:
             raise LeaseLostError("lease ended")
         if reply.status != 200:
-            raise UnknownError(f"status {reply.status} for a renewal")
+            raise UnknownOutcomeError(f"status {reply.status} for a renewal")
 
     async def close_lease(self, lease: int) -> None:
         """End a lease at once, with the keys attached to it."""
         await self._call("DELETE", f"/holds/{lease}", None, RequestPriority.LEASE)
 
     async def watch(
-        self, prefix: str, after: int, wait: timedelta, rank: RequestPriority
+        self, prefix: str, after: int, wait: timedelta, priority: RequestPriority
     ) -> tuple[list[Event], int]:
         """Changes after a revision; an empty list when nothing changed in time."""
         path = f"/watch?prefix={prefix}&from={after}&waitMs={int(wait.total_seconds() * 1000)}"
-        reply = await self._call("GET", path, None, rank, wait + REQUEST_TIMEOUT)
+        reply = await self._call("GET", path, None, priority, wait + REQUEST_TIMEOUT)
         if reply.status == 410:
             raise CompactedError(prefix)
         if reply.status != 200:
-            raise UnknownError(f"status {reply.status} for a watch")
+            raise UnknownOutcomeError(f"status {reply.status} for a watch")
         events = self._decode(reply, Events)
         return events.events, events.revision
 
 
-def raw(value: Any) -> msgspec.Raw:  # noqa: ANN401 - anything that msgspec encodes
+def encode_value(value: Any) -> msgspec.Raw:  # noqa: ANN401 - anything that msgspec encodes
     """A value as it is stored."""
     return msgspec.Raw(msgspec.json.encode(value))
--- a/dappledrum/store/hedged_commit.py
+++ b/dappledrum/store/hedged_commit.py
@@ -14,9 +14,11 @@
 
 import msgspec
 
-from dappledrum.store.client import REQUEST_TIMEOUT, ConflictError, StoreClient, StoreError
+from dappledrum.store.client import StoreClient
+from dappledrum.store.errors import ConflictError, StoreError
 from dappledrum.store.messages import Delete, Entry, Guard, Put
 from dappledrum.store.rate_limiter import RequestPriority
+from dappledrum.store.transport import REQUEST_TIMEOUT
 from dappledrum.timing.clock import ZERO
 
 log = logging.getLogger(__name__)
@@ -48,7 +50,7 @@
     store: StoreClient,
     guards: Sequence[Guard],
     changes: Sequence[Put | Delete],
-    rank: RequestPriority,
+    priority: RequestPriority,
     find: Callable[[], Awaitable[T | None]],
     timeout: timedelta = REQUEST_TIMEOUT,
 ) -> int | T:
@@ -57,11 +59,11 @@
     `find` returns None as long as nothing is proven. It is called only while the answer is late,
     the store serves this controller, and the budget allows a request at once.
     """
-    queued = store.busy_for(rank, len(changes))
+    queued = store.budget.queueing_delay(priority, len(changes))
     found: list[T] = []
 
     async def read() -> None:
-        result = await _read(store, rank, find, queued, timeout)
+        result = await _read(store, priority, find, queued, timeout)
         if result is not None:
             found.append(result)
             waiting.reschedule(asyncio.get_running_loop().time())
@@ -70,7 +72,7 @@
         async with asyncio.timeout(None) as waiting:
             reads = asyncio.ensure_future(read())
             try:
-                return await store.commit(guards, changes, rank, timeout)
+                return await store.commit(guards, changes, priority, timeout)
             finally:
                 reads.cancel()
     except TimeoutError:
@@ -84,7 +86,7 @@
     store: StoreClient,
     guards: Sequence[Guard],
     changes: Sequence[Put | Delete],
-    rank: RequestPriority,
+    priority: RequestPriority,
     timeout: timedelta = REQUEST_TIMEOUT,
 ) -> int:
     """Run a transaction that may be carried out twice, and once more while its answer is late:
@@ -92,11 +94,11 @@
 
     async def again() -> int | ConflictError:
         try:
-            return await store.commit(guards, changes, rank, timeout)
+            return await store.commit(guards, changes, priority, timeout)
         except ConflictError as error:
             return error
 
-    answer = await commit_or_find(store, guards, changes, rank, again, timeout)
+    answer = await commit_or_find(store, guards, changes, priority, again, timeout)
     if isinstance(answer, ConflictError):
         raise answer
     return answer
@@ -104,19 +106,19 @@
 
 async def _read(
     store: StoreClient,
-    rank: RequestPriority,
+    priority: RequestPriority,
     find: Callable[[], Awaitable[T | None]],
     queued: timedelta,
     timeout: timedelta,
 ) -> T | None:
     """Read until something is proven; None when it is not worth while any more."""
-    delay = max(MIN_DELAY, store.link.smoothed_delay * DELAY_FACTOR)
+    delay = max(MIN_DELAY, store.availability.link.smoothed_delay * DELAY_FACTOR)
     await asyncio.sleep(queued.total_seconds())
     for _ in range(READS):
         if delay > timeout / 2:
             return None  # the answer would not be back sooner than that of the transaction
         await asyncio.sleep(delay.total_seconds())
-        if not store.is_failing() and store.busy_for(rank) == ZERO:
+        if not store.availability.is_failing() and store.budget.queueing_delay(priority) == ZERO:
             try:
                 found = await find()
             except StoreError as error:
--- a/dappledrum/store/rate_limiter.py
+++ b/dappledrum/store/rate_limiter.py
@@ -14,7 +14,7 @@
     """Importance of a request; the lower, the more important."""
 
     LEASE = 0
-    INTAKE = 1
+    SUBMISSION = 1
     RECORD = 2
     POLL = 3
 
@@ -22,7 +22,7 @@
 #: Part of the bucket that each rank must leave to the more important ones.
 RESERVE = {
     RequestPriority.LEASE: 0.0,
-    RequestPriority.INTAKE: 0.08,
+    RequestPriority.SUBMISSION: 0.08,
     RequestPriority.RECORD: 0.16,
     RequestPriority.POLL: 0.3,
 }
@@ -49,11 +49,11 @@
         self.size = max(rate * burst, 1.0)
         self.level = min(self.level, self.size)
 
-    def wait(self, amount: float, rank: RequestPriority, now: timedelta) -> timedelta:
+    def wait(self, amount: float, priority: RequestPriority, now: timedelta) -> timedelta:
         """How long until this amount may be taken; zero means now."""
         self._fill(now)
-        missing = min(amount, self.size) + RESERVE[rank] * self.size - self.level
-        if rank is RequestPriority.LEASE:
+        missing = min(amount, self.size) + RESERVE[priority] * self.size - self.level
+        if priority is RequestPriority.LEASE:
             return ZERO  # a lease renewal goes out even when the bucket is empty
         return timedelta(seconds=missing / self.rate) if missing > 1e-6 else ZERO
 
--- a/dappledrum/store/value_limit.py
+++ b/dappledrum/store/value_limit.py
@@ -9,7 +9,7 @@
 
 import logging
 
-from dappledrum.settings import StateLimits
+from dappledrum.settings import StoreLimits
 
 log = logging.getLogger(__name__)
 
@@ -17,9 +17,9 @@
 class ValueLimit:
     """The limit of one controller."""
 
-    def __init__(self, limits: StateLimits) -> None:
+    def __init__(self, limits: StoreLimits) -> None:
         self.now = limits.value_bytes
-        self.least = limits.binding().value_bytes
+        self.least = limits.strictest().value_bytes
         self.settled = self.least == self.now
 
     @property
--- a/dappledrum/timing/clock.py
+++ b/dappledrum/timing/clock.py
@@ -12,7 +12,7 @@
 
 #: The steady clocks of two machines drift apart by at most 0.05 %; twice that is allowed for
 #: everywhere.
-DRIFT = 0.001
+MAX_CLOCK_DRIFT = 0.001
 
 
 class Clock:
@@ -22,7 +22,7 @@
         """Steady time; only differences are meaningful."""
         return timedelta(seconds=asyncio.get_running_loop().time())
 
-    def today(self) -> datetime:
+    def utc_now(self) -> datetime:
         """Aware time of day."""
         return datetime.now(UTC)
 
@@ -32,11 +32,11 @@
     return timedelta(seconds=value)
 
 
-def longer(span: timedelta) -> timedelta:
+def longest_local_span(span: timedelta) -> timedelta:
     """The longest that this span on another machine's clock can be on ours."""
-    return span * (1 + DRIFT)
+    return span * (1 + MAX_CLOCK_DRIFT)
 
 
-def shorter(span: timedelta) -> timedelta:
+def shortest_local_span(span: timedelta) -> timedelta:
     """The shortest that this span on another machine's clock can be on ours."""
-    return span * (1 - DRIFT)
+    return span * (1 - MAX_CLOCK_DRIFT)
--- a/dappledrum/timing/timeouts.py
+++ b/dappledrum/timing/timeouts.py
@@ -67,7 +67,7 @@
         self.last_beat = clock.now()
         self.since = self.last_beat
 
-    def awake_since(self) -> timedelta:
+    def running_since(self) -> timedelta:
         """Since when this process has been running without a pause."""
         now = self.clock.now()
         gap = now - self.last_beat
@@ -82,5 +82,5 @@
     async def run(self) -> None:
         """Check for pauses periodically, for ever."""
         while True:
-            self.awake_since()
+            self.running_since()
             await asyncio.sleep(BEAT_INTERVAL.total_seconds())
--- a/dappledrum/workers/heartbeat_order.py
+++ b/dappledrum/workers/heartbeat_order.py
@@ -2,7 +2,7 @@
 
 from datetime import timedelta
 
-from dappledrum.timing.clock import longer
+from dappledrum.timing.clock import longest_local_span
 from dappledrum.workers.machine_registry import Machine
 from dappledrum.workers.messages import WorkerHeartbeat
 from dappledrum.workers.reachability import LEASE_EXPIRY_MARGIN
@@ -28,7 +28,7 @@
     others_stopped_at = context.others_stopped_at()
     if heartbeat.session > machine.session or others_stopped_at is None:
         return False
-    lease = context.limits.lease
+    lease = context.limits.lease_duration
     return machine.reachability.outlasts_lease(now, lease) and now > (
-        others_stopped_at + longer(lease) + LEASE_EXPIRY_MARGIN
+        others_stopped_at + longest_local_span(lease) + LEASE_EXPIRY_MARGIN
     )
--- a/dappledrum/workers/placement_comparison.py
+++ b/dappledrum/workers/placement_comparison.py
@@ -94,7 +94,7 @@
         placement.running_since = now
         if not job.has_run:
             job.has_run = True
-            waited = (self.context.clock.today() - job.accepted_at).total_seconds()
+            waited = (self.context.clock.utc_now() - job.accepted_at).total_seconds()
             log.info("%s began %.1f s after it came", job.id, waited)
         cache_gb = UNKNOWN_CACHE_GB
         if machine.kind is not None:
--- a/dappledrum/workers/reachability_updates.py
+++ b/dappledrum/workers/reachability_updates.py
@@ -17,12 +17,12 @@
 
     To be called before the machine's session and token are set to those of the heartbeat.
     """
-    reachability, lease = machine.reachability, context.limits.lease
+    reachability, lease = machine.reachability, context.limits.lease_duration
     got_answer = False
     if heartbeat.token == context.token and not reachability.token_shown:
         got_answer = reachability.token_shown = True
     if heartbeat.session > machine.session:
-        if reachability.new_session(now, lease, context.awake_since()):
+        if reachability.new_session(now, lease, context.running_since()):
             log.warning("%s lost its session though it was answered", machine.name)
     elif heartbeat.token == context.token and reachability.outlasts_lease(now, lease):
         got_answer = reachability.unreachable
--- a/dappledrum/workers/reconciler.py
+++ b/dappledrum/workers/reconciler.py
@@ -23,7 +23,7 @@
 from dappledrum.jobs.job import Job
 from dappledrum.scheduling.estimates import Estimates
 from dappledrum.scheduling.timeline import InstanceKind
-from dappledrum.timing.clock import ZERO, longer
+from dappledrum.timing.clock import ZERO, longest_local_span
 from dappledrum.workers.attempt_ends import AttemptEnds
 from dappledrum.workers.commands import WorkerCommands
 from dappledrum.workers.heartbeat_order import is_late_copy
@@ -131,11 +131,11 @@
         is left of gangs that have lost a part."""
         now = self.clock.now()
         stop_broken_gangs(self.jobs.values())
-        lease = self.limits.lease
+        lease = self.limits.lease_duration
         others_stopped_at = self.context.others_stopped_at()
         if (
             others_stopped_at is None
-            or now <= others_stopped_at + longer(lease) + LEASE_EXPIRY_MARGIN
+            or now <= others_stopped_at + longest_local_span(lease) + LEASE_EXPIRY_MARGIN
         ):
             return
         for machine in self.registry:
@@ -171,5 +171,5 @@
             machine = self.registry.ensure(placement.machine, None, now)
             machine.last_answer = now if stopped_at is None else min(now, stopped_at)
             machine.placements[(job.id, placement.task)] = placement
-            age = self.clock.today() - placement.placed_at
+            age = self.clock.utc_now() - placement.placed_at
             placement.running_since = now - max(age, ZERO)
--- a/dappledrum/workers/reconciliation_context.py
+++ b/dappledrum/workers/reconciliation_context.py
@@ -30,7 +30,7 @@
     """Records, limits and clock of one term.
 
     `token` is the fencing token of the term. `others_stopped_at` returns the moment since which no
-    other controller has answered a worker, or None if that is not known. `awake_since` returns the
+    other controller has answered a worker, or None if that is not known. `running_since` returns the
     end of the last pause of this process.
     """
 
@@ -40,4 +40,4 @@
     clock: Clock
     token: int
     others_stopped_at: Callable[[], timedelta | None] = lambda: ZERO
-    awake_since: Callable[[], timedelta] = lambda: ZERO
+    running_since: Callable[[], timedelta] = lambda: ZERO
