--- a/dappledrum/accounting/test_accounting.py
+++ b/dappledrum/accounting/test_accounting.py
@@ -30,7 +30,7 @@
     def now(self):
         return seconds(self.at)
 
-    def today(self):
+    def utc_now(self):
         return datetime(2026, 1, 1, tzinfo=UTC) + timedelta(seconds=self.at)
 
 
@@ -67,7 +67,7 @@
         if what == "place" and len(machine.placements) < 2:
             machine.up_at = clock.now()
             task = next(work.page(0).free_tasks())
-            placed = work.page(0).place(task, machine.name, 1, "a", clock.today())
+            placed = work.page(0).place(task, machine.name, 1, "a", clock.utc_now())
             machine.placements[(work.id, task)] = placed
         elif what == "run":
             for placement in machine.placements.values():
--- a/dappledrum/controller/catalog.py
+++ b/dappledrum/controller/catalog.py
@@ -12,8 +12,9 @@
 from dappledrum.jobs.api import JobApi
 from dappledrum.leader.leader import Leader
 from dappledrum.settings import Params
-from dappledrum.store.client import StoreClient, StoreError, raw
-from dappledrum.store.messages import Guard, Put
+from dappledrum.store.client import StoreClient
+from dappledrum.store.errors import StoreError
+from dappledrum.store.messages import Guard, Put, encode_value
 from dappledrum.store.rate_limiter import RequestPriority
 from dappledrum.timing.clock import Clock
 from dappledrum.timing.fault_log import FaultLog
@@ -50,7 +51,7 @@
         while True:
             types = await self._stored_types() or await self._cloud_types()
             if types:
-                self.no_catalog.over()
+                self.no_catalog.recovered()
                 self.job_api.types = types
                 leader = self.leader()
                 if leader is not None:
@@ -62,25 +63,25 @@
 
     async def _stored_types(self) -> list[MachineType]:
         try:
-            entry = await self.store.get(CATALOG, RequestPriority.INTAKE)
+            entry = await self.store.get(CATALOG, RequestPriority.SUBMISSION)
             return (
                 msgspec.json.decode(entry.value, type=Catalog).types if entry is not None else []
             )
         except (StoreError, msgspec.DecodeError) as error:
-            self.no_catalog.seen(f"no stored catalog: {error}")
+            self.no_catalog.failed(f"no stored catalog: {error}")
             return []
 
     async def _cloud_types(self) -> list[MachineType]:
         try:
             types = await self.cloud.catalog()
         except CloudError as error:
-            self.no_catalog.seen(f"no catalog: {error}")
+            self.no_catalog.failed(f"no catalog: {error}")
             return []
-        value = raw(Catalog(types))
+        value = encode_value(Catalog(types))
         if types and len(value) < self.params.state.value_bytes:
             try:
                 await self.store.commit(
-                    [Guard(CATALOG, 0)], [Put(CATALOG, value)], RequestPriority.INTAKE
+                    [Guard(CATALOG, 0)], [Put(CATALOG, value)], RequestPriority.SUBMISSION
                 )
             except StoreError as error:
                 log.info("catalog not stored: %s", error)
--- a/dappledrum/controller/controller.py
+++ b/dappledrum/controller/controller.py
@@ -20,7 +20,7 @@
 from dappledrum.election.messages import LeaseGrantRequest
 from dappledrum.election.voter import LEASE_GRANT_DURATION
 from dappledrum.fleet.cloud_client import CloudClient, CloudError
-from dappledrum.http.client import Caller
+from dappledrum.http.client import HttpClient
 from dappledrum.http.server import Request, Response
 from dappledrum.jobs.api import JobApi, refusal
 from dappledrum.jobs.job import Job
@@ -28,10 +28,11 @@
 from dappledrum.membership.service import Membership, Probe
 from dappledrum.peers.client import Peers
 from dappledrum.settings import Settings, Tuning
-from dappledrum.store.client import StoreClient, StoreError
+from dappledrum.store.client import StoreClient
+from dappledrum.store.errors import StoreError
 from dappledrum.store.rate_limiter import RequestPriority
 from dappledrum.store.value_limit import ValueLimit
-from dappledrum.timing.clock import ZERO, Clock, longer
+from dappledrum.timing.clock import ZERO, Clock, longest_local_span
 from dappledrum.timing.timeouts import PauseDetector
 
 log = logging.getLogger(__name__)
@@ -63,14 +64,14 @@
         tuning: Tuning,
         clock: Clock,
         rng: random.Random,
-        store: Caller,
-        cloud: Caller,
-        peers: dict[str, Caller],
+        store: HttpClient,
+        cloud: HttpClient,
+        peers: dict[str, HttpClient],
         probe: Probe,
     ) -> None:
         self.settings = settings
         limits = settings.params.state
-        self.params = msgspec.structs.replace(settings.params, state=limits.binding())
+        self.params = msgspec.structs.replace(settings.params, state=limits.strictest())
         self.tuning = tuning
         self.clock = clock
         self.rng = rng
@@ -101,7 +102,7 @@
             self.elector,
             self.params.workers,
             self.pause_detector,
-            self.store.link,
+            self.store.availability.link,
             self.cloud.link,
             lambda: self.leader.reporting() if self.leader is not None else {},
             probe,
@@ -152,19 +153,20 @@
             self.heartbeats.watch(),
             self.versions.run(),
             self._learn_holders(),
-            *([self.membership.run()] if self.tuning.reach else []),
+            *([self.membership.run()] if self.tuning.peer_heartbeats_enabled else []),
         )
 
     def _lease_limits(self) -> LeaseLimits:
         workers = self.params.workers
         return LeaseLimits(
-            ttl=min(MAX_LEASE_TTL, workers.lease / 3),
+            ttl=min(MAX_LEASE_TTL, workers.lease_duration / 3),
             max_time_on_majority_grants=max(
-                ZERO, workers.cancel - workers.lease - MAJORITY_GRANTS_MARGIN
+                ZERO, workers.cancellation_limit - workers.lease_duration - MAJORITY_GRANTS_MARGIN
             ),
             max_cancellations_age=max(
                 MIN_CANCELLATIONS_AGE,
-                workers.cancel - longer(workers.lease + CANCELLATIONS_AGE_MARGIN),
+                workers.cancellation_limit
+                - longest_local_span(workers.lease_duration + CANCELLATIONS_AGE_MARGIN),
             ),
         )
 
@@ -180,7 +182,9 @@
         )
         # A follower's share is small, and submissions come in bursts, rarely at all followers at
         # once, so each may use some seconds of its share in one burst.
-        self.store.set_share(share * 0.95, 1.0 if share >= LEADER_SHARE else FOLLOWER_BURST)
+        self.store.budget.set_rate_share(
+            share * 0.95, 1.0 if share >= LEADER_SHARE else FOLLOWER_BURST
+        )
 
     # what the election asks of its host
 
@@ -199,11 +203,11 @@
 
     def candidacy_delay(self) -> timedelta:
         """How long to let a better candidate campaign first."""
-        return self.membership.candidacy_delay() if self.tuning.reach else ZERO
+        return self.membership.candidacy_delay() if self.tuning.peer_heartbeats_enabled else ZERO
 
     def all_peers_pre_vote(self) -> bool:
         """Whether all peers are known to run a version that asks for pre-votes."""
-        return self.tuning.reach and (
+        return self.tuning.peer_heartbeats_enabled and (
             len(self.membership.heartbeat_peers) == len(self.peers.callers)
         )
 
@@ -228,7 +232,7 @@
                 self.tuning,
                 self.job_api.types or [],
                 self._job_ended,
-                self.pause_detector.awake_since,
+                self.pause_detector.running_since,
             )
             asking = asyncio.ensure_future(self._learn_no_answers(self.leader))
             try:
@@ -276,10 +280,10 @@
         outage had begun since, nobody could take the key, and the leader that had stopped could
         not go on by promises: all that ran was lost.
         """
-        if self.store.failing_for() is not None and not await self._is_served(member):
+        if self.store.availability.failing_for() is not None and not await self._is_served(member):
             log.info("not transferring leadership to %s: the store does not serve it now", member)
             return
-        if self.leader is not None and not self.store.is_failing():
+        if self.leader is not None and not self.store.availability.is_failing():
             await self.leader.settle(SETTLE)
         self.elector.transfer_leadership(member, why)
 
--- a/dappledrum/controller/heartbeat_endpoint.py
+++ b/dappledrum/controller/heartbeat_endpoint.py
@@ -71,10 +71,10 @@
             now = self.clock.now()
             if leader is None or not leader.loaded.is_set() or self.elector.leading_term() is None:
                 continue
-            if self.tuning.reach and self.membership.heartbeat_peers:
+            if self.tuning.peer_heartbeats_enabled and self.membership.heartbeat_peers:
                 continue  # heartbeats of peers show more, and who should lead instead
             heard = self.heartbeat_attempts.last
-            began = max(leader.began, self.pause_detector.awake_since())
+            began = max(leader.began, self.pause_detector.running_since())
             if now - began < silence or (heard is not None and now - heard < silence):
                 continue
             names = sending_heartbeats_elsewhere(
@@ -99,7 +99,7 @@
         if commands is not None:
             return Response(HTTPStatus.OK, msgspec.json.encode(commands))
         redirect_target = self.redirect_target()
-        if redirect_target is not None and self.tuning.reach:
+        if redirect_target is not None and self.tuning.peer_heartbeats_enabled:
             answer = await self.membership.forward_heartbeat(
                 heartbeat, redirect_target, request.body
             )
@@ -130,10 +130,10 @@
         """
         if self.isolation.alone():
             return None  # the leader known from before may have ended long ago
-        if self.tuning.reach:
+        if self.tuning.peer_heartbeats_enabled:
             member = self.membership.redirect_target()
         else:
-            known = None if self.store.is_failing() else self.elector.leader
+            known = None if self.store.availability.is_failing() else self.elector.leader
             member = known.member if known is not None else None
         return None if member == self.member else member
 
--- a/dappledrum/controller/isolation.py
+++ b/dappledrum/controller/isolation.py
@@ -28,8 +28,8 @@
     def alone(self) -> bool:
         """Whether neither the store nor a peer has been heard from for a while, though
         peers have before: this controller is cut off, or all others are down."""
-        failing = self.store.failing_for()
+        failing = self.store.availability.failing_for()
         heard = self.membership.heard_at
         if heard is None or failing is None or failing < ALONE_AFTER:
             return False
-        return self.clock.now() - max(heard, self.pause_detector.awake_since()) > ALONE_AFTER
+        return self.clock.now() - max(heard, self.pause_detector.running_since()) > ALONE_AFTER
--- a/dappledrum/controller/peer_endpoint.py
+++ b/dappledrum/controller/peer_endpoint.py
@@ -39,7 +39,8 @@
     decode,
     encode,
 )
-from dappledrum.store.client import StoreClient, StoreError
+from dappledrum.store.client import StoreClient
+from dappledrum.store.errors import StoreError
 from dappledrum.store.rate_limiter import RequestPriority
 from dappledrum.timing.clock import Clock
 
@@ -82,7 +83,7 @@
 
     async def answer(self, question: PeerRequest) -> PeerReply:
         if isinstance(question, Relay):
-            if self.store.is_failing():
+            if self.store.availability.is_failing():
                 return RelayReply(HTTPStatus.SERVICE_UNAVAILABLE, b"{}", 1)
             response = await self.users.serve_here(
                 Request(question.method, question.path, question.body)
--- a/dappledrum/controller/peer_versions.py
+++ b/dappledrum/controller/peer_versions.py
@@ -10,8 +10,9 @@
 from dappledrum.membership.service import Membership
 from dappledrum.peers.client import Peers
 from dappledrum.peers.versions import GANGS, REACH, at_least
-from dappledrum.store.client import StoreClient, StoreError, raw
-from dappledrum.store.messages import Guard, Put
+from dappledrum.store.client import StoreClient
+from dappledrum.store.errors import StoreError
+from dappledrum.store.messages import Guard, Put, encode_value
 from dappledrum.store.rate_limiter import RequestPriority
 from dappledrum.store.value_limit import ValueLimit
 
@@ -62,7 +63,7 @@
                         # At once: without messages of a peer this controller may not be ready.
                         self.membership.announce()
             if len(versions) == len(self.peers.callers):
-                self.value_limit.settle("all controllers read them")
+                self.value_limit.reduce("all controllers read them")
             if all(at_least(versions.get(member, ""), GANGS) for member in self.peers.callers):
                 self.job_api.gangs = True
             settled = settled or await self._gangs_known()
@@ -76,13 +77,13 @@
         try:
             entry = await self.store.get(GANGS_KNOWN, RequestPriority.RECORD)
             if entry is None and self.job_api.gangs:
-                value = raw({"version": __version__})
+                value = encode_value({"version": __version__})
                 await self.store.commit(
                     [Guard(GANGS_KNOWN, 0)], [Put(GANGS_KNOWN, value)], RequestPriority.RECORD
                 )
             self.job_api.gangs = self.job_api.gangs or entry is not None
             # An older peer may yet be upgraded, which settles how records are written.
-            return self.job_api.gangs and self.value_limit.settled
+            return self.job_api.gangs and self.value_limit.is_reduced
         except StoreError as error:
             log.debug("not known whether all know gangs: %s", error)
             return False
--- a/dappledrum/controller/test_cancellations_in_outage.py
+++ b/dappledrum/controller/test_cancellations_in_outage.py
@@ -13,7 +13,7 @@
 from dappledrum.simulation.cluster import job
 from dappledrum.simulation.scenario import CANCEL_S, now
 from dappledrum.simulation.workloads import FIVE, job_name, play_long_work
-from dappledrum.store.client import RefusedError
+from dappledrum.store.errors import RefusedError
 
 THREE = pytest.mark.parametrize("seed", range(3))
 JOBS = 4
@@ -179,9 +179,9 @@
         cluster, controller = work.cluster, work.leading_controller()
         watch = controller.store.watch
 
-        async def nothing(prefix, after, wait, rank):
+        async def nothing(prefix, after, wait, priority):
             if prefix != "job/":
-                return await watch(prefix, after, wait, rank)
+                return await watch(prefix, after, wait, priority)
             if how == "waits":
                 await asyncio.sleep(3600)
             raise RefusedError("status 429")
@@ -204,10 +204,10 @@
         controller, sent = work.leading_controller(), []
         watch = controller.store.watch
 
-        async def late(prefix, after, wait, rank):
+        async def late(prefix, after, wait, priority):
             if prefix == "job/":
                 sent.append(controller.clock.now())
-            return await watch(prefix, after, wait, rank)
+            return await watch(prefix, after, wait, priority)
 
         controller.store.watch = late
         await work.cluster.wait(6)
--- a/dappledrum/controller/test_end_to_end.py
+++ b/dappledrum/controller/test_end_to_end.py
@@ -271,5 +271,5 @@
     assert len(during) == len(cluster.members)
     cluster.store.end_outage()
     await cluster.wait(4)
-    over = [r for r in caplog.records if "over after" in r.getMessage()]
+    over = [r for r in caplog.records if "ended after" in r.getMessage()]
     assert len(over) == len(cluster.members)
--- a/dappledrum/controller/test_paused_processes.py
+++ b/dappledrum/controller/test_paused_processes.py
@@ -99,11 +99,11 @@
 
 async def test_a_pause_is_noticed():
     pause_detector = PauseDetector(Clock())
-    began = pause_detector.awake_since()
+    began = pause_detector.running_since()
     await asyncio.sleep(1)
-    assert pause_detector.awake_since() == began
+    assert pause_detector.running_since() == began
     await asyncio.sleep(8)
-    assert pause_detector.awake_since() == pause_detector.clock.now() > began
+    assert pause_detector.running_since() == pause_detector.clock.now() > began
 
 
 def test_a_failure_while_a_process_stands_still_ends_the_test():
--- a/dappledrum/controller/test_upgrade.py
+++ b/dappledrum/controller/test_upgrade.py
@@ -176,10 +176,10 @@
     spec.pop("runS")
     stored = {"spec": spec, "at_ms": 1_764_000_000_000, "size": 256, "page": [1, "0"]}
     first = Job(msgspec.json.decode(msgspec.json.encode(stored), type=JobRecord), 3)
-    today = datetime.now(UTC)
+    utc_now = datetime.now(UTC)
     for task in range(256):
-        first.page(0).place(task, f"host-{task:06d}", 1, "ab"[task % 2], today)
-    first.page(1).place(260, "host-9", 70, "a", today)
+        first.page(0).place(task, f"host-{task:06d}", 1, "ab"[task % 2], utc_now)
+    first.page(1).place(260, "host-9", 70, "a", utc_now)
     changes = {}
     for page in first.pages.values():
         own = page_changes(page, 2048, 2048)
--- a/dappledrum/controller/user_endpoint.py
+++ b/dappledrum/controller/user_endpoint.py
@@ -49,16 +49,16 @@
         is not ready, even if others are served: it refuses all users at once, so it has the fewest
         open connections, and the load balancer preferred it to those that could serve.
         """
-        reached = self.store.reached and not self.isolation.alone()
+        reached = self.store.availability.was_served and not self.isolation.alone()
         if reached or self.membership.is_connected():
             return Response(HTTPStatus.OK, msgspec.json.encode({"state": self._way()}))
-        why = self.store.fault.why or "no answer yet"
+        why = self.store.availability.fault_log.why or "no answer yet"
         return refusal(
             HTTPStatus.SERVICE_UNAVAILABLE, f"the state service was not reached yet: {why}"
         )
 
     def _way(self) -> str:
-        if not self.store.is_failing():
+        if not self.store.availability.is_failing():
             return "reached"
         through = self.membership.served_peers()
         return f"through {through[0]}" if through else "not reached"
@@ -66,15 +66,22 @@
     async def serve(self, request: Request) -> Response:
         """Serve a user here, or through a peer while this controller does not reach the state
         service."""
-        if self.store.is_failing():
+        if self.store.availability.is_failing():
             if self.isolation.alone():
                 return busy(2)  # at once: no peer can be asked
             relayed = await self._relay(request)
             if relayed is not None:
                 return relayed
-            return await self.serve_here(request) if not self.store.hanging() else busy(2)
+            return (
+                await self.serve_here(request)
+                if not self.store.availability.last_request_hung()
+                else busy(2)
+            )
         response = await self.serve_here(request)
-        if response.status == HTTPStatus.SERVICE_UNAVAILABLE and self.store.is_failing():
+        if (
+            response.status == HTTPStatus.SERVICE_UNAVAILABLE
+            and self.store.availability.is_failing()
+        ):
             return await self._relay(request) or response
         return response
 
--- a/dappledrum/controller/wiring.py
+++ b/dappledrum/controller/wiring.py
@@ -7,8 +7,8 @@
 from typing import NamedTuple
 
 from dappledrum.controller.controller import Controller
-from dappledrum.http.client import Client, NoResponseError
-from dappledrum.http.server import LISTEN, Server
+from dappledrum.http.client import NoResponseError, PooledClient
+from dappledrum.http.server import MAX_ACCEPT_QUEUE, Server
 from dappledrum.settings import Settings, Tuning, split_address
 from dappledrum.timing.clock import Clock
 
@@ -41,7 +41,7 @@
     own = min(STATE_OPEN + CLOUD_OPEN + PEER_OPEN * peers + APART, most // 4)
     private = min(PEER_OPEN * max(peers, 1), most // 8)
     private_waiting = max(1, private // 6)
-    waiting = min(LISTEN, most // WAITING)
+    waiting = min(MAX_ACCEPT_QUEUE, most // WAITING)
     return Sockets(
         own, private, private_waiting, most - own - private - private_waiting - waiting, waiting
     )
@@ -50,7 +50,7 @@
 async def _worker_answers(address: str, timeout: timedelta) -> bool:
     """Whether a worker answers at the address that it has told."""
     try:
-        client = Client(*split_address(address), max_idle=0)
+        client = PooledClient(*split_address(address), max_idle=0)
         return (await client.request("GET", "/inspect", None, timeout)).status == 200
     except (NoResponseError, OverflowError) as error:  # a port may be any five digits
         log.debug("no answer from the worker at %s: %s", address, error)
@@ -72,7 +72,7 @@
     await public.take(*split_address(settings.serve_on))
     await private.take(*split_address(settings.back))
     peers = {
-        peer.member: Client(*split_address(peer.address), max_open=PEER_OPEN)
+        peer.member: PooledClient(*split_address(peer.address), max_open=PEER_OPEN)
         for peer in settings.seeds
     }
     controller = Controller(
@@ -80,8 +80,8 @@
         tuning,
         Clock(),
         random.Random(),
-        Client(*split_address(settings.external.state), max_idle=8, max_open=STATE_OPEN),
-        Client(*split_address(settings.external.cloud), max_idle=2, max_open=CLOUD_OPEN),
+        PooledClient(*split_address(settings.external.state), max_idle=8, max_open=STATE_OPEN),
+        PooledClient(*split_address(settings.external.cloud), max_idle=2, max_open=CLOUD_OPEN),
         dict(peers),
         _worker_answers,
     )
--- a/dappledrum/dependencies/lookup.py
+++ b/dappledrum/dependencies/lookup.py
@@ -14,7 +14,8 @@
 from dappledrum.jobs.keys import ended_key, head_key
 from dappledrum.jobs.messages import Form, JobRecord
 from dappledrum.jobs.poll_batcher import LiveRecord
-from dappledrum.store.client import ConflictError, RefusedError, StoreClient, StoreError
+from dappledrum.store.client import StoreClient
+from dappledrum.store.errors import ConflictError, RateLimitedError, StoreError
 from dappledrum.store.hedged_commit import commit_idempotent
 from dappledrum.store.messages import Guard
 from dappledrum.store.rate_limiter import RequestPriority
@@ -71,15 +72,15 @@
         return None
 
     async def _existing(self, names: Collection[str]) -> set[str]:
-        if self.store.busy_for(RequestPriority.INTAKE) > REQUEST_TIMEOUT / 2:
-            raise RefusedError("over the share of requests")
+        if self.store.budget.queueing_delay(RequestPriority.SUBMISSION) > REQUEST_TIMEOUT / 2:
+            raise RateLimitedError
         guards = [Guard(key(name), 0) for name in names for key in (head_key, ended_key)]
         try:
             await commit_idempotent(
-                self.store, guards, [], RequestPriority.INTAKE, REQUEST_TIMEOUT
+                self.store, guards, [], RequestPriority.SUBMISSION, REQUEST_TIMEOUT
             )
         except ConflictError as error:
-            return set(error.failed)
+            return set(error.conflicting_keys)
         return set()
 
     async def _forms(self, names: set[str]) -> dict[str, Form]:
--- a/dappledrum/dependencies/resolver.py
+++ b/dappledrum/dependencies/resolver.py
@@ -9,7 +9,8 @@
 from dappledrum.dependencies.graph import DependencyGraph, shown
 from dappledrum.jobs.keys import ended_key, head_key
 from dappledrum.jobs.messages import EndedRecord
-from dappledrum.store.client import StoreClient, StoreError
+from dappledrum.store.client import StoreClient
+from dappledrum.store.errors import StoreError
 from dappledrum.store.rate_limiter import RequestPriority
 from dappledrum.timing.clock import Clock
 
--- a/dappledrum/dispatch/bag_builder.py
+++ b/dappledrum/dispatch/bag_builder.py
@@ -83,7 +83,7 @@
         gang = is_gang(job)
         stage = self.stages.get(job.id)
         run = self.deadlines.task_time(job)
-        waited = max(self.clock.today() - job.released_at, ZERO)
+        waited = max(self.clock.utc_now() - job.released_at, ZERO)
         target = self._target(job, stage, run, waited, now, best_effort)
         # In order of deadlines, what is late waits for all that can still be in time, and in a
         # flood of work it waited for ever.
--- a/dappledrum/dispatch/candidate_machines.py
+++ b/dappledrum/dispatch/candidate_machines.py
@@ -29,13 +29,13 @@
         self.params = context.params
         self.clock = context.clock
         self.sizes: set[Size] = set()  # of the tasks of live jobs
-        self.awake_since = ZERO
+        self.running_since = ZERO
         self.mostly_unreachable = False  # most machines get no answers: the fault is on this side
         self._moments: dict[str, tuple[timedelta, timedelta]] = {}  # for one plan
 
     def refresh(self) -> None:
         """Compute what all machines of one plan have in common."""
-        self.awake_since = self.autoscaler.awake_since()
+        self.running_since = self.autoscaler.running_since()
         self.mostly_unreachable = self.registry.mostly_unreachable()
         self.sizes = {job.size for job in self.jobs.values()}
         self._moments = {}
@@ -82,7 +82,7 @@
             return False
         heartbeat_interval = self.params.workers.heartbeat_interval
         return not machine.up or not (
-            machine.silent(now, heartbeat_interval, self.awake_since)
+            machine.silent(now, heartbeat_interval, self.running_since)
             or now < machine.blocked_until
         )
 
--- a/dappledrum/dispatch/job_deadlines.py
+++ b/dappledrum/dispatch/job_deadlines.py
@@ -37,7 +37,7 @@
         own = None if job.spec.deadline_s is None else timedelta(seconds=job.spec.deadline_s)
         objectives = self.params.objectives if job.spec.needs else ()
         age = (
-            max(self.clock.today() - job.accepted_at, ZERO)
+            max(self.clock.utc_now() - job.accepted_at, ZERO)
             + self.params.workers.heartbeat_interval
         )
         return [limit - age for limit in owner_deadlines(objectives, job.spec.job_class, own)]
--- a/dappledrum/dispatch/placement.py
+++ b/dappledrum/dispatch/placement.py
@@ -84,15 +84,15 @@
         if job.effective_rank >= PRIORITY_RANKS[Priority.LOW] and self._record_backlog_too_long():
             return 0  # capacity held for a start that can't be recorded yet is wasted
         asked = count
-        today = self.clock.today()
+        utc_now = self.clock.utc_now()
         limit = self.page_bytes
         for page in job.pages_with_free_tasks():
-            bound, row = max_value_bytes(page, name, today), max_row_bytes(page, today)
+            bound, row = max_value_bytes(page, name, utc_now), max_row_bytes(page, utc_now)
             for task in page.free_tasks():
                 if count <= 0 or bound > limit:
                     break
                 placement = page.place(
-                    task, name, machine.session, machine.kind.zone, today, attempt
+                    task, name, machine.session, machine.kind.zone, utc_now, attempt
                 )
                 machine.placements[(job.id, task)] = placement
                 machine.given.set()
--- a/dappledrum/dispatch/test_dispatcher.py
+++ b/dappledrum/dispatch/test_dispatcher.py
@@ -18,8 +18,8 @@
         self.more += self.step
         return self.clock.now() + self.more
 
-    def today(self):
-        return self.clock.today()
+    def utc_now(self):
+        return self.clock.utc_now()
 
 
 def test_what_a_plan_did_not_come_to_comes_first_in_the_next(monkeypatch):
--- a/dappledrum/election/campaign.py
+++ b/dappledrum/election/campaign.py
@@ -12,9 +12,10 @@
 from dappledrum.election.terms import EPOCH_KEY, LEADER_KEY, Term
 from dappledrum.election.transfers import PendingTransfer
 from dappledrum.election.voter import Voter
-from dappledrum.store.client import ConflictError, LeaseLostError, StoreClient, StoreError, raw
+from dappledrum.store.client import StoreClient
+from dappledrum.store.errors import ConflictError, LeaseLostError, StoreError
 from dappledrum.store.hedged_commit import commit_or_find
-from dappledrum.store.messages import Entry, Guard, Put
+from dappledrum.store.messages import Entry, Guard, Put, encode_value
 from dappledrum.store.rate_limiter import RequestPriority
 
 log = logging.getLogger(__name__)
@@ -97,8 +98,8 @@
     async def _commit(self, guards: list[Guard], epoch: int, lease: int) -> int | None:
         """Run the transaction; returns the version of the key, or None if a guard fails."""
         changes = [
-            Put(LEADER_KEY, raw(LeaderRecord(self.member, epoch)), lease),
-            Put(EPOCH_KEY, raw(EpochRecord(epoch))),
+            Put(LEADER_KEY, encode_value(LeaderRecord(self.member, epoch)), lease),
+            Put(EPOCH_KEY, encode_value(EpochRecord(epoch))),
         ]
         try:
             return await commit_or_find(
--- a/dappledrum/election/elector.py
+++ b/dappledrum/election/elector.py
@@ -37,7 +37,7 @@
     offer_leadership,
 )
 from dappledrum.election.voter import Voter
-from dappledrum.store.client import CompactedError, StoreError
+from dappledrum.store.errors import CompactedError, StoreError
 from dappledrum.store.rate_limiter import RequestPriority
 from dappledrum.timing.clock import ZERO
 from dappledrum.timing.supervisor import Supervisor
--- a/dappledrum/election/former_leaders.py
+++ b/dappledrum/election/former_leaders.py
@@ -9,7 +9,7 @@
 from dappledrum.election.quorum import majority
 from dappledrum.election.terms import Term
 from dappledrum.election.voter import LEASE_GRANT_DURATION, Voter
-from dappledrum.timing.clock import longer
+from dappledrum.timing.clock import longest_local_span
 
 log = logging.getLogger(__name__)
 
@@ -46,7 +46,7 @@
         """Ask repeatedly until it is known for this term, or until every lease grant must have
         expired anyway."""
         max_grants = self.context.limits.max_time_on_majority_grants + LEASE_GRANT_DURATION
-        expired_at = term.started_at + longer(max_grants)
+        expired_at = term.started_at + longest_local_span(max_grants)
         while term.others_stopped_at is None:
             if self.clock.now() >= expired_at:
                 term.others_stopped_at = expired_at
--- a/dappledrum/election/lease_keeper.py
+++ b/dappledrum/election/lease_keeper.py
@@ -15,8 +15,8 @@
 from dappledrum.election.context import ElectionContext
 from dappledrum.election.peer_lease_grants import LEASE_SAFETY_MARGIN, PeerLeaseGrants
 from dappledrum.election.terms import Term
-from dappledrum.store.client import LeaseLostError, StoreError
-from dappledrum.timing.clock import shorter
+from dappledrum.store.errors import LeaseLostError, StoreError
+from dappledrum.timing.clock import shortest_local_span
 
 log = logging.getLogger(__name__)
 
@@ -47,10 +47,10 @@
         """
         sent = self.clock.now()
         await self.store.renew_lease(term.lease, self.limits.ttl / 3)
-        valid_until = sent + shorter(self.limits.ttl) - LEASE_SAFETY_MARGIN
+        valid_until = sent + shortest_local_span(self.limits.ttl) - LEASE_SAFETY_MARGIN
         term.lease_valid_until = max(term.lease_valid_until, valid_until)
         term.renewed_at = max(term.renewed_at, sent)
-        self.grants.incomplete_confirmations.over()
+        self.grants.incomplete_confirmations.recovered()
 
     async def keep(self, term: Term) -> None:
         """Renew until the term ends or is no longer valid.
--- a/dappledrum/election/peer_lease_grants.py
+++ b/dappledrum/election/peer_lease_grants.py
@@ -13,7 +13,7 @@
 from dappledrum.election.terms import Term
 from dappledrum.election.voter import LEASE_GRANT_DURATION
 from dappledrum.jobs.confirmed_cancellations import CancellationWindow
-from dappledrum.timing.clock import ZERO, shorter
+from dappledrum.timing.clock import ZERO, shortest_local_span
 from dappledrum.timing.fault_log import FaultLog
 
 log = logging.getLogger(__name__)
@@ -57,9 +57,9 @@
         if not self.is_valid(term):
             return
         if self._apply_confirmed(term, sent, answers.confirmed):
-            self.incomplete_confirmations.over()
+            self.incomplete_confirmations.recovered()
         elif majority(answers.agreed, answers.asked):
-            self.incomplete_confirmations.seen(
+            self.incomplete_confirmations.failed(
                 f"complete for {answers.confirmed.span.total_seconds():.0f} s"
             )
         self._extend(term, sent, answers)
@@ -76,11 +76,11 @@
 
     def _extend(self, term: Term, sent: timedelta, answers: PeerAnswers) -> None:
         """Extend the term by grants of all peers, or for a limited time by those of a majority."""
-        until = sent + shorter(LEASE_GRANT_DURATION) - LEASE_SAFETY_MARGIN
+        until = sent + shortest_local_span(LEASE_GRANT_DURATION) - LEASE_SAFETY_MARGIN
         if answers.agreed == answers.asked:
             term.grants_valid_until = until
         elif majority(answers.strong, answers.asked) and self.context.host.all_peers_pre_vote():
-            limit = term.renewed_at + shorter(self.limits.max_time_on_majority_grants)
+            limit = term.renewed_at + shortest_local_span(self.limits.max_time_on_majority_grants)
             term.grants_valid_until = max(term.grants_valid_until, min(until, limit))
 
     def _apply_confirmed(self, term: Term, asked: timedelta, by_peers: CancellationWindow) -> bool:
--- a/dappledrum/election/terms.py
+++ b/dappledrum/election/terms.py
@@ -4,7 +4,7 @@
 from datetime import timedelta
 
 from dappledrum.store.messages import Guard
-from dappledrum.timing.clock import ZERO, shorter
+from dappledrum.timing.clock import ZERO, shortest_local_span
 
 LEADER_KEY = "leader"
 EPOCH_KEY = "epoch"
@@ -53,7 +53,9 @@
         A leader that has not read them by then answers nobody, so that another one can try.
         """
         known_at = self.cancellations_known_at
-        return (self.started_at if known_at is None else known_at) + shorter(max_cancellations_age)
+        return (self.started_at if known_at is None else known_at) + shortest_local_span(
+            max_cancellations_age
+        )
 
     def guard(self) -> Guard:
         """The condition for each write of this leader."""
--- a/dappledrum/election/voter.py
+++ b/dappledrum/election/voter.py
@@ -13,7 +13,7 @@
 from datetime import timedelta
 
 from dappledrum.election.messages import LeaseGrantReply, LeaseGrantRequest, PreVoteReply
-from dappledrum.timing.clock import longer
+from dappledrum.timing.clock import longest_local_span
 
 LEASE_GRANT_DURATION = timedelta(seconds=2)
 MAX_LEASE_GRANT_DURATION = timedelta(seconds=60)
@@ -28,7 +28,7 @@
     def __init__(self, now: timedelta) -> None:
         #: A former process of this member may have answered a pre-vote that this one is not aware
         #: of, so until then its lease grants are weak.
-        self.weak_grants_until = now + longer(LEASE_GRANT_DURATION)
+        self.weak_grants_until = now + longest_local_span(LEASE_GRANT_DURATION)
         #: A former process may have granted a lease, so this one does not campaign until then.
         #: Shortened when no leader can rely on such a grant any more.
         self.restart_wait_until = self.weak_grants_until
@@ -61,7 +61,7 @@
         if epoch > request.epoch:
             return LeaseGrantReply(False, "newer leader known")
         duration = min(timedelta(milliseconds=request.grant_ms), MAX_LEASE_GRANT_DURATION)
-        self.own_grants_until = max(self.own_grants_until, now + longer(duration))
+        self.own_grants_until = max(self.own_grants_until, now + longest_local_span(duration))
         weak = self.min_grant_epoch > request.epoch or now < self.weak_grants_until
         return LeaseGrantReply(True, "", weak)
 
--- a/dappledrum/fleet/autoscaler.py
+++ b/dappledrum/fleet/autoscaler.py
@@ -44,9 +44,9 @@
         interval: timedelta,
         leading: Callable[[], bool],
         wake: Callable[[str], None],
-        awake_since: Callable[[], timedelta] = lambda: ZERO,
+        running_since: Callable[[], timedelta] = lambda: ZERO,
     ) -> None:
-        self.awake_since = awake_since
+        self.running_since = running_since
         self.cloud = cloud
         self.registry = registry
         self.reconciler = reconciler
@@ -114,7 +114,7 @@
             and machine.kind is not None
             # A new leader hears of machines that have long been up; give them the time to send a
             # heartbeat to it.
-            and now - machine.seen_at > self.params.workers.lease + INTRODUCED
+            and now - machine.seen_at > self.params.workers.lease_duration + INTRODUCED
             and self.boots.hopeless(machine.kind, machine.rented_at, now)
         )
 
@@ -266,11 +266,11 @@
             return None
         if self.overdue(machine):
             return "it does not come up, and a new one is expected sooner"
-        lease = self.params.workers.lease
+        lease = self.params.workers.lease_duration
         if (
             machine.up
             and machine.expired(now, lease + timedelta(seconds=20))
-            and now - self.awake_since() > lease
+            and now - self.running_since() > lease
             and self._connected(now)
         ):
             return "it is silent"
@@ -291,7 +291,7 @@
         """Whether heartbeats of most machines arrive, so that the fault is not on this side if one
         is silent."""
         up = [m for m in self.registry if m.up]
-        since = self.awake_since()
+        since = self.running_since()
         heard = sum(not m.silent(now, self.params.workers.heartbeat_interval, since) for m in up)
         return heard * 2 > len(up)
 
@@ -304,9 +304,9 @@
             if self.leading():
                 try:
                     self._reconcile(await self.cloud.machines())
-                    self.no_list.over()
+                    self.no_list.recovered()
                 except CloudError as error:
-                    self.no_list.seen(str(error))
+                    self.no_list.failed(str(error))
             await asyncio.sleep(pause.total_seconds())
 
     def _reconcile(self, listed: list[ListedMachine]) -> None:
--- a/dappledrum/fleet/cloud_client.py
+++ b/dappledrum/fleet/cloud_client.py
@@ -16,7 +16,7 @@
     MachineType,
     RentalRequest,
 )
-from dappledrum.http.client import Caller, NoResponseError, Reply
+from dappledrum.http.client import HttpClient, NoResponseError, Reply
 from dappledrum.membership.link_health import LinkHealth
 from dappledrum.timing.clock import ZERO, Clock
 
@@ -37,7 +37,7 @@
 class CloudClient:
     """Client that spaces its requests evenly."""
 
-    def __init__(self, caller: Caller, rps: float, clock: Clock) -> None:
+    def __init__(self, caller: HttpClient, rps: float, clock: Clock) -> None:
         self.caller = caller
         self.gap = timedelta(seconds=1 / rps)
         self.clock = clock
--- a/dappledrum/fleet/fleet_facts.py
+++ b/dappledrum/fleet/fleet_facts.py
@@ -28,14 +28,16 @@
         self.hint = hint
         self.registry = registry
         self.clock = clock
-        self.most = hint.value_bytes // NAME_BYTES
+        self.most = hint.max_bytes // NAME_BYTES
 
     def _record(self) -> FleetRecord:
-        today = self.clock.today()
+        utc_now = self.clock.utc_now()
         now = self.clock.now()
         known = {
             name: row.at_ms
-            for row in (self.hint.stored.booting if self.hint.stored is not None else ())
+            for row in (
+                self.hint.last_written.booting if self.hint.last_written is not None else ()
+            )
             for name in row.names
         }
         groups: dict[tuple[InstanceKind, int], list[str]] = {}
@@ -45,7 +47,7 @@
             if settled or machine.kind is None or age > KEPT:
                 continue
             # Whole seconds, and only changes of the machines matter: clocks wander by less.
-            at = known.get(machine.name, int((today - age).timestamp()) * 1000)
+            at = known.get(machine.name, int((utc_now - age).timestamp()) * 1000)
             groups.setdefault((machine.kind, at), []).append(machine.name)
         rows = [BootingRecord(names, *kind, at) for (kind, at), names in groups.items()]
         while sum(len(row.names) for row in rows) > self.most:
@@ -54,16 +56,16 @@
 
     async def run(self) -> None:
         """Keep the record up to date."""
-        await self.hint.follow(self._record, PAUSE)
+        await self.hint.write_periodically(self._record, PAUSE)
 
     async def recall(self) -> None:
         """Read what a predecessor has rented."""
-        record = await self.hint.recall()
+        record = await self.hint.read()
         if record is None:
             return
         now = self.clock.now()
         for row in record.booting:
-            age = max(self.clock.today() - datetime.fromtimestamp(row.at_ms / 1000, UTC), ZERO)
+            age = max(self.clock.utc_now() - datetime.fromtimestamp(row.at_ms / 1000, UTC), ZERO)
             for name in row.names if age < KEPT else ():
                 if self.registry.get(name) is None:
                     machine = self.registry.ensure(
--- a/dappledrum/golden/test_http_bytes.py
+++ b/dappledrum/golden/test_http_bytes.py
@@ -5,7 +5,7 @@
 import pytest
 
 from dappledrum.golden.entries import load
-from dappledrum.http.client import Client, Reply
+from dappledrum.http.client import PooledClient, Reply
 from dappledrum.http.server import Response, encode
 from dappledrum.timing.clock import seconds
 
@@ -48,7 +48,7 @@
     async def exchange():
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
-        reply = await Client("127.0.0.1", port).request(*REQUESTS[name], seconds(5))
+        reply = await PooledClient("127.0.0.1", port).request(*REQUESTS[name], seconds(5))
         server.close()
         return port, reply
 
--- a/dappledrum/golden/test_key_value_store.py
+++ b/dappledrum/golden/test_key_value_store.py
@@ -8,17 +8,16 @@
 
 from dappledrum.golden.entries import load
 from dappledrum.golden.recording_caller import RecordingCaller, as_sent
-from dappledrum.settings import StateLimits
-from dappledrum.store.client import (
+from dappledrum.settings import StoreLimits
+from dappledrum.store.client import StoreClient
+from dappledrum.store.errors import (
     CompactedError,
     ConflictError,
     LeaseLostError,
     RefusedError,
-    StoreClient,
     TooLargeError,
-    raw,
 )
-from dappledrum.store.messages import Delete, Entry, Event, Guard, Put
+from dappledrum.store.messages import Delete, Entry, Event, Guard, Put, encode_value
 from dappledrum.store.rate_limiter import RequestPriority
 from dappledrum.timing.clock import Clock
 
@@ -39,7 +38,7 @@
         [Guard(key="leader", version=0), Guard(key="epoch", version=412)],
         [
             Put(key="leader", value=VALUE, lease=7),
-            Put(key="epoch", value=raw({"epoch": 7})),
+            Put(key="epoch", value=encode_value({"epoch": 7})),
             Delete(key="page/j-000007/1"),
         ],
         RequestPriority.RECORD,
@@ -110,13 +109,13 @@
 )
 async def test_exchanges(call, sent, replies, expected):
     caller = RecordingCaller(GOLDEN[name] for name in replies)
-    limits = StateLimits(rps=200.0, write_rps=100.0, value_kb=8.0, txn_ops=24)
+    limits = StoreLimits(rps=200.0, write_rps=100.0, value_kb=8.0, txn_ops=24)
     state = StoreClient(caller, limits, Clock(), random.Random(1))
     if isinstance(expected, type):
         with pytest.raises(expected) as caught:
             await call(state)
         if expected is ConflictError:
-            assert caught.value.failed == ["leader", "epoch"]
+            assert caught.value.conflicting_keys == ["leader", "epoch"]
     else:
         assert await call(state) == expected
     assert caller.sent == [as_sent(GOLDEN[name]) for name in sent]
--- a/dappledrum/golden/test_settings.py
+++ b/dappledrum/golden/test_settings.py
@@ -12,7 +12,7 @@
     Params,
     Peer,
     Settings,
-    StateLimits,
+    StoreLimits,
     Team,
     WorkerLimits,
 )
@@ -31,7 +31,7 @@
         params=Params(
             teams=[Team(name="blue", cpus=4.0, cpus_max=8.0, gpus=1.0, gpus_max=2.0)],
             workers=WorkerLimits(report_s=2.0, lease_s=20.0, cancel_s=30.0),
-            state=StateLimits(
+            state=StoreLimits(
                 rps=200.0,
                 write_rps=100.0,
                 value_kb=16.0,
@@ -56,7 +56,7 @@
         params=Params(
             teams=[Team(name="blue")],
             workers=WorkerLimits(report_s=2.0, lease_s=20.0, cancel_s=30.0),
-            state=StateLimits(rps=200.0, write_rps=100.0, value_kb=16.0, txn_ops=64),
+            state=StoreLimits(rps=200.0, write_rps=100.0, value_kb=16.0, txn_ops=64),
             cloud=CloudLimits(rps=4.0, list_lag_s=5.0),
         ),
     ),
--- a/dappledrum/golden/test_store.py
+++ b/dappledrum/golden/test_store.py
@@ -31,10 +31,10 @@
 from dappledrum.leader.leader import LEARNED
 from dappledrum.learning.messages import BootRow, ClassRow, LearnedRecord
 from dappledrum.peers.client import Peers
-from dappledrum.settings import StateLimits
+from dappledrum.settings import StoreLimits
 from dappledrum.simulation.cluster import job, led_cluster
-from dappledrum.store.client import StoreClient, raw
-from dappledrum.store.messages import Delete
+from dappledrum.store.client import StoreClient
+from dappledrum.store.messages import Delete, encode_value
 from dappledrum.store.value_limit import ValueLimit
 from dappledrum.timing.clock import Clock
 
@@ -225,7 +225,7 @@
     key, value, kind = VALUES[name]
     entry = GOLDEN[name]
     assert key == entry.key
-    assert bytes(raw(value)) == entry.data
+    assert bytes(encode_value(value)) == entry.data
     assert msgspec.json.decode(entry.data, type=kind) == value
 
 
@@ -284,7 +284,7 @@
 
 async def test_that_all_controllers_support_gangs(monkeypatch):
     monkeypatch.setattr(peer_versions, "__version__", "0.7.0")
-    limits = StateLimits(rps=200.0, write_rps=100.0, value_kb=8.0, txn_ops=24)
+    limits = StoreLimits(rps=200.0, write_rps=100.0, value_kb=8.0, txn_ops=24)
     caller = RecordingCaller([STATE["key-missing"], STATE["transaction-done"]])
     state = StoreClient(caller, limits, Clock(), random.Random(1))
     job_api = SimpleNamespace(gangs=False)
--- a/dappledrum/golden/test_workers.py
+++ b/dappledrum/golden/test_workers.py
@@ -100,7 +100,7 @@
 @pytest.mark.parametrize("name", HEARTBEATS)
 def test_heartbeats(name):
     entry = GOLDEN[name]
-    assert (entry.method, entry.path) == ("POST", server.WORKERS)
+    assert (entry.method, entry.path) == ("POST", server.HEARTBEAT_PATH)
     assert msgspec.json.decode(entry.data, type=WorkerHeartbeat) == HEARTBEATS[name]
 
 
@@ -138,6 +138,6 @@
 
 def test_a_worker_is_probed(monkeypatch):
     caller = RecordingCaller([GOLDEN["inspected"]])
-    monkeypatch.setattr(wiring, "Client", lambda host, port, max_idle: caller)
+    monkeypatch.setattr(wiring, "PooledClient", lambda host, port, max_idle: caller)
     assert asyncio.run(wiring._worker_answers("10.1.0.232:9000", seconds(1)))
     assert caller.sent == [as_sent(GOLDEN["inspect"])]
--- a/dappledrum/http/client.py
+++ b/dappledrum/http/client.py
@@ -12,7 +12,7 @@
 
 from dappledrum.timing.timeouts import PauseTolerantTimeout
 
-MAX_REPLY = 64 * 1024 * 1024
+MAX_REPLY_BYTES = 64 * 1024 * 1024
 
 
 class Reply(NamedTuple):
@@ -30,7 +30,7 @@
     """No connection could be made, so the request was certainly not executed."""
 
 
-class Caller(Protocol):
+class HttpClient(Protocol):
     """What the rest of the program needs of a client; the test stand-ins offer it too."""
 
     async def request(
@@ -67,7 +67,7 @@
 
     def on_body(self, body: bytes) -> None:
         self.body += body
-        if len(self.body) > MAX_REPLY:
+        if len(self.body) > MAX_REPLY_BYTES:
             self._fail("answer too large")
             self.close()
 
@@ -96,7 +96,7 @@
             self.waiter.set_exception(NoResponseError(why))
 
 
-class Client:
+class PooledClient:
     """Requests to one address over a few kept connections."""
 
     def __init__(self, host: str, port: int, max_idle: int = 4, max_open: int = 64) -> None:
--- a/dappledrum/http/connection_limits.py
+++ b/dappledrum/http/connection_limits.py
@@ -36,12 +36,14 @@
     since: float  # event loop's time: when it became idle, or its request began
 
 
-def max_workers(most: int) -> int:
+def max_worker_connections(most: int) -> int:
     """How many connections workers may use."""
     return max(1, most - max(most // RESERVED_SHARE, 2))
 
 
-def to_shed(connections: Iterable[ConnectionInfo], now: float) -> ConnectionInfo | None:
+def idle_connection_to_drop(
+    connections: Iterable[ConnectionInfo], now: float
+) -> ConnectionInfo | None:
     """The connection to drop for a new one; None: all have a request in progress."""
 
     def order(connection: ConnectionInfo) -> tuple[float, float]:
@@ -53,7 +55,7 @@
     )
 
 
-def to_shed_for_worker(connections: Iterable[ConnectionInfo]) -> ConnectionInfo | None:
+def idle_worker_to_drop(connections: Iterable[ConnectionInfo]) -> ConnectionInfo | None:
     """The worker's connection to drop for another worker."""
     idle = [
         connection
--- a/dappledrum/http/server.py
+++ b/dappledrum/http/server.py
@@ -16,25 +16,32 @@
 
 import httptools
 
-from dappledrum.http.connection_limits import Role, max_workers, to_shed, to_shed_for_worker
+from dappledrum.http.connection_limits import (
+    Role,
+    idle_connection_to_drop,
+    idle_worker_to_drop,
+    max_worker_connections,
+)
 
 log = logging.getLogger(__name__)
 
-MAX_BODY = 64 * 1024
-MAX_HEAD = 16 * 1024
-REQUEST_TIME = timedelta(seconds=10)
+MAX_BODY_BYTES = 64 * 1024
+MAX_HEAD_BYTES = 16 * 1024
+REQUEST_READ_TIMEOUT = timedelta(seconds=10)
 #: How long a connection may do nothing: one that has asked for nothing yet, a worker's (it reports
 #: every few seconds, or is gone), and any other.
-IDLE_TIMES = {
+IDLE_TIMEOUTS = {
     Role.NEW: timedelta(seconds=10),
     Role.WORKER: timedelta(seconds=30),
     Role.USER: timedelta(seconds=120),
 }
-LISTEN = 256  # connections that the system holds until they are accepted, unless said otherwise
+MAX_ACCEPT_QUEUE = (
+    256  # connections that the system holds until they are accepted, unless said otherwise
+)
 #: Accepted at a time, between two looks at what has arrived and ended: a process that had stood
 #: still once took hundreds at once on top of those that were over, unread, and had no socket left.
-ACCEPTED = 16
-WORKERS = "/hello"
+ACCEPT_BATCH = 16
+HEARTBEAT_PATH = "/hello"
 ADDRESS_RETRY_PAUSE = timedelta(milliseconds=50)  # until an address in use is tried again
 MAX_ADDRESS_WAIT = timedelta(seconds=10)
 WARN_SHARE = 0.9  # of the connections there may be: said, with who holds them
@@ -79,7 +86,9 @@
 class Server:
     """Listens on one address and hands complete requests to a handler."""
 
-    def __init__(self, handler: Handler, max_connections: int, waiting: int = LISTEN) -> None:
+    def __init__(
+        self, handler: Handler, max_connections: int, waiting: int = MAX_ACCEPT_QUEUE
+    ) -> None:
         self.handler = handler
         self.max_connections = max_connections
         self.waiting = waiting  # the most that wait to be accepted
@@ -98,7 +107,7 @@
         assert listening is not None
         listening.setblocking(False)
         self._server = await loop.create_server(
-            lambda: Connection(self), sock=listening, backlog=ACCEPTED
+            lambda: Connection(self), sock=listening, backlog=ACCEPT_BATCH
         )
         listening.listen(self.waiting)  # asyncio takes one figure for both
         self._sweeper = loop.create_task(self._sweep())
@@ -165,7 +174,7 @@
         """Accept a new connection. When the limit is reached another one is dropped, or this one
         is refused."""
         if len(self.connections) >= self.max_connections:
-            shed = to_shed(self.connections, asyncio.get_running_loop().time())
+            shed = idle_connection_to_drop(self.connections, asyncio.get_running_loop().time())
             if shed is None:
                 return False
             assert isinstance(shed, Connection)
@@ -179,9 +188,9 @@
             return True
         connection.role = Role.WORKER
         self.workers += 1
-        if self.workers <= max_workers(self.max_connections):
+        if self.workers <= max_worker_connections(self.max_connections):
             return True
-        shed = to_shed_for_worker(self.connections)
+        shed = idle_worker_to_drop(self.connections)
         if shed is None:
             return False
         assert isinstance(shed, Connection)
@@ -227,7 +236,7 @@
     def data_received(self, data: bytes) -> None:
         if self.task is not None:
             self.head += len(data)
-            if self.head > MAX_HEAD + MAX_BODY:
+            if self.head > MAX_HEAD_BYTES + MAX_BODY_BYTES:
                 self.abort()
                 return
         try:
@@ -240,7 +249,7 @@
     def on_message_begin(self) -> None:
         self.idle = False
         self.since = asyncio.get_running_loop().time()
-        self.deadline = self.since + REQUEST_TIME.total_seconds()
+        self.deadline = self.since + REQUEST_READ_TIMEOUT.total_seconds()
         self.url = b""
         self.head = 0
         self.body = bytearray()
@@ -254,7 +263,7 @@
         self._count(len(name) + len(value))
 
     def on_body(self, body: bytes) -> None:
-        if self.refusal is None and len(self.body) + len(body) > MAX_BODY:
+        if self.refusal is None and len(self.body) + len(body) > MAX_BODY_BYTES:
             self._refuse(HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
         elif self.refusal is None:
             self.body += body
@@ -270,7 +279,7 @@
             self.url.decode("latin-1"),
             bytes(self.body),
         )
-        if request.path != WORKERS:
+        if request.path != HEARTBEAT_PATH:
             self.role = Role.USER if self.role is Role.NEW else self.role
         elif not self.server.admit_worker(self):
             self._refuse(HTTPStatus.SERVICE_UNAVAILABLE)
@@ -298,7 +307,7 @@
 
     def _count(self, size: int) -> None:
         self.head += size
-        if self.head > MAX_HEAD:
+        if self.head > MAX_HEAD_BYTES:
             self._refuse(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
 
     def _refuse(self, status: int) -> None:
@@ -310,7 +319,7 @@
     def _rest(self) -> None:
         self.idle = True
         self.since = asyncio.get_running_loop().time()
-        self.deadline = self.since + IDLE_TIMES[self.role].total_seconds()
+        self.deadline = self.since + IDLE_TIMEOUTS[self.role].total_seconds()
 
     def expire(self) -> None:
         """Act on a deadline: an incomplete request is refused, an idle connection is closed."""
--- a/dappledrum/http/test_connection_limits.py
+++ b/dappledrum/http/test_connection_limits.py
@@ -9,15 +9,15 @@
 from hypothesis import strategies as st
 
 from dappledrum.controller.wiring import sockets
-from dappledrum.http.client import Client
+from dappledrum.http.client import PooledClient
 from dappledrum.http.connection_limits import (
     RESERVED_SHARE,
     Role,
-    max_workers,
-    to_shed,
-    to_shed_for_worker,
+    idle_connection_to_drop,
+    idle_worker_to_drop,
+    max_worker_connections,
 )
-from dappledrum.http.server import ACCEPTED, Response, Server
+from dappledrum.http.server import ACCEPT_BATCH, Response, Server
 from dappledrum.http.test_http import SECOND, echo
 
 
@@ -45,12 +45,12 @@
         [s for s in connections if s.idle and s.role is Role.USER],
     ]
     first = next((group for group in plainly if group), None)
-    shed = to_shed(connections, now)
+    shed = idle_connection_to_drop(connections, now)
     if first is None:
         assert shed is None
     else:
         assert shed in first and shed.since == min(s.since for s in first)
-    worker = to_shed_for_worker(connections)
+    worker = idle_worker_to_drop(connections)
     assert (worker is None) == (not plainly[1])
     assert worker is None or worker in plainly[1]
 
@@ -68,16 +68,18 @@
         server = Server(handler, most)
         port = await server.start("127.0.0.1", 0)
         workers = [
-            asyncio.create_task(Client("127.0.0.1", port).request("POST", "/hello", b"", SECOND))
+            asyncio.create_task(
+                PooledClient("127.0.0.1", port).request("POST", "/hello", b"", SECOND)
+            )
             for _ in range(most)
         ]
         await asyncio.sleep(0.2)
-        assert server.workers == max_workers(most) < most
-        user = Client("127.0.0.1", port)
+        assert server.workers == max_worker_connections(most) < most
+        user = PooledClient("127.0.0.1", port)
         assert (await user.request("GET", "/ready", None, SECOND)).status == 200
         held.set()
         told = [reply.status for reply in await asyncio.gather(*workers)]
-        assert told.count(503) == most - max_workers(most) and told.count(200) == len(
+        assert told.count(503) == most - max_worker_connections(most) and told.count(200) == len(
             told
         ) - told.count(503)
         await server.stop()
@@ -103,8 +105,10 @@
             most = max(most, len(server.connections))
             await asyncio.sleep(0)
         await asyncio.sleep(0.1)
-        assert most <= 2 * ACCEPTED and not server.connections
-        assert (await Client("127.0.0.1", port).request("GET", "/x", None, SECOND)).status == 200
+        assert most <= 2 * ACCEPT_BATCH and not server.connections
+        assert (
+            await PooledClient("127.0.0.1", port).request("GET", "/x", None, SECOND)
+        ).status == 200
         await server.stop()
 
     asyncio.run(main())
@@ -117,7 +121,7 @@
 
         server = Server(elsewhere, 10)
         port = await server.start("127.0.0.1", 0)
-        reply = await Client("127.0.0.1", port).request("POST", "/hello", b"", SECOND)
+        reply = await PooledClient("127.0.0.1", port).request("POST", "/hello", b"", SECOND)
         await asyncio.sleep(0.05)
         assert reply.status == 421 and not server.connections and server.workers == 0
         await server.stop()
--- a/dappledrum/http/test_http.py
+++ b/dappledrum/http/test_http.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from dappledrum.http.client import Client, NoResponseError, NotSentError
-from dappledrum.http.server import MAX_BODY, Response, Server
+from dappledrum.http.client import NoResponseError, NotSentError, PooledClient
+from dappledrum.http.server import MAX_BODY_BYTES, Response, Server
 
 SECOND = timedelta(seconds=5)
 
@@ -41,7 +41,7 @@
 
 def test_requests_share_a_connection():
     async def check(server, port):
-        client = Client("127.0.0.1", port)
+        client = PooledClient("127.0.0.1", port)
         for body in (b"one", b"two", None):
             reply = await client.request("POST", "/x?y=1", body, SECOND)
             assert (reply.status, reply.body) == (200, b"POST /x?y=1 " + (body or b""))
@@ -53,7 +53,7 @@
 @pytest.mark.logs_failure("GET /bad failed")
 def test_a_failing_handler_and_a_closed_connection_disturb_nobody():
     async def check(server, port):
-        client = Client("127.0.0.1", port)
+        client = PooledClient("127.0.0.1", port)
         assert (await client.request("GET", "/bad", None, SECOND)).status == 500
         for connection in list(server.connections):
             connection.abort()
@@ -66,7 +66,10 @@
     ("data", "status"),
     [
         (b"NONSENSE\r\n\r\n", b"400"),
-        (b"POST /x HTTP/1.1\r\nContent-Length: 99999999\r\n\r\n" + b"x" * (MAX_BODY + 1), b"413"),
+        (
+            b"POST /x HTTP/1.1\r\nContent-Length: 99999999\r\n\r\n" + b"x" * (MAX_BODY_BYTES + 1),
+            b"413",
+        ),
         (b"GET /x HTTP/1.1\r\nA: " + b"x" * 70_000 + b"\r\n\r\n", b"431"),
         (b"GET /x HTTP/1.1\r\nUpgrade: websocket\r\nConnection: Upgrade\r\n\r\n", b"200"),
         (b"GET /x HTTP/1.1\r\nConnection: close\r\n\r\n", b"200"),
@@ -75,7 +78,9 @@
 def test_what_strangers_send(data, status):
     async def check(server, port):
         assert status in (await raw(port, data))[:20]
-        assert (await Client("127.0.0.1", port).request("GET", "/x", None, SECOND)).status == 200
+        assert (
+            await PooledClient("127.0.0.1", port).request("GET", "/x", None, SECOND)
+        ).status == 200
 
     asyncio.run(serving(check))
 
@@ -84,7 +89,7 @@
     async def check(server, port):
         _, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(b"POST /x HTTP/1.1\r\nContent-Length: 10\r\n\r\nhalf")
-        client = Client("127.0.0.1", port)
+        client = PooledClient("127.0.0.1", port)
         assert (await client.request("GET", "/x", None, SECOND)).status == 200
         half = next(c for c in server.connections if not c.idle)
         half.deadline = 0.0
@@ -98,7 +103,9 @@
 def test_when_full_the_longest_idle_connection_goes():
     async def check(server, port):
         idle = [await asyncio.open_connection("127.0.0.1", port) for _ in range(3)]
-        assert (await Client("127.0.0.1", port).request("GET", "/x", None, SECOND)).status == 200
+        assert (
+            await PooledClient("127.0.0.1", port).request("GET", "/x", None, SECOND)
+        ).status == 200
         assert len(server.connections) <= 3
         for _, writer in idle:
             writer.close()
@@ -108,13 +115,13 @@
 
 def test_unknown_and_unsent_are_told_apart():
     async def check(server, port):
-        client = Client("127.0.0.1", port)
+        client = PooledClient("127.0.0.1", port)
         with pytest.raises(NoResponseError) as caught:
             await client.request("POST", "/slow", b"", timedelta(seconds=0.2))
         assert not isinstance(caught.value, NotSentError)
         await server.stop()
         with pytest.raises(NotSentError):
-            await Client("127.0.0.1", port).request("POST", "/x", b"", SECOND)
+            await PooledClient("127.0.0.1", port).request("POST", "/x", b"", SECOND)
 
     asyncio.run(serving(check))
 
@@ -129,7 +136,9 @@
         assert not taking.done()
         await before.stop()
         assert await taking == port
-        assert (await Client("127.0.0.1", port).request("GET", "/x", None, SECOND)).status == 200
+        assert (
+            await PooledClient("127.0.0.1", port).request("GET", "/x", None, SECOND)
+        ).status == 200
         await after.stop()
 
     asyncio.run(serving(check))
@@ -138,7 +147,9 @@
 def test_who_holds_the_connections_is_said_when_they_become_scarce(caplog):
     async def check(server, port):
         held = [await asyncio.open_connection("127.0.0.1", port) for _ in range(4)]
-        assert (await Client("127.0.0.1", port).request("GET", "/x", None, SECOND)).status == 200
+        assert (
+            await PooledClient("127.0.0.1", port).request("GET", "/x", None, SECOND)
+        ).status == 200
         server._log_usage()
         server._log_usage()
         for _, writer in held:
--- a/dappledrum/jobs/api.py
+++ b/dappledrum/jobs/api.py
@@ -34,16 +34,15 @@
 from dappledrum.jobs.submission_batcher import SubmissionBatcher
 from dappledrum.jobs.value_parts import LONG_SPEC_DIVISOR, split_spec
 from dappledrum.settings import Params
-from dappledrum.store.client import (
+from dappledrum.store.client import StoreClient
+from dappledrum.store.errors import (
     ConflictError,
-    RefusedError,
-    StoreClient,
+    RateLimitedError,
     StoreError,
     TooLargeError,
-    raw,
 )
 from dappledrum.store.hedged_commit import commit_or_find
-from dappledrum.store.messages import Guard, Put
+from dappledrum.store.messages import Guard, Put, encode_value
 from dappledrum.store.rate_limiter import RequestPriority
 from dappledrum.store.value_limit import ValueLimit
 from dappledrum.timing.clock import Clock
@@ -168,10 +167,10 @@
         try:
             stored = await self.admission.admit(spec.id, puts)
         except TooLargeError as error:
-            self.value_limit.refused(max(len(bytes(put.value)) for put in puts), str(error))
+            self.value_limit.record_refusal(max(len(bytes(put.value)) for put in puts), str(error))
             return busy()
         except ConflictError:
-            found = await self.find(spec.id, RequestPriority.INTAKE)
+            found = await self.find(spec.id, RequestPriority.SUBMISSION)
             if isinstance(found, tuple):
                 self.polls.note(spec.id, seen(found[0]), found[1])
             return busy() if found is None else self._present(spec.id, found, HTTPStatus.OK)
@@ -198,7 +197,7 @@
 
     async def _unless_accepted(self, job: str, objection: Response) -> Response:
         """Refuse a submission; accepted once means accepted for ever, so look before."""
-        found = self.ended.get(job) or await self.find(job, RequestPriority.INTAKE)
+        found = self.ended.get(job) or await self.find(job, RequestPriority.SUBMISSION)
         return objection if found is None else self._present(job, found, HTTPStatus.OK)
 
     async def _objection(self, spec: Spec) -> Response | None:
@@ -216,25 +215,27 @@
 
     def _record(self, spec: Spec) -> list[Put]:
         """What is stored of a new job; the head first."""
-        least = self.value_limit.least
+        least = self.value_limit.reduced_bytes
         stored, parts = spec, []
         # Jobs that wait come when every controller reads parts.
-        apart = self.value_limit.settled or spec.needs
+        apart = self.value_limit.is_reduced or spec.needs
         if apart and len(msgspec.json.encode(spec)) > least // LONG_SPEC_DIVISOR:
             stored, parts = split_spec(spec, least)
-        at_ms = round(self.clock.today().timestamp() * 1000)
+        at_ms = round(self.clock.utc_now().timestamp() * 1000)
         record = JobRecord(
             stored, at_ms, page_size(stored, least), PageRecord(), spec_parts=len(parts)
         )
-        puts = [Put(head_key(spec.id), raw(record))]
-        return puts + [Put(spec_key(spec.id, at), raw(part)) for at, part in enumerate(parts)]
+        puts = [Put(head_key(spec.id), encode_value(record))]
+        return puts + [
+            Put(spec_key(spec.id, at), encode_value(part)) for at, part in enumerate(parts)
+        ]
 
     def _too_long(self, spec: Spec) -> str | None:
         """A specification must fit into a record, beside the progress."""
         if (
             spec.types is not None
             and len(msgspec.json.encode(msgspec.structs.replace(spec, needs=None)))
-            > self.value_limit.now // 4  # doesn't shrink with a smaller limit
+            > self.value_limit.current_bytes // 4  # doesn't shrink with a smaller limit
         ):
             return "list of machine types too long"
         return None
@@ -257,22 +258,24 @@
         """POST /submissions/{id}/cancel."""
         try:
             for _ in range(6):
-                found = self.ended.get(job) or await self.find(job, RequestPriority.INTAKE)
+                found = self.ended.get(job) or await self.find(job, RequestPriority.SUBMISSION)
                 if found is None:
                     return refusal(HTTPStatus.NOT_FOUND, "no such job")
                 if isinstance(found, EndedRecord) or found[0].cancelled:
                     return self._present(job, found, HTTPStatus.OK, brief=True)
                 record, version = found
                 record.cancelled = True
-                if self.store.busy_for(RequestPriority.INTAKE, writes=1) > timedelta(seconds=0.3):
+                if self.store.budget.queueing_delay(
+                    RequestPriority.SUBMISSION, writes=1
+                ) > timedelta(seconds=0.3):
                     return busy()
                 try:
                     guards = [Guard(head_key(job), version), Guard(ended_key(job), 0)]
                     stored = await commit_or_find(
                         self.store,
                         guards,
-                        [Put(head_key(job), raw(record))],
-                        RequestPriority.INTAKE,
+                        [Put(head_key(job), encode_value(record))],
+                        RequestPriority.SUBMISSION,
                         lambda: self._cancelled(job),
                     )
                 except ConflictError:
@@ -289,35 +292,35 @@
 
     async def _cancelled(self, job: str) -> StoredJob:
         """What is stored of a job that is cancelled or over, whoever has stored it; else None."""
-        found = await self.find(job, RequestPriority.INTAKE)
+        found = await self.find(job, RequestPriority.SUBMISSION)
         if isinstance(found, tuple) and not found[0].cancelled:
             return None
         return found
 
-    async def find(self, job: str, rank: RequestPriority) -> StoredJob:
+    async def find(self, job: str, priority: RequestPriority) -> StoredJob:
         """Read a job.
 
         It moves from live to ended only, so the live key is read first; both absent: never
         accepted.
         """
-        self._affordable(rank)
-        entry = await self.store.get(head_key(job), rank, READ_TIMEOUT)
+        self._affordable(priority)
+        entry = await self.store.get(head_key(job), priority, READ_TIMEOUT)
         if entry is not None:
             return self._decode(entry.value, JobRecord), entry.version
-        return await self._find_ended(job, rank)
+        return await self._find_ended(job, priority)
 
     async def _read_live(self, job: str) -> JobRecord | None:
         """Read the head of a live job."""
-        entry = await self.store.get(head_key(job), RequestPriority.INTAKE, READ_TIMEOUT)
+        entry = await self.store.get(head_key(job), RequestPriority.SUBMISSION, READ_TIMEOUT)
         return None if entry is None else self._decode(entry.value, JobRecord)
 
-    def _affordable(self, rank: RequestPriority) -> None:
-        if self.store.busy_for(rank) > READ_TIMEOUT / 2:
-            raise RefusedError("over the share of requests")
+    def _affordable(self, priority: RequestPriority) -> None:
+        if self.store.budget.queueing_delay(priority) > READ_TIMEOUT / 2:
+            raise RateLimitedError
 
-    async def _find_ended(self, job: str, rank: RequestPriority) -> EndedRecord | None:
+    async def _find_ended(self, job: str, priority: RequestPriority) -> EndedRecord | None:
         """Read the final state of a job that is not live any more, or never was."""
-        entry = await self.store.get(ended_key(job), rank, READ_TIMEOUT)
+        entry = await self.store.get(ended_key(job), priority, READ_TIMEOUT)
         if entry is None:
             return None
         record = self._decode(entry.value, EndedRecord)
--- a/dappledrum/jobs/confirmed_cancellations.py
+++ b/dappledrum/jobs/confirmed_cancellations.py
@@ -12,7 +12,7 @@
 from datetime import timedelta
 from typing import NamedTuple
 
-from dappledrum.timing.clock import shorter
+from dappledrum.timing.clock import shortest_local_span
 
 KEPT = 1_000  # names; whoever tells more at once attests a shorter time
 
@@ -30,7 +30,7 @@
         Its span ends when it was said, which was no later than now, so this errs on the safe side
         by the time that the answer took.
         """
-        return now - shorter(self.span) <= since
+        return now - shortest_local_span(self.span) <= since
 
 
 class ConfirmedCancellations:
--- a/dappledrum/jobs/poll_batcher.py
+++ b/dappledrum/jobs/poll_batcher.py
@@ -15,7 +15,8 @@
 
 from dappledrum.jobs.keys import head_key
 from dappledrum.jobs.messages import EndedRecord, JobRecord
-from dappledrum.store.client import ConflictError, RefusedError, StoreClient, StoreError
+from dappledrum.store.client import StoreClient
+from dappledrum.store.errors import ConflictError, RateLimitedError, StoreError
 from dappledrum.store.hedged_commit import commit_idempotent
 from dappledrum.store.messages import Guard
 from dappledrum.store.rate_limiter import RequestPriority
@@ -80,9 +81,9 @@
 
     async def ask(self, job: str) -> PollAnswer:
         """State of a job, from a reading that begins after this call."""
-        wait = self.store.busy_for(RequestPriority.POLL)
+        wait = self.store.budget.queueing_delay(RequestPriority.POLL)
         if wait > REQUEST_TIMEOUT * 0.8 or len(self.waiting) > KEPT:
-            raise RefusedError("over the share of requests")
+            raise RateLimitedError
         answer = self.waiting.get(job)
         if answer is None:
             answer = self.waiting[job] = asyncio.get_running_loop().create_future()
@@ -95,10 +96,17 @@
         try:
             while self.waiting:
                 # The more of the share is used up, the more polls go into one reading.
-                scarce = 1 - max(0.0, self.store.requests.level) / self.store.requests.size
+                scarce = (
+                    1
+                    - max(0.0, self.store.budget.request_limiter.level)
+                    / self.store.budget.request_limiter.size
+                )
                 pause = GATHER + (MAX_GATHER_TIME - GATHER) * scarce
                 pause = max(
-                    pause, min(self.store.busy_for(RequestPriority.POLL), REQUEST_TIMEOUT / 2)
+                    pause,
+                    min(
+                        self.store.budget.queueing_delay(RequestPriority.POLL), REQUEST_TIMEOUT / 2
+                    ),
                 )
                 await asyncio.sleep(pause.total_seconds())
                 if len(self.running) >= AT_ONCE:
@@ -159,7 +167,7 @@
             await commit_idempotent(self.store, guards, [], RequestPriority.POLL, REQUEST_TIMEOUT)
             failed: set[str] = set()
         except ConflictError as error:
-            failed = set(error.failed)
+            failed = set(error.conflicting_keys)
             if not failed:
                 return {}
         result = {}
--- a/dappledrum/jobs/record_writer.py
+++ b/dappledrum/jobs/record_writer.py
@@ -21,17 +21,11 @@
 from dappledrum.jobs.messages import EndedRecord, JobRecord, Outcome
 from dappledrum.jobs.page import Page
 from dappledrum.jobs.page_encoding import page_changes
-from dappledrum.settings import StateLimits
-from dappledrum.store.client import (
-    TXN_BYTES,
-    ConflictError,
-    StoreClient,
-    StoreError,
-    TooLargeError,
-    raw,
-)
+from dappledrum.settings import StoreLimits
+from dappledrum.store.client import MAX_TRANSACTION_BYTES, StoreClient
+from dappledrum.store.errors import ConflictError, StoreError, TooLargeError
 from dappledrum.store.hedged_commit import Evidence, commit_idempotent, commit_or_find
-from dappledrum.store.messages import Delete, Guard, Put
+from dappledrum.store.messages import Delete, Guard, Put, encode_value
 from dappledrum.store.rate_limiter import RequestPriority
 from dappledrum.store.value_limit import ValueLimit
 from dappledrum.timing.clock import Clock
@@ -60,7 +54,7 @@
         self,
         store: StoreClient,
         term: Term,
-        limits: StateLimits,
+        limits: StoreLimits,
         value_limit: ValueLimit,
         clock: Clock,
     ) -> None:
@@ -88,7 +82,7 @@
         # attempt, whose heartbeat was held back. It counts for the team's limit, also for the next
         # leader, so the job stays until the attempt is proven gone.
         if (job.complete() or job.cancelled) and not job.placement_count():
-            job.ended_at = job.ended_at or self.clock.today()
+            job.ended_at = job.ended_at or self.clock.utc_now()
             self.ending[job] = None
         elif page.dirty:
             now = self.clock.now()
@@ -102,12 +96,12 @@
     def shrink(self, jobs: Iterable[Job]) -> None:
         """Write again what is stored in one value that would now be refused: a controller that
         cancels a job writes its head as it is."""
-        if self.shrunk or not self.value_limit.settled:
+        if self.shrunk or not self.value_limit.is_reduced:
             return
         self.shrunk = True
         for job in jobs:
             for page in job.pages.values():
-                if page.stored_bytes > self.value_limit.least and not job.finished:
+                if page.stored_bytes > self.value_limit.reduced_bytes and not job.finished:
                     page.bump_revision()
                     self.mark_dirty(page)
 
@@ -162,7 +156,12 @@
                 page.job.effective_rank,
             )
         )
-        spare = min(capacity, int(self.store.writes.level - 0.5 * self.store.writes.size))
+        spare = min(
+            capacity,
+            int(
+                self.store.budget.write_limiter.level - 0.5 * self.store.budget.write_limiter.size
+            ),
+        )
         hurried = set(urgent)
         lazy = [page for page in self.dirty if page not in hurried][: max(0, spare)]
         pages: list[Page] = []
@@ -200,7 +199,9 @@
     def _capacity(self) -> int:
         """Number of changes for the next transaction: what the rate allows now, but always a
         few."""
-        allowed = int(self.store.writes.level - 0.2 * self.store.writes.size)
+        allowed = int(
+            self.store.budget.write_limiter.level - 0.2 * self.store.budget.write_limiter.size
+        )
         return max(4, min(self.limits.txn_ops, allowed))
 
     async def _write(self, pages: list[Page], jobs: list[Job]) -> None:
@@ -211,18 +212,20 @@
         evidence: list[Evidence] = []
         for job in jobs:
             guards.append(Guard(head_key(job.id), job.page(0).version))
-            ended = Put(ended_key(job.id), raw(job.ended_record()))
+            ended = Put(ended_key(job.id), encode_value(job.ended_record()))
             changes += [Delete(head_key(job.id)), ended]
             size += 600
             if not job.page(0).delayed_write_possible:
                 evidence.append(Evidence(ended.key, 0, ended.value))
         for page in pages:
-            own = page_changes(page, self.value_limit.whole, self.value_limit.least)
+            own = page_changes(
+                page, self.value_limit.max_whole_bytes, self.value_limit.reduced_bytes
+            )
             length = sum(len(bytes(c.value)) + 400 for c in own if isinstance(c, Put))
             main = own[0]
             assert isinstance(main, Put)
             many = len(changes) + len(own) > self.limits.txn_ops
-            if changes and (many or size + length > TXN_BYTES):
+            if changes and (many or size + length > MAX_TRANSACTION_BYTES):
                 break
             size += length
             guards.append(Guard(page.key, page.version))
@@ -236,14 +239,14 @@
         try:
             revision = await self._commit(guards, changes, evidence)
         except ConflictError as error:
-            if LEADER_KEY in error.failed:
+            if LEADER_KEY in error.conflicting_keys:
                 self._replaced()
-            failed = set(error.failed)
+            failed = set(error.conflicting_keys)
             for page in [row[0] for row in written] + [job.page(0) for job in jobs]:
                 page.version_uncertain |= page.key in failed
             return
         except TooLargeError as error:
-            if not self.value_limit.refused(
+            if not self.value_limit.record_refusal(
                 max((row[3] for row in written), default=0), str(error)
             ):
                 raise
@@ -375,10 +378,10 @@
                 self.store, guards, [Delete(key) for key in keys], RequestPriority.POLL
             )
         except ConflictError as error:
-            if LEADER_KEY in error.failed:
+            if LEADER_KEY in error.conflicting_keys:
                 self._replaced()
                 return
-            keys = [key for key in keys if heads[key] in error.failed]
+            keys = [key for key in keys if heads[key] in error.conflicting_keys]
             log.info("not removed, as their jobs live: %s", ", ".join(keys))
         for key in keys:
             del self.garbage[key]
--- a/dappledrum/jobs/submission_batcher.py
+++ b/dappledrum/jobs/submission_batcher.py
@@ -12,7 +12,8 @@
 
 from dappledrum.jobs.keys import ended_key, head_key
 from dappledrum.jobs.poll_batcher import StoredJob
-from dappledrum.store.client import TXN_BYTES, ConflictError, StoreClient, StoreError
+from dappledrum.store.client import MAX_TRANSACTION_BYTES, StoreClient
+from dappledrum.store.errors import ConflictError, StoreError
 from dappledrum.store.hedged_commit import commit_or_find
 from dappledrum.store.messages import Guard, Put
 from dappledrum.store.rate_limiter import RequestPriority
@@ -52,7 +53,12 @@
 
     def full(self) -> bool:
         """Whether the rate of changes leaves no room for one more job soon."""
-        return self.store.busy_for(RequestPriority.INTAKE, writes=len(self.waiting) + 1) > QUEUE
+        return (
+            self.store.budget.queueing_delay(
+                RequestPriority.SUBMISSION, writes=len(self.waiting) + 1
+            )
+            > QUEUE
+        )
 
     async def admit(self, job: str, puts: list[Put]) -> int | StoredJob:
         """Store a new job; returns the version, or what was read of the job while the answer was
@@ -84,8 +90,10 @@
         for item in list(self.waiting.values()):
             size += sum(len(bytes(put.value)) + 300 for put in item.puts)
             changes += len(item.puts)
-            over = self.store.busy_for(RequestPriority.INTAKE, writes=changes) > ZERO
-            if batch and (size > TXN_BYTES or changes > self.max_changes or over):
+            over = (
+                self.store.budget.queueing_delay(RequestPriority.SUBMISSION, writes=changes) > ZERO
+            )
+            if batch and (size > MAX_TRANSACTION_BYTES or changes > self.max_changes or over):
                 break
             batch.append(self.waiting.pop(item.job))
         return batch
@@ -97,19 +105,19 @@
         try:
             puts = [put for item in batch for put in item.puts]
             version = await commit_or_find(
-                self.store, guards, puts, RequestPriority.INTAKE, lambda: self._find(batch)
+                self.store, guards, puts, RequestPriority.SUBMISSION, lambda: self._find(batch)
             )
         except ConflictError as error:
-            failed = set(error.failed)
+            failed = set(error.conflicting_keys)
             refused = [i for i in batch if {head_key(i.job), ended_key(i.job)} & failed] or batch
             for item in refused:
-                item.fail(ConflictError(error.failed))
+                item.fail(ConflictError(error.conflicting_keys))
             others = [i for i in batch if i not in refused and not i.answer.done()]
             if others:
                 await self._commit(others)
         except StoreError as error:
             for item in batch:
-                item.fail(type(error)(str(error)))
+                item.fail(type(error)(error.reason, error.request))
         except Exception as error:
             for item in batch:
                 item.fail(StoreError(str(error)))
@@ -131,9 +139,9 @@
         for item in batch:
             if item.answer.done():
                 continue
-            if self.store.busy_for(RequestPriority.INTAKE) > ZERO:
+            if self.store.budget.queueing_delay(RequestPriority.SUBMISSION) > ZERO:
                 return None
-            found = await self.find(item.job, RequestPriority.INTAKE)
+            found = await self.find(item.job, RequestPriority.SUBMISSION)
             if found is None:
                 return None
             if not item.answer.done():
--- a/dappledrum/jobs/test_record_writer.py
+++ b/dappledrum/jobs/test_record_writer.py
@@ -10,7 +10,7 @@
 from dappledrum.jobs.job import Job
 from dappledrum.jobs.messages import JobRecord, PageRecord, Spec
 from dappledrum.jobs.record_writer import LAZY, RecordWriter
-from dappledrum.settings import StateLimits
+from dappledrum.settings import StoreLimits
 from dappledrum.simulation.cluster import job
 from dappledrum.simulation.virtual_time import run
 from dappledrum.store.client import StoreClient
@@ -24,13 +24,13 @@
 
     def __init__(self, limits, clock):
         super().__init__(None, limits, clock, random.Random(1))
-        self.writes = RateLimiter(20.0, clock.now())
-        self.writes.take(14, clock.now())
+        self.budget.write_limiter = RateLimiter(20.0, clock.now())
+        self.budget.write_limiter.consume(14, clock.now())
         self.written = []
 
-    async def commit(self, guards, changes, rank, timeout=None):
-        self.writes.take(len(changes), self.clock.now())
-        self.written.append((self.clock.now(), [change.key for change in changes]))
+    async def commit(self, guards, changes, priority, timeout=None):
+        self.budget.write_limiter.consume(len(changes), self.budget.clock.now())
+        self.written.append((self.budget.clock.now(), [change.key for change in changes]))
         return 100 + len(self.written)
 
 
@@ -45,14 +45,14 @@
 
     async def main():
         clock = Clock()
-        limits = StateLimits(100, 20, 8, 24)
+        limits = StoreLimits(100, 20, 8, 24)
         state = Slow(limits, clock)
         record_writer = RecordWriter(state, Term(1, 1, 1), limits, ValueLimit(limits), clock)
         jobs = [live(number) for number in range(12)]
         for one in jobs[:-1]:
             one.page(0).finish(0)
             record_writer.mark_dirty(one.page(0))
-        jobs[-1].page(0).place(0, "host-1", 1, "a", clock.today())
+        jobs[-1].page(0).place(0, "host-1", 1, "a", clock.utc_now())
         record_writer.mark_dirty(jobs[-1].page(0))
         writing = asyncio.create_task(record_writer.run())
         began = clock.now()
--- a/dappledrum/leader/heartbeat_responder.py
+++ b/dappledrum/leader/heartbeat_responder.py
@@ -87,7 +87,7 @@
         machine.last_answer = max(machine.last_answer, now)
         fresh = (machine.session, machine.sequence) == (heartbeat.session, heartbeat.sequence)
         if fresh:
-            machine.reachability.answered(now, self.limits.lease)
+            machine.reachability.answered(now, self.limits.lease_duration)
         commands: list[Command] = []
         if fresh and self.leading():
             commands = self.reconciler.commands.of_records(machine, heartbeat)
--- a/dappledrum/leader/leader.py
+++ b/dappledrum/leader/leader.py
@@ -33,7 +33,8 @@
 from dappledrum.scheduling.estimates import Estimates
 from dappledrum.settings import Params, Tuning
 from dappledrum.store.advisory_record import AdvisoryRecord
-from dappledrum.store.client import CompactedError, StoreClient, StoreError
+from dappledrum.store.client import StoreClient
+from dappledrum.store.errors import CompactedError, StoreError
 from dappledrum.store.messages import Event
 from dappledrum.store.rate_limiter import RequestPriority
 from dappledrum.store.value_limit import ValueLimit
@@ -74,7 +75,7 @@
         tuning: Tuning,
         types: list[MachineType],
         on_ended: Callable[[Job], None],
-        awake_since: Callable[[], timedelta] = lambda: ZERO,
+        running_since: Callable[[], timedelta] = lambda: ZERO,
     ) -> None:
         self.term = term
         self.leading = leading
@@ -105,7 +106,7 @@
             self.wake,
             self.ledger,
             lambda: term.others_stopped_at,
-            awake_since,
+            running_since,
         )
         self.autoscaler = Autoscaler(
             cloud,
@@ -117,10 +118,10 @@
             tuning.interval,
             leading,
             self.wake,
-            awake_since,
+            running_since,
         )
         self.recovery = RecoveryProgress(
-            self.registry, clock, params.workers.lease, lambda: self.autoscaler.listed
+            self.registry, clock, params.workers.lease_duration, lambda: self.autoscaler.listed
         )
         self.reconciler.on_lost = self.recovery.lost
         most = params.state.value_bytes
@@ -150,7 +151,7 @@
             ),
             self.record_writer,
             # Pages of the version before may be larger than new ones, and are stored in parts.
-            min(value_limit.now, value_limit.least * (params.state.txn_ops - 2)),
+            min(value_limit.current_bytes, value_limit.reduced_bytes * (params.state.txn_ops - 2)),
         )
         self.incomplete: dict[str, None] = {}  # new jobs whose specification is in parts
         self.loaded = asyncio.Event()
@@ -414,7 +415,7 @@
 
     def reporting(self) -> Counter[str]:
         """How many machines should report, by zone."""
-        now, lease = self.clock.now(), self.params.workers.lease
+        now, lease = self.clock.now(), self.params.workers.lease_duration
         result: Counter[str] = Counter()
         for machine in self.registry:
             if machine.returning or machine.failed or machine.expired(now, lease):
--- a/dappledrum/leader/test_job_loader.py
+++ b/dappledrum/leader/test_job_loader.py
@@ -61,10 +61,10 @@
         victim = next(m for m in cluster.members if m != stuck)
         scan = cluster.controllers[victim].store.scan
 
-        async def nothing(prefix, rank):
+        async def nothing(prefix, priority):
             if prefix == "job/":
                 await asyncio.sleep(3600)
-            return await scan(prefix, rank)
+            return await scan(prefix, priority)
 
         cluster.controllers[victim].store.scan = nothing
         cluster.controllers[stuck].elector.transfer_leadership(victim, "a test")
--- a/dappledrum/learning/learned_estimates.py
+++ b/dappledrum/learning/learned_estimates.py
@@ -42,8 +42,8 @@
 
     def record(self) -> LearnedRecord:
         """The values worth keeping, rounded so that small changes cause no write."""
-        now, today = self.clock.now(), self.clock.today()
-        capacity = max(1, self.hint.value_bytes // ROW_BYTES)
+        now, utc_now = self.clock.now(), self.clock.utc_now()
+        capacity = max(1, self.hint.max_bytes // ROW_BYTES)
         classes = sorted(self.estimates.classes.items(), key=lambda row: -row[1].count)
         rows = [
             ClassRow(name, round(seen.count), round(seen.mean, 2), round(seen.square, 1))
@@ -52,7 +52,7 @@
         boots = [
             BootRow(
                 *(*boot.kind, round((boot.up_at - boot.asked_at).total_seconds(), 1) or 0.1),
-                int((today - (now - boot.up_at)).timestamp()) * 1000,
+                int((utc_now - (now - boot.up_at)).timestamp()) * 1000,
             )
             for boot in list(self.boots.seen)[-min(BOOTS, capacity // 2) :]
             if now - boot.up_at < KEPT
@@ -61,7 +61,7 @@
 
     async def run(self) -> None:
         """Keep the record up to date."""
-        await self.hint.follow(self.record, PAUSE)
+        await self.hint.write_periodically(self.record, PAUSE)
 
     async def recall(self, nominal: Mapping[str, timedelta]) -> None:
         """Read what a predecessor has learned; `nominal`: the boot times of the catalog, by type.
@@ -70,16 +70,16 @@
         were read before it was known, with one minute as a stand-in, boots of 15 s were expected
         to be four times quicker than usual.
         """
-        record = await self.hint.recall()
+        record = await self.hint.read()
         if record is None:
             return
         for seen in record.classes[:CLASSES]:
             sample = self.estimates.classes.setdefault(seen.job_class, RunningStatistics())
             sample.count, sample.mean, sample.square = seen.count, seen.mean, seen.square
-        now, today = self.clock.now(), self.clock.today()
+        now, utc_now = self.clock.now(), self.clock.utc_now()
         boots = []
         for row in record.boots[:BOOTS]:
-            age = max(today - datetime.fromtimestamp(row.up_at_ms / 1000, UTC), ZERO)
+            age = max(utc_now - datetime.fromtimestamp(row.up_at_ms / 1000, UTC), ZERO)
             if age < KEPT and row.type in nominal:
                 kind = InstanceKind(row.type, row.zone, row.spot)
                 took = max(timedelta(seconds=row.took_s), SHORTEST)
--- a/dappledrum/learning/test_learning.py
+++ b/dappledrum/learning/test_learning.py
@@ -16,14 +16,14 @@
 class Kept:
     """Holds what would be stored."""
 
-    value_bytes = 2048
+    max_bytes = 2048
     value = b""
 
-    async def keep(self, record):
+    async def write_if_changed(self, record):
         self.value = msgspec.json.encode(record)
-        assert len(self.value) <= self.value_bytes
+        assert len(self.value) <= self.max_bytes
 
-    async def recall(self):
+    async def read(self):
         return msgspec.json.decode(self.value, type=LearnedRecord)
 
 
@@ -40,7 +40,7 @@
             estimates.record_task_time(f"j-{number}", name, seconds(10), seconds(10 + number % 40))
             boots.finished(kind, clock.now() - seconds(25), clock.now())
         before = LearnedEstimates(hint, estimates, boots, clock)
-        await hint.keep(before.record())
+        await hint.write_if_changed(before.record())
         later, other = Estimates(), BootTimes()
         other.nominal = boots.nominal
         await LearnedEstimates(hint, later, other, clock).recall(boots.nominal)
--- a/dappledrum/membership/peer_table.py
+++ b/dappledrum/membership/peer_table.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from dappledrum.membership.messages import PeerHeartbeat
-from dappledrum.timing.clock import DRIFT, ZERO
+from dappledrum.timing.clock import MAX_CLOCK_DRIFT, ZERO
 
 FRESH = timedelta(seconds=3.5)  # three heartbeats of a second, with a margin
 MAX_AGE = timedelta(seconds=10)
@@ -62,7 +62,9 @@
         if known is not None and known.heartbeat.born == heartbeat.born:
             # A message may be held back for minutes and still tell an age of nothing. It comes
             # later than its tick says by the quickest one before it, drift allowed for.
-            latest = known.offset + span(heartbeat.tick - known.heartbeat.tick) * (2 * DRIFT)
+            latest = known.offset + span(heartbeat.tick - known.heartbeat.tick) * (
+                2 * MAX_CLOCK_DRIFT
+            )
             new.offset = min(new.offset, latest)
             new.at = min(at, span(heartbeat.tick) + new.offset)
             new.direct_at = known.direct_at
--- a/dappledrum/membership/service.py
+++ b/dappledrum/membership/service.py
@@ -103,7 +103,7 @@
         self.forwarded_workers = ForwardedWorkers(clock)
         self.forwarder = HeartbeatForwarder(self._send_heartbeats)
         self.began = clock.now()
-        self.born = int(clock.today().timestamp() * 1000)
+        self.born = int(clock.utc_now().timestamp() * 1000)
         self.silent: dict[str, timedelta] = {}
         self.counted_at = ZERO  # machines by zone
         self.heard_at: timedelta | None = None  # the last heartbeat of any peer
@@ -145,7 +145,7 @@
             self.born,
             ms(now - self.began),
             0,
-            ms(now - self.pause_detector.awake_since()),
+            ms(now - self.pause_detector.running_since()),
             epoch=self.elector.epoch,
             leader=leader.member if leader is not None else None,
             holds=term is not None,
@@ -191,7 +191,7 @@
         peer passes the former process's newest heartbeat on to it, and it begins after that.
         """
         now = ms(self.clock.now() - self.began)
-        newest = int((self.clock.today() + CLOCKS_APART).timestamp() * 1000)
+        newest = int((self.clock.utc_now() + CLOCKS_APART).timestamp() * 1000)
         if (self.born, now) < (heartbeat.born, heartbeat.tick) and heartbeat.born <= newest:
             log.info("words of a process before this one look newer, beginning after them")
             self.born = heartbeat.born + 1
@@ -387,7 +387,7 @@
         """Zones with machines that should report, but from which nothing has come for longer than
         any of them may take. Time in which this controller itself was paused does not count."""
         now = self.clock.now()
-        since = max(began, self.pause_detector.awake_since())
+        since = max(began, self.pause_detector.running_since())
         if now - since <= MIN_SILENCE:
             return {}
         # To count all machines four times a second costs more than to hear them. While every zone
@@ -425,7 +425,7 @@
             for name, zone in self.zones.items()
             if name not in self.silent
             and zone.heard_at is not None
-            and now - zone.heard_at <= self.limits.lease
+            and now - zone.heard_at <= self.limits.lease_duration
         )
         return Situation(
             now,
--- a/dappledrum/peers/client.py
+++ b/dappledrum/peers/client.py
@@ -14,7 +14,7 @@
     TransferLeadershipReply,
 )
 from dappledrum.election.quorum import UNLIMITED_SPAN, PeerAnswers, majority
-from dappledrum.http.client import Caller, NoResponseError
+from dappledrum.http.client import HttpClient, NoResponseError
 from dappledrum.jobs.confirmed_cancellations import CancellationWindow, merge_windows
 from dappledrum.membership.messages import (
     ForwardedHeartbeats,
@@ -37,7 +37,7 @@
     decode,
     encode,
 )
-from dappledrum.timing.clock import ZERO, shorter
+from dappledrum.timing.clock import ZERO, shortest_local_span
 
 log = logging.getLogger(__name__)
 
@@ -45,7 +45,7 @@
 class Peers:
     """The other controllers, by member name."""
 
-    def __init__(self, callers: dict[str, Caller]) -> None:
+    def __init__(self, callers: dict[str, HttpClient]) -> None:
         self.callers = callers
         #: Why each peer refused the newest request for a lease grant, as logged; empty: granted.
         self.refusals: dict[str, str] = {}
@@ -147,7 +147,7 @@
         for reply in await self._holders(timeout):
             if reply is None or reply.quiet_ms is None:
                 return None
-            spans.append(shorter(timedelta(milliseconds=reply.quiet_ms)))
+            spans.append(shortest_local_span(timedelta(milliseconds=reply.quiet_ms)))
         return min(spans, default=None)
 
     async def _holders(self, timeout: timedelta) -> list[HoldsTermReply | None]:
--- a/dappledrum/scale/sockets.py
+++ b/dappledrum/scale/sockets.py
@@ -7,7 +7,7 @@
 import asyncio
 from datetime import timedelta
 
-from dappledrum.http.client import Client, NoResponseError, Reply
+from dappledrum.http.client import NoResponseError, PooledClient, Reply
 from dappledrum.http.server import Request, Response, Server
 from dappledrum.scale.messages import Traffic
 from dappledrum.settings import split_address
@@ -35,7 +35,7 @@
         self.network = network
         self.source = source
         host, port = split_address(network.hosts[target])
-        self.client = Client(host, port, max_idle=1)
+        self.client = PooledClient(host, port, max_idle=1)
 
     async def request(
         self, method: str, path: str, body: bytes | None, timeout: timedelta
--- a/dappledrum/settings.py
+++ b/dappledrum/settings.py
@@ -17,7 +17,7 @@
 
 
 class SettingsError(Exception):
-    """The settings can't be used; the text names the field."""
+    """The settings can't be used; the text names the file, and the field if one is wrong."""
 
 
 class Peer(msgspec.Struct, frozen=True, rename={"zone": "location", "address": "endpoint"}):
@@ -69,17 +69,17 @@
         return seconds(self.report_s)
 
     @property
-    def lease(self) -> timedelta:
+    def lease_duration(self) -> timedelta:
         """How long a worker keeps its tasks without an answer."""
         return seconds(self.lease_s)
 
     @property
-    def cancel(self) -> timedelta:
-        """Time within which nothing of a cancelled job may be left."""
+    def cancellation_limit(self) -> timedelta:
+        """Time within which all tasks of a cancelled job must be terminated."""
         return seconds(self.cancel_s)
 
 
-Changes = Annotated[int, Meta(ge=4, le=10_000)]
+OperationCount = Annotated[int, Meta(ge=4, le=10_000)]
 
 
 class NextLimits(msgspec.Struct, frozen=True):
@@ -89,16 +89,16 @@
     rps: Positive | None = None
     write_rps: Positive | None = None
     value_kb: Positive | None = None
-    txn_ops: Changes | None = None
+    txn_ops: OperationCount | None = None
 
 
-class StateLimits(msgspec.Struct, frozen=True):
+class StoreLimits(msgspec.Struct, frozen=True):
     """Rates and sizes that the store allows."""
 
     rps: Positive
     write_rps: Positive
     value_kb: Positive
-    txn_ops: Changes
+    txn_ops: OperationCount
     next: NextLimits | None = None
 
     @property
@@ -106,12 +106,12 @@
         """The largest value that may be written."""
         return int(self.value_kb * 1024)
 
-    def binding(self) -> "StateLimits":
-        """The smaller of the present and the next limits. This controller keeps to them from its
+    def strictest(self) -> "StoreLimits":
+        """The smaller of the current and the next limits. This controller observes them from its
         start, since the change comes without notice."""
         if self.next is None:
             return self
-        return StateLimits(
+        return StoreLimits(
             min(self.rps, self.next.rps or self.rps),
             min(self.write_rps, self.next.write_rps or self.write_rps),
             min(self.value_kb, self.next.value_kb or self.value_kb),
@@ -144,7 +144,7 @@
 
     teams: list[Team]
     workers: WorkerLimits
-    state: StateLimits
+    state: StoreLimits
     cloud: CloudLimits
     zones: list[Name] = []
     objectives: list[Objective] = []
@@ -165,7 +165,7 @@
 
 
 def load(path: Path) -> Settings:
-    """Read and check the settings file; the error names the field at fault."""
+    """Read and check the settings file; raises SettingsError."""
     try:
         return msgspec.json.decode(path.read_bytes(), type=Settings)
     except OSError as error:
@@ -185,8 +185,12 @@
 @dataclass(frozen=True)
 class Tuning:
     """The operator's own settings: the open parameters of the paper, and which features are
-    enabled."""
+    enabled.
+
+    `interval` is the length of a billed interval, `ready_share` the share of a stage that must be
+    ready before machines are rented for it.
+    """
 
     interval: timedelta = timedelta(seconds=60)
     ready_share: float = 0.3
-    reach: bool = True  # what is known of links is told, heard and acted upon
+    peer_heartbeats_enabled: bool = True  # `--reach`: link health is exchanged and decided upon
--- a/dappledrum/simulation/cluster.py
+++ b/dappledrum/simulation/cluster.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from dappledrum.controller.controller import Controller
-from dappledrum.http.client import Caller, NoResponseError, Reply
+from dappledrum.http.client import HttpClient, NoResponseError, Reply
 from dappledrum.http.server import Handler, Request, Response
 from dappledrum.model.history import ACCEPTED, REFUSED
 from dappledrum.model.invariants import Invariants
@@ -24,7 +24,7 @@
     Params,
     Peer,
     Settings,
-    StateLimits,
+    StoreLimits,
     Team,
     Tuning,
     WorkerLimits,
@@ -94,7 +94,7 @@
 class OldCaller:
     """Requests of a controller of the version before chains: its records lack what came later."""
 
-    def __init__(self, link: Caller) -> None:
+    def __init__(self, link: HttpClient) -> None:
         self.link = link
 
     async def request(
@@ -162,7 +162,7 @@
         self.params = Params(
             teams=list(self.teams),
             workers=WorkerLimits(1.0, self.lease_s, 30.0),
-            state=StateLimits(self.rps, self.write_rps, 8.0, 24, self.next),
+            state=StoreLimits(self.rps, self.write_rps, 8.0, 24, self.next),
             cloud=CloudLimits(4.0, 4.0),
             zones=["a", "b"],
         )
@@ -191,7 +191,7 @@
         callers = {peer.member: self._link(member, "back-" + peer.member) for peer in peers}
         controller = Controller(
             settings,
-            Tuning(reach=self.reach and member not in self.old),
+            Tuning(peer_heartbeats_enabled=self.reach and member not in self.old),
             clock,
             random.Random(self.rng.random()),
             self._state_caller(member),
@@ -242,7 +242,7 @@
 
         return refuse
 
-    def _state_caller(self, member: str) -> Caller:
+    def _state_caller(self, member: str) -> HttpClient:
         link = self._link(member, "state")
         return OldCaller(link) if member in self.old else link
 
--- a/dappledrum/simulation/virtual_time.py
+++ b/dappledrum/simulation/virtual_time.py
@@ -111,7 +111,7 @@
     def now(self) -> timedelta:
         return super().now() * (1 + self.rate)
 
-    def today(self) -> datetime:
+    def utc_now(self) -> datetime:
         return EPOCH + super().now() + self.off
 
 
--- a/dappledrum/store/advisory_record.py
+++ b/dappledrum/store/advisory_record.py
@@ -9,8 +9,9 @@
 
 import msgspec
 
-from dappledrum.store.client import StoreClient, StoreError, raw
-from dappledrum.store.messages import Guard, Put
+from dappledrum.store.client import StoreClient
+from dappledrum.store.errors import StoreError
+from dappledrum.store.messages import Guard, Put, encode_value
 from dappledrum.store.rate_limiter import RequestPriority
 
 log = logging.getLogger(__name__)
@@ -27,38 +28,39 @@
         guard: Guard,
         key: str,
         kind: type[T],
-        value_bytes: int,
-        rank: RequestPriority,
+        max_bytes: int,
+        priority: RequestPriority,
     ) -> None:
         self.store = store
         self.guard = guard
         self.key = key
         self.kind = kind
-        self.value_bytes = value_bytes
-        self.rank = rank
-        self.stored: T | None = None
+        self.max_bytes = max_bytes  # larger values are not written
+        self.priority = priority
+        self.last_written: T | None = None
 
-    async def keep(self, record: T) -> None:
-        """Write the record if it differs from what is stored, as far as that is known."""
-        if record == self.stored:
+    async def write_if_changed(self, record: T) -> None:
+        """Write the record unless this controller's last write had the same content."""
+        if record == self.last_written:
             return
-        value = raw(record)
-        if len(bytes(value)) > self.value_bytes:
-            log.warning("%s is too large to be kept", self.key)
+        value = encode_value(record)
+        size = len(bytes(value))
+        if size > self.max_bytes:
+            log.warning("%s not written, too large: %d bytes", self.key, size)
             return
         try:
-            await self.store.commit([self.guard], [Put(self.key, value)], self.rank)
-            self.stored = record
+            await self.store.commit([self.guard], [Put(self.key, value)], self.priority)
+            self.last_written = record
         except StoreError as error:
             log.debug("%s not written: %s", self.key, error)
 
-    async def follow(self, make: Callable[[], T], pause: timedelta) -> None:
-        """Keep the record up to date, for ever."""
+    async def write_periodically(self, make: Callable[[], T], interval: timedelta) -> None:
+        """Write what `make` returns, at this interval, for ever."""
         while True:
-            await asyncio.sleep(pause.total_seconds())
-            await self.keep(make())
+            await asyncio.sleep(interval.total_seconds())
+            await self.write_if_changed(make())
 
-    async def recall(self) -> T | None:
+    async def read(self) -> T | None:
         """The record of a predecessor; None if there is none, or none that can be used."""
         try:
             entry = await self.store.get(self.key, RequestPriority.RECORD)
--- /dev/null
+++ b/dappledrum/store/availability.py
@@ -0,0 +1,59 @@
+"""Whether the store serves this controller, judged by the outcome of its requests."""
+
+import logging
+from datetime import timedelta
+
+from dappledrum.membership.link_health import LinkHealth
+from dappledrum.timing.clock import Clock
+from dappledrum.timing.fault_log import FaultLog
+
+log = logging.getLogger(__name__)
+
+FAILING_AFTER = timedelta(milliseconds=400)
+
+
+class StoreAvailability:
+    """Outcomes of the newest requests of one controller, watches excepted.
+
+    A watch is open for long, also in an outage, so neither its delay nor its end shows whether the
+    store serves this controller.
+    """
+
+    def __init__(self, clock: Clock) -> None:
+        self.clock = clock
+        self.link = LinkHealth(clock)
+        self.fault_log = FaultLog(log, clock, "the store does not serve this controller")
+        self.was_served = False  # at least once since the start
+        self.failing_since: timedelta | None = None
+        self._last_request_hung = False
+
+    def is_failing(self) -> bool:
+        """Whether requests have failed for a while, and none was served since."""
+        failing_for = self.failing_for()
+        return failing_for is not None and failing_for > FAILING_AFTER
+
+    def failing_for(self) -> timedelta | None:
+        """How long no request has been served, although some were sent; None: the newest was."""
+        return None if self.failing_since is None else self.clock.now() - self.failing_since
+
+    def last_request_hung(self) -> bool:
+        """Whether the newest failure was a request without an answer, so that the next one would
+        wait in vain, too."""
+        return self._last_request_hung
+
+    def record_answer(self, sent: timedelta) -> None:
+        """Record any answer but 503 to a request that was sent at this time."""
+        self.link.served(sent)
+
+    def record_success(self) -> None:
+        """Record that a request was served."""
+        self.failing_since = None
+        self.was_served = True
+        self.fault_log.recovered()
+
+    def record_failure(self, reason: str, hung: bool = False) -> None:
+        """Record a request that was not served; `hung` if no answer came at all."""
+        self._last_request_hung = hung
+        self.fault_log.failed(reason)
+        if self.failing_since is None:
+            self.failing_since = self.clock.now()
--- a/dappledrum/store/hedged_commit.py
+++ b/dappledrum/store/hedged_commit.py
@@ -1,9 +1,9 @@
 """Hedged reads for transactions whose answer is late.
 
-A transaction without an answer has an unknown outcome, and waiting for the time-out costs whoever
-asked more than a second. A read that shows what only the transaction, or one to the same effect,
-can have left settles it earlier. A read that does not show it proves nothing, since the
-transaction may still be carried out: then its answer is waited for as before.
+A transaction without an answer has an unknown outcome, and waiting for the timeout costs whoever
+asked more than a second. A read that shows what only the transaction, or one with the same effect,
+can have written settles it earlier. A read that does not show it proves nothing, since the
+transaction may still be executed: then the commit waits for its answer as before.
 """
 
 import asyncio
@@ -14,19 +14,21 @@
 
 import msgspec
 
-from dappledrum.store.client import REQUEST_TIMEOUT, ConflictError, StoreClient, StoreError
+from dappledrum.store.client import StoreClient
+from dappledrum.store.errors import ConflictError, StoreError
 from dappledrum.store.messages import Delete, Entry, Guard, Put
 from dappledrum.store.rate_limiter import RequestPriority
+from dappledrum.store.transport import REQUEST_TIMEOUT
 from dappledrum.timing.clock import ZERO
 
 log = logging.getLogger(__name__)
 
 T = TypeVar("T")
 
-MIN_DELAY = timedelta(milliseconds=50)
-DELAY_FACTOR = 4  # round trips after which an answer counts as late
-READS = 3  # for one transaction
-BACKOFF = 3  # each read waits so many times as long as the one before
+MIN_READ_DELAY = timedelta(milliseconds=50)
+READ_DELAY_ROUND_TRIPS = 4  # after which an answer counts as late
+MAX_READS = 3  # for one transaction
+READ_BACKOFF_FACTOR = 3  # by which the delay grows from one read to the next
 
 
 class Evidence(NamedTuple):
@@ -37,7 +39,7 @@
     value: msgspec.Raw
 
     def shown_by(self, entry: Entry | None) -> bool:
-        """Whether the key holds just this value, written after the version that it replaces."""
+        """Whether the key has just this value, written after the version that it replaces."""
         if entry is None or entry.version == self.replaced:
             return False
         stored, written = msgspec.json.decode(entry.value), msgspec.json.decode(self.value)
@@ -48,81 +50,85 @@
     store: StoreClient,
     guards: Sequence[Guard],
     changes: Sequence[Put | Delete],
-    rank: RequestPriority,
+    priority: RequestPriority,
     find: Callable[[], Awaitable[T | None]],
     timeout: timedelta = REQUEST_TIMEOUT,
 ) -> int | T:
     """Run a transaction and return its revision, or what `find` has read of its outcome.
 
     `find` returns None as long as nothing is proven. It is called only while the answer is late,
-    the store serves this controller, and the budget allows a request at once.
+    the store serves this controller, and the budget allows a request at once. Raises what
+    `StoreClient.commit` raises.
     """
-    queued = store.busy_for(rank, len(changes))
-    found: list[T] = []
+    queueing_delay = store.budget.queueing_delay(priority, len(changes))
+    outcome: list[T] = []
 
-    async def read() -> None:
-        result = await _read(store, rank, find, queued, timeout)
-        if result is not None:
-            found.append(result)
-            waiting.reschedule(asyncio.get_running_loop().time())
+    async def read_outcome() -> None:
+        found = await _read_repeatedly(store, priority, find, queueing_delay, timeout)
+        if found is not None:
+            outcome.append(found)
+            commit_timeout.reschedule(asyncio.get_running_loop().time())
 
     try:
-        async with asyncio.timeout(None) as waiting:
-            reads = asyncio.ensure_future(read())
+        async with asyncio.timeout(None) as commit_timeout:
+            reads = asyncio.ensure_future(read_outcome())
             try:
-                return await store.commit(guards, changes, rank, timeout)
+                return await store.commit(guards, changes, priority, timeout)
             finally:
                 reads.cancel()
     except TimeoutError:
-        if not found:
+        if not outcome:
             raise
-        log.debug("a read has told what became of a transaction whose answer is late")
-        return found[0]
+        log.debug("a read has shown the outcome of a transaction whose answer is late")
+        return outcome[0]
 
 
 async def commit_idempotent(
     store: StoreClient,
     guards: Sequence[Guard],
     changes: Sequence[Put | Delete],
-    rank: RequestPriority,
+    priority: RequestPriority,
     timeout: timedelta = REQUEST_TIMEOUT,
 ) -> int:
-    """Run a transaction that may be carried out twice, and once more while its answer is late:
-    one that only compares, or only removes. Either answer will do."""
+    """Run a transaction that may be executed twice, and once more while its answer is late: one
+    that only compares, or only deletes. Returns the revision of whichever answers first, and
+    raises what `StoreClient.commit` raises."""
 
-    async def again() -> int | ConflictError:
+    async def commit_again() -> int | ConflictError:
         try:
-            return await store.commit(guards, changes, rank, timeout)
+            return await store.commit(guards, changes, priority, timeout)
         except ConflictError as error:
             return error
 
-    answer = await commit_or_find(store, guards, changes, rank, again, timeout)
+    answer: int | ConflictError = await commit_or_find(
+        store, guards, changes, priority, commit_again, timeout
+    )
     if isinstance(answer, ConflictError):
         raise answer
     return answer
 
 
-async def _read(
+async def _read_repeatedly(
     store: StoreClient,
-    rank: RequestPriority,
+    priority: RequestPriority,
     find: Callable[[], Awaitable[T | None]],
-    queued: timedelta,
+    queueing_delay: timedelta,
     timeout: timedelta,
 ) -> T | None:
-    """Read until something is proven; None when it is not worth while any more."""
-    delay = max(MIN_DELAY, store.link.usual * DELAY_FACTOR)
-    await asyncio.sleep(queued.total_seconds())
-    for _ in range(READS):
+    """Read until something is proven; None when it is not worthwhile any more."""
+    delay = max(MIN_READ_DELAY, store.availability.link.usual * READ_DELAY_ROUND_TRIPS)
+    await asyncio.sleep(queueing_delay.total_seconds())
+    for _ in range(MAX_READS):
         if delay > timeout / 2:
             return None  # the answer would not be back sooner than that of the transaction
         await asyncio.sleep(delay.total_seconds())
-        if not store.is_failing() and store.busy_for(rank) == ZERO:
+        if not store.availability.is_failing() and store.budget.queueing_delay(priority) == ZERO:
             try:
                 found = await find()
             except StoreError as error:
-                log.debug("the outcome of a transaction could not be read: %s", error)
+                log.debug("outcome of a transaction not read: %s", error)
             else:
                 if found is not None:
                     return found
-        delay *= BACKOFF
+        delay *= READ_BACKOFF_FACTOR
     return None
--- a/dappledrum/store/messages.py
+++ b/dappledrum/store/messages.py
@@ -1,4 +1,4 @@
-"""What the store says, under the field's usual names."""
+"""Messages of the store, under the field's usual names; `rename=` has the names on the wire."""
 
 from typing import Any
 
@@ -88,3 +88,8 @@
     """Request for a lease."""
 
     milliseconds: int
+
+
+def encode_value(value: Any) -> msgspec.Raw:  # noqa: ANN401 - anything that msgspec encodes
+    """A value as it is stored."""
+    return msgspec.Raw(msgspec.json.encode(value))
--- a/dappledrum/store/test_client.py
+++ b/dappledrum/store/test_client.py
@@ -7,19 +7,18 @@
 import pytest
 
 from dappledrum.http.client import NoResponseError, NotSentError, Reply
-from dappledrum.settings import StateLimits
+from dappledrum.settings import StoreLimits
 from dappledrum.simulation.virtual_time import run
-from dappledrum.store.client import (
+from dappledrum.store.client import StoreClient
+from dappledrum.store.errors import (
     CompactedError,
     ConflictError,
     LeaseLostError,
     RefusedError,
-    StoreClient,
     TooLargeError,
-    UnknownError,
-    raw,
+    UnknownOutcomeError,
 )
-from dappledrum.store.messages import Guard, Put
+from dappledrum.store.messages import Guard, Put, encode_value
 from dappledrum.store.rate_limiter import RateLimiter, RequestPriority
 from dappledrum.timing.clock import ZERO, Clock, seconds
 
@@ -30,13 +29,13 @@
     now = ZERO
     for step in range(10_000):
         now = seconds(step / 1000)
-        if budget.wait(1, RequestPriority.POLL, now) == ZERO:
-            budget.take(1, now)
+        if budget.delay(1, RequestPriority.POLL, now) == ZERO:
+            budget.consume(1, now)
             taken += 1
     assert 100 <= taken <= 110
-    assert budget.wait(1, RequestPriority.INTAKE, now) == ZERO
-    assert budget.wait(1, RequestPriority.LEASE, now) == ZERO
-    assert budget.wait(1, RequestPriority.POLL, now) > ZERO
+    assert budget.delay(1, RequestPriority.SUBMISSION, now) == ZERO
+    assert budget.delay(1, RequestPriority.LEASE, now) == ZERO
+    assert budget.delay(1, RequestPriority.POLL, now) > ZERO
 
 
 class Canned:
@@ -57,15 +56,15 @@
     (Reply(503, b"{}"), RefusedError),
     (Reply(429, b"{}"), RefusedError),
     (NotSentError("refused"), RefusedError),
-    (NoResponseError("time"), UnknownError),
-    (Reply(500, b"{}"), UnknownError),
-    (Reply(200, b'{"tally":'), UnknownError),
-    (Reply(200, b'{"tally":"x"}'), UnknownError),
-    (Reply(200, b"\xff"), UnknownError),
+    (NoResponseError("time"), UnknownOutcomeError),
+    (Reply(500, b"{}"), UnknownOutcomeError),
+    (Reply(200, b'{"tally":'), UnknownOutcomeError),
+    (Reply(200, b'{"tally":"x"}'), UnknownOutcomeError),
+    (Reply(200, b"\xff"), UnknownOutcomeError),
     (Reply(409, b'{"failed":["a"],"tally":3}'), ConflictError),
     (Reply(400, b'{"error":"no such lease"}'), LeaseLostError),
     (Reply(400, b'{"error":"malformed"}'), TooLargeError),
-    (Reply(302, b"{}"), UnknownError),
+    (Reply(302, b"{}"), UnknownOutcomeError),
 ]
 
 
@@ -73,10 +72,12 @@
 def test_failures_of_a_transaction(answer, error):
     async def main():
         state = StoreClient(
-            Canned(answer), StateLimits(100, 100, 8, 24), Clock(), random.Random(1)
+            Canned(answer), StoreLimits(100, 100, 8, 24), Clock(), random.Random(1)
         )
         with pytest.raises(error):
-            await state.commit([Guard("a", 0)], [Put("a", raw(1))], RequestPriority.RECORD)
+            await state.commit(
+                [Guard("a", 0)], [Put("a", encode_value(1))], RequestPriority.RECORD
+            )
 
     run(main())
 
@@ -84,13 +85,13 @@
 def test_a_404_that_is_not_the_services_proves_nothing():
     async def main():
         state = StoreClient(
-            Canned(Reply(404, b"<html>")), StateLimits(100, 100, 8, 24), Clock(), random.Random(1)
+            Canned(Reply(404, b"<html>")), StoreLimits(100, 100, 8, 24), Clock(), random.Random(1)
         )
-        with pytest.raises(UnknownError):
+        with pytest.raises(UnknownOutcomeError):
             await state.get("job/j-1", RequestPriority.POLL)
-        state.caller = Canned(Reply(404, b'{"tally":3}'))
+        state.transport.http_client = Canned(Reply(404, b'{"tally":3}'))
         assert await state.get("job/j-1", RequestPriority.POLL) is None
-        state.caller = Canned(Reply(410, b"{}"))
+        state.transport.http_client = Canned(Reply(410, b"{}"))
         with pytest.raises(CompactedError):
             await state.watch("job/", 1, ZERO, RequestPriority.POLL)
 
@@ -100,17 +101,17 @@
 def test_trouble_is_known_after_failures_and_over_after_an_answer():
     async def main():
         caller = Canned(Reply(503, b"{}"))
-        state = StoreClient(caller, StateLimits(100, 100, 8, 24), Clock(), random.Random(1))
+        state = StoreClient(caller, StoreLimits(100, 100, 8, 24), Clock(), random.Random(1))
         for _ in range(3):
             with pytest.raises(RefusedError):
                 await state.get("x", RequestPriority.RECORD)
             await asyncio.sleep(0.4)
-        assert state.is_failing()
+        assert state.availability.is_failing()
         caller.answer = Reply(200, b'{"tally":1,"events":[]}')
         await state.watch("x", 1, timedelta(seconds=1), RequestPriority.RECORD)
-        assert state.is_failing()  # an open watch may end in an outage, too
+        assert state.availability.is_failing()  # an open watch may end in an outage, too
         caller.answer = Reply(404, b'{"tally":1}')
         await state.get("x", RequestPriority.RECORD)
-        assert not state.is_failing()
+        assert not state.availability.is_failing()
 
     run(main())
--- a/dappledrum/store/test_hedged_commit.py
+++ b/dappledrum/store/test_hedged_commit.py
@@ -19,19 +19,20 @@
 from dappledrum.jobs.messages import JobRecord, PageRecord, Spec
 from dappledrum.jobs.page_encoding import page_record
 from dappledrum.jobs.record_writer import RecordWriter
-from dappledrum.settings import CloudLimits, Params, StateLimits, Team, WorkerLimits
+from dappledrum.settings import CloudLimits, Params, StoreLimits, Team, WorkerLimits
 from dappledrum.simulation.cluster import job
 from dappledrum.simulation.key_value_store import KeyValueStore
 from dappledrum.simulation.network import LateWrites, Network
 from dappledrum.simulation.virtual_time import run
-from dappledrum.store.client import ConflictError, StoreClient, UnknownError, raw
-from dappledrum.store.hedged_commit import READS, commit_idempotent, commit_or_find
-from dappledrum.store.messages import Guard, Put
+from dappledrum.store.client import StoreClient
+from dappledrum.store.errors import ConflictError, UnknownOutcomeError
+from dappledrum.store.hedged_commit import MAX_READS, commit_idempotent, commit_or_find
+from dappledrum.store.messages import Guard, Put, encode_value
 from dappledrum.store.rate_limiter import RequestPriority
 from dappledrum.store.value_limit import ValueLimit
 from dappledrum.timing.clock import ZERO, Clock, seconds
 
-LIMITS = StateLimits(200.0, 100.0, 8.0, 24)
+LIMITS = StoreLimits(200.0, 100.0, 8.0, 24)
 LOST = LateWrites(1.0, 0.0, 0.0, at_once=True)
 
 
@@ -74,12 +75,12 @@
         """Write a key with a hedge; what came of it."""
 
         async def find():
-            entry = await self.client.get("key", RequestPriority.INTAKE)
+            entry = await self.client.get("key", RequestPriority.SUBMISSION)
             return "found" if entry is not None else None
 
-        changes = [Put("key", raw(value))]
+        changes = [Put("key", encode_value(value))]
         return await commit_or_find(
-            self.client, [Guard("key", 0)], changes, RequestPriority.INTAKE, find
+            self.client, [Guard("key", 0)], changes, RequestPriority.SUBMISSION, find
         )
 
 
@@ -101,7 +102,7 @@
         assert await store.put() == "found"
         assert now() < 0.1
         assert store.service.requests == 2
-        assert store.client.failing_for() is None
+        assert store.client.availability.failing_for() is None
 
     run(main())
 
@@ -112,10 +113,10 @@
     async def main():
         store = Store()
         store.delay(3.0)
-        with pytest.raises(UnknownError):
+        with pytest.raises(UnknownOutcomeError):
             await store.put()
         assert now() == pytest.approx(1.5, abs=0.05)
-        assert store.service.requests == READS
+        assert store.service.requests == MAX_READS
         await asyncio.sleep(3)
         store = Store()
         store.delay(0.3)
@@ -126,7 +127,7 @@
 
 def use_up(budget):
     """Others take so much that a read would have to wait for about a second."""
-    budget.take(75, seconds(now()))
+    budget.consume(75, seconds(now()))
 
 
 @pytest.mark.parametrize("why", ["budget", "slow", "hanging"])
@@ -135,14 +136,16 @@
         store = Store()
         await store.client.get("key", RequestPriority.POLL)
         if why == "budget":
-            asyncio.get_running_loop().call_later(0.01, lambda: use_up(store.client.requests))
+            asyncio.get_running_loop().call_later(
+                0.01, lambda: use_up(store.client.budget.request_limiter)
+            )
         elif why == "slow":
-            store.client.link.usual = timedelta(seconds=0.25)
+            store.client.availability.link.usual = timedelta(seconds=0.25)
         else:
-            store.client.failing_since = store.clock.now() - timedelta(seconds=1)
+            store.client.availability.failing_since = store.clock.now() - timedelta(seconds=1)
         store.network.late_writes = LOST
         before = store.service.requests
-        with pytest.raises(UnknownError):
+        with pytest.raises(UnknownOutcomeError):
             await store.put()
         assert store.service.requests == before + 1
 
@@ -160,7 +163,7 @@
         if version:
             with pytest.raises(ConflictError) as error:
                 await commit_idempotent(store.client, guards, [], RequestPriority.POLL)
-            assert error.value.failed == ["key"]
+            assert error.value.conflicting_keys == ["key"]
         else:
             await commit_idempotent(store.client, guards, [], RequestPriority.POLL)
         assert now() < 0.1
@@ -272,7 +275,7 @@
     async def main():
         leader = Leader()
         one = leader.jobs[0]
-        one.page(0).place(0, "host-1", 1, "a", leader.clock.today())
+        one.page(0).place(0, "host-1", 1, "a", leader.clock.utc_now())
         leader.record_writer.mark_dirty(one.page(0))
         await leader.write_for(0.1)
         one.cancelled = True
@@ -322,7 +325,10 @@
 
     async def admit(self, *numbers):
         """Jobs that come together; what became of each."""
-        puts = {f"j-{n:06d}": [Put(head_key(f"j-{n:06d}"), raw(stored_job(n)))] for n in numbers}
+        puts = {
+            f"j-{n:06d}": [Put(head_key(f"j-{n:06d}"), encode_value(stored_job(n)))]
+            for n in numbers
+        }
         admit = self.job_api.admission.admit
         return await asyncio.gather(
             *(admit(name, put) for name, put in puts.items()), return_exceptions=True
@@ -351,7 +357,7 @@
         )
         first, second = await controller.admit(1, 2)
         assert first[0].spec.id == "j-000001"
-        assert isinstance(second, UnknownError)
+        assert isinstance(second, UnknownOutcomeError)
         assert "job/j-000002" not in controller.service.keys
 
     run(main())
--- a/dappledrum/timing/clock.py
+++ b/dappledrum/timing/clock.py
@@ -10,9 +10,9 @@
 
 ZERO = timedelta(0)
 
-#: The steady clocks of two machines drift apart by at most 0.05 %; twice that is allowed for
-#: everywhere.
-DRIFT = 0.001
+#: Relative; the steady clocks of two machines drift apart by at most 0.05 %, and twice that is
+#: allowed for everywhere.
+MAX_CLOCK_DRIFT = 0.001
 
 
 class Clock:
@@ -22,8 +22,8 @@
         """Steady time; only differences are meaningful."""
         return timedelta(seconds=asyncio.get_running_loop().time())
 
-    def today(self) -> datetime:
-        """Aware time of day."""
+    def utc_now(self) -> datetime:
+        """Time of day, in UTC."""
         return datetime.now(UTC)
 
 
@@ -32,11 +32,11 @@
     return timedelta(seconds=value)
 
 
-def longer(span: timedelta) -> timedelta:
-    """The longest that this span on another machine's clock can be on ours."""
-    return span * (1 + DRIFT)
+def longest_local_span(remote_span: timedelta) -> timedelta:
+    """The longest that a span on another machine's clock can be on this one's."""
+    return remote_span * (1 + MAX_CLOCK_DRIFT)
 
 
-def shorter(span: timedelta) -> timedelta:
-    """The shortest that this span on another machine's clock can be on ours."""
-    return span * (1 - DRIFT)
+def shortest_local_span(remote_span: timedelta) -> timedelta:
+    """The shortest that a span on another machine's clock can be on this one's."""
+    return remote_span * (1 - MAX_CLOCK_DRIFT)
--- a/dappledrum/timing/timeouts.py
+++ b/dappledrum/timing/timeouts.py
@@ -2,9 +2,9 @@
 
 A controller may be suspended for seconds while its clocks run on. When it continues, every timeout
 that passed meanwhile is due at once, while answers still lie unread in the sockets. A timeout that
-fires late is therefore extended a little, so that arrived data is read before anybody is taken for
-silent. Code that judges machines by their silence asks `PauseDetector` since when this process has
-been running without a pause.
+fires late is therefore extended a little, so that arrived data is read before another machine is
+considered silent. Code that judges machines by their silence asks `PauseDetector` since when this
+process has been running without a pause.
 """
 
 import asyncio
@@ -16,24 +16,24 @@
 
 log = logging.getLogger(__name__)
 
-LATE = timedelta(milliseconds=250)  # a limit this late is a sign of a pause
-GRACE = timedelta(milliseconds=150)
-BEAT_INTERVAL = timedelta(milliseconds=500)
-PAUSE = timedelta(seconds=1)  # a beat this late was a pause
+MIN_DELAY_OF_PAUSE = timedelta(milliseconds=250)  # a timeout that fires this late shows a pause
+EXTENSION_AFTER_PAUSE = timedelta(milliseconds=150)
+PAUSE_CHECK_INTERVAL = timedelta(milliseconds=500)
+MIN_DETECTED_PAUSE = timedelta(seconds=1)  # a check this late shows a pause
 
 
 class PauseTolerantTimeout:
     """Like `asyncio.timeout`, for waits after which another machine is considered silent."""
 
-    def __init__(self, span: timedelta) -> None:
-        self.span = span
+    def __init__(self, duration: timedelta) -> None:
+        self.duration = duration
         self._timeout = asyncio.timeout(None)
         self._timer: asyncio.TimerHandle | None = None
         self._due = 0.0
 
     async def __aenter__(self) -> "PauseTolerantTimeout":
         await self._timeout.__aenter__()
-        self._set(max(self.span, ZERO))
+        self._schedule(max(self.duration, ZERO))
         return self
 
     async def __aexit__(
@@ -41,20 +41,20 @@
         kind: type[BaseException] | None,
         error: BaseException | None,
         trace: TracebackType | None,
-    ) -> bool | None:
+    ) -> None:
         if self._timer is not None:
             self._timer.cancel()
-        return await self._timeout.__aexit__(kind, error, trace)
+        await self._timeout.__aexit__(kind, error, trace)
 
-    def _set(self, span: timedelta) -> None:
+    def _schedule(self, duration: timedelta) -> None:
         loop = asyncio.get_running_loop()
-        self._due = loop.time() + span.total_seconds()
+        self._due = loop.time() + duration.total_seconds()
         self._timer = loop.call_at(self._due, self._expire)
 
     def _expire(self) -> None:
         now = asyncio.get_running_loop().time()
-        if now - self._due > LATE.total_seconds():
-            self._set(GRACE)
+        if now - self._due > MIN_DELAY_OF_PAUSE.total_seconds():
+            self._schedule(EXTENSION_AFTER_PAUSE)
         else:
             self._timeout.reschedule(now)
 
@@ -64,23 +64,24 @@
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
-        self.last_beat = clock.now()
-        self.since = self.last_beat
+        self._last_check = clock.now()
+        self._running_since = self._last_check
 
-    def awake_since(self) -> timedelta:
+    def running_since(self) -> timedelta:
         """Since when this process has been running without a pause."""
         now = self.clock.now()
-        gap = now - self.last_beat
-        self.last_beat = now
-        if gap > BEAT_INTERVAL + PAUSE:
-            self.since = now
+        gap = now - self._last_check
+        self._last_check = now
+        if gap > PAUSE_CHECK_INTERVAL + MIN_DETECTED_PAUSE:
+            self._running_since = now
             log.warning(
-                "stood still for about %.1f s, nobody is blamed for it", gap.total_seconds()
+                "process was paused for about %.1f s: silence during it is not counted",
+                gap.total_seconds(),
             )
-        return self.since
+        return self._running_since
 
     async def run(self) -> None:
         """Check for pauses periodically, for ever."""
         while True:
-            self.awake_since()
-            await asyncio.sleep(BEAT_INTERVAL.total_seconds())
+            self.running_since()
+            await asyncio.sleep(PAUSE_CHECK_INTERVAL.total_seconds())
--- a/dappledrum/workers/machine_registry.py
+++ b/dappledrum/workers/machine_registry.py
@@ -7,7 +7,7 @@
 
 from dappledrum.jobs.placement import Placement
 from dappledrum.scheduling.timeline import InstanceKind
-from dappledrum.timing.clock import longer
+from dappledrum.timing.clock import longest_local_span
 from dappledrum.workers.reachability import GONE_MARGIN, Reachability
 
 KEPT_NAMES = 2_000
@@ -76,16 +76,16 @@
             if self.last_heartbeat is None
             else max(self.last_answer, self.last_heartbeat)
         )
-        return now > heard + longer(lease) + GONE_MARGIN
+        return now > heard + longest_local_span(lease) + GONE_MARGIN
 
     def silent(
-        self, now: timedelta, heartbeat_interval: timedelta, awake_since: timedelta
+        self, now: timedelta, heartbeat_interval: timedelta, running_since: timedelta
     ) -> bool:
         """Whether heartbeats are missing, so that no new work should be placed there. Time in
         which this controller was paused does not count."""
         if self.last_heartbeat is None:
             return True
-        return now - max(self.last_heartbeat, awake_since) > heartbeat_interval * 2 + timedelta(
+        return now - max(self.last_heartbeat, running_since) > heartbeat_interval * 2 + timedelta(
             seconds=2
         )
 
--- a/dappledrum/workers/reachability.py
+++ b/dappledrum/workers/reachability.py
@@ -21,7 +21,7 @@
 
 from datetime import timedelta
 
-from dappledrum.timing.clock import longer
+from dappledrum.timing.clock import longest_local_span
 
 #: Heartbeats in a row that do not show what they must if the answers before them were heard. One
 #: is an answer that was lost or took more than the worker's patience.
@@ -76,7 +76,7 @@
         self.missed_answers = 0
         return was
 
-    def new_session(self, now: timedelta, lease: timedelta, awake_since: timedelta) -> bool:
+    def new_session(self, now: timedelta, lease: timedelta, running_since: timedelta) -> bool:
         """Note that the machine's session has ended; True: although its heartbeats were answered,
         so it counts as unreachable from now on.
 
@@ -87,7 +87,10 @@
         self.session_at = now
         if answered is None or steady is None or self.unreachable:
             return False
-        if now - answered > lease * STEADY or answered - max(steady, awake_since) < lease * STEADY:
+        if (
+            now - answered > lease * STEADY
+            or answered - max(steady, running_since) < lease * STEADY
+        ):
             return False
         self.unreachable = True
         return True
@@ -95,4 +98,7 @@
     def outlasts_lease(self, now: timedelta, lease: timedelta) -> bool:
         """Whether the session is older than one can be that has got no answer since it began, or
         since it was first heard of."""
-        return self.session_at is not None and now > self.session_at + longer(lease) + GONE_MARGIN
+        return (
+            self.session_at is not None
+            and now > self.session_at + longest_local_span(lease) + GONE_MARGIN
+        )
--- a/dappledrum/workers/reconciler.py
+++ b/dappledrum/workers/reconciler.py
@@ -28,7 +28,7 @@
 from dappledrum.scheduling.estimates import Estimates
 from dappledrum.scheduling.timeline import InstanceKind
 from dappledrum.settings import WorkerLimits
-from dappledrum.timing.clock import ZERO, Clock, longer
+from dappledrum.timing.clock import ZERO, Clock, longest_local_span
 from dappledrum.workers.commands import WorkerCommands, wanted
 from dappledrum.workers.failure_attribution import Verdict, failed, judge, suspected
 from dappledrum.workers.machine_registry import GONE_MARGIN, Machine, MachineRegistry
@@ -62,9 +62,9 @@
         wake: Callable[[str], None],
         ledger: Ledger | None = None,
         others_stopped_at: Callable[[], timedelta | None] = lambda: ZERO,
-        awake_since: Callable[[], timedelta] = lambda: ZERO,
+        running_since: Callable[[], timedelta] = lambda: ZERO,
     ) -> None:
-        self.awake_since = awake_since
+        self.running_since = running_since
         # nobody else has answered since; None: not known
         self.others_stopped_at = others_stopped_at
         self.ledger = ledger or Ledger(registry, clock)
@@ -144,20 +144,20 @@
         clear = self.others_stopped_at()
         if heartbeat.session > machine.session or clear is None:
             return False
-        return machine.reachability.outlasts_lease(now, self.limits.lease) and now > (
-            clear + longer(self.limits.lease) + GONE_MARGIN
+        return machine.reachability.outlasts_lease(now, self.limits.lease_duration) and now > (
+            clear + longest_local_span(self.limits.lease_duration) + GONE_MARGIN
         )
 
     def _update_reachability(
         self, machine: Machine, heartbeat: WorkerHeartbeat, now: timedelta
     ) -> None:
         """Whether the machine hears this controller."""
-        reachability, lease = machine.reachability, self.limits.lease
+        reachability, lease = machine.reachability, self.limits.lease_duration
         heard = False
         if heartbeat.token == self.token and not reachability.token_shown:
             heard = reachability.token_shown = True
         if heartbeat.session > machine.session:
-            if reachability.new_session(now, lease, self.awake_since()):
+            if reachability.new_session(now, lease, self.running_since()):
                 log.warning("%s lost its session though it was answered", machine.name)
         elif heartbeat.token == self.token and reachability.outlasts_lease(now, lease):
             heard = reachability.unreachable
@@ -259,7 +259,7 @@
                 placement.running_since = now
                 if not job.has_run:
                     job.has_run = True
-                    waited = (self.clock.today() - job.accepted_at).total_seconds()
+                    waited = (self.clock.utc_now() - job.accepted_at).total_seconds()
                     log.info("%s began %.1f s after it came", job.id, waited)
                 cache = (
                     self.cache_gb.get(machine.kind.type, 1e9) if machine.kind is not None else 1e9
@@ -373,10 +373,13 @@
         now = self.clock.now()
         stop_broken_gangs(self.jobs.values())
         clear = self.others_stopped_at()
-        if clear is None or now <= clear + longer(self.limits.lease) + GONE_MARGIN:
+        if (
+            clear is None
+            or now <= clear + longest_local_span(self.limits.lease_duration) + GONE_MARGIN
+        ):
             return
         for machine in self.registry:
-            if machine.placements and machine.expired(now, self.limits.lease):
+            if machine.placements and machine.expired(now, self.limits.lease_duration):
                 for placement in list(machine.placements.values()):
                     why = "the machine is silent for longer than its lease"
                     self._lost(machine, placement, why, Entry.LOST_SILENT)
@@ -408,5 +411,5 @@
                 now if self.last_foreign_answer is None else min(now, self.last_foreign_answer)
             )
             machine.placements[(job.id, placement.task)] = placement
-            age = self.clock.today() - placement.placed_at
+            age = self.clock.utc_now() - placement.placed_at
             placement.running_since = now - max(age, ZERO)
--- a/dappledrum/workers/test_reconciler.py
+++ b/dappledrum/workers/test_reconciler.py
@@ -229,7 +229,7 @@
     machine.placements[(desk.job.id, 1)] = placement
     desk.books.sweep()
     assert 1 in desk.page.placements
-    assert not machine.expired(desk.books.clock.now(), desk.books.limits.lease)
+    assert not machine.expired(desk.books.clock.now(), desk.books.limits.lease_duration)
 
 
 async def test_an_answer_stays_short():
