--- a/dappledrum/controller/controller.py
+++ b/dappledrum/controller/controller.py
@@ -21,7 +21,7 @@
 from dappledrum.election.voter import LEASE_GRANT_DURATION
 from dappledrum.fleet.cloud_client import CloudClient, CloudError
 from dappledrum.http.client import HttpClient
-from dappledrum.http.server import Request, Response
+from dappledrum.http.messages import Request, Response
 from dappledrum.jobs.api import JobApi, refusal
 from dappledrum.jobs.job import Job
 from dappledrum.leader.leader import Leader
--- a/dappledrum/controller/heartbeat_endpoint.py
+++ b/dappledrum/controller/heartbeat_endpoint.py
@@ -10,7 +10,7 @@
 
 from dappledrum.controller.isolation import Isolation
 from dappledrum.election.elector import Elector
-from dappledrum.http.server import Request, Response
+from dappledrum.http.messages import Request, Response
 from dappledrum.jobs.api import refusal
 from dappledrum.leader.leader import MAX_IDLE_WAIT, Leader
 from dappledrum.membership.service import Membership
--- a/dappledrum/controller/peer_endpoint.py
+++ b/dappledrum/controller/peer_endpoint.py
@@ -16,7 +16,7 @@
     TransferLeadership,
     TransferLeadershipReply,
 )
-from dappledrum.http.server import Request, Response
+from dappledrum.http.messages import Request, Response
 from dappledrum.membership.messages import (
     ForwardedHeartbeats,
     ForwardedHeartbeatsReply,
--- a/dappledrum/controller/user_endpoint.py
+++ b/dappledrum/controller/user_endpoint.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from dappledrum.controller.isolation import Isolation
-from dappledrum.http.server import Request, Response
+from dappledrum.http.messages import Request, Response
 from dappledrum.jobs.api import JobApi, busy, refusal
 from dappledrum.membership.service import Membership
 from dappledrum.peers.client import Peers
--- a/dappledrum/controller/wiring.py
+++ b/dappledrum/controller/wiring.py
@@ -69,8 +69,8 @@
     )
     # What this process may have forgotten is counted from its beginning; a former one that still
     # has the addresses may be promising yet, so it begins when that one is gone.
-    await public.take(*split_address(settings.serve_on))
-    await private.take(*split_address(settings.back))
+    await public.bind(*split_address(settings.serve_on))
+    await private.bind(*split_address(settings.back))
     peers = {
         peer.member: PooledClient(*split_address(peer.address), max_open=PEER_OPEN)
         for peer in settings.seeds
--- a/dappledrum/golden/test_http_bytes.py
+++ b/dappledrum/golden/test_http_bytes.py
@@ -6,7 +6,7 @@
 
 from dappledrum.golden.entries import load
 from dappledrum.http.client import PooledClient, Reply
-from dappledrum.http.server import Response, encode
+from dappledrum.http.messages import Response, encode_response
 from dappledrum.timing.clock import seconds
 
 GOLDEN = load("http")
@@ -31,7 +31,7 @@
 @pytest.mark.parametrize("name", RESPONSES)
 def test_responses(name):
     response, keep = RESPONSES[name]
-    assert encode(response, keep) == GOLDEN[name].data
+    assert encode_response(response, keep) == GOLDEN[name].data
 
 
 @pytest.mark.parametrize("name", REQUESTS)
--- a/dappledrum/golden/test_workers.py
+++ b/dappledrum/golden/test_workers.py
@@ -8,7 +8,7 @@
 from dappledrum.controller import wiring
 from dappledrum.golden.entries import load
 from dappledrum.golden.recording_caller import RecordingCaller, as_sent
-from dappledrum.http import server
+from dappledrum.http import connection
 from dappledrum.simulation.cluster import led_cluster
 from dappledrum.timing.clock import seconds
 from dappledrum.workers.messages import (
@@ -100,7 +100,7 @@
 @pytest.mark.parametrize("name", HEARTBEATS)
 def test_heartbeats(name):
     entry = GOLDEN[name]
-    assert (entry.method, entry.path) == ("POST", server.HEARTBEAT_PATH)
+    assert (entry.method, entry.path) == ("POST", connection.HEARTBEAT_PATH)
     assert msgspec.json.decode(entry.data, type=WorkerHeartbeat) == HEARTBEATS[name]
 
 
--- a/dappledrum/http/client.py
+++ b/dappledrum/http/client.py
@@ -1,7 +1,7 @@
 """Pooled HTTP client for one destination.
 
-A failure is reported as one of two things: the request was never sent, or nobody knows whether it
-was executed.
+A failure is reported as one of two things: the request was never sent, or nobody can tell whether
+it was executed.
 """
 
 import asyncio
@@ -31,30 +31,33 @@
 
 
 class HttpClient(Protocol):
-    """What the rest of the program needs of a client; the test stand-ins offer it too."""
+    """Sends requests to one destination; the simulated network has its own implementation."""
 
     async def request(
         self, method: str, path: str, body: bytes | None, timeout: timedelta
     ) -> Reply:
-        """Send one request and wait for the answer."""
+        """Send one request and wait for the answer.
+
+        Raises NotSentError if it was certainly not executed, else NoResponseError.
+        """
         ...
 
 
-class _Connection(asyncio.Protocol):
+class _ClientConnection(asyncio.Protocol):
     """One connection with at most one request on it."""
 
     def __init__(self) -> None:
         self.transport: asyncio.Transport | None = None
         self.parser = httptools.HttpResponseParser(self)
-        self.waiter: asyncio.Future[Reply] | None = None
+        self.reply: asyncio.Future[Reply] | None = None
         self.body = bytearray()
-        self.usable = True
+        self.usable = True  # for another request
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
 
-    def connection_lost(self, exc: Exception | None) -> None:
+    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - asyncio's signature
         self.usable = False
         self._fail("connection lost")
 
@@ -72,96 +75,106 @@
             self.close()
 
     def on_message_complete(self) -> None:
-        if self.waiter is not None and not self.waiter.done():
-            self.waiter.set_result(Reply(self.parser.get_status_code(), bytes(self.body)))
+        if self.reply is not None and not self.reply.done():
+            self.reply.set_result(Reply(self.parser.get_status_code(), bytes(self.body)))
         else:
             self.usable = False
         if not self.parser.should_keep_alive():
             self.usable = False
 
     def send(self, data: bytes) -> asyncio.Future[Reply]:
+        """Send the bytes of a request; the future gets the answer, or NoResponseError."""
         self.body = bytearray()
-        self.waiter = asyncio.get_running_loop().create_future()
+        self.reply = asyncio.get_running_loop().create_future()
         assert self.transport is not None
         self.transport.write(data)
-        return self.waiter
+        return self.reply
 
     def close(self) -> None:
+        """Drop the connection at once."""
         self.usable = False
         if self.transport is not None:
             self.transport.abort()
 
-    def _fail(self, why: str) -> None:
-        if self.waiter is not None and not self.waiter.done():
-            self.waiter.set_exception(NoResponseError(why))
+    def _fail(self, reason: str) -> None:
+        if self.reply is not None and not self.reply.done():
+            self.reply.set_exception(NoResponseError(reason))
 
 
 class PooledClient:
-    """Requests to one address over a few kept connections."""
+    """Requests to one address over a few idle connections that are kept open."""
 
     def __init__(self, host: str, port: int, max_idle: int = 4, max_open: int = 64) -> None:
         self.host = host
         self.port = port
-        self.max_idle = max_idle
-        self.max_open = max_open
-        self.open = 0
-        self.idle: list[_Connection] = []
+        self.max_idle = max_idle  # connections that are kept without a request
+        self.max_open = max_open  # connections being made or with a request
+        self._open_count = 0
+        self._idle: list[_ClientConnection] = []
 
     async def request(
         self, method: str, path: str, body: bytes | None, timeout: timedelta
     ) -> Reply:
-        """Send one request; a kept connection that turns out closed is replaced for reads only."""
+        """Send one request and wait for the answer, as `HttpClient.request`.
+
+        If a kept connection turns out to be closed, only a read is sent again on a new one.
+        """
         head = f"{method} {path} HTTP/1.1\r\nHost: {self.host}:{self.port}\r\n"
         if body is not None:
             head += f"Content-Type: application/json\r\nContent-Length: {len(body)}\r\n"
         data = head.encode("latin-1") + b"\r\n" + (body or b"")
         try:
             async with PauseTolerantTimeout(timeout):
-                return await self._request(data, again=method == "GET")
+                return await self._send(data, retry=method == "GET")
         except TimeoutError as error:
             raise NoResponseError(f"no answer within {timeout.total_seconds():g} s") from error
 
-    async def _request(self, data: bytes, again: bool) -> Reply:
-        kept = self._kept()
-        if kept is not None:
+    def close_idle(self) -> None:
+        """Close the connections that have no request."""
+        for connection in self._idle:
+            connection.close()
+
+    async def _send(self, data: bytes, retry: bool) -> Reply:
+        connection = self._pop_idle()
+        if connection is not None:
             try:
-                return await self._exchange(kept, data)
+                return await self._exchange(connection, data)
             except NoResponseError:
-                if not again:
+                if not retry:
                     raise
         return await self._exchange(await self._connect(), data)
 
-    def _kept(self) -> _Connection | None:
-        while self.idle:
-            connection = self.idle.pop()
+    def _pop_idle(self) -> _ClientConnection | None:
+        while self._idle:
+            connection = self._idle.pop()
             if connection.usable:
                 return connection
         return None
 
-    async def _connect(self) -> _Connection:
-        if self.open >= self.max_open:
+    async def _connect(self) -> _ClientConnection:
+        if self._open_count >= self.max_open:
             raise NotSentError("too many connections")
-        self.open += 1
+        self._open_count += 1
         try:
             loop = asyncio.get_running_loop()
-            _, connection = await loop.create_connection(_Connection, self.host, self.port)
+            _, connection = await loop.create_connection(_ClientConnection, self.host, self.port)
         except OSError as error:
             raise NotSentError(str(error)) from error
         finally:
-            self.open -= 1
+            self._open_count -= 1
         return connection
 
-    async def _exchange(self, connection: _Connection, data: bytes) -> Reply:
-        self.open += 1
+    async def _exchange(self, connection: _ClientConnection, data: bytes) -> Reply:
+        self._open_count += 1
         try:
             reply = await connection.send(data)
         except BaseException:
             connection.close()
             raise
         finally:
-            self.open -= 1
-        if connection.usable and len(self.idle) < self.max_idle:
-            self.idle.append(connection)
+            self._open_count -= 1
+        if connection.usable and len(self._idle) < self.max_idle:
+            self._idle.append(connection)
         else:
             connection.close()
         return reply
--- a/dappledrum/http/test_connection_limits.py
+++ b/dappledrum/http/test_connection_limits.py
@@ -1,4 +1,5 @@
-"""Who has to go, against a plain order, and real sockets after a pause."""
+"""Which connection is dropped, compared with a plain reimplementation, and real sockets after a
+pause."""
 
 import asyncio
 import select
@@ -17,134 +18,144 @@
     idle_worker_to_drop,
     max_worker_connections,
 )
-from dappledrum.http.server import ACCEPT_BATCH, Response, Server
-from dappledrum.http.test_http import SECOND, echo
+from dappledrum.http.messages import Response
+from dappledrum.http.server import ACCEPT_BATCH, Server
+from dappledrum.http.test_http import TIMEOUT, echo
 
 
 @dataclass
-class Place:
+class FakeConnection:
+    """What the choice rests on."""
+
     role: Role
     idle: bool
     since: float
 
 
-places = st.lists(
-    st.builds(Place, st.sampled_from(Role), st.booleans(), st.integers(0, 20).map(float)),
+connection_lists = st.lists(
+    st.builds(FakeConnection, st.sampled_from(Role), st.booleans(), st.integers(0, 20).map(float)),
     max_size=8,
 )
 
 
 @settings(max_examples=300, derandomize=True, deadline=None)
-@given(places)
-def test_the_idle_go_in_the_order_of_their_roles(connections):
+@given(connection_lists)
+def test_idle_connections_are_dropped_in_the_order_of_their_roles(connections):
     now = 20.0
-    plainly = [
-        [s for s in connections if s.idle and s.role is Role.NEW and s.since <= now - 2],
-        [s for s in connections if s.idle and s.role is Role.WORKER],
-        [s for s in connections if s.idle and s.role is Role.NEW and s.since > now - 2],
-        [s for s in connections if s.idle and s.role is Role.USER],
+    idle = [c for c in connections if c.idle]
+    drop_order = [
+        [c for c in idle if c.role is Role.NEW and c.since <= now - 2],
+        [c for c in idle if c.role is Role.WORKER],
+        [c for c in idle if c.role is Role.NEW and c.since > now - 2],
+        [c for c in idle if c.role is Role.USER],
     ]
-    first = next((group for group in plainly if group), None)
-    shed = idle_connection_to_drop(connections, now)
+    first = next((group for group in drop_order if group), None)
+    dropped = idle_connection_to_drop(connections, now)
     if first is None:
-        assert shed is None
+        assert dropped is None
     else:
-        assert shed in first and shed.since == min(s.since for s in first)
+        assert dropped in first
+        assert dropped.since == min(c.since for c in first)
     worker = idle_worker_to_drop(connections)
-    assert (worker is None) == (not plainly[1])
-    assert worker is None or worker in plainly[1]
+    assert (worker is None) == (not drop_order[1])
+    assert worker is None or worker in drop_order[1]
 
 
-def test_workers_never_take_the_places_of_users():
-    most = 2 * RESERVED_SHARE
-    held = asyncio.Event()
+def test_workers_never_use_the_connections_reserved_for_users():
+    limit = 2 * RESERVED_SHARE
+    release_workers = asyncio.Event()
 
     async def handler(request):
         if request.path == "/hello":
-            await held.wait()
+            await release_workers.wait()
         return Response(200)
 
     async def main():
-        server = Server(handler, most)
+        server = Server(handler, limit)
         port = await server.start("127.0.0.1", 0)
         workers = [
             asyncio.create_task(
-                PooledClient("127.0.0.1", port).request("POST", "/hello", b"", SECOND)
+                PooledClient("127.0.0.1", port).request("POST", "/hello", b"", TIMEOUT)
             )
-            for _ in range(most)
+            for _ in range(limit)
         ]
         await asyncio.sleep(0.2)
-        assert server.workers == max_worker_connections(most) < most
+        assert server.connections.worker_count == max_worker_connections(limit) < limit
         user = PooledClient("127.0.0.1", port)
-        assert (await user.request("GET", "/ready", None, SECOND)).status == 200
-        held.set()
-        told = [reply.status for reply in await asyncio.gather(*workers)]
-        assert told.count(503) == most - max_worker_connections(most) and told.count(200) == len(
-            told
-        ) - told.count(503)
+        assert (await user.request("GET", "/ready", None, TIMEOUT)).status == 200
+        release_workers.set()
+        statuses = [reply.status for reply in await asyncio.gather(*workers)]
+        refused = limit - max_worker_connections(limit)
+        assert statuses.count(503) == refused
+        assert statuses.count(200) == limit - refused
         await server.stop()
-        assert server.workers == 0 and not server.connections
+        assert server.connections.worker_count == 0
+        assert not server.connections
 
     asyncio.run(main())
 
 
-def test_what_came_during_a_pause_is_taken_little_by_little():
-    """A process that had stood still once accepted all that waited before it saw that those
-    before were over, and had no socket left."""
+def test_connections_made_during_a_pause_are_accepted_in_batches():
+    """A process that was paused once accepted all that waited before it saw that earlier ones had
+    ended, and had no socket left."""
 
     async def main():
         server = Server(echo, 40)
         port = await server.start("127.0.0.1", 0)
-        most = 0
+        most_at_once = 0
         for _ in range(5):
-            # Nobody gets a turn here, as in a pause: these come, and have ended when it is over.
-            left = [socket.create_connection(("127.0.0.1", port)) for _ in range(30)]
-            for one in left:
-                one.close()
+            # The event loop does not run here, as in a pause: when it runs again, these have
+            # connected and closed.
+            abandoned = [socket.create_connection(("127.0.0.1", port)) for _ in range(30)]
+            for connection in abandoned:
+                connection.close()
         for _ in range(200):
-            most = max(most, len(server.connections))
+            most_at_once = max(most_at_once, len(server.connections))
             await asyncio.sleep(0)
         await asyncio.sleep(0.1)
-        assert most <= 2 * ACCEPT_BATCH and not server.connections
+        assert most_at_once <= 2 * ACCEPT_BATCH
+        assert not server.connections
         assert (
-            await PooledClient("127.0.0.1", port).request("GET", "/x", None, SECOND)
+            await PooledClient("127.0.0.1", port).request("GET", "/x", None, TIMEOUT)
         ).status == 200
         await server.stop()
 
     asyncio.run(main())
 
 
-def test_a_worker_sent_elsewhere_leaves_no_connection():
+def test_a_redirected_worker_leaves_no_connection():
     async def main():
-        async def elsewhere(request):
+        async def redirect(_request):
             return Response(421, b"{}", close=True)
 
-        server = Server(elsewhere, 10)
+        server = Server(redirect, 10)
         port = await server.start("127.0.0.1", 0)
-        reply = await PooledClient("127.0.0.1", port).request("POST", "/hello", b"", SECOND)
+        reply = await PooledClient("127.0.0.1", port).request("POST", "/hello", b"", TIMEOUT)
         await asyncio.sleep(0.05)
-        assert reply.status == 421 and not server.connections and server.workers == 0
+        assert reply.status == 421
+        assert not server.connections
+        assert server.connections.worker_count == 0
         await server.stop()
 
     asyncio.run(main())
 
 
-def test_what_waits_to_be_accepted_is_bounded():
-    """A process that stands still accepts nothing, and what waits counts among its sockets."""
+def test_the_accept_queue_is_bounded():
+    """A paused process accepts nothing, and what waits counts among its sockets."""
 
     async def main():
-        server = Server(echo, 40, waiting=4)
+        server = Server(echo, 40, accept_queue=4)
         port = await server.start("127.0.0.1", 0)
-        asked = []
-        for _ in range(30):  # nobody gets a turn here, as in a pause
-            one = socket.socket()
-            one.setblocking(False)
-            one.connect_ex(("127.0.0.1", port))
-            asked.append(one)
-        _, connected, _ = select.select([], asked, [], 0.2)
+        clients = []
+        for _ in range(30):  # the event loop does not run here, as in a pause
+            client = socket.socket()
+            client.setblocking(False)
+            client.connect_ex(("127.0.0.1", port))
+            clients.append(client)
+        _, connected, _ = select.select([], clients, [], 0.2)
         assert 0 < len(connected) <= 4 + 1  # the system takes one more
-        for one in asked:
-            one.close()
+        for client in clients:
+            client.close()
         await server.stop()
 
     asyncio.run(main())
@@ -152,7 +163,8 @@
 
 @settings(max_examples=200, derandomize=True, deadline=None)
 @given(st.integers(64, 5_000), st.integers(0, 8))
-def test_sockets_are_shared_out_and_never_more_than_there_are(most, peers):
-    shares = sockets(most, peers)
-    assert sum(shares) == most and all(share >= 1 for share in shares)
-    assert shares.public >= most // 3
+def test_shares_of_the_sockets_add_up_to_the_limit(limit, peers):
+    shares = sockets(limit, peers)
+    assert sum(shares) == limit
+    assert all(share >= 1 for share in shares)
+    assert shares.public >= limit // 3
--- a/dappledrum/http/test_http.py
+++ b/dappledrum/http/test_http.py
@@ -1,4 +1,4 @@
-"""Server and client over real sockets on loopback: limits, strangers' mistakes, and lost
+"""Server and client over real sockets on loopback: limits, invalid requests, and lost
 connections."""
 
 import asyncio
@@ -7,9 +7,11 @@
 import pytest
 
 from dappledrum.http.client import NoResponseError, NotSentError, PooledClient
-from dappledrum.http.server import MAX_BODY_BYTES, Response, Server
+from dappledrum.http.connection import MAX_BODY_BYTES
+from dappledrum.http.messages import Response
+from dappledrum.http.server import Server
 
-SECOND = timedelta(seconds=5)
+TIMEOUT = timedelta(seconds=5)
 
 
 async def echo(request):
@@ -22,8 +24,8 @@
     )
 
 
-async def serving(check, most=50):
-    server = Server(echo, most)
+async def serving(check, max_connections=50):
+    server = Server(echo, max_connections)
     port = await server.start("127.0.0.1", 0)
     try:
         await check(server, port)
@@ -43,7 +45,7 @@
     async def check(server, port):
         client = PooledClient("127.0.0.1", port)
         for body in (b"one", b"two", None):
-            reply = await client.request("POST", "/x?y=1", body, SECOND)
+            reply = await client.request("POST", "/x?y=1", body, TIMEOUT)
             assert (reply.status, reply.body) == (200, b"POST /x?y=1 " + (body or b""))
         assert len(server.connections) == 1
 
@@ -51,13 +53,13 @@
 
 
 @pytest.mark.logs_failure("GET /bad failed")
-def test_a_failing_handler_and_a_closed_connection_disturb_nobody():
+def test_a_failing_handler_and_a_closed_connection_affect_no_other_request():
     async def check(server, port):
         client = PooledClient("127.0.0.1", port)
-        assert (await client.request("GET", "/bad", None, SECOND)).status == 500
+        assert (await client.request("GET", "/bad", None, TIMEOUT)).status == 500
         for connection in list(server.connections):
             connection.abort()
-        assert (await client.request("GET", "/x", None, SECOND)).status == 200
+        assert (await client.request("GET", "/x", None, TIMEOUT)).status == 200
 
     asyncio.run(serving(check))
 
@@ -75,22 +77,22 @@
         (b"GET /x HTTP/1.1\r\nConnection: close\r\n\r\n", b"200"),
     ],
 )
-def test_what_strangers_send(data, status):
-    async def check(server, port):
+def test_invalid_and_unusual_requests_are_answered(data, status):
+    async def check(_server, port):
         assert status in (await raw(port, data))[:20]
         assert (
-            await PooledClient("127.0.0.1", port).request("GET", "/x", None, SECOND)
+            await PooledClient("127.0.0.1", port).request("GET", "/x", None, TIMEOUT)
         ).status == 200
 
     asyncio.run(serving(check))
 
 
-def test_a_half_sent_request_is_ended_and_others_are_served():
+def test_an_incomplete_request_expires_and_others_are_served():
     async def check(server, port):
         _, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(b"POST /x HTTP/1.1\r\nContent-Length: 10\r\n\r\nhalf")
         client = PooledClient("127.0.0.1", port)
-        assert (await client.request("GET", "/x", None, SECOND)).status == 200
+        assert (await client.request("GET", "/x", None, TIMEOUT)).status == 200
         half = next(c for c in server.connections if not c.idle)
         half.deadline = 0.0
         await asyncio.sleep(1.3)
@@ -100,20 +102,20 @@
     asyncio.run(serving(check))
 
 
-def test_when_full_the_longest_idle_connection_goes():
+def test_at_the_limit_the_longest_idle_connection_is_dropped():
     async def check(server, port):
         idle = [await asyncio.open_connection("127.0.0.1", port) for _ in range(3)]
         assert (
-            await PooledClient("127.0.0.1", port).request("GET", "/x", None, SECOND)
+            await PooledClient("127.0.0.1", port).request("GET", "/x", None, TIMEOUT)
         ).status == 200
         assert len(server.connections) <= 3
         for _, writer in idle:
             writer.close()
 
-    asyncio.run(serving(check, most=3))
+    asyncio.run(serving(check, max_connections=3))
 
 
-def test_unknown_and_unsent_are_told_apart():
+def test_no_response_and_not_sent_are_different_errors():
     async def check(server, port):
         client = PooledClient("127.0.0.1", port)
         with pytest.raises(NoResponseError) as caught:
@@ -121,43 +123,42 @@
         assert not isinstance(caught.value, NotSentError)
         await server.stop()
         with pytest.raises(NotSentError):
-            await PooledClient("127.0.0.1", port).request("POST", "/x", b"", SECOND)
+            await PooledClient("127.0.0.1", port).request("POST", "/x", b"", TIMEOUT)
 
     asyncio.run(serving(check))
 
 
 def test_an_address_that_is_still_in_use_is_waited_for():
-    """A process that is started again at once may find the one before it not gone yet."""
+    """A process that is restarted at once may find that its predecessor has not ended yet."""
 
-    async def check(before, port):
-        after = Server(echo, 5)
-        taking = asyncio.create_task(after.start("127.0.0.1", port))
+    async def check(predecessor, port):
+        successor = Server(echo, 5)
+        starting = asyncio.create_task(successor.start("127.0.0.1", port))
         await asyncio.sleep(0.2)
-        assert not taking.done()
-        await before.stop()
-        assert await taking == port
+        assert not starting.done()
+        await predecessor.stop()
+        assert await starting == port
         assert (
-            await PooledClient("127.0.0.1", port).request("GET", "/x", None, SECOND)
+            await PooledClient("127.0.0.1", port).request("GET", "/x", None, TIMEOUT)
         ).status == 200
-        await after.stop()
+        await successor.stop()
 
     asyncio.run(serving(check))
 
 
-def test_who_holds_the_connections_is_said_when_they_become_scarce(caplog):
+def test_the_use_of_connections_is_logged_when_they_become_scarce(caplog):
     async def check(server, port):
-        held = [await asyncio.open_connection("127.0.0.1", port) for _ in range(4)]
+        opened = [await asyncio.open_connection("127.0.0.1", port) for _ in range(4)]
         assert (
-            await PooledClient("127.0.0.1", port).request("GET", "/x", None, SECOND)
+            await PooledClient("127.0.0.1", port).request("GET", "/x", None, TIMEOUT)
         ).status == 200
-        server._log_usage()
-        server._log_usage()
-        for _, writer in held:
+        server.connections.log_usage()
+        server.connections.log_usage()
+        for _, writer in opened:
             writer.close()
 
-    asyncio.run(serving(check, most=5))
-    said = [record.getMessage() for record in caplog.records if "taken" in record.getMessage()]
-    assert said == [
-        "5 of 5 connections taken: 0 asking and 4 idle of new, 0 asking and 0 idle of worker,"
-        " 0 asking and 1 idle of user"
+    asyncio.run(serving(check, max_connections=5))
+    assert [message for message in caplog.messages if "connections in use" in message] == [
+        "5 of 5 connections in use: new active=0 idle=4, worker active=0 idle=0,"
+        " user active=0 idle=1"
     ]
--- a/dappledrum/jobs/api.py
+++ b/dappledrum/jobs/api.py
@@ -16,7 +16,7 @@
 from dappledrum.accounting.served_counts import described
 from dappledrum.dependencies.lookup import DependencyLookup
 from dappledrum.fleet.messages import MachineType
-from dappledrum.http.server import Response
+from dappledrum.http.messages import Response
 from dappledrum.jobs.confirmed_cancellations import ConfirmedCancellations
 from dappledrum.jobs.keys import ended_key, head_key, spec_key
 from dappledrum.jobs.messages import (
--- a/dappledrum/jobs/test_api.py
+++ b/dappledrum/jobs/test_api.py
@@ -7,7 +7,7 @@
 import msgspec
 import pytest
 
-from dappledrum.http.server import Request
+from dappledrum.http.messages import Request
 from dappledrum.jobs.job import Job
 from dappledrum.jobs.messages import JobRecord, PageRecord, Spec
 from dappledrum.jobs.page import Page
--- a/dappledrum/scale/sockets.py
+++ b/dappledrum/scale/sockets.py
@@ -8,7 +8,8 @@
 from datetime import timedelta
 
 from dappledrum.http.client import NoResponseError, PooledClient, Reply
-from dappledrum.http.server import Request, Response, Server
+from dappledrum.http.messages import Request, Response
+from dappledrum.http.server import Server
 from dappledrum.scale.messages import Traffic
 from dappledrum.settings import split_address
 from dappledrum.simulation.network import Service
@@ -82,8 +83,7 @@
     async def forget(self, name: str) -> None:
         """Stop serving a host, and drop its connections."""
         for pair in [pair for pair in self._links if pair[0] == name]:
-            for connection in self._links.pop(pair).client.idle:
-                connection.close()
+            self._links.pop(pair).client.close_idle()
         server = self._servers.pop(name, None)
         if server is not None:
             await server.stop()
--- a/dappledrum/simulation/cluster.py
+++ b/dappledrum/simulation/cluster.py
@@ -14,7 +14,7 @@
 
 from dappledrum.controller.controller import Controller
 from dappledrum.http.client import HttpClient, NoResponseError, Reply
-from dappledrum.http.server import Handler, Request, Response
+from dappledrum.http.messages import Handler, Request, Response
 from dappledrum.model.history import ACCEPTED, REFUSED
 from dappledrum.model.invariants import Invariants
 from dappledrum.settings import (
--- a/dappledrum/simulation/invalid_requests.py
+++ b/dappledrum/simulation/invalid_requests.py
@@ -6,7 +6,7 @@
 import json
 from typing import Any
 
-from dappledrum.http.server import Request, Response
+from dappledrum.http.messages import Request, Response
 from dappledrum.simulation.cluster import SimulatedCluster, job
 from dappledrum.simulation.users import sent_form
 
