--- a/dappledrum/http/server.py
+++ b/dappledrum/http/server.py
@@ -1,18 +1,10 @@
-"""HTTP server as an asyncio protocol.
-
-Everything that a client can do wrong is bounded: the size of head and body, the time to send a
-request, and the number of sockets. A failure on one connection never affects another.
-"""
+"""HTTP server: listens on one address, with a limit of connections."""
 
 import asyncio
 import errno
 import logging
 import socket
-from collections import Counter
-from collections.abc import Awaitable, Callable
 from datetime import timedelta
-from http import HTTPStatus
-from typing import NamedTuple
 
 import httptools
 
@@ -44,82 +36,50 @@
 HEARTBEAT_PATH = "/hello"
 ADDRESS_RETRY_PAUSE = timedelta(milliseconds=50)  # until an address in use is tried again
 MAX_ADDRESS_WAIT = timedelta(seconds=10)
-WARN_SHARE = 0.9  # of the connections there may be: said, with who holds them
-
-
-class Request(NamedTuple):
-    """One complete request."""
-
-    method: str
-    path: str
-    body: bytes
-
-
-class Response(NamedTuple):
-    """An answer; the body is JSON unless said otherwise."""
-
-    status: int
-    body: bytes = b"{}"
-    retry_after: int | None = None
-    content_type: str = "application/json"
-    close: bool = False  # the connection ends with it
-
-
-Handler = Callable[[Request], Awaitable[Response]]
-
-
-def encode(response: Response, keep: bool) -> bytes:
-    """The response as it goes over the wire."""
-    try:
-        phrase = HTTPStatus(response.status).phrase
-    except ValueError:
-        phrase = "Status"
-    retry = f"Retry-After: {response.retry_after}\r\n" if response.retry_after is not None else ""
-    end = "" if keep else "Connection: close\r\n"
-    head = (
-        f"HTTP/1.1 {response.status} {phrase}\r\nContent-Type: {response.content_type}\r\n"
-        f"Content-Length: {len(response.body)}\r\n{retry}{end}\r\n"
-    )
-    return head.encode("latin-1") + response.body
+SWEEP_INTERVAL = timedelta(seconds=1)  # of the check for connections whose deadline has passed
 
 
 class Server:
-    """Listens on one address and hands complete requests to a handler."""
+    """Listens on one address and passes complete requests to a handler."""
 
     def __init__(
         self, handler: Handler, max_connections: int, waiting: int = MAX_ACCEPT_QUEUE
     ) -> None:
         self.handler = handler
-        self.max_connections = max_connections
-        self.waiting = waiting  # the most that wait to be accepted
-        self.connections: dict[Connection, None] = {}
-        self.workers = 0  # connections that workers hold
-        self.announced = 0  # how many connections there were when that was last said
+        self.accept_queue = accept_queue  # connections that may wait to be accepted
+        self.connections = ConnectionTable(max_connections)
         self._listening: socket.socket | None = None
         self._server: asyncio.Server | None = None
         self._sweeper: asyncio.Task[None] | None = None
 
     async def start(self, host: str, port: int) -> int:
-        """Begin to serve; returns the port."""
+        """Begin to serve, on any free port if it is 0; returns the port.
+
+        Raises OSError if the address can't be bound.
+        """
         loop = asyncio.get_running_loop()
-        await self.take(host, port)
+        await self.bind(host, port)
         listening = self._listening
         assert listening is not None
         listening.setblocking(False)
         self._server = await loop.create_server(
             lambda: Connection(self), sock=listening, backlog=ACCEPT_BATCH
         )
-        listening.listen(self.waiting)  # asyncio takes one figure for both
+        # asyncio has one argument for both, so the queue's length is set again.
+        listening.listen(self.accept_queue)
         self._sweeper = loop.create_task(self._sweep())
         return int(self._server.sockets[0].getsockname()[1])
 
-    async def take(self, host: str, port: int) -> None:
-        """Bind the address, waiting for a former process that still has it: one that is restarted
-        at once may find its predecessor not gone yet, and must not fail because of that."""
-        waited = timedelta(0)
+    async def bind(self, host: str, port: int) -> None:
+        """Bind the address, if that has not been done, without serving yet.
+
+        Waits for a former process that still has it: one that is restarted at once may find that
+        its predecessor has not ended yet, and must not fail because of that. Raises OSError.
+        """
+        waited = ZERO
         while self._listening is None:
             try:
-                self._listening = socket.create_server((host, port), backlog=self.waiting)
+                self._listening = socket.create_server((host, port), backlog=self.accept_queue)
                 return
             except OSError as error:
                 if error.errno != errno.EADDRINUSE or waited >= MAX_ADDRESS_WAIT:
@@ -137,8 +97,7 @@
             self._server.close()
         elif self._listening is not None:
             self._listening.close()
-        for connection in list(self.connections):
-            connection.abort()
+        self.connections.abort_all()
 
     async def _sweep(self) -> None:
         while True:
--- a/dappledrum/jobs/test_record_writer.py
+++ b/dappledrum/jobs/test_record_writer.py
@@ -24,8 +24,8 @@
 
     def __init__(self, limits, clock):
         super().__init__(None, limits, clock, random.Random(1))
-        self.writes = RateLimiter(20.0, clock.now())
-        self.writes.take(14, clock.now())
+        self.budget.write_limiter = RateLimiter(20.0, clock.now())
+        self.budget.write_limiter.consume(14, clock.now())
         self.written = []
 
     async def commit(self, guards, changes, priority, timeout=None):
--- a/dappledrum/learning/test_learning.py
+++ b/dappledrum/learning/test_learning.py
@@ -16,14 +16,14 @@
 class Kept:
     """Holds what would be stored."""
 
-    value_bytes = 2048
+    max_bytes = 2048
     value = b""
 
-    async def keep(self, record):
+    async def write_if_changed(self, record):
         self.value = msgspec.json.encode(record)
-        assert len(self.value) <= self.value_bytes
+        assert len(self.value) <= self.max_bytes
 
-    async def recall(self):
+    async def read(self):
         return msgspec.json.decode(self.value, type=LearnedRecord)
 
 
--- a/dappledrum/scale/sockets.py
+++ b/dappledrum/scale/sockets.py
@@ -83,8 +83,7 @@
     async def forget(self, name: str) -> None:
         """Stop serving a host, and drop its connections."""
         for pair in [pair for pair in self._links if pair[0] == name]:
-            for connection in self._links.pop(pair).client.idle:
-                connection.close()
+            self._links.pop(pair).client.close_idle()
         server = self._servers.pop(name, None)
         if server is not None:
             await server.stop()
--- a/dappledrum/store/advisory_record.py
+++ b/dappledrum/store/advisory_record.py
@@ -39,9 +39,9 @@
         self.priority = priority
         self.stored: T | None = None
 
-    async def keep(self, record: T) -> None:
-        """Write the record if it differs from what is stored, as far as that is known."""
-        if record == self.stored:
+    async def write_if_changed(self, record: T) -> None:
+        """Write the record unless this controller's last write had the same content."""
+        if record == self.last_written:
             return
         value = encode_value(record)
         if len(bytes(value)) > self.value_bytes:
@@ -53,13 +53,13 @@
         except StoreError as error:
             log.debug("%s not written: %s", self.key, error)
 
-    async def follow(self, make: Callable[[], T], pause: timedelta) -> None:
-        """Keep the record up to date, for ever."""
+    async def write_periodically(self, make: Callable[[], T], interval: timedelta) -> None:
+        """Write what `make` returns, at this interval, for ever."""
         while True:
-            await asyncio.sleep(pause.total_seconds())
-            await self.keep(make())
+            await asyncio.sleep(interval.total_seconds())
+            await self.write_if_changed(make())
 
-    async def recall(self) -> T | None:
+    async def read(self) -> T | None:
         """The record of a predecessor; None if there is none, or none that can be used."""
         try:
             entry = await self.store.get(self.key, RequestPriority.RECORD)
--- a/dappledrum/store/client.py
+++ b/dappledrum/store/client.py
@@ -1,16 +1,14 @@
-"""Requests to the store.
+"""Typed operations on the store: keys, transactions, leases and watches.
 
-Three kinds of failure are kept apart, since the rules rest on the difference: refused (certainly
-not executed), conflict (executed, conditions failed) and unknown (it may have been executed, or
-may be at any later time).
+Every operation raises RefusedError if it was certainly not executed and UnknownOutcomeError if
+nobody can tell (see `dappledrum.store.errors`).
 """
 
-import asyncio
 import logging
 import random
 from collections.abc import Sequence
 from datetime import timedelta
-from typing import Any, TypeVar
+from http import HTTPStatus
 
 import msgspec
 
@@ -31,9 +29,16 @@
     TimeToLive,
     Transaction,
 )
-from dappledrum.store.rate_limiter import RateLimiter, RequestPriority
-from dappledrum.timing.clock import ZERO, Clock
-from dappledrum.timing.fault_log import FaultLog
+from dappledrum.store.rate_limiter import RequestPriority
+from dappledrum.store.request_budget import RequestBudget
+from dappledrum.store.transport import (
+    REQUEST_TIMEOUT,
+    StoreRequest,
+    StoreTransport,
+    decode_reply,
+    unexpected_status,
+)
+from dappledrum.timing.clock import Clock
 
 log = logging.getLogger(__name__)
 
@@ -77,7 +82,7 @@
 
 
 class StoreClient:
-    """Client with budgets; one for each controller."""
+    """Client of the store; one for each controller."""
 
     def __init__(
         self, caller: HttpClient, limits: StoreLimits, clock: Clock, rng: random.Random
@@ -213,7 +218,7 @@
     async def scan(self, prefix: str, priority: RequestPriority) -> tuple[list[Entry], int]:
         """Read all keys with a prefix, and the revision from which a watch must start."""
         entries: list[Entry] = []
-        start: int | None = None
+        watch_from: int | None = None
         after = ""
         while True:
             since = f"&from={after}" if after else ""
@@ -223,11 +228,20 @@
                 raise UnknownOutcomeError(f"status {reply.status} for a list")
             page = self._decode(reply, Listing)
             entries += page.entries
-            start = page.revision if start is None else start
+            watch_from = page.revision if watch_from is None else watch_from
             if not page.more or not page.entries:
-                return entries, start
+                return entries, watch_from
             after = page.entries[-1].key
 
+    async def _scan_page(self, prefix: str, after: str, priority: RequestPriority) -> Listing:
+        start = f"&from={after}" if after else ""
+        path = f"/keys?prefix={prefix}{start}&page={SCAN_PAGE_SIZE}"
+        request = StoreRequest("GET", path, None, priority, SCAN_TIMEOUT)
+        reply = await self.transport.send(request)
+        if reply.status != HTTPStatus.OK:
+            raise unexpected_status(request, reply)
+        return decode_reply(request, reply, Listing)
+
     async def commit(
         self,
         guards: Sequence[Guard],
@@ -270,7 +284,9 @@
 
     async def close_lease(self, lease: int) -> None:
         """End a lease at once, with the keys attached to it."""
-        await self._call("DELETE", f"/holds/{lease}", None, RequestPriority.LEASE)
+        await self.transport.send(
+            StoreRequest("DELETE", f"/holds/{lease}", None, RequestPriority.LEASE)
+        )
 
     async def watch(
         self, prefix: str, after: int, wait: timedelta, priority: RequestPriority
--- a/dappledrum/store/test_client.py
+++ b/dappledrum/store/test_client.py
@@ -29,8 +29,8 @@
     now = ZERO
     for step in range(10_000):
         now = seconds(step / 1000)
-        if budget.wait(1, RequestPriority.POLL, now) == ZERO:
-            budget.take(1, now)
+        if budget.delay(1, RequestPriority.POLL, now) == ZERO:
+            budget.consume(1, now)
             taken += 1
     assert 100 <= taken <= 110
     assert budget.wait(1, RequestPriority.SUBMISSION, now) == ZERO
