--- a/dappledrum/http/client.py
+++ b/dappledrum/http/client.py
@@ -31,7 +31,7 @@
 
 
 class HttpClient(Protocol):
-    """What the rest of the program needs of a client; the test stand-ins offer it too."""
+    """Sends requests to one destination; the simulated network has its own implementation."""
 
     async def request(
         self, method: str, path: str, body: bytes | None, timeout: timedelta
@@ -102,7 +102,7 @@
 
 
 class PooledClient:
-    """Requests to one address over a few kept connections."""
+    """Requests to one address over a few idle connections that are kept open."""
 
     def __init__(self, host: str, port: int, max_idle: int = 4, max_open: int = 64) -> None:
         self.host = host
--- a/dappledrum/http/connection_limits.py
+++ b/dappledrum/http/connection_limits.py
@@ -38,14 +38,15 @@
     since: float  # event loop's time: when it became idle, or its request began
 
 
-def max_worker_connections(most: int) -> int:
-    """How many connections workers may use."""
-    return max(1, most - max(most // RESERVED_SHARE, 2))
+C = TypeVar("C", bound=ConnectionInfo)
 
 
-def idle_connection_to_drop(
-    connections: Iterable[ConnectionInfo], now: float
-) -> ConnectionInfo | None:
+def max_worker_connections(max_connections: int) -> int:
+    """How many of these connections workers may use."""
+    return max(1, max_connections - max(max_connections // RESERVED_SHARE, MIN_RESERVED))
+
+
+def idle_connection_to_drop(connections: Iterable[C], now: float) -> C | None:
     """The connection to drop for a new one; None: all have a request in progress."""
     grace = NEW_CONNECTION_GRACE.total_seconds()
 
@@ -57,9 +58,9 @@
     return min(idle, key=drop_order, default=None)
 
 
-def idle_worker_to_drop(connections: Iterable[ConnectionInfo]) -> ConnectionInfo | None:
-    """The worker's connection to drop for another worker."""
-    idle = [
+def idle_worker_to_drop(connections: Iterable[C]) -> C | None:
+    """The worker's connection to drop for another worker; None: all have a request in progress."""
+    idle_workers = (
         connection
         for connection in connections
         if connection.idle and connection.role is Role.WORKER
--- a/dappledrum/http/test_connection_limits.py
+++ b/dappledrum/http/test_connection_limits.py
@@ -20,7 +20,7 @@
 )
 from dappledrum.http.messages import Response
 from dappledrum.http.server import ACCEPT_BATCH, Server
-from dappledrum.http.test_http import SECOND, echo
+from dappledrum.http.test_http import TIMEOUT, echo
 
 
 @dataclass
@@ -49,15 +49,16 @@
         [c for c in idle if c.role is Role.NEW and c.since > now - 2],
         [c for c in idle if c.role is Role.USER],
     ]
-    first = next((group for group in plainly if group), None)
-    shed = idle_connection_to_drop(connections, now)
+    first = next((group for group in drop_order if group), None)
+    dropped = idle_connection_to_drop(connections, now)
     if first is None:
         assert dropped is None
     else:
-        assert shed in first and shed.since == min(s.since for s in first)
+        assert dropped in first
+        assert dropped.since == min(c.since for c in first)
     worker = idle_worker_to_drop(connections)
-    assert (worker is None) == (not plainly[1])
-    assert worker is None or worker in plainly[1]
+    assert (worker is None) == (not drop_order[1])
+    assert worker is None or worker in drop_order[1]
 
 
 def test_workers_never_use_the_connections_reserved_for_users():
@@ -74,19 +75,19 @@
         port = await server.start("127.0.0.1", 0)
         workers = [
             asyncio.create_task(
-                PooledClient("127.0.0.1", port).request("POST", "/hello", b"", SECOND)
+                PooledClient("127.0.0.1", port).request("POST", "/hello", b"", TIMEOUT)
             )
-            for _ in range(most)
+            for _ in range(limit)
         ]
         await asyncio.sleep(0.2)
-        assert server.workers == max_worker_connections(most) < most
+        assert server.connections.worker_count == max_worker_connections(limit) < limit
         user = PooledClient("127.0.0.1", port)
-        assert (await user.request("GET", "/ready", None, SECOND)).status == 200
-        held.set()
-        told = [reply.status for reply in await asyncio.gather(*workers)]
-        assert told.count(503) == most - max_worker_connections(most) and told.count(200) == len(
-            told
-        ) - told.count(503)
+        assert (await user.request("GET", "/ready", None, TIMEOUT)).status == 200
+        release_workers.set()
+        statuses = [reply.status for reply in await asyncio.gather(*workers)]
+        refused = limit - max_worker_connections(limit)
+        assert statuses.count(503) == refused
+        assert statuses.count(200) == limit - refused
         await server.stop()
         assert server.connections.worker_count == 0
         assert not server.connections
@@ -112,9 +113,10 @@
             most_at_once = max(most_at_once, len(server.connections))
             await asyncio.sleep(0)
         await asyncio.sleep(0.1)
-        assert most <= 2 * ACCEPT_BATCH and not server.connections
+        assert most_at_once <= 2 * ACCEPT_BATCH
+        assert not server.connections
         assert (
-            await PooledClient("127.0.0.1", port).request("GET", "/x", None, SECOND)
+            await PooledClient("127.0.0.1", port).request("GET", "/x", None, TIMEOUT)
         ).status == 200
         await server.stop()
 
@@ -128,7 +130,7 @@
 
         server = Server(redirect, 10)
         port = await server.start("127.0.0.1", 0)
-        reply = await PooledClient("127.0.0.1", port).request("POST", "/hello", b"", SECOND)
+        reply = await PooledClient("127.0.0.1", port).request("POST", "/hello", b"", TIMEOUT)
         await asyncio.sleep(0.05)
         assert reply.status == 421
         assert not server.connections
--- a/dappledrum/http/test_http.py
+++ b/dappledrum/http/test_http.py
@@ -56,7 +56,7 @@
 def test_a_failing_handler_and_a_closed_connection_affect_no_other_request():
     async def check(server, port):
         client = PooledClient("127.0.0.1", port)
-        assert (await client.request("GET", "/bad", None, SECOND)).status == 500
+        assert (await client.request("GET", "/bad", None, TIMEOUT)).status == 500
         for connection in list(server.connections):
             connection.abort()
         assert (await client.request("GET", "/x", None, TIMEOUT)).status == 200
@@ -81,7 +81,7 @@
     async def check(_server, port):
         assert status in (await raw(port, data))[:20]
         assert (
-            await PooledClient("127.0.0.1", port).request("GET", "/x", None, SECOND)
+            await PooledClient("127.0.0.1", port).request("GET", "/x", None, TIMEOUT)
         ).status == 200
 
     asyncio.run(serving(check))
@@ -92,7 +92,7 @@
         _, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(b"POST /x HTTP/1.1\r\nContent-Length: 10\r\n\r\nhalf")
         client = PooledClient("127.0.0.1", port)
-        assert (await client.request("GET", "/x", None, SECOND)).status == 200
+        assert (await client.request("GET", "/x", None, TIMEOUT)).status == 200
         half = next(c for c in server.connections if not c.idle)
         half.deadline = 0.0
         await asyncio.sleep(1.3)
@@ -106,7 +106,7 @@
     async def check(server, port):
         idle = [await asyncio.open_connection("127.0.0.1", port) for _ in range(3)]
         assert (
-            await PooledClient("127.0.0.1", port).request("GET", "/x", None, SECOND)
+            await PooledClient("127.0.0.1", port).request("GET", "/x", None, TIMEOUT)
         ).status == 200
         assert len(server.connections) <= 3
         for _, writer in idle:
@@ -123,7 +123,7 @@
         assert not isinstance(caught.value, NotSentError)
         await server.stop()
         with pytest.raises(NotSentError):
-            await PooledClient("127.0.0.1", port).request("POST", "/x", b"", SECOND)
+            await PooledClient("127.0.0.1", port).request("POST", "/x", b"", TIMEOUT)
 
     asyncio.run(serving(check))
 
@@ -135,26 +135,26 @@
         successor = Server(echo, 5)
         starting = asyncio.create_task(successor.start("127.0.0.1", port))
         await asyncio.sleep(0.2)
-        assert not taking.done()
-        await before.stop()
-        assert await taking == port
+        assert not starting.done()
+        await predecessor.stop()
+        assert await starting == port
         assert (
-            await PooledClient("127.0.0.1", port).request("GET", "/x", None, SECOND)
+            await PooledClient("127.0.0.1", port).request("GET", "/x", None, TIMEOUT)
         ).status == 200
-        await after.stop()
+        await successor.stop()
 
     asyncio.run(serving(check))
 
 
 def test_the_use_of_connections_is_logged_when_they_become_scarce(caplog):
     async def check(server, port):
-        held = [await asyncio.open_connection("127.0.0.1", port) for _ in range(4)]
+        opened = [await asyncio.open_connection("127.0.0.1", port) for _ in range(4)]
         assert (
-            await PooledClient("127.0.0.1", port).request("GET", "/x", None, SECOND)
+            await PooledClient("127.0.0.1", port).request("GET", "/x", None, TIMEOUT)
         ).status == 200
-        server._log_usage()
-        server._log_usage()
-        for _, writer in held:
+        server.connections.log_usage()
+        server.connections.log_usage()
+        for _, writer in opened:
             writer.close()
 
     asyncio.run(serving(check, max_connections=5))
--- a/dappledrum/membership/leader_check.py
+++ b/dappledrum/membership/leader_check.py
@@ -115,5 +115,5 @@
             for name, zone in self.zones.items()
             if name not in self.silent_zones.silent_since
             and zone.heartbeat_at is not None
-            and now - zone.heartbeat_at <= self.context.worker_limits.lease
+            and now - zone.heartbeat_at <= self.context.worker_limits.lease_duration
         )
--- a/dappledrum/settings.py
+++ b/dappledrum/settings.py
@@ -107,7 +107,7 @@
         return int(self.value_kb * 1024)
 
     def strictest(self) -> "StoreLimits":
-        """The smaller of the present and the next limits. This controller keeps to them from its
+        """The smaller of the current and the next limits. This controller observes them from its
         start, since the change comes without notice."""
         if self.next is None:
             return self
--- a/dappledrum/simulation/ground_truth.py
+++ b/dappledrum/simulation/ground_truth.py
@@ -10,7 +10,6 @@
 from typing import Any
 from unittest.mock import patch
 
-from dappledrum.accounting.cost_categories import Entry
 from dappledrum.jobs.placement import Placement
 from dappledrum.simulation.fleet import CloudService
 from dappledrum.workers.attempt_ends import AttemptEnds
@@ -85,11 +84,15 @@
         return machine
 
     def lost(
-        ends: AttemptEnds, machine: Machine, placement: Placement, reason: str, entry: Entry
+        ends: AttemptEnds,
+        machine: Machine,
+        placement: Placement,
+        reason: str,
+        category: CostCategory,
     ) -> None:
         task = placement.name
         truth.check_gone(machine.name, task, placement.attempt, reason)
-        lose(ends, machine, placement, reason, entry)
+        lose(ends, machine, placement, reason, category)
 
     def opened(cloud: CloudService, *parts: Any, **more: Any) -> None:  # noqa: ANN401 - passed on
         open_cloud(cloud, *parts, **more)
--- a/dappledrum/store/advisory_record.py
+++ b/dappledrum/store/advisory_record.py
@@ -28,28 +28,29 @@
         guard: Guard,
         key: str,
         kind: type[T],
-        value_bytes: int,
+        max_bytes: int,
         priority: RequestPriority,
     ) -> None:
         self.store = store
         self.guard = guard
         self.key = key
         self.kind = kind
-        self.value_bytes = value_bytes
+        self.max_bytes = max_bytes  # larger values are not written
         self.priority = priority
-        self.stored: T | None = None
+        self.last_written: T | None = None
 
     async def write_if_changed(self, record: T) -> None:
         """Write the record unless this controller's last write had the same content."""
         if record == self.last_written:
             return
         value = encode_value(record)
-        if len(bytes(value)) > self.value_bytes:
-            log.warning("%s is too large to be kept", self.key)
+        size = len(bytes(value))
+        if size > self.max_bytes:
+            log.warning("%s not written, too large: %d bytes", self.key, size)
             return
         try:
             await self.store.commit([self.guard], [Put(self.key, value)], self.priority)
-            self.stored = record
+            self.last_written = record
         except StoreError as error:
             log.debug("%s not written: %s", self.key, error)
 
--- a/dappledrum/store/availability.py
+++ b/dappledrum/store/availability.py
@@ -43,7 +43,7 @@
 
     def record_answer(self, sent: timedelta) -> None:
         """Record any answer but 503 to a request that was sent at this time."""
-        self.link.served(sent)
+        self.link.response_received(sent)
 
     def record_success(self) -> None:
         """Record that a request was served."""
--- a/dappledrum/store/hedged_commit.py
+++ b/dappledrum/store/hedged_commit.py
@@ -60,14 +60,14 @@
     the store serves this controller, and the budget allows a request at once. Raises what
     `StoreClient.commit` raises.
     """
-    queued = store.budget.queueing_delay(priority, len(changes))
-    found: list[T] = []
+    queueing_delay = store.budget.queueing_delay(priority, len(changes))
+    outcome: list[T] = []
 
-    async def read() -> None:
-        result = await _read(store, priority, find, queued, timeout)
-        if result is not None:
-            found.append(result)
-            waiting.reschedule(asyncio.get_running_loop().time())
+    async def read_outcome() -> None:
+        found = await _read_repeatedly(store, priority, find, queueing_delay, timeout)
+        if found is not None:
+            outcome.append(found)
+            commit_timeout.reschedule(asyncio.get_running_loop().time())
 
     try:
         async with asyncio.timeout(None) as commit_timeout:
@@ -100,7 +100,9 @@
         except ConflictError as error:
             return error
 
-    answer = await commit_or_find(store, guards, changes, priority, again, timeout)
+    answer: int | ConflictError = await commit_or_find(
+        store, guards, changes, priority, commit_again, timeout
+    )
     if isinstance(answer, ConflictError):
         raise answer
     return answer
@@ -113,10 +115,10 @@
     queueing_delay: timedelta,
     timeout: timedelta,
 ) -> T | None:
-    """Read until something is proven; None when it is not worth while any more."""
-    delay = max(MIN_DELAY, store.availability.link.smoothed_delay * DELAY_FACTOR)
-    await asyncio.sleep(queued.total_seconds())
-    for _ in range(READS):
+    """Read until something is proven; None when it is not worthwhile any more."""
+    delay = max(MIN_READ_DELAY, store.availability.link.smoothed_delay * READ_DELAY_ROUND_TRIPS)
+    await asyncio.sleep(queueing_delay.total_seconds())
+    for _ in range(MAX_READS):
         if delay > timeout / 2:
             return None  # the answer would not be back sooner than that of the transaction
         await asyncio.sleep(delay.total_seconds())
--- a/dappledrum/store/rate_limiter.py
+++ b/dappledrum/store/rate_limiter.py
@@ -13,10 +13,10 @@
 class RequestPriority(IntEnum):
     """Priority of a request; lower values go first."""
 
-    LEASE = 0
-    SUBMISSION = 1
-    RECORD = 2
-    POLL = 3
+    LEASE = 0  # the leader's lease, and elections
+    SUBMISSION = 1  # submissions and cancellations of users, with the reads that they need
+    RECORD = 2  # the leader's records of jobs and machines
+    POLL = 3  # users' questions, and whatever can wait
 
 
 #: Part of the bucket that requests of a priority leave to higher priorities.
@@ -51,10 +51,9 @@
         self.size = max(rate * burst, 1.0)
         self.level = min(self.level, self.size)
 
-    def wait(self, amount: float, priority: RequestPriority, now: timedelta) -> timedelta:
-        """How long until this amount may be taken; zero means now."""
-        self._fill(now)
-        missing = min(amount, self.size) + RESERVE[priority] * self.size - self.level
+    def delay(self, amount: float, priority: RequestPriority, now: timedelta) -> timedelta:
+        """How long until this many tokens may be consumed; zero means now."""
+        self._refill(now)
         if priority is RequestPriority.LEASE:
             return ZERO  # a lease renewal goes out even when the bucket is empty
         required = min(amount, self.size) + RESERVED_SHARE[priority] * self.size
--- a/dappledrum/store/test_client.py
+++ b/dappledrum/store/test_client.py
@@ -33,9 +33,9 @@
             budget.consume(1, now)
             taken += 1
     assert 100 <= taken <= 110
-    assert budget.wait(1, RequestPriority.SUBMISSION, now) == ZERO
-    assert budget.wait(1, RequestPriority.LEASE, now) == ZERO
-    assert budget.wait(1, RequestPriority.POLL, now) > ZERO
+    assert budget.delay(1, RequestPriority.SUBMISSION, now) == ZERO
+    assert budget.delay(1, RequestPriority.LEASE, now) == ZERO
+    assert budget.delay(1, RequestPriority.POLL, now) > ZERO
 
 
 class Canned:
--- a/dappledrum/store/test_hedged_commit.py
+++ b/dappledrum/store/test_hedged_commit.py
@@ -140,7 +140,7 @@
                 0.01, lambda: use_up(store.client.budget.request_limiter)
             )
         elif why == "slow":
-            store.client.link.smoothed_delay = timedelta(seconds=0.25)
+            store.client.availability.link.smoothed_delay = timedelta(seconds=0.25)
         else:
             store.client.availability.failing_since = store.clock.now() - timedelta(seconds=1)
         store.network.late_writes = LOST
@@ -187,7 +187,7 @@
         self.record_writer = RecordWriter(
             self.client, self.term, LIMITS, ValueLimit(LIMITS), self.clock
         )
-        self.record_writer.on_stored = self.check
+        self.record_writer.on_saved = self.check
         self.saved = 0
         self.wrong = []
         self.jobs = []
--- a/dappledrum/store/transport.py
+++ b/dappledrum/store/transport.py
@@ -59,7 +59,7 @@
         await self._wait_for_budget(request)
         self.budget.consume(request.writes)
         link = self.availability.link
-        sent = self.availability.clock.now() if request.is_watch else link.sent()
+        sent = self.availability.clock.now() if request.is_watch else link.request_sent()
         reply = await self._exchange(request)
         self._check_status(request, reply, sent)
         if not request.is_watch:
--- a/dappledrum/store/value_limit.py
+++ b/dappledrum/store/value_limit.py
@@ -18,9 +18,9 @@
     """Size limits of one controller's values, in bytes."""
 
     def __init__(self, limits: StoreLimits) -> None:
-        self.now = limits.value_bytes
-        self.least = limits.strictest().value_bytes
-        self.settled = self.least == self.now
+        self.current_bytes = limits.value_bytes
+        self.reduced_bytes = limits.strictest().value_bytes
+        self.is_reduced = self.reduced_bytes == self.current_bytes
 
     @property
     def max_whole_bytes(self) -> int:
--- a/dappledrum/timing/clock.py
+++ b/dappledrum/timing/clock.py
@@ -10,8 +10,8 @@
 
 ZERO = timedelta(0)
 
-#: The steady clocks of two machines drift apart by at most 0.05 %; twice that is allowed for
-#: everywhere.
+#: Relative; the steady clocks of two machines drift apart by at most 0.05 %, and twice that is
+#: allowed for everywhere.
 MAX_CLOCK_DRIFT = 0.001
 
 
@@ -23,7 +23,7 @@
         return timedelta(seconds=asyncio.get_running_loop().time())
 
     def utc_now(self) -> datetime:
-        """Aware time of day."""
+        """Time of day, in UTC."""
         return datetime.now(UTC)
 
 
@@ -32,11 +32,11 @@
     return timedelta(seconds=value)
 
 
-def longest_local_span(span: timedelta) -> timedelta:
-    """The longest that this span on another machine's clock can be on ours."""
-    return span * (1 + MAX_CLOCK_DRIFT)
+def longest_local_span(remote_span: timedelta) -> timedelta:
+    """The longest that a span on another machine's clock can be on this one's."""
+    return remote_span * (1 + MAX_CLOCK_DRIFT)
 
 
-def shortest_local_span(span: timedelta) -> timedelta:
-    """The shortest that this span on another machine's clock can be on ours."""
-    return span * (1 - MAX_CLOCK_DRIFT)
+def shortest_local_span(remote_span: timedelta) -> timedelta:
+    """The shortest that a span on another machine's clock can be on this one's."""
+    return remote_span * (1 - MAX_CLOCK_DRIFT)
--- a/dappledrum/timing/timeouts.py
+++ b/dappledrum/timing/timeouts.py
@@ -84,4 +84,4 @@
         """Check for pauses periodically, for ever."""
         while True:
             self.running_since()
-            await asyncio.sleep(BEAT_INTERVAL.total_seconds())
+            await asyncio.sleep(PAUSE_CHECK_INTERVAL.total_seconds())
