--- /dev/null
+++ b/dappledrum/jobs/record_batch.py
@@ -0,0 +1,112 @@
+"""The records of one transaction of the leader."""
+
+from typing import NamedTuple
+
+from dappledrum.jobs.job import Job
+from dappledrum.jobs.keys import ROWS_PREFIX, ended_key, head_key
+from dappledrum.jobs.page import Page
+from dappledrum.jobs.page_encoding import page_changes
+from dappledrum.settings import StoreLimits
+from dappledrum.store.client import MAX_TRANSACTION_BYTES
+from dappledrum.store.hedged_commit import Evidence
+from dappledrum.store.messages import Delete, Guard, Put, encode_value
+from dappledrum.store.value_limit import ValueLimit
+
+ENDED_JOB_BYTES = 600  # at most, of the changes that end a job
+CHANGE_OVERHEAD_BYTES = 400  # at most, of a change besides its value
+
+
+class WrittenPage(NamedTuple):
+    """A page as it is in the transaction; it may change while that is on its way."""
+
+    page: Page
+    revision: int
+    parts: int
+    value_bytes: int
+    cancelled: bool  # the record says so
+
+
+class RecordBatch:
+    """Changes that fit into one transaction, with the guards they need."""
+
+    def __init__(self, limits: StoreLimits, value_limit: ValueLimit) -> None:
+        self.limits = limits
+        self.value_limit = value_limit
+        self.guards: list[Guard] = []
+        self.changes: list[Put | Delete] = []
+        self.evidence: list[Evidence] = []
+        self.pages: list[WrittenPage] = []
+        self.ended: list[Job] = []
+        self._bytes = 0
+
+    def add_ended(self, job: Job) -> None:
+        """Move a job from the live ones to the ended ones."""
+        head = job.page(0)
+        self.guards.append(Guard(head_key(job.id), head.version))
+        final = Put(ended_key(job.id), encode_value(job.ended_record()))
+        self.changes += [Delete(head_key(job.id)), final]
+        self.ended.append(job)
+        self._bytes += ENDED_JOB_BYTES
+        if not head.delayed_write_possible:
+            self.evidence.append(Evidence(final.key, 0, final.value))
+
+    def add_page(self, page: Page) -> bool:
+        """Store a page; False if the transaction has no capacity left for it."""
+        changes = page_changes(
+            page, self.value_limit.max_whole_bytes, self.value_limit.reduced_bytes
+        )
+        puts = [change for change in changes if isinstance(change, Put)]
+        size = sum(len(bytes(put.value)) + CHANGE_OVERHEAD_BYTES for put in puts)
+        too_many = len(self.changes) + len(changes) > self.limits.txn_ops
+        if self.changes and (too_many or self._bytes + size > MAX_TRANSACTION_BYTES):
+            return False
+        self._bytes += size
+        main = puts[0]
+        self.guards.append(Guard(page.key, page.version))
+        self.changes += changes
+        if _is_unmistakable(page):
+            self.evidence.append(Evidence(page.key, page.version, main.value))
+        parts = sum(put.key.startswith(ROWS_PREFIX) for put in puts)
+        self.pages.append(
+            WrittenPage(page, page.revision, parts, len(bytes(main.value)), page.job.cancelled)
+        )
+        return True
+
+    def guarded_pages(self) -> list[Page]:
+        """Pages whose versions the transaction relies on."""
+        return [written.page for written in self.pages] + [job.page(0) for job in self.ended]
+
+    def largest_value_bytes(self) -> int:
+        """Length of the longest value of a page's own key."""
+        return max((written.value_bytes for written in self.pages), default=0)
+
+    def mark_conflicts(self, failed: set[str]) -> None:
+        """Record which guards have failed: those versions are read before the next write."""
+        for page in self.guarded_pages():
+            page.version_uncertain |= page.key in failed
+
+    def mark_outcome_unknown(self) -> None:
+        """Record that the transaction may have been carried out, or may be later."""
+        for written in self.pages:
+            # Whatever parts may be there are removed later.
+            written.page.parts = max(written.page.parts, written.parts)
+        for page in self.guarded_pages():
+            page.version_uncertain = page.delayed_write_possible = True
+
+    def mark_stored(self, revision: int) -> None:
+        """Record that the pages are stored; `revision` is that of the transaction."""
+        for written in self.pages:
+            page = written.page
+            page.parts, page.stored_bytes = written.parts, written.value_bytes
+            if page.index == 0:
+                page.job.unstored_spec_parts = []
+                page.job.cancel_stored |= written.cancelled
+            page.version = max(page.version, revision)
+            page.delayed_write_possible = False  # it would meet another version
+            page.stored_revision = max(page.stored_revision, written.revision)
+
+
+def _is_unmistakable(page: Page) -> bool:
+    """Whether the page's next stored form can only come from the transaction that is about to be
+    sent: not from an earlier one without an answer, nor from a user's cancellation."""
+    return not page.delayed_write_possible and not (page.index == 0 and page.job.cancelled)
--- a/dappledrum/jobs/record_writer.py
+++ b/dappledrum/jobs/record_writer.py
@@ -4,7 +4,7 @@
 or an unknown outcome the pages concerned are read again before they are written again; writing
 them moves their version on, so a delayed twin of the old transaction can't apply any more. While
 an answer is late, one of the values is read that this transaction alone can have written: a
-transaction is carried out whole, so that value tells of all of them.
+transaction is carried out whole, so that value is evidence for all of them.
 """
 
 import asyncio
@@ -15,17 +15,17 @@
 
 import msgspec
 
-from dappledrum.election.terms import LEADER_KEY, Term
+from dappledrum.election.terms import Term
+from dappledrum.jobs.garbage_collector import GarbageCollector
 from dappledrum.jobs.job import Job
-from dappledrum.jobs.keys import ROWS_PREFIX, ended_key, head_key, rows_key, spec_key
+from dappledrum.jobs.keys import ended_key
 from dappledrum.jobs.messages import EndedRecord, JobRecord, Outcome
 from dappledrum.jobs.page import Page
-from dappledrum.jobs.page_encoding import page_changes
+from dappledrum.jobs.record_batch import RecordBatch
+from dappledrum.jobs.term_committer import TermCommitter
 from dappledrum.settings import StoreLimits
-from dappledrum.store.client import MAX_TRANSACTION_BYTES, StoreClient
+from dappledrum.store.client import StoreClient
 from dappledrum.store.errors import ConflictError, StoreError, TooLargeError
-from dappledrum.store.hedged_commit import Evidence, commit_idempotent, commit_or_find
-from dappledrum.store.messages import Delete, Guard, Put, encode_value
 from dappledrum.store.rate_limiter import RequestPriority
 from dappledrum.store.value_limit import ValueLimit
 from dappledrum.timing.clock import Clock
@@ -34,10 +34,11 @@
 log = logging.getLogger(__name__)
 
 
-GATHER = timedelta(milliseconds=15)  # changes that come together are written together
-LAZY = timedelta(seconds=2)  # the most that ends of tasks wait while starts need the rate
-MANY = 16  # jobs to be ended, from which on cancellations are only noted at first
-LOOK = timedelta(milliseconds=100)
+WRITE_BATCH_WINDOW = timedelta(milliseconds=15)  # for changes that arrive together
+MAX_COMMIT_DELAY = timedelta(seconds=2)  # of ends of tasks, while starts need the rate
+MAX_ENDING_JOBS_MOVED_AT_ONCE = 16  # with more, cancellations are only recorded at first
+CHANGES_PER_ENDED_JOB = 2  # its head is removed, its final state put
+RECHECK_INTERVAL = timedelta(milliseconds=100)
 SUPERVISOR = Supervisor(
     log,
     fault_pause_s=0.5,
@@ -48,7 +49,7 @@
 
 
 class RecordWriter:
-    """One for each term of leadership."""
+    """The writer of one term of leadership."""
 
     def __init__(
         self,
@@ -63,18 +64,20 @@
         self.limits = limits
         self.value_limit = value_limit
         self.clock = clock
-        self.dirty: dict[Page, timedelta] = {}  # since when
-        self.ending: dict[Job, None] = {}
-        self.garbage: OrderedDict[str, None] = OrderedDict()
+        self.dirty: dict[Page, timedelta] = {}  # since when each waits to be written
+        self.ending: dict[Job, None] = {}  # to be moved to the ended ones
+        self.committer = TermCommitter(store, term, clock)
+        self.garbage: OrderedDict[str, None] = OrderedDict()  # keys to be removed
+        self.garbage_collector = GarbageCollector(self.committer, self.garbage)
         self.shrunk = False
         self.wake = asyncio.Event()
         self.stored = asyncio.Condition()
-        self.on_saved: Callable[[], None] = lambda: None
-        self.on_ended: Callable[[Job], None] = lambda job: None
-        self.on_cancelled: Callable[[Job], None] = lambda job: None
+        self.on_stored: Callable[[], None] = lambda: None
+        self.on_ended: Callable[[Job], None] = _ignore
+        self.on_cancelled: Callable[[Job], None] = _ignore
 
     def mark_dirty(self, page: Page) -> None:
-        """A page has changed, or its job is over."""
+        """Have a page that has changed written, or the end of its job."""
         job = page.job
         if job.finished:
             return
@@ -107,14 +110,14 @@
 
     def unstored_start_count(self) -> int:
         """Pages with starts that are not stored yet."""
-        return sum(page.last_placement_revision > page.stored_revision for page in self.dirty)
+        return sum(page.has_unstored_start for page in self.dirty)
 
     async def run(self) -> None:
         """Write until the term is over."""
         while not self.term.ended.is_set():
             await self.wake.wait()
             self.wake.clear()
-            await asyncio.sleep(GATHER.total_seconds())
+            await asyncio.sleep(WRITE_BATCH_WINDOW.total_seconds())
             while (self.dirty or self.ending or self.garbage) and not self.term.ended.is_set():
                 await SUPERVISOR.attempt("writing progress", self._flush_or_pause)
 
@@ -123,11 +126,11 @@
             await self._pause()
 
     async def _pause(self) -> None:
-        """Until something changes, or what waits has waited a little longer."""
+        """Sleep until something changes, or what waits has waited a little longer."""
         try:
-            async with asyncio.timeout(LOOK.total_seconds()):
+            async with asyncio.timeout(RECHECK_INTERVAL.total_seconds()):
                 await self.wake.wait()
-            await asyncio.sleep(GATHER.total_seconds())
+            await asyncio.sleep(WRITE_BATCH_WINDOW.total_seconds())
         except TimeoutError:
             pass
         self.wake.clear()
@@ -139,62 +142,81 @@
         only accumulate: written with each of them, a hundred live jobs would use up the rate of
         changes, and every start would queue behind them.
         """
-        capacity = self._capacity()
+        selection = _Selection(self._capacity())
         if not self.dirty and not self.ending:
-            await self._collect(capacity)
+            await self.garbage_collector.collect(selection.capacity)
             return True
+        urgent = self._urgent_pages()
+        deferrable = self._deferrable_pages(urgent, selection.capacity)
+        cancelled_heads = self._cancelled_heads()
+        await self._select_heads(selection, cancelled_heads, bool(urgent))
+        await self._select_ended(selection, bool(cancelled_heads), bool(urgent))
+        await self._select_pages(selection, urgent + deferrable)
+        if selection.pages or selection.jobs:
+            await self._write(selection)
+        return bool(selection.pages or selection.jobs)
+
+    def _urgent_pages(self) -> list[Page]:
+        """Pages with starts, or that have waited too long.
+
+        Starts of urgent jobs go before others': a swarm of small jobs must not delay them.
+        """
         now = self.clock.now()
         urgent = [
-            p
-            for p, since in self.dirty.items()
-            if p.last_placement_revision > p.stored_revision or now - since > LAZY
+            page
+            for page, since in self.dirty.items()
+            if page.has_unstored_start or now - since > MAX_COMMIT_DELAY
         ]
-        # Starts of urgent jobs before others': a swarm of small jobs must not delay them.
-        urgent.sort(
-            key=lambda page: (
-                page.last_placement_revision <= page.stored_revision,
-                page.job.effective_rank,
-            )
-        )
+        urgent.sort(key=lambda page: (not page.has_unstored_start, page.job.effective_rank))
+        return urgent
+
+    def _deferrable_pages(self, urgent: list[Page], capacity: int) -> list[Page]:
+        """Further pages, as many as leave half of the rate limiter's burst to urgent ones."""
         spare = min(
             capacity,
             int(
                 self.store.budget.write_limiter.level - 0.5 * self.store.budget.write_limiter.size
             ),
         )
-        hurried = set(urgent)
-        lazy = [page for page in self.dirty if page not in hurried][: max(0, spare)]
-        pages: list[Page] = []
-        jobs: list[Job] = []
-        noted = self._to_note()
-        for page in noted[: max(1, capacity // 2 if urgent else capacity)]:
-            if await self._certain(page):
-                pages.append(page)
-                capacity -= 1
+        chosen = set(urgent)
+        return [page for page in self.dirty if page not in chosen][: max(0, spare)]
+
+    def _cancelled_heads(self) -> list[Page]:
+        """Heads of jobs cancelled with others, when there are too many to be moved to the ended
+        ones in time: that takes two changes for each, and recording the cancellation one."""
+        if len(self.ending) <= MAX_ENDING_JOBS_MOVED_AT_ONCE:
+            return []
+        return [job.page(0) for job in self.ending if job.cancelled and not job.cancel_stored]
+
+    async def _select_heads(
+        self, selection: "_Selection", heads: list[Page], has_urgent: bool
+    ) -> None:
+        limit = max(1, selection.capacity // 2 if has_urgent else selection.capacity)
+        for page in heads[:limit]:
+            if await self._verify_version(page):
+                selection.add_page(page)
+
+    async def _select_ended(
+        self, selection: "_Selection", only_done: bool, has_urgent: bool
+    ) -> None:
         for job in list(self.ending):
-            if noted and job.cancelled:
+            if only_done and job.cancelled:
                 continue
-            if capacity >= 2 and await self._certain(job.page(0)):
-                jobs.append(job)
-                capacity -= 2
-                if urgent and len(jobs) * 4 >= self.limits.txn_ops:
+            if selection.capacity >= CHANGES_PER_ENDED_JOB and await self._verify_version(
+                job.page(0)
+            ):
+                selection.add_job(job)
+                # Half of the transaction is left to urgent pages.
+                changes = len(selection.jobs) * CHANGES_PER_ENDED_JOB
+                if has_urgent and changes * 2 >= self.limits.txn_ops:
                     break
-        for page in urgent + lazy:
+
+    async def _select_pages(self, selection: "_Selection", pages: list[Page]) -> None:
+        for page in pages:
             if page.job.finished or page.job in self.ending:
                 self.dirty.pop(page, None)
-            elif capacity >= 1 and await self._certain(page):
-                pages.append(page)
-                capacity -= 1
-        if pages or jobs:
-            await self._write(pages, jobs)
-        return bool(pages or jobs)
-
-    def _to_note(self) -> list[Page]:
-        """Heads of jobs that a cancellation has taken along, when there are too many to be moved
-        to the ended ones in time: that takes two changes for each, and noting it one."""
-        if len(self.ending) <= MANY:
-            return []
-        return [job.page(0) for job in self.ending if job.cancelled and not job.cancel_stored]
+            elif selection.capacity >= 1 and await self._verify_version(page):
+                selection.add_page(page)
 
     def _capacity(self) -> int:
         """Number of changes for the next transaction: what the rate allows now, but always a
@@ -204,109 +226,42 @@
         )
         return max(4, min(self.limits.txn_ops, allowed))
 
-    async def _write(self, pages: list[Page], jobs: list[Job]) -> None:
-        guards = [self.term.guard()]
-        changes: list[Put | Delete] = []
-        size = 0
-        written: list[tuple[Page, int, int, int, bool]] = []
-        evidence: list[Evidence] = []
-        for job in jobs:
-            guards.append(Guard(head_key(job.id), job.page(0).version))
-            ended = Put(ended_key(job.id), encode_value(job.ended_record()))
-            changes += [Delete(head_key(job.id)), ended]
-            size += 600
-            if not job.page(0).delayed_write_possible:
-                evidence.append(Evidence(ended.key, 0, ended.value))
-        for page in pages:
-            own = page_changes(
-                page, self.value_limit.max_whole_bytes, self.value_limit.reduced_bytes
-            )
-            length = sum(len(bytes(c.value)) + 400 for c in own if isinstance(c, Put))
-            main = own[0]
-            assert isinstance(main, Put)
-            many = len(changes) + len(own) > self.limits.txn_ops
-            if changes and (many or size + length > MAX_TRANSACTION_BYTES):
+    async def _write(self, selection: "_Selection") -> None:
+        """Write what fits into one transaction."""
+        batch = RecordBatch(self.limits, self.value_limit)
+        for job in selection.jobs:
+            batch.add_ended(job)
+        for page in selection.pages:
+            if not batch.add_page(page):
                 break
-            size += length
-            guards.append(Guard(page.key, page.version))
-            changes += own
-            if self._unmistakable(page):
-                evidence.append(Evidence(page.key, page.version, main.value))
-            parts = sum(c.key.startswith(ROWS_PREFIX) for c in own if isinstance(c, Put))
-            written.append(
-                (page, page.revision, parts, len(bytes(main.value)), page.job.cancelled)
-            )
         try:
-            revision = await self._commit(guards, changes, evidence)
+            revision = await self.committer.commit(batch.guards, batch.changes, batch.evidence)
         except ConflictError as error:
-            if LEADER_KEY in error.conflicting_keys:
-                self._replaced()
-            failed = set(error.conflicting_keys)
-            for page in [row[0] for row in written] + [job.page(0) for job in jobs]:
-                page.version_uncertain |= page.key in failed
+            batch.mark_conflicts(set(error.conflicting_keys))
             return
         except TooLargeError as error:
-            if not self.value_limit.record_refusal(
-                max((row[3] for row in written), default=0), str(error)
-            ):
+            if not self.value_limit.record_refusal(batch.largest_value_bytes(), str(error)):
                 raise
             return  # certainly not executed: again, in parts
         except StoreError:
-            for page, _, parts, _, _ in written:
-                page.parts = max(page.parts, parts)  # whatever may be there is removed later
-                page.version_uncertain = page.delayed_write_possible = True
-            for job in jobs:
-                job.page(0).version_uncertain = job.page(0).delayed_write_possible = True
+            batch.mark_outcome_unknown()
             raise
-        for page, stored, parts, length, cancelled in written:
-            page.parts, page.stored_bytes = parts, length
-            if page.index == 0:
-                page.job.unstored_spec_parts = []
-                page.job.cancel_stored |= cancelled
-            page.version = max(page.version, revision)
-            page.delayed_write_possible = False  # it would meet another version
-            page.stored_revision = max(page.stored_revision, stored)
-            self.dirty.pop(page, None)
-            if page.dirty:
-                self.dirty[page] = self.clock.now()
-        for job in jobs:
-            self._ended(job)
-        await self._notify_saved()
-
-    @staticmethod
-    def _unmistakable(page: Page) -> bool:
-        """Whether the page's next stored form can only come from the transaction that is about to
-        be sent: not from an earlier one without an answer, nor from a user's cancellation."""
-        return not page.delayed_write_possible and not (page.index == 0 and page.job.cancelled)
-
-    async def _commit(
-        self, guards: list[Guard], changes: list[Put | Delete], evidence: list[Evidence]
-    ) -> int:
-        """Store the changes; returns the revision."""
-        if not evidence:
-            return await self.store.commit(guards, changes, RequestPriority.RECORD)
-        return await commit_or_find(
-            self.store, guards, changes, RequestPriority.RECORD, lambda: self._find(evidence[0])
-        )
-
-    async def _find(self, evidence: Evidence) -> int | None:
-        """The revision of the transaction that this is evidence of, if it was carried out.
-
-        Read while the lease certainly lasted, so no other leader can have written the value.
-        """
-        entry = await self.store.get(evidence.key, RequestPriority.RECORD)
-        led = not self.term.ended.is_set() and self.clock.now() < self.term.lease_valid_until
-        if entry is None or not led or not evidence.shown_by(entry):
-            return None
-        return entry.version
-
-    async def _notify_saved(self) -> None:
-        self.on_saved()
+        batch.mark_stored(revision)
+        for written in batch.pages:
+            self.dirty.pop(written.page, None)
+            if written.page.dirty:
+                self.dirty[written.page] = self.clock.now()
+        for job in batch.ended:
+            self._finish(job)
+        await self._notify_stored()
+
+    async def _notify_stored(self) -> None:
+        self.on_stored()
         async with self.stored:
             self.stored.notify_all()
 
-    async def _certain(self, page: Page) -> bool:
-        """Make sure of the page's stored version; False when its job turns out to be over."""
+    async def _verify_version(self, page: Page) -> bool:
+        """Make sure of the page's stored version; False when its job turns out to be finished."""
         if not page.version_uncertain:
             return True
         job = page.job
@@ -323,8 +278,8 @@
                 self.on_cancelled(job)
         elif page.index == 0:
             await self._read_end(job)
-            self._ended(job)
-            await self._notify_saved()
+            self._finish(job)
+            await self._notify_stored()
             return False
         else:
             page.version = 0
@@ -332,60 +287,51 @@
         return True
 
     async def _read_end(self, job: Job) -> None:
-        """Take over how a job without a head has ended, as it is stored.
+        """Read how a job without a head has ended.
 
-        A leader that has been replaced, and does not know it yet, finds heads gone that its
-        successor has removed: jobs that it had taken for done and that users have cancelled since.
+        A leader that has been replaced, and has not noticed yet, finds that its successor has
+        removed heads: of jobs that it had taken for done and that users have cancelled since.
         It once answered users from what it remembered of them.
         """
         entry = await self.store.get(ended_key(job.id), RequestPriority.RECORD)
+        if entry is None:
+            log.error("how %s has ended can't be read: no record", job.id)
+            return
         try:
-            if entry is None:
-                raise msgspec.DecodeError("no record")
             stored = msgspec.json.decode(entry.value, type=EndedRecord)
         except msgspec.DecodeError as error:  # must not keep everything else from being written
-            log.error("how %s has ended can't be read: %s", job.id, error)
+            log.error("how %s has ended can't be read: %s", job.id, error)  # noqa: TRY400 - no bug
             return
         job.cancelled = stored.state is Outcome.CANCELLED
 
-    def _ended(self, job: Job) -> None:
+    def _finish(self, job: Job) -> None:
+        """The final state of the job is stored."""
         if job.finished:
             return
         job.finished = True
         self.ending.pop(job, None)
         for page in job.pages.values():
             self.dirty.pop(page, None)
-            if page.index > 0 and page.version:
-                self.garbage[page.key] = None
-            for part in range(page.parts):
-                self.garbage[rows_key(job.id, page.index, part)] = None
-        for part in range(job.spec_parts):
-            self.garbage[spec_key(job.id, part)] = None
+        self.garbage_collector.add(job)
         self.on_ended(job)
 
-    async def _collect(self, capacity: int) -> None:
-        """Remove what is left of jobs that are over, or never were.
 
-        Only while they have no head, whenever this is carried out: a job that was submitted while
-        a new leader read the records was in the list of parts and not in that of jobs, and lost
-        its parts; and a removal that is carried out late may meet a job that has come since.
-        """
-        keys = list(self.garbage)[: max(1, capacity // 2)]
-        heads = {key: head_key(key.split("/")[1]) for key in keys}
-        guards = [self.term.guard(), *(Guard(head, 0) for head in sorted(set(heads.values())))]
-        try:
-            await commit_idempotent(
-                self.store, guards, [Delete(key) for key in keys], RequestPriority.POLL
-            )
-        except ConflictError as error:
-            if LEADER_KEY in error.conflicting_keys:
-                self._replaced()
-                return
-            keys = [key for key in keys if heads[key] in error.conflicting_keys]
-            log.info("not removed, as their jobs live: %s", ", ".join(keys))
-        for key in keys:
-            del self.garbage[key]
-
-    def _replaced(self) -> None:
-        log.warning("leader key changed, stepping down")
-        self.term.ended.set()
+class _Selection:
+    """What is to be written, as long as `capacity` for changes is left."""
+
+    def __init__(self, capacity: int) -> None:
+        self.capacity = capacity
+        self.pages: list[Page] = []
+        self.jobs: list[Job] = []
+
+    def add_page(self, page: Page) -> None:
+        self.pages.append(page)
+        self.capacity -= 1
+
+    def add_job(self, job: Job) -> None:
+        self.jobs.append(job)
+        self.capacity -= CHANGES_PER_ENDED_JOB
+
+
+def _ignore(job: Job) -> None:
+    """Stand for a callback that nobody has set."""
--- a/dappledrum/jobs/test_record_writer.py
+++ b/dappledrum/jobs/test_record_writer.py
@@ -9,7 +9,7 @@
 from dappledrum.election.terms import Term
 from dappledrum.jobs.job import Job
 from dappledrum.jobs.messages import JobRecord, PageRecord, Spec
-from dappledrum.jobs.record_writer import LAZY, RecordWriter
+from dappledrum.jobs.record_writer import MAX_COMMIT_DELAY, RecordWriter
 from dappledrum.settings import StoreLimits
 from dappledrum.simulation.cluster import job
 from dappledrum.simulation.virtual_time import run
@@ -58,12 +58,12 @@
         began = clock.now()
         await asyncio.sleep(0.05)
         assert [keys for _, keys in state.written] == [["job/j-000011"]]
-        await asyncio.sleep((LAZY * 2).total_seconds())
+        await asyncio.sleep((MAX_COMMIT_DELAY * 2).total_seconds())
         writing.cancel()
         assert sorted(key for _, keys in state.written for key in keys) == sorted(
             f"job/{one.id}" for one in jobs
         )
-        assert all(at - began < LAZY + timedelta(seconds=1) for at, _ in state.written)
+        assert all(at - began < MAX_COMMIT_DELAY + timedelta(seconds=1) for at, _ in state.written)
         assert not record_writer.dirty
 
     run(main())
--- a/dappledrum/store/test_hedged_commit.py
+++ b/dappledrum/store/test_hedged_commit.py
@@ -187,7 +187,7 @@
         self.record_writer = RecordWriter(
             self.client, self.term, LIMITS, ValueLimit(LIMITS), self.clock
         )
-        self.record_writer.on_saved = self.check
+        self.record_writer.on_stored = self.check
         self.saved = 0
         self.wrong = []
         self.jobs = []
