--- a/dappledrum/jobs/test_record_writer.py
+++ b/dappledrum/jobs/test_record_writer.py
@@ -29,8 +29,8 @@
         self.written = []
 
     async def commit(self, guards, changes, priority, timeout=None):
-        self.writes.take(len(changes), self.clock.now())
-        self.written.append((self.clock.now(), [change.key for change in changes]))
+        self.budget.write_limiter.consume(len(changes), self.budget.clock.now())
+        self.written.append((self.budget.clock.now(), [change.key for change in changes]))
         return 100 + len(self.written)
 
 
