--- a/dappledrum/controller/controller.py
+++ b/dappledrum/controller/controller.py
@@ -23,8 +23,9 @@
 from dappledrum.fleet.cloud_client import CloudClient, CloudError
 from dappledrum.http.client import HttpClient
 from dappledrum.http.messages import Request, Response
-from dappledrum.jobs.api import JobApi, refusal
+from dappledrum.jobs.api import JobApi
 from dappledrum.jobs.job import Job
+from dappledrum.jobs.responses import refusal
 from dappledrum.leader.context import TermContext
 from dappledrum.leader.leader import Leader
 from dappledrum.membership.context import (
--- a/dappledrum/controller/heartbeat_endpoint.py
+++ b/dappledrum/controller/heartbeat_endpoint.py
@@ -11,7 +11,7 @@
 from dappledrum.controller.isolation import Isolation
 from dappledrum.election.elector import Elector
 from dappledrum.http.messages import Request, Response
-from dappledrum.jobs.api import refusal
+from dappledrum.jobs.responses import refusal
 from dappledrum.leader.heartbeat_responder import MAX_IDLE_WAIT
 from dappledrum.leader.leader import Leader
 from dappledrum.membership.service import Membership
--- a/dappledrum/controller/test_concurrent_user_requests.py
+++ b/dappledrum/controller/test_concurrent_user_requests.py
@@ -284,7 +284,8 @@
         assert {key.split("/")[0] for key in cluster.store.keys if "/j-" in key} == {"ended"}
         for controller in cluster.controllers.values():
             assert (
-                not controller.job_api.polls.waiting and not controller.job_api.admission.waiting
+                not controller.job_api.poll_batcher.waiting
+                and not controller.job_api.submission_batcher.waiting
             )
         assert not cluster.rules.broken, cluster.rules.broken
 
--- a/dappledrum/controller/user_endpoint.py
+++ b/dappledrum/controller/user_endpoint.py
@@ -8,7 +8,8 @@
 
 from dappledrum.controller.isolation import Isolation
 from dappledrum.http.messages import Request, Response
-from dappledrum.jobs.api import JobApi, busy, refusal
+from dappledrum.jobs.api import JobApi
+from dappledrum.jobs.responses import busy, refusal
 from dappledrum.membership.service import Membership
 from dappledrum.peers.client import Peers
 from dappledrum.peers.messages import Relay
--- a/dappledrum/dispatch/pending_work.py
+++ b/dappledrum/dispatch/pending_work.py
@@ -11,7 +11,7 @@
 from dappledrum.dispatch.job_deadlines import JobDeadlines
 from dappledrum.dispatch.placement_constraints import allowed_kinds
 from dappledrum.dispatch.team_quotas import guaranteed_jobs, team_capacity
-from dappledrum.jobs.api import allowed
+from dappledrum.jobs.feasibility import fits_machine_type
 from dappledrum.jobs.job import Job
 from dappledrum.jobs.messages import PRIORITY_RANKS
 from dappledrum.scheduling.bags import Bag
@@ -143,5 +143,9 @@
 
     def _fetch_time(self, job: Job) -> timedelta:
         """How long the fetch of a missing image takes on the machines with the highest rate."""
-        rates = [m.fetch_gb_per_s for m in self.autoscaler.types.values() if allowed(job.spec, m)]
+        rates = [
+            m.fetch_gb_per_s
+            for m in self.autoscaler.types.values()
+            if fits_machine_type(job.spec, m)
+        ]
         return fetch_time(job.spec.image_gb, max(rates, default=1.0))
--- a/dappledrum/dispatch/placement_constraints.py
+++ b/dappledrum/dispatch/placement_constraints.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable, Mapping
 
 from dappledrum.fleet.messages import MachineType
-from dappledrum.jobs.api import allowed
+from dappledrum.jobs.feasibility import fits_machine_type
 from dappledrum.jobs.job import Job
 from dappledrum.scheduling.timeline import InstanceKind
 
@@ -16,7 +16,7 @@
     `zones`, unless empty, are the only zones that are left for the job.
     """
     spec = job.spec
-    fits = {name for name, model in types.items() if allowed(spec, model)}
+    fits = {name for name, model in types.items() if fits_machine_type(spec, model)}
 
     def check(kind: InstanceKind) -> bool:
         if kind.type not in fits or (not kind.spot if spot_only else kind.spot > spec.spot):
--- a/dappledrum/jobs/api.py
+++ b/dappledrum/jobs/api.py
@@ -18,6 +18,7 @@
 from dappledrum.fleet.messages import MachineType
 from dappledrum.http.messages import Response
 from dappledrum.jobs.confirmed_cancellations import ConfirmedCancellations
+from dappledrum.jobs.feasibility import infeasibility
 from dappledrum.jobs.keys import ended_key, head_key, spec_key
 from dappledrum.jobs.messages import (
     EndedRecord,
@@ -26,11 +27,13 @@
     Outcome,
     PageRecord,
     Spec,
+    SpecPart,
     StatusResponse,
     SubmissionId,
 )
 from dappledrum.jobs.page_encoding import page_size
 from dappledrum.jobs.poll_batcher import LiveRecord, LiveStatus, PollBatcher, StoredJob, seen
+from dappledrum.jobs.responses import answer, busy, refusal
 from dappledrum.jobs.submission_batcher import SubmissionBatcher
 from dappledrum.jobs.value_parts import LONG_SPEC_DIVISOR, split_spec
 from dappledrum.settings import Params
@@ -50,52 +53,11 @@
 log = logging.getLogger(__name__)
 
 READ_TIMEOUT = timedelta(seconds=1)
-KEPT = 20_000
+MAX_CACHED_ENDED_JOBS = 20_000
 
 T = TypeVar("T")
 
 
-def answer(status: int, body: StatusResponse) -> Response:
-    """A response to a user."""
-    return Response(status, msgspec.json.encode(body))
-
-
-def busy(seconds: int = 1) -> Response:
-    """Not now: said at once, with the time to come back."""
-    return Response(HTTPStatus.SERVICE_UNAVAILABLE, b'{"error":"try again"}', retry_after=seconds)
-
-
-def refusal(status: int, why: str) -> Response:
-    """A request that will never be served."""
-    return Response(status, msgspec.json.encode({"error": why}))
-
-
-def unservable(spec: Spec, params: Params, types: list[MachineType]) -> str | None:
-    """Why a job can never run, or None when it can."""
-    team = next((t for t in params.teams if t.name == spec.team), None)
-    if team is None:
-        return f"unknown team {spec.team}"
-    at_once = 1 if spec.form is Form.ARRAY else spec.tasks
-    for amount, limit, name in (
-        (spec.cpus, team.cpus_max, "cpus"),
-        (spec.gpus, team.gpus_max, "gpus"),
-    ):
-        if limit > 0 and amount * at_once > limit + 1e-9:
-            return f"needs more {name} than the team's limit"
-    if not any(allowed(spec, t) for t in types):
-        return "a task fits no allowed machine type"
-    return None
-
-
-def allowed(spec: Spec, kind: MachineType) -> bool:
-    """Whether an empty machine of this type could run a task of the job."""
-    if spec.types is not None and kind.name not in spec.types:
-        return False
-    if spec.zone is not None and spec.zone not in kind.zones:
-        return False
-    return spec.cpus <= kind.cpus and spec.gpus <= kind.gpus and spec.memory_gb <= kind.memory_gb
-
-
 class JobApi:
     """Submissions, polls and cancellations."""
 
@@ -115,8 +77,8 @@
         self.gangs = False
         self.ended: OrderedDict[str, EndedRecord] = OrderedDict()
         self.confirmed = ConfirmedCancellations(clock.now())
-        self.admission = SubmissionBatcher(store, params.state.txn_ops, self.find)
-        self.polls = PollBatcher(
+        self.submission_batcher = SubmissionBatcher(store, params.state.txn_ops, self.find)
+        self.poll_batcher = PollBatcher(
             store, params.state.txn_ops * 4, self.find, self._find_many, self._find_ended
         )
         self.lookup = DependencyLookup(
@@ -126,7 +88,7 @@
     def remember(self, job: str, record: EndedRecord) -> None:
         """Keep a final state; it never changes again."""
         self.ended[job] = record
-        while len(self.ended) > KEPT:
+        while len(self.ended) > MAX_CACHED_ENDED_JOBS:
             self.ended.popitem(last=False)
 
     async def submit(self, body: bytes) -> Response:
@@ -150,35 +112,35 @@
         objection = await self._objection(spec)
         if objection is not None:
             return await self._unless_accepted(spec.id, objection)
-        if spec.id in self.polls.known:
+        if spec.id in self.poll_batcher.known:
             # Accepted before. A transaction whose conditions fail counts as a change, too, and
             # repeated submissions once used up the rate that new ones needed.
-            known = await self.polls.ask(spec.id)
+            known = await self.poll_batcher.ask(spec.id)
             if known is not None:
                 return self._present(spec.id, known, HTTPStatus.OK)
-        if self.admission.full():
+        if self.submission_batcher.full():
             return busy()
         puts = self._record(spec)
         if len(puts) > self.params.state.txn_ops:
             objection = refusal(HTTPStatus.BAD_REQUEST, "waits for too many jobs")
             return await self._unless_accepted(spec.id, objection)
         # A repeated submission of another form joins the first one, whose form is stored.
-        first = spec.id not in self.admission.waiting
+        first = spec.id not in self.submission_batcher.waiting
         try:
-            stored = await self.admission.admit(spec.id, puts)
+            stored = await self.submission_batcher.admit(spec.id, puts)
         except TooLargeError as error:
             self.value_limit.record_refusal(max(len(bytes(put.value)) for put in puts), str(error))
             return busy()
         except ConflictError:
             found = await self.find(spec.id, RequestPriority.SUBMISSION)
             if isinstance(found, tuple):
-                self.polls.note(spec.id, seen(found[0]), found[1])
+                self.poll_batcher.note(spec.id, seen(found[0]), found[1])
             return busy() if found is None else self._present(spec.id, found, HTTPStatus.OK)
         log.info("accepted %s: %s", spec.id, describe_job(spec.tasks, spec.job_class, spec.team))
         if not isinstance(stored, int):
             return self._present(spec.id, stored, HTTPStatus.OK)
         record = msgspec.json.decode(puts[0].value, type=JobRecord)
-        self.polls.note(spec.id, seen(record), stored)
+        self.poll_batcher.note(spec.id, seen(record), stored)
         if first:
             self.lookup.note(spec.id, spec.form)
         return answer(HTTPStatus.CREATED, StatusResponse(spec.id, Outcome.QUEUED))
@@ -206,7 +168,7 @@
             return busy(2)
         if (why := self._too_long(spec)) is not None:
             return refusal(HTTPStatus.BAD_REQUEST, why)
-        why = unservable(spec, self.params, self.types)
+        why = infeasibility(spec, self.params, self.types)
         if why is None and spec.needs:
             why = await self.lookup.fault(spec.needs, spec.id)
         if why is None and spec.form is Form.GANG and not self.gangs:
@@ -216,7 +178,8 @@
     def _record(self, spec: Spec) -> list[Put]:
         """What is stored of a new job; the head first."""
         least = self.value_limit.reduced_bytes
-        stored, parts = spec, []
+        stored = spec
+        parts: list[SpecPart] = []
         # Jobs that wait come when every controller reads parts.
         apart = self.value_limit.is_reduced or spec.needs
         if apart and len(msgspec.json.encode(spec)) > least // LONG_SPEC_DIVISOR:
@@ -246,7 +209,7 @@
         if known is not None:
             return self._present(job, known, HTTPStatus.OK)
         try:
-            found = await self.polls.ask(job)
+            found = await self.poll_batcher.ask(job)
         except StoreError as error:
             log.debug("poll of %s not answered: %s", job, error)
             return busy()
--- a/dappledrum/store/test_hedged_commit.py
+++ b/dappledrum/store/test_hedged_commit.py
@@ -329,7 +329,7 @@
             f"j-{n:06d}": [Put(head_key(f"j-{n:06d}"), encode_value(stored_job(n)))]
             for n in numbers
         }
-        admit = self.job_api.admission.admit
+        admit = self.job_api.submission_batcher.admit
         return await asyncio.gather(
             *(admit(name, put) for name, put in puts.items()), return_exceptions=True
         )
@@ -393,7 +393,7 @@
         names = ["j-000001", "j-000002"]
         for number, name in enumerate(names):
             controller.write(head_key(name), msgspec.to_builtins(stored_job(number + 1)))
-        polls, lookup = controller.job_api.polls, controller.job_api.lookup
+        polls, lookup = controller.job_api.poll_batcher, controller.job_api.lookup
         for name in names:
             await polls.ask(name)
         await asyncio.sleep(1)
