--- a/dappledrum/accounting/ledger.py
+++ b/dappledrum/accounting/ledger.py
@@ -11,8 +11,9 @@
 from collections.abc import Iterable, Mapping, Sequence
 from datetime import timedelta
 
-from dappledrum.accounting.cost_categories import CostCategory, Demand, idle_category
+from dappledrum.accounting.idle_categories import Demand, idle_category
 from dappledrum.fleet.messages import MachineType
+from dappledrum.jobs.cost_category import CostCategory
 from dappledrum.jobs.placement import Placement
 from dappledrum.scheduling.timeline import InstanceKind, Size
 from dappledrum.timing.clock import ZERO, Clock
--- a/dappledrum/accounting/test_accounting.py
+++ b/dappledrum/accounting/test_accounting.py
@@ -6,10 +6,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from dappledrum.accounting.cost_categories import CostCategory, Demand, idle_category
+from dappledrum.accounting.idle_categories import Demand, idle_category
 from dappledrum.accounting.ledger import Ledger, format_shares
 from dappledrum.accounting.served_counts import ServedCounts
 from dappledrum.fleet.messages import MachineType
+from dappledrum.jobs.cost_category import CostCategory
 from dappledrum.jobs.job import Job
 from dappledrum.jobs.messages import JobRecord, PageRecord, Spec
 from dappledrum.scheduling.timeline import InstanceKind, Size
--- a/dappledrum/controller/catalog.py
+++ b/dappledrum/controller/catalog.py
@@ -9,7 +9,6 @@
 
 from dappledrum.fleet.cloud_client import CloudClient, CloudError
 from dappledrum.fleet.messages import Catalog, MachineType
-from dappledrum.jobs.api import JobApi
 from dappledrum.leader.leader import Leader
 from dappledrum.settings import Params
 from dappledrum.store.client import StoreClient
@@ -18,6 +17,7 @@
 from dappledrum.store.rate_limiter import RequestPriority
 from dappledrum.timing.clock import Clock
 from dappledrum.timing.fault_log import FaultLog
+from dappledrum.user_api.job_api import JobApi
 
 log = logging.getLogger(__name__)
 
--- a/dappledrum/controller/controller.py
+++ b/dappledrum/controller/controller.py
@@ -23,9 +23,7 @@
 from dappledrum.fleet.cloud_client import CloudClient, CloudError
 from dappledrum.http.client import HttpClient
 from dappledrum.http.messages import Request, Response
-from dappledrum.jobs.api import JobApi
 from dappledrum.jobs.job import Job
-from dappledrum.jobs.responses import refusal
 from dappledrum.leader.context import TermContext
 from dappledrum.leader.leader import Leader
 from dappledrum.membership.context import (
@@ -43,6 +41,8 @@
 from dappledrum.store.value_limit import ValueLimit
 from dappledrum.timing.clock import ZERO, Clock, longest_local_span
 from dappledrum.timing.timeouts import PauseDetector
+from dappledrum.user_api.job_api import JobApi
+from dappledrum.user_api.responses import refusal
 
 log = logging.getLogger(__name__)
 
--- a/dappledrum/controller/heartbeat_endpoint.py
+++ b/dappledrum/controller/heartbeat_endpoint.py
@@ -11,7 +11,6 @@
 from dappledrum.controller.isolation import Isolation
 from dappledrum.election.elector import Elector
 from dappledrum.http.messages import Request, Response
-from dappledrum.jobs.responses import refusal
 from dappledrum.leader.heartbeat_responder import MAX_IDLE_WAIT
 from dappledrum.leader.leader import Leader
 from dappledrum.membership.service import Membership
@@ -20,6 +19,7 @@
 from dappledrum.store.client import StoreClient
 from dappledrum.timing.clock import Clock
 from dappledrum.timing.timeouts import PauseDetector
+from dappledrum.user_api.responses import refusal
 from dappledrum.workers.heartbeat_attempts import HeartbeatAttempts, sending_heartbeats_elsewhere
 from dappledrum.workers.messages import Commands, Redirect, WorkerHeartbeat
 
--- a/dappledrum/controller/peer_endpoint.py
+++ b/dappledrum/controller/peer_endpoint.py
@@ -17,12 +17,12 @@
     TransferLeadershipReply,
 )
 from dappledrum.http.messages import Request, Response
-from dappledrum.membership.messages import (
+from dappledrum.membership.service import Membership
+from dappledrum.peers.heartbeat_messages import (
     ForwardedHeartbeats,
     ForwardedHeartbeatsReply,
     PeerHeartbeats,
 )
-from dappledrum.membership.service import Membership
 from dappledrum.peers.messages import (
     HeartbeatAttemptsReply,
     HeartbeatAttemptsRequest,
--- a/dappledrum/controller/peer_versions.py
+++ b/dappledrum/controller/peer_versions.py
@@ -6,7 +6,6 @@
 from datetime import timedelta
 
 from dappledrum import __version__
-from dappledrum.jobs.api import JobApi
 from dappledrum.membership.service import Membership
 from dappledrum.peers.client import Peers
 from dappledrum.peers.versions import GANGS, REACH, at_least
@@ -15,6 +14,7 @@
 from dappledrum.store.messages import Guard, Put, encode_value
 from dappledrum.store.rate_limiter import RequestPriority
 from dappledrum.store.value_limit import ValueLimit
+from dappledrum.user_api.job_api import JobApi
 
 log = logging.getLogger(__name__)
 
--- a/dappledrum/controller/user_endpoint.py
+++ b/dappledrum/controller/user_endpoint.py
@@ -8,12 +8,12 @@
 
 from dappledrum.controller.isolation import Isolation
 from dappledrum.http.messages import Request, Response
-from dappledrum.jobs.api import JobApi
-from dappledrum.jobs.responses import busy, refusal
 from dappledrum.membership.service import Membership
 from dappledrum.peers.client import Peers
 from dappledrum.peers.messages import Relay
 from dappledrum.store.client import StoreClient
+from dappledrum.user_api.job_api import JobApi
+from dappledrum.user_api.responses import busy, refusal
 
 RELAYS = 2
 RELAY_TIME = timedelta(milliseconds=900)
--- a/dappledrum/dependencies/lookup.py
+++ b/dappledrum/dependencies/lookup.py
@@ -13,7 +13,7 @@
 
 from dappledrum.jobs.keys import ended_key, head_key
 from dappledrum.jobs.messages import Form, JobRecord
-from dappledrum.jobs.poll_batcher import LiveRecord
+from dappledrum.jobs.stored_job import LiveRecord
 from dappledrum.store.client import StoreClient
 from dappledrum.store.errors import ConflictError, RateLimitedError, StoreError
 from dappledrum.store.hedged_commit import commit_idempotent
--- a/dappledrum/dispatch/pending_work.py
+++ b/dappledrum/dispatch/pending_work.py
@@ -4,19 +4,19 @@
 from collections.abc import Hashable
 from datetime import timedelta
 
-from dappledrum.accounting.cost_categories import Demand
+from dappledrum.accounting.idle_categories import Demand
 from dappledrum.dispatch.bag_builder import OPTIMISTIC_RUN_TIME_SHARE, BagBuilder
 from dappledrum.dispatch.bag_combination import may_be_combined, merge, similarity_key
 from dappledrum.dispatch.context import DispatchContext
 from dappledrum.dispatch.job_deadlines import JobDeadlines
 from dappledrum.dispatch.placement_constraints import allowed_kinds
 from dappledrum.dispatch.team_quotas import guaranteed_jobs, team_capacity
-from dappledrum.jobs.feasibility import fits_machine_type
 from dappledrum.jobs.job import Job
 from dappledrum.jobs.messages import PRIORITY_RANKS
 from dappledrum.scheduling.bags import Bag
 from dappledrum.scheduling.stages import Stage, WorkflowJob, stages
 from dappledrum.scheduling.timeline import Size, fetch_time
+from dappledrum.user_api.feasibility import fits_machine_type
 
 log = logging.getLogger(__name__)
 
--- a/dappledrum/dispatch/placement_constraints.py
+++ b/dappledrum/dispatch/placement_constraints.py
@@ -3,9 +3,9 @@
 from collections.abc import Callable, Mapping
 
 from dappledrum.fleet.messages import MachineType
-from dappledrum.jobs.feasibility import fits_machine_type
 from dappledrum.jobs.job import Job
 from dappledrum.scheduling.timeline import InstanceKind
+from dappledrum.user_api.feasibility import fits_machine_type
 
 
 def allowed_kinds(
--- a/dappledrum/election/context.py
+++ b/dappledrum/election/context.py
@@ -5,9 +5,9 @@
 from datetime import timedelta
 from typing import Protocol
 
+from dappledrum.election.confirmed_cancellations import ConfirmedCancellations
 from dappledrum.election.messages import LeaseGrantRequest, PreVote, TransferLeadership
 from dappledrum.election.quorum import PeerAnswers
-from dappledrum.jobs.confirmed_cancellations import ConfirmedCancellations
 from dappledrum.store.client import StoreClient
 from dappledrum.timing.clock import Clock
 
--- a/dappledrum/election/messages.py
+++ b/dappledrum/election/messages.py
@@ -31,7 +31,7 @@
     epoch: int
     grant_ms: int
     #: How far back the peer is asked for the cancellations that it has confirmed to users; see
-    #: jobs/confirmed_cancellations.py.
+    #: election/confirmed_cancellations.py.
     confirmed_span_ms: Age = 0
 
 
--- a/dappledrum/election/peer_lease_grants.py
+++ b/dappledrum/election/peer_lease_grants.py
@@ -7,12 +7,12 @@
 import logging
 from datetime import timedelta
 
+from dappledrum.election.confirmed_cancellations import CancellationWindow
 from dappledrum.election.context import ElectionContext
 from dappledrum.election.messages import LeaseGrantRequest
 from dappledrum.election.quorum import PeerAnswers, majority
 from dappledrum.election.terms import Term
 from dappledrum.election.voter import LEASE_GRANT_DURATION
-from dappledrum.jobs.confirmed_cancellations import CancellationWindow
 from dappledrum.timing.clock import ZERO, shortest_local_span
 from dappledrum.timing.fault_log import FaultLog
 
--- a/dappledrum/election/quorum.py
+++ b/dappledrum/election/quorum.py
@@ -3,7 +3,7 @@
 from datetime import timedelta
 from typing import NamedTuple
 
-from dappledrum.jobs.confirmed_cancellations import CancellationWindow
+from dappledrum.election.confirmed_cancellations import CancellationWindow
 from dappledrum.timing.clock import ZERO
 
 #: The span that is covered where there is no other controller: none of them answers users.
--- a/dappledrum/election/test_confirmed_cancellations.py
+++ b/dappledrum/election/test_confirmed_cancellations.py
@@ -7,6 +7,12 @@
 
 import pytest
 
+from dappledrum.election.confirmed_cancellations import (
+    KEPT,
+    CancellationWindow,
+    ConfirmedCancellations,
+    merge_windows,
+)
 from dappledrum.election.context import ElectionContext, LeaseLimits
 from dappledrum.election.elector import Elector
 from dappledrum.election.messages import LeaseGrantReply, LeaseGrantRequest
@@ -14,12 +20,6 @@
 from dappledrum.election.quorum import UNLIMITED_SPAN, PeerAnswers
 from dappledrum.election.terms import Term
 from dappledrum.http.client import NoResponseError, Reply
-from dappledrum.jobs.confirmed_cancellations import (
-    KEPT,
-    CancellationWindow,
-    ConfirmedCancellations,
-    merge_windows,
-)
 from dappledrum.peers.client import Peers
 from dappledrum.peers.messages import encode
 from dappledrum.simulation.virtual_time import run
--- a/dappledrum/fleet/cloud_client.py
+++ b/dappledrum/fleet/cloud_client.py
@@ -17,7 +17,7 @@
     RentalRequest,
 )
 from dappledrum.http.client import HttpClient, NoResponseError, Reply
-from dappledrum.membership.link_health import LinkHealth
+from dappledrum.http.link_health import LinkHealth
 from dappledrum.timing.clock import ZERO, Clock
 
 log = logging.getLogger(__name__)
--- a/dappledrum/golden/test_controllers.py
+++ b/dappledrum/golden/test_controllers.py
@@ -15,14 +15,14 @@
 )
 from dappledrum.golden.entries import load
 from dappledrum.golden.recording_caller import RecordingCaller, as_sent
-from dappledrum.membership.messages import (
+from dappledrum.peers.client import Peers
+from dappledrum.peers.heartbeat_messages import (
     ForwardedHeartbeats,
     ForwardedHeartbeatsReply,
     PeerHeartbeat,
     PeerHeartbeats,
     PeerHeartbeatsReply,
 )
-from dappledrum.peers.client import Peers
 from dappledrum.peers.messages import (
     HeartbeatAttemptsReply,
     HeartbeatAttemptsRequest,
--- a/dappledrum/golden/test_users.py
+++ b/dappledrum/golden/test_users.py
@@ -9,8 +9,8 @@
 from dappledrum.golden.entries import load
 from dappledrum.golden.recording_caller import as_sent
 from dappledrum.jobs.messages import Form, Outcome, Priority, Spec, StatusResponse
-from dappledrum.jobs.responses import answer, busy, refusal
 from dappledrum.simulation.cluster import led_cluster
+from dappledrum.user_api.responses import answer, busy, refusal
 
 GOLDEN = load("users")
 
--- a/dappledrum/jobs/__init__.py
+++ b/dappledrum/jobs/__init__.py
@@ -1,1 +1,1 @@
-"""Jobs: their records in the store, their intake, and the leader's writing of progress."""
+"""Jobs: their stored records, their state in the leader's memory, and the writing of progress."""
--- a/dappledrum/membership/conftest.py
+++ b/dappledrum/membership/conftest.py
@@ -7,8 +7,8 @@
 import msgspec
 import pytest
 
-from dappledrum.membership.messages import PeerHeartbeat
 from dappledrum.membership.peer_table import PeerTable
+from dappledrum.peers.heartbeat_messages import PeerHeartbeat
 
 #: Of a controller that the store serves and that was not paused.
 HEALTHY = PeerHeartbeat(
--- a/dappledrum/membership/context.py
+++ b/dappledrum/membership/context.py
@@ -7,7 +7,7 @@
 from typing import Protocol
 
 from dappledrum.election.elector import Elector
-from dappledrum.membership.link_health import LinkHealth
+from dappledrum.http.link_health import LinkHealth
 from dappledrum.peers.client import Peers
 from dappledrum.settings import WorkerLimits
 from dappledrum.timing.clock import Clock
--- a/dappledrum/membership/leader_claims.py
+++ b/dappledrum/membership/leader_claims.py
@@ -9,8 +9,8 @@
 from datetime import timedelta
 from typing import NamedTuple
 
-from dappledrum.membership.messages import PeerHeartbeat
 from dappledrum.membership.peer_table import ReceivedHeartbeat, from_ms
+from dappledrum.peers.heartbeat_messages import PeerHeartbeat
 
 #: For how long a leadership transfer keeps workers waiting (docs/membership.md).
 TRANSFER_COST = timedelta(seconds=1)
--- a/dappledrum/membership/leader_placement.py
+++ b/dappledrum/membership/leader_placement.py
@@ -9,8 +9,8 @@
 from typing import NamedTuple
 
 from dappledrum.membership.leader_claims import TRANSFER_COST, store_is_slow
-from dappledrum.membership.messages import PeerHeartbeat
 from dappledrum.membership.peer_table import PeerTable, ReceivedHeartbeat, event_time, from_ms
+from dappledrum.peers.heartbeat_messages import PeerHeartbeat
 from dappledrum.timing.clock import ZERO
 
 #: The cloud is called rarely, and machines that run already go on without it.
--- a/dappledrum/membership/monitor.py
+++ b/dappledrum/membership/monitor.py
@@ -9,12 +9,12 @@
 from datetime import timedelta
 
 from dappledrum.election.terms import Term
+from dappledrum.http.link_health import LinkHealth
 from dappledrum.membership.context import MembershipContext
-from dappledrum.membership.link_health import LinkHealth
-from dappledrum.membership.messages import PeerHeartbeat, PeerHeartbeats, PeerHeartbeatsReply
 from dappledrum.membership.peer_table import HeartbeatOrder, PeerTable, heartbeat_order, to_ms
 from dappledrum.membership.silent_zones import SilentZones
 from dappledrum.membership.zone_health import ZoneTable
+from dappledrum.peers.heartbeat_messages import PeerHeartbeat, PeerHeartbeats, PeerHeartbeatsReply
 
 log = logging.getLogger(__name__)
 
--- a/dappledrum/membership/peer_table.py
+++ b/dappledrum/membership/peer_table.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from dappledrum.membership.messages import PeerHeartbeat
+from dappledrum.peers.heartbeat_messages import PeerHeartbeat
 from dappledrum.timing.clock import MAX_CLOCK_DRIFT, ZERO
 
 MAX_RECENT_AGE = timedelta(seconds=3.5)  # three heartbeats of a second, with a margin
--- a/dappledrum/membership/probes.py
+++ b/dappledrum/membership/probes.py
@@ -5,11 +5,11 @@
 from datetime import timedelta
 
 from dappledrum.membership.context import MembershipContext, ProbedService, WorkerProbe
-from dappledrum.membership.messages import PeerHeartbeat
 from dappledrum.membership.monitor import PeerMonitor
 from dappledrum.membership.peer_table import from_ms
 from dappledrum.membership.silent_zones import SilentZones
 from dappledrum.membership.zone_health import MAX_ZONES, ZoneTable
+from dappledrum.peers.heartbeat_messages import PeerHeartbeat
 from dappledrum.timing.clock import ZERO
 
 STORE_PROBE_INTERVAL = timedelta(seconds=1)
--- a/dappledrum/membership/service.py
+++ b/dappledrum/membership/service.py
@@ -15,11 +15,11 @@
 from dappledrum.membership.leader_check import LeaderCheck
 from dappledrum.membership.leader_claims import store_is_slow
 from dappledrum.membership.leader_placement import candidacy_delay
-from dappledrum.membership.messages import PeerHeartbeats, PeerHeartbeatsReply
 from dappledrum.membership.monitor import PeerMonitor
 from dappledrum.membership.probes import CloudProber, StoreProber, WorkerProber
 from dappledrum.membership.silent_zones import SilentZones
 from dappledrum.membership.zone_health import ZoneTable
+from dappledrum.peers.heartbeat_messages import PeerHeartbeats, PeerHeartbeatsReply
 from dappledrum.timing.supervisor import Supervisor
 from dappledrum.workers.messages import WorkerHeartbeat
 
--- a/dappledrum/membership/test_link_health.py
+++ b/dappledrum/membership/test_link_health.py
@@ -3,7 +3,7 @@
 import asyncio
 from datetime import timedelta
 
-from dappledrum.membership.link_health import LinkHealth
+from dappledrum.http.link_health import LinkHealth
 from dappledrum.membership.zone_health import ZoneHealth
 from dappledrum.simulation.virtual_time import SkewedClock, run
 
--- a/dappledrum/membership/test_messages.py
+++ b/dappledrum/membership/test_messages.py
@@ -6,7 +6,7 @@
 import pytest
 
 from dappledrum.controller.wiring import _worker_answers
-from dappledrum.membership.messages import PeerHeartbeats
+from dappledrum.peers.heartbeat_messages import PeerHeartbeats
 from dappledrum.peers.messages import MalformedError, decode, encode
 
 
--- a/dappledrum/model/election.py
+++ b/dappledrum/model/election.py
@@ -17,13 +17,13 @@
 from datetime import timedelta
 from functools import partial
 
-from dappledrum.election.messages import LeaseGrantRequest
-from dappledrum.election.voter import Voter
-from dappledrum.jobs.confirmed_cancellations import (
+from dappledrum.election.confirmed_cancellations import (
     CancellationWindow,
     ConfirmedCancellations,
     merge_windows,
 )
+from dappledrum.election.messages import LeaseGrantRequest
+from dappledrum.election.voter import Voter
 from dappledrum.model.election_conditions import (
     CONFIRMED_WINDOW_MARGIN,
     GRANT_DURATION,
--- a/dappledrum/model/election_conditions.py
+++ b/dappledrum/model/election_conditions.py
@@ -7,8 +7,8 @@
 from enum import Enum, auto
 from typing import NamedTuple
 
+from dappledrum.election.confirmed_cancellations import CancellationWindow
 from dappledrum.election.voter import LEASE_GRANT_DURATION
-from dappledrum.jobs.confirmed_cancellations import CancellationWindow
 
 LEASE_TTL = 3.0
 LEASE_SAFETY_MARGIN = 0.1
--- a/dappledrum/peers/client.py
+++ b/dappledrum/peers/client.py
@@ -5,6 +5,7 @@
 from datetime import timedelta
 from typing import Any
 
+from dappledrum.election.confirmed_cancellations import CancellationWindow, merge_windows
 from dappledrum.election.messages import (
     LeaseGrantReply,
     LeaseGrantRequest,
@@ -15,8 +16,7 @@
 )
 from dappledrum.election.quorum import UNLIMITED_SPAN, PeerAnswers, majority
 from dappledrum.http.client import HttpClient, NoResponseError
-from dappledrum.jobs.confirmed_cancellations import CancellationWindow, merge_windows
-from dappledrum.membership.messages import (
+from dappledrum.peers.heartbeat_messages import (
     ForwardedHeartbeats,
     ForwardedHeartbeatsReply,
     PeerHeartbeats,
--- a/dappledrum/peers/messages.py
+++ b/dappledrum/peers/messages.py
@@ -17,7 +17,7 @@
     TransferLeadership,
     TransferLeadershipReply,
 )
-from dappledrum.membership.messages import (
+from dappledrum.peers.heartbeat_messages import (
     ForwardedHeartbeats,
     ForwardedHeartbeatsReply,
     PeerHeartbeats,
--- a/dappledrum/simulation/ground_truth.py
+++ b/dappledrum/simulation/ground_truth.py
@@ -10,7 +10,7 @@
 from typing import Any
 from unittest.mock import patch
 
-from dappledrum.accounting.cost_categories import CostCategory
+from dappledrum.jobs.cost_category import CostCategory
 from dappledrum.jobs.placement import Placement
 from dappledrum.simulation.fleet import CloudService
 from dappledrum.workers.attempt_ends import AttemptEnds
--- a/dappledrum/store/availability.py
+++ b/dappledrum/store/availability.py
@@ -3,7 +3,7 @@
 import logging
 from datetime import timedelta
 
-from dappledrum.membership.link_health import LinkHealth
+from dappledrum.http.link_health import LinkHealth
 from dappledrum.timing.clock import Clock
 from dappledrum.timing.fault_log import FaultLog
 
--- a/dappledrum/store/test_hedged_commit.py
+++ b/dappledrum/store/test_hedged_commit.py
@@ -8,12 +8,11 @@
 import msgspec
 import pytest
 
+from dappledrum.election.confirmed_cancellations import ConfirmedCancellations
 from dappledrum.election.context import ElectionContext, LeaseLimits
 from dappledrum.election.elector import Elector
 from dappledrum.election.quorum import PeerAnswers
 from dappledrum.election.terms import Term
-from dappledrum.jobs.api import JobApi
-from dappledrum.jobs.confirmed_cancellations import ConfirmedCancellations
 from dappledrum.jobs.job import Job
 from dappledrum.jobs.keys import head_key
 from dappledrum.jobs.messages import JobRecord, PageRecord, Spec
@@ -31,6 +30,7 @@
 from dappledrum.store.rate_limiter import RequestPriority
 from dappledrum.store.value_limit import ValueLimit
 from dappledrum.timing.clock import ZERO, Clock, seconds
+from dappledrum.user_api.job_api import JobApi
 
 LIMITS = StoreLimits(200.0, 100.0, 8.0, 24)
 LOST = LateWrites(1.0, 0.0, 0.0, at_once=True)
--- a/dappledrum/jobs/api.py
+++ b/dappledrum/user_api/job_api.py
@@ -15,10 +15,9 @@
 
 from dappledrum.accounting.served_counts import describe_job
 from dappledrum.dependencies.lookup import DependencyLookup
+from dappledrum.election.confirmed_cancellations import ConfirmedCancellations
 from dappledrum.fleet.messages import MachineType
 from dappledrum.http.messages import Response
-from dappledrum.jobs.confirmed_cancellations import ConfirmedCancellations
-from dappledrum.jobs.feasibility import infeasibility
 from dappledrum.jobs.keys import ended_key, head_key, spec_key
 from dappledrum.jobs.messages import (
     EndedRecord,
@@ -32,9 +31,7 @@
     SubmissionId,
 )
 from dappledrum.jobs.page_encoding import page_size
-from dappledrum.jobs.poll_batcher import LiveRecord, LiveStatus, PollBatcher, StoredJob, seen
-from dappledrum.jobs.responses import answer, busy, refusal
-from dappledrum.jobs.submission_batcher import SubmissionBatcher
+from dappledrum.jobs.stored_job import LiveRecord, StoredJob
 from dappledrum.jobs.value_parts import LONG_SPEC_DIVISOR, split_spec
 from dappledrum.settings import Params
 from dappledrum.store.client import StoreClient
@@ -49,6 +46,10 @@
 from dappledrum.store.rate_limiter import RequestPriority
 from dappledrum.store.value_limit import ValueLimit
 from dappledrum.timing.clock import Clock
+from dappledrum.user_api.feasibility import infeasibility
+from dappledrum.user_api.poll_batcher import LiveStatus, PollBatcher, seen
+from dappledrum.user_api.responses import answer, busy, refusal
+from dappledrum.user_api.submission_batcher import SubmissionBatcher
 
 log = logging.getLogger(__name__)
 
--- a/dappledrum/jobs/poll_batcher.py
+++ b/dappledrum/user_api/poll_batcher.py
@@ -15,6 +15,7 @@
 
 from dappledrum.jobs.keys import head_key
 from dappledrum.jobs.messages import EndedRecord, JobRecord
+from dappledrum.jobs.stored_job import LiveRecord, StoredJob
 from dappledrum.store.client import StoreClient
 from dappledrum.store.errors import ConflictError, RateLimitedError, StoreError
 from dappledrum.store.hedged_commit import commit_idempotent
@@ -39,8 +40,6 @@
     running: int
 
 
-LiveRecord = tuple[JobRecord, int] | StoreError  # of a live job, or why its record is of no use
-StoredJob = tuple[JobRecord, int] | EndedRecord | None
 PollAnswer = LiveStatus | EndedRecord | None
 
 
--- a/dappledrum/jobs/submission_batcher.py
+++ b/dappledrum/user_api/submission_batcher.py
@@ -11,7 +11,7 @@
 from typing import NamedTuple
 
 from dappledrum.jobs.keys import ended_key, head_key
-from dappledrum.jobs.poll_batcher import StoredJob
+from dappledrum.jobs.stored_job import StoredJob
 from dappledrum.store.client import MAX_TRANSACTION_BYTES, StoreClient
 from dappledrum.store.errors import ConflictError, StoreError
 from dappledrum.store.hedged_commit import commit_or_find
--- a/dappledrum/workers/attempt_ends.py
+++ b/dappledrum/workers/attempt_ends.py
@@ -3,12 +3,12 @@
 import logging
 from datetime import timedelta
 
-from dappledrum.accounting.cost_categories import CostCategory
-from dappledrum.accounting.ledger import Ledger
+from dappledrum.jobs.cost_category import CostCategory
 from dappledrum.jobs.job import Job
 from dappledrum.jobs.page import Page
 from dappledrum.jobs.placement import Placement
 from dappledrum.scheduling.estimates import Estimates
+from dappledrum.workers.cost_recorder import CostRecorder
 from dappledrum.workers.failure_attribution import (
     Verdict,
     is_suspected,
@@ -41,12 +41,12 @@
         self,
         context: ReconciliationContext,
         estimates: Estimates,
-        ledger: Ledger,
+        cost_recorder: CostRecorder,
         observer: ReconciliationObserver,
     ) -> None:
         self.context = context
         self.estimates = estimates
-        self.ledger = ledger
+        self.cost_recorder = cost_recorder
         self.observer = observer
 
     def end(
@@ -76,7 +76,7 @@
         elif placement is not None:
             self._process_unsuccessful(machine, job, status, now)
         if placement is not None:
-            self.ledger.settle(placement, _category_of_end(job, status))
+            self.cost_recorder.settle(placement, _category_of_end(job, status))
             self._remove(machine, placement)
             self.observer.planning_needed("task ended")
         self.observer.page_changed(page)
@@ -91,7 +91,7 @@
         log.info(
             "%s/%d on %s is lost: %s", placement.page.job.id, placement.task, machine.name, reason
         )
-        self.ledger.settle(placement, category)
+        self.cost_recorder.settle(placement, category)
         self._remove(machine, placement)
         self.observer.placement_lost(reason)
         self.observer.planning_needed("task lost")
--- a/dappledrum/workers/placement_comparison.py
+++ b/dappledrum/workers/placement_comparison.py
@@ -3,7 +3,7 @@
 import logging
 from datetime import timedelta
 
-from dappledrum.accounting.cost_categories import CostCategory
+from dappledrum.jobs.cost_category import CostCategory
 from dappledrum.jobs.job import Job
 from dappledrum.jobs.placement import Placement
 from dappledrum.workers.attempt_ends import AttemptEnds
--- a/dappledrum/workers/reconciler.py
+++ b/dappledrum/workers/reconciler.py
@@ -17,15 +17,15 @@
 import logging
 from datetime import timedelta
 
-from dappledrum.accounting.cost_categories import CostCategory
-from dappledrum.accounting.ledger import Ledger
 from dappledrum.gangs.all_or_nothing import stop_broken_gangs
+from dappledrum.jobs.cost_category import CostCategory
 from dappledrum.jobs.job import Job
 from dappledrum.scheduling.estimates import Estimates
 from dappledrum.scheduling.timeline import InstanceKind
 from dappledrum.timing.clock import ZERO, longest_local_span
 from dappledrum.workers.attempt_ends import AttemptEnds
 from dappledrum.workers.commands import WorkerCommands
+from dappledrum.workers.cost_recorder import CostRecorder
 from dappledrum.workers.heartbeat_order import is_late_copy
 from dappledrum.workers.machine_registry import Machine
 from dappledrum.workers.messages import WorkerHeartbeat
@@ -48,7 +48,7 @@
         self,
         context: ReconciliationContext,
         estimates: Estimates,
-        ledger: Ledger,
+        cost_recorder: CostRecorder,
         observer: ReconciliationObserver,
     ) -> None:
         self.context = context
@@ -58,7 +58,7 @@
         self.limits = context.limits
         self.clock = context.clock
         self.commands = WorkerCommands(context.jobs, context.clock)
-        self.ends = AttemptEnds(context, estimates, ledger, observer)
+        self.ends = AttemptEnds(context, estimates, cost_recorder, observer)
         self.comparison = PlacementComparison(context, self.ends)
         self.spot_reclaim = SpotReclaim(estimates, context.limits)
         # No predecessor has answered a worker after this; None: not known.
