--- a/dappledrum/controller/test_wiring.py
+++ b/dappledrum/controller/test_wiring.py
@@ -7,7 +7,7 @@
 
 from dappledrum.controller import wiring
 from dappledrum.settings import Settings, Tuning
-from dappledrum.test_main import good
+from dappledrum.test_main import valid_settings
 
 
 def test_a_process_begins_when_the_one_before_it_is_gone(monkeypatch):
@@ -24,7 +24,7 @@
 
     async def main():
         before = socket.create_server(("127.0.0.1", 0))
-        settings = msgspec.convert(good(), Settings)
+        settings = msgspec.convert(valid_settings(), Settings)
         back = f"127.0.0.1:{before.getsockname()[1]}"
         settings = msgspec.structs.replace(settings, back=back)
         running = asyncio.create_task(wiring.run_controller(settings, Tuning()))
--- a/dappledrum/http/test_connection_limits.py
+++ b/dappledrum/http/test_connection_limits.py
@@ -153,7 +153,7 @@
             client.connect_ex(("127.0.0.1", port))
             clients.append(client)
         _, connected, _ = select.select([], clients, [], 0.2)
-        assert 0 < len(connected) <= 4 + 1  # the system takes one more
+        assert 0 < len(connected) <= 4 + 1  # the system accepts one more
         for client in clients:
             client.close()
         await server.stop()
--- a/dappledrum/store/test_client.py
+++ b/dappledrum/store/test_client.py
@@ -1,4 +1,4 @@
-"""Budgets, and what each kind of failure is taken for."""
+"""Rate limiting, and the classification of failures."""
 
 import asyncio
 import random
@@ -23,29 +23,29 @@
 from dappledrum.timing.clock import ZERO, Clock, seconds
 
 
-def test_a_budget_keeps_the_rate_and_its_reserves():
-    budget = RateLimiter(10, ZERO)
-    taken = 0
+def test_rate_limiter_keeps_the_rate_and_its_reserves():
+    limiter = RateLimiter(10, ZERO)
+    consumed = 0
     now = ZERO
     for step in range(10_000):
         now = seconds(step / 1000)
-        if budget.delay(1, RequestPriority.POLL, now) == ZERO:
-            budget.consume(1, now)
-            taken += 1
-    assert 100 <= taken <= 110
-    assert budget.delay(1, RequestPriority.SUBMISSION, now) == ZERO
-    assert budget.delay(1, RequestPriority.LEASE, now) == ZERO
-    assert budget.delay(1, RequestPriority.POLL, now) > ZERO
+        if limiter.delay(1, RequestPriority.POLL, now) == ZERO:
+            limiter.consume(1, now)
+            consumed += 1
+    assert 100 <= consumed <= 110
+    assert limiter.delay(1, RequestPriority.SUBMISSION, now) == ZERO
+    assert limiter.delay(1, RequestPriority.LEASE, now) == ZERO
+    assert limiter.delay(1, RequestPriority.POLL, now) > ZERO
 
 
-class Canned:
-    """A service that answers with what it is given."""
+class CannedClient:
+    """Answers each request with the same reply, or raises the same error."""
 
     def __init__(self, answer):
         self.answer = answer
         self.paths = []
 
-    async def request(self, method, path, body, timeout):
+    async def request(self, _method, path, _body, _timeout):
         self.paths.append(path)
         if isinstance(self.answer, Exception):
             raise self.answer
@@ -69,49 +69,52 @@
 
 
 @pytest.mark.parametrize(("answer", "error"), ANSWERS)
-def test_failures_of_a_transaction(answer, error):
+def test_each_failure_of_a_transaction_has_its_error(answer, error):
     async def main():
-        state = StoreClient(
-            Canned(answer), StoreLimits(100, 100, 8, 24), Clock(), random.Random(1)
+        store = StoreClient(
+            CannedClient(answer), StoreLimits(100, 100, 8, 24), Clock(), random.Random(1)
         )
         with pytest.raises(error):
-            await state.commit(
+            await store.commit(
                 [Guard("a", 0)], [Put("a", encode_value(1))], RequestPriority.RECORD
             )
 
     run(main())
 
 
-def test_a_404_that_is_not_the_services_proves_nothing():
+def test_a_404_from_anything_but_the_store_proves_nothing():
     async def main():
-        state = StoreClient(
-            Canned(Reply(404, b"<html>")), StoreLimits(100, 100, 8, 24), Clock(), random.Random(1)
+        store = StoreClient(
+            CannedClient(Reply(404, b"<html>")),
+            StoreLimits(100, 100, 8, 24),
+            Clock(),
+            random.Random(1),
         )
         with pytest.raises(UnknownOutcomeError):
-            await state.get("job/j-1", RequestPriority.POLL)
-        state.transport.http_client = Canned(Reply(404, b'{"tally":3}'))
-        assert await state.get("job/j-1", RequestPriority.POLL) is None
-        state.transport.http_client = Canned(Reply(410, b"{}"))
+            await store.get("job/j-1", RequestPriority.POLL)
+        store.transport.http_client = CannedClient(Reply(404, b'{"tally":3}'))
+        assert await store.get("job/j-1", RequestPriority.POLL) is None
+        store.transport.http_client = CannedClient(Reply(410, b"{}"))
         with pytest.raises(CompactedError):
-            await state.watch("job/", 1, ZERO, RequestPriority.POLL)
+            await store.watch("job/", 1, ZERO, RequestPriority.POLL)
 
     run(main())
 
 
-def test_trouble_is_known_after_failures_and_over_after_an_answer():
+def test_the_store_is_failing_after_failures_until_a_request_is_served():
     async def main():
-        caller = Canned(Reply(503, b"{}"))
-        state = StoreClient(caller, StoreLimits(100, 100, 8, 24), Clock(), random.Random(1))
+        caller = CannedClient(Reply(503, b"{}"))
+        store = StoreClient(caller, StoreLimits(100, 100, 8, 24), Clock(), random.Random(1))
         for _ in range(3):
             with pytest.raises(RefusedError):
-                await state.get("x", RequestPriority.RECORD)
+                await store.get("x", RequestPriority.RECORD)
             await asyncio.sleep(0.4)
-        assert state.availability.is_failing()
+        assert store.availability.is_failing()
         caller.answer = Reply(200, b'{"tally":1,"events":[]}')
-        await state.watch("x", 1, timedelta(seconds=1), RequestPriority.RECORD)
-        assert state.availability.is_failing()  # an open watch may end in an outage, too
+        await store.watch("x", 1, timedelta(seconds=1), RequestPriority.RECORD)
+        assert store.availability.is_failing()  # an open watch may end in an outage, too
         caller.answer = Reply(404, b'{"tally":1}')
-        await state.get("x", RequestPriority.RECORD)
-        assert not state.availability.is_failing()
+        await store.get("x", RequestPriority.RECORD)
+        assert not store.availability.is_failing()
 
     run(main())
--- a/dappledrum/store/test_guards.py
+++ b/dappledrum/store/test_guards.py
@@ -1,5 +1,5 @@
-"""Every transaction that controllers send, with its guards: whatever is carried out late, after
-newer ones, meets another version and changes nothing (docs/design.md, "Concurrent faults")."""
+"""Every transaction that controllers send has its guards: whatever is executed late, after newer
+ones, finds another version and changes nothing (docs/design.md, "Concurrent faults")."""
 
 import asyncio
 import json
@@ -13,11 +13,11 @@
 from dappledrum.simulation.network import LateWrites
 from dappledrum.simulation.virtual_time import run
 
-OWN_ONCE = ("catalog", "gangs")  # made once, never removed
-HINTS = ("fleet", "learned")  # nothing rests on them
+WRITTEN_ONCE = ("catalog", "gangs")  # never removed
+ADVISORY = ("fleet", "learned")  # no decision relies on them
 
 
-def home(key):
+def guarded_key(key):
     """The record in whose transaction a key is written: its page, or the job's head."""
     kind, _, rest = key.partition("/")
     if kind == "rows":
@@ -26,30 +26,32 @@
     return "job/" + rest.split("/")[0] if kind in ("spec", "ended") else key
 
 
-def unguarded(body):
-    """What a transaction changes without the guards that it must have."""
+def unguarded_keys(body):
+    """Keys that a transaction changes without the guards that it must have."""
     guards = {guard["key"]: guard["stamp"] for guard in body["guards"]}
     changed = {c.get("write", c.get("remove")) for c in body["then"]}
     for change in body["then"]:
         key = change.get("write", change.get("remove"))
         name = key.split("/")[1] if "/" in key else ""
-        led = guards.get("leader", 0) > 0
+        by_leader = guards.get("leader", 0) > 0
         if key in ("leader", "epoch"):
-            good = "leader" in guards and "epoch" in guards and {"leader", "epoch"} <= changed
-        elif key in OWN_ONCE:
-            good = guards.get(key) == 0
-        elif key in HINTS:
-            good = led
+            guarded = "leader" in guards and "epoch" in guards and {"leader", "epoch"} <= changed
+        elif key in WRITTEN_ONCE:
+            guarded = guards.get(key) == 0
+        elif key in ADVISORY:
+            guarded = by_leader
         elif key.startswith("ended/"):  # a head is there, and goes with it
-            good = led and guards.get(home(key), 0) > 0 and home(key) in changed
+            guarded = (
+                by_leader and guards.get(guarded_key(key), 0) > 0 and guarded_key(key) in changed
+            )
         elif "remove" in change and guards.get(f"job/{name}") == 0:  # nobody's
-            good = led
-        elif key.startswith("job/") and not led:  # by users: never accepted, or as it was read
-            good = key in guards and guards.get(f"ended/{name}") == 0
+            guarded = by_leader
+        elif key.startswith("job/") and not by_leader:  # by users: never accepted, or as read
+            guarded = key in guards and guards.get(f"ended/{name}") == 0
         else:
             by_user = guards.get(f"job/{name}") == 0 == guards.get(f"ended/{name}")
-            good = home(key) in guards and (led or by_user)
-        if not good:
+            guarded = guarded_key(key) in guards and (by_leader or by_user)
+        if not guarded:
             yield key
 
 
@@ -58,17 +60,17 @@
     async def main():
         cluster = SimulatedCluster(seed=seed, members=FIVE, next=NextLimits(value_kb=2.0))
         cluster.cloud.most = 14
-        kinds, bad = set(), []
+        kinds, unguarded = set(), []
 
-        def look(sent):
+        def check_guards(sent):
             if sent.path == "/multi":
                 body = json.loads(sent.body)
                 for change in body["then"]:
                     key = change.get("write", change.get("remove"))
                     kinds.add(("write " if "write" in change else "remove ") + key.split("/")[0])
-                bad.extend((key, sent.body) for key in unguarded(body))
+                unguarded.extend((key, sent.body) for key in unguarded_keys(body))
 
-        cluster.network.watcher = look
+        cluster.network.watcher = check_guards
         await cluster.until(lambda: cluster.leader() is not None)
         await cluster.wait(4)
         users = []
@@ -90,8 +92,8 @@
             await cluster.wait(1)
         await cluster.finish([many["id"], long["id"]], most=400)
         await cluster.wait(5)
-        assert not bad, bad[0]
-        expected = ("leader", "epoch", "job", "page", "spec", "ended", *OWN_ONCE, *HINTS)
+        assert not unguarded, unguarded[0]
+        expected = ("leader", "epoch", "job", "page", "spec", "ended", *WRITTEN_ONCE, *ADVISORY)
         assert kinds >= {f"write {kind}" for kind in expected} | {"remove job", "remove page"}
 
     run(main())
--- a/dappledrum/store/test_hedged_commit.py
+++ b/dappledrum/store/test_hedged_commit.py
@@ -1,4 +1,4 @@
-"""Transactions whose answer is late: what a read may tell of them, and what it may not."""
+"""Transactions whose answer is late: which reads prove their outcome, and which do not."""
 
 import asyncio
 import json
@@ -60,7 +60,7 @@
         return self.service.tally
 
     def delay(self, *seconds):
-        """The next transactions get no answer, and are carried out so much later."""
+        """The next transactions get no answer, and are executed after these delays, in seconds."""
         left = list(seconds)
         self.network.watcher = lambda sent: (
             left.pop(0) if left and sent.path == "/multi" and b'"write"' in sent.body else None
@@ -84,7 +84,7 @@
         )
 
 
-def test_an_answer_in_time_costs_no_read():
+def test_an_answer_in_time_causes_no_read():
     async def main():
         store = Store()
         assert await store.put() == 1
@@ -107,8 +107,8 @@
     run(main())
 
 
-def test_a_read_that_shows_nothing_proves_nothing():
-    """Carried out after the reads: unknown, as without them. Between them: the next one tells."""
+def test_an_absent_value_proves_nothing():
+    """Executed after the reads: unknown, as without them. Between them: the next one shows it."""
 
     async def main():
         store = Store()
@@ -125,19 +125,19 @@
     run(main())
 
 
-def use_up(budget):
-    """Others take so much that a read would have to wait for about a second."""
-    budget.consume(75, seconds(now()))
+def exhaust(limiter):
+    """Other requests consume so much that a read would have to wait for about a second."""
+    limiter.consume(75, seconds(now()))
 
 
 @pytest.mark.parametrize("why", ["budget", "slow", "hanging"])
-def test_no_read_where_it_would_not_help(why):
+def test_no_read_is_sent_when_it_would_not_help(why):
     async def main():
         store = Store()
         await store.client.get("key", RequestPriority.POLL)
         if why == "budget":
             asyncio.get_running_loop().call_later(
-                0.01, lambda: use_up(store.client.budget.request_limiter)
+                0.01, lambda: exhaust(store.client.budget.request_limiter)
             )
         elif why == "slow":
             store.client.availability.link.smoothed_delay = timedelta(seconds=0.25)
@@ -178,7 +178,7 @@
 
 
 class Leader(Store):
-    """A recorder with two jobs, whose heads are stored."""
+    """A leader's record writer with two jobs, whose heads are stored."""
 
     def __init__(self, lease_s=100.0):
         super().__init__()
@@ -213,7 +213,7 @@
         self.record_writer.mark_dirty(page)
 
     async def write_for(self, seconds):
-        """Let the recorder write, and look at all that it took for stored."""
+        """Let the record writer run, and check all that it considers stored."""
         writing = asyncio.ensure_future(self.record_writer.run())
         await asyncio.sleep(seconds)
         writing.cancel()
@@ -236,8 +236,8 @@
 
 @pytest.mark.parametrize("tasks", [1, 4])
 def test_an_earlier_write_with_the_same_content_is_no_proof(tasks):
-    """The first transaction, of one job, is carried out while the second, of two, waits: the first
-    job then looks as the second transaction would have left it, and the other one does not. With
+    """The first transaction, of one job, is executed while the second, of two, waits: the first
+    job is then as the second transaction would have left it, and the other one does not. With
     all its tasks done, that is the move to the ended ones."""
 
     async def main():
@@ -268,9 +268,9 @@
 
 
 @pytest.mark.parametrize("known", [True, False])
-def test_a_users_cancellation_is_no_proof(known):
+def test_a_cancellation_by_a_user_is_no_proof(known):
     """It is stored by the user's controller while the leader's transaction is on its way, which
-    therefore fails. If the leader knows of it already, it is just what the leader writes."""
+    therefore fails. If the leader has read it already, it is just what the leader writes."""
 
     async def main():
         leader = Leader()
@@ -293,9 +293,9 @@
 
 
 @pytest.mark.parametrize("why", ["lease", "transfer"])
-def test_what_the_next_leader_wrote_is_no_proof(why):
-    """The lease may be over, or leadership transferred, and the next leader have heard the same
-    end of a task."""
+def test_a_value_written_by_the_next_leader_is_no_proof(why):
+    """The lease may have expired, or leadership been transferred, and the next leader have
+    recorded the same end of a task."""
 
     async def main():
         leader = Leader(lease_s=0.05 if why == "lease" else 100.0)
@@ -335,7 +335,7 @@
         )
 
 
-def test_jobs_of_one_transaction_are_each_looked_up():
+def test_each_job_of_a_transaction_is_read():
     async def main():
         controller = Controller()
         controller.network.late_writes = LOST
@@ -346,8 +346,8 @@
     run(main())
 
 
-def test_a_job_that_another_controller_stored_proves_nothing_of_the_others():
-    """Both come in one transaction, which then fails; nobody hears that it did."""
+def test_a_job_stored_by_another_controller_proves_nothing_about_the_others():
+    """Both are in one transaction, which then fails without an answer."""
 
     async def main():
         controller = Controller()
@@ -364,7 +364,7 @@
 
 
 @pytest.mark.parametrize("what", ["lost", "cancelled elsewhere", "written by the leader"])
-def test_a_cancellation_is_told_once_it_is_stored(what):
+def test_a_cancellation_is_acknowledged_once_it_is_stored(what):
     async def main():
         controller = Controller()
         record = stored_job(1)
--- a/dappledrum/test_main.py
+++ b/dappledrum/test_main.py
@@ -1,4 +1,4 @@
-"""Settings and command line: what is wrong is named, what is unknown is ignored."""
+"""Settings and command line: wrong fields are named, unknown ones are ignored."""
 
 import json
 import os
@@ -12,7 +12,7 @@
 from dappledrum.main import main
 
 
-def good():
+def valid_settings():
     return {
         "member": "n-0",
         "location": "here",
@@ -36,8 +36,8 @@
     return main(["--config", str(file), "--check"])
 
 
-def test_good_settings_with_unknown_fields(tmp_path, capsys):
-    assert check(tmp_path, good()) == 0
+def test_valid_settings_with_unknown_fields_are_accepted(tmp_path, capsys):
+    assert check(tmp_path, valid_settings()) == 0
     assert "n-0" in capsys.readouterr().out
 
 
@@ -53,7 +53,7 @@
     ],
 )
 def test_a_wrong_or_missing_field_is_named(tmp_path, capsys, path, value, named):
-    settings = good()
+    settings = valid_settings()
     inner = settings
     for key in path[:-1]:
         inner = inner[key]
@@ -63,41 +63,42 @@
         inner[path[-1]] = value
     assert check(tmp_path, settings) == 2
     error = capsys.readouterr().err
-    assert named in error and error.count("\n") == 1
+    assert named in error
+    assert error.count("\n") == 1
 
 
-def test_a_file_that_is_no_json_or_not_there(tmp_path, capsys):
+def test_a_malformed_or_missing_file_is_refused(tmp_path):
     assert check(tmp_path, "{") == 2
     assert main(["--config", str(tmp_path / "none"), "--check"]) == 2
 
 
-def test_version_and_bad_flags(capsys):
+def test_exit_codes_of_flags():
     for argv, code in (
         (["--version"], 0),
         (["--help"], 0),
         ([], 2),
         (["--config", "x", "--interval-s", "0"], 2),
     ):
-        with pytest.raises(SystemExit) as ended:
+        with pytest.raises(SystemExit) as exit_info:
             main(argv)
-        assert ended.value.code == code
+        assert exit_info.value.code == code
 
 
-@pytest.mark.parametrize(("mode", "told"), [("checked-hash", "new"), ("unchecked-hash", "old")])
-def test_a_start_uses_the_bytecode_of_the_build_unless_the_source_is_another(tmp_path, mode, told):
-    """Compiling everything anew was half of what a start costs; the second mode, which is not the
-    build's, shows that it is not done."""
-    own = tmp_path / "dappledrum"
-    own.mkdir()
+@pytest.mark.parametrize(("mode", "output"), [("checked-hash", "new"), ("unchecked-hash", "old")])
+def test_a_start_uses_the_bytecode_unless_the_source_differs(tmp_path, mode, output):
+    """Compiling all sources took half of the time of a start. The second mode, which the build
+    does not use, shows that the bytecode is read."""
+    package = tmp_path / "dappledrum"
+    package.mkdir()
     shutil.copy(Path(__file__).parents[1] / "run.py", tmp_path)
-    (own / "__init__.py").touch()
-    (own / "main.py").write_text("def main():\n    print('old')\n")
-    compiling = ["-m", "compileall", "-q", "--invalidation-mode", mode, "dappledrum"]
+    (package / "__init__.py").touch()
+    (package / "main.py").write_text("def main():\n    print('old')\n")
+    compile_args = ["-m", "compileall", "-q", "--invalidation-mode", mode, "dappledrum"]
     env = {**os.environ, "PYTHONPYCACHEPREFIX": "target/pycache"}
-    subprocess.run([sys.executable, *compiling], cwd=tmp_path, env=env, check=True)
-    (own / "main.py").write_text("def main():\n    print('new')\n")
+    subprocess.run([sys.executable, *compile_args], cwd=tmp_path, env=env, check=True)
+    (package / "main.py").write_text("def main():\n    print('new')\n")
     del env["PYTHONPYCACHEPREFIX"]
-    ran = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "run.py"], cwd=tmp_path, env=env, check=True, capture_output=True
     )
-    assert ran.stdout.decode().split() == [told]
+    assert result.stdout.decode().split() == [output]
--- a/run.py
+++ b/run.py
@@ -7,33 +7,33 @@
 from types import CodeType
 
 ROOT = Path(__file__).resolve().parent
-OWN = str(ROOT / "dappledrum")
+PACKAGE = str(ROOT / "dappledrum")
 
 
-class Compiled(SourceFileLoader):
-    """Looks for bytecode of this project's modules, and of no others, under target/pycache.
+class PrecompiledLoader(SourceFileLoader):
+    """Reads bytecode of this project's modules, and of no others, from target/pycache.
 
-    A controller's machine has no disk to keep bytecode on: compiling the sources anew was half of
+    A controller's machine has no disk to keep bytecode on: compiling the sources took half of
     the processor time of each start, which on a third of a core is most of a second.
     """
 
-    def get_code(self, fullname: str) -> CodeType:
-        """As ever; what does not belong to the source as it is now is not used."""
-        before, sys.pycache_prefix = sys.pycache_prefix, str(ROOT / "target" / "pycache")
+    def get_code(self, fullname: str) -> CodeType | None:
+        """Code of a module; bytecode that was compiled from another source is not used."""
+        previous_prefix, sys.pycache_prefix = sys.pycache_prefix, str(ROOT / "target" / "pycache")
         try:
             return super().get_code(fullname)
         finally:
-            sys.pycache_prefix = before
+            sys.pycache_prefix = previous_prefix
 
 
-def finder(path: str) -> FileFinder:
-    """Finder of modules in the project's own directories."""
-    if path != str(ROOT) and path != OWN and not path.startswith(OWN + "/"):
+def project_finder(path: str) -> FileFinder:
+    """Finder of modules in the project's directories; raises ImportError for any other path."""
+    if path != str(ROOT) and path != PACKAGE and not path.startswith(PACKAGE + "/"):
         raise ImportError(path)
-    return FileFinder(path, (Compiled, SOURCE_SUFFIXES))
+    return FileFinder(path, (PrecompiledLoader, SOURCE_SUFFIXES))
 
 
-sys.path_hooks.insert(0, finder)
+sys.path_hooks.insert(0, project_finder)
 sys.path_importer_cache.pop(str(ROOT), None)
 sys.path.insert(0, str(ROOT / "target" / "deps"))
 
