--- a/dappledrum/controller/heartbeat_endpoint.py
+++ b/dappledrum/controller/heartbeat_endpoint.py
@@ -94,7 +94,7 @@
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
             log.warning("unusable heartbeat: %s", error)
             return refusal(HTTPStatus.BAD_REQUEST, str(error))
-        self.heartbeat_attempts.note(heartbeat.machine, self.clock.now())
+        self.heartbeat_attempts.record(heartbeat.machine, self.clock.now())
         self.membership.record_worker_heartbeat(heartbeat)
         commands = await self._commands(heartbeat, MAX_IDLE_WAIT)
         if commands is not None:
--- a/dappledrum/workers/commands.py
+++ b/dappledrum/workers/commands.py
@@ -1,4 +1,4 @@
-"""What a worker is told in the answer to a heartbeat.
+"""The commands that a worker gets in the answer to a heartbeat.
 
 A start is sent only when the record that names the attempt is stored, and an end is forgotten only
 when it is stored.
@@ -49,9 +49,9 @@
         self.clock = clock
 
     def of_cancellations(self, machine: Machine, heartbeat: WorkerHeartbeat) -> list[Command]:
-        """All that a leader commands that only holds on to its term: tasks of cancelled jobs are
-        stopped. Whoever leads next would do the same, as a cancellation is final; what an end
-        means for the records is left until they can be written."""
+        """All that a leader commands whose term rests on lease grants alone: tasks of cancelled
+        jobs are stopped. Whoever leads next would do the same, as a cancellation is final; what an
+        end means for the records is left until they can be written."""
         result: list[Command] = []
         for item in heartbeat.tasks:
             job = self.jobs.get(item.task.rpartition("/")[0])
@@ -77,7 +77,7 @@
                 continue
             if len(result) >= MAX_COMMANDS:
                 break  # no line of an answer may be longer than 64 KiB; the rest comes next time
-            # Write ahead: the worker hears of an attempt only when its record is stored.
+            # Write ahead: the worker gets a start only when its record is stored.
             if wanted(placement) and placement.page.stored_revision >= placement.revision:
                 placement.offered_sequence = max(placement.offered_sequence, heartbeat.sequence)
                 result.append(Command("start", placement.name, placement.attempt))
--- a/dappledrum/workers/heartbeat_attempts.py
+++ b/dappledrum/workers/heartbeat_attempts.py
@@ -10,20 +10,21 @@
 
 from dappledrum.workers.machine_registry import MachineRegistry
 
-KEPT = timedelta(seconds=60)
-MAX_KEPT = 2_000
+#: How long a heartbeat counts as recent.
+ATTEMPT_RETENTION = timedelta(seconds=60)
+MAX_ATTEMPTS = 2_000
 
 
 class HeartbeatAttempts:
     """Recent heartbeats, whether answered or not, oldest first."""
 
     def __init__(self) -> None:
-        self.recent: deque[tuple[timedelta, str]] = deque(maxlen=MAX_KEPT)
+        self.recent: deque[tuple[timedelta, str]] = deque(maxlen=MAX_ATTEMPTS)
 
-    def note(self, machine: str, now: timedelta) -> None:
-        """Note a heartbeat."""
+    def record(self, machine: str, now: timedelta) -> None:
+        """Record a heartbeat."""
         self.recent.append((now, machine))
-        while self.recent[0][0] < now - KEPT:
+        while self.recent[0][0] < now - ATTEMPT_RETENTION:
             self.recent.popleft()
 
     @property
--- a/dappledrum/workers/machine_registry.py
+++ b/dappledrum/workers/machine_registry.py
@@ -1,4 +1,4 @@
-"""Machines as the leader knows them."""
+"""Machines, as their heartbeats, the records and the cloud show them."""
 
 import asyncio
 from collections import OrderedDict
@@ -45,15 +45,15 @@
         self.listed_up = False  # the cloud's list has shown it as running
         self.given = asyncio.Event()  # something was placed there
         self.reachability = Reachability()
-        #: Only a heartbeat that may be a late copy speaks of it: no room to plan on, and nothing
-        #: to remember. Records, the cloud's list, a rental or this term's token say more.
+        #: Only a heartbeat that may be a late copy speaks of it: no capacity to plan on, and
+        #: nothing to remember. Records, the cloud's list, a rental or this term's token say more.
         self.unconfirmed = False
 
     @property
     def up(self) -> bool:
         """Whether its worker has sent a heartbeat to this leader, and the heartbeat can't be a
-        late copy from a machine that is gone: it carried this term's token, or the machine was
-        rented in this term, so that all its heartbeats came to this leader first."""
+        late copy from a machine that has terminated: it carried this term's token, or the machine
+        was rented in this term, so that all its heartbeats came to this leader first."""
         return self.up_at is not None
 
     @property
@@ -90,8 +90,8 @@
         )
 
     def remember_image(self, image: str, size_gb: float, cache_gb: float) -> None:
-        """Note that the machine has fetched an image; it may have dropped the least recently used
-        ones."""
+        """Record that the machine has fetched an image; it may have dropped the least recently
+        used ones."""
         self.images[image] = size_gb
         self.images.move_to_end(image)
         while len(self.images) > 1 and sum(self.images.values()) > cache_gb:
--- a/dappledrum/workers/messages.py
+++ b/dappledrum/workers/messages.py
@@ -39,10 +39,10 @@
 #: Jobs have 100,000 tasks at the most; a longer number is not worth converting.
 MAX_TASK_DIGITS = 7
 #: Names of tasks that are kept split up: some for each task that runs on a large fleet.
-KEPT_NAMES = 8_000
+MAX_CACHED_TASK_NAMES = 8_000
 
 
-@lru_cache(maxsize=KEPT_NAMES)
+@lru_cache(maxsize=MAX_CACHED_TASK_NAMES)
 def job_and_number(task: str) -> tuple[str, int | None]:
     """The name of a task's job, and the task's number: None if it is none that a job can have.
 
--- a/dappledrum/workers/reachability.py
+++ b/dappledrum/workers/reachability.py
@@ -29,12 +29,12 @@
 #: Share of a lease in which heartbeats may pause and still count as answered all along. A worker
 #: that gets no answer sends its heartbeats to one controller after the other, 5 s apart; one that
 #: was cut off both ways for so long that its session ended has not been heard for nearly a lease.
-STEADY = 0.75
+MAX_ANSWER_GAP_SHARE = 0.75
 LEASE_EXPIRY_MARGIN = timedelta(milliseconds=500)
 
 
 class Reachability:
-    """What is known about the answers to one machine in one term."""
+    """What heartbeats show about the answers to one machine in one term."""
 
     __slots__ = (
         "answered_at",
@@ -54,13 +54,13 @@
         self.missed_answers = 0
 
     def answered(self, now: timedelta, lease: timedelta) -> None:
-        """Note that a heartbeat was answered with this term's token."""
-        if self.answered_at is None or now - self.answered_at > lease * STEADY:
+        """Record that a heartbeat was answered with this term's token."""
+        if self.answered_at is None or now - self.answered_at > lease * MAX_ANSWER_GAP_SHARE:
             self.steady_at = now
         self.answered_at = now
 
     def record_missed_answer(self) -> bool:
-        """Note a heartbeat that does not show what an earlier answer carried; True: the machine
+        """Record a heartbeat that does not show what an earlier answer carried; True: the machine
         counts as unreachable from now on."""
         self.missed_answers += 1
         if self.unreachable or self.missed_answers < MAX_MISSED_ANSWERS:
@@ -69,7 +69,7 @@
         return True
 
     def confirm_reachable(self) -> bool:
-        """Note a heartbeat that shows what only an answer can have caused; True: the machine
+        """Record a heartbeat that shows what only an answer can have caused; True: the machine
         counted as unreachable until now."""
         was = self.unreachable
         self.unreachable = False
@@ -77,8 +77,8 @@
         return was
 
     def new_session(self, now: timedelta, lease: timedelta, running_since: timedelta) -> bool:
-        """Note that the machine's session has ended; True: although its heartbeats were answered,
-        so it counts as unreachable from now on.
+        """Record that the machine's session has ended; True: although its heartbeats were
+        answered, so it counts as unreachable from now on.
 
         Time in which this controller was paused does not count, since its answers may have come
         too late.
@@ -88,8 +88,8 @@
         if answered is None or steady is None or self.unreachable:
             return False
         if (
-            now - answered > lease * STEADY
-            or answered - max(steady, running_since) < lease * STEADY
+            now - answered > lease * MAX_ANSWER_GAP_SHARE
+            or answered - max(steady, running_since) < lease * MAX_ANSWER_GAP_SHARE
         ):
             return False
         self.unreachable = True
--- a/dappledrum/workers/reconciliation_context.py
+++ b/dappledrum/workers/reconciliation_context.py
@@ -30,8 +30,8 @@
     """Records, limits and clock of one term.
 
     `token` is the fencing token of the term. `others_stopped_at` returns the moment since which no
-    other controller has answered a worker, or None if that is not known. `running_since` returns the
-    end of the last pause of this process.
+    other controller has answered a worker, or None if that is not known. `running_since` returns
+    the end of the last pause of this process.
     """
 
     jobs: dict[str, Job]
--- a/dappledrum/workers/test_reachability.py
+++ b/dappledrum/workers/test_reachability.py
@@ -134,7 +134,7 @@
         taken = []
 
         def comes(heartbeat, copy):
-            at, session, sequence, token = heartbeat
+            _, session, sequence, token = heartbeat
             text = WorkerHeartbeat("m", "10.1.0.1:1", "small", "a", True, session, sequence, token)
             machine = reconciler.process_heartbeat(text)
             if machine is None:
