--- a/dappledrum/gangs/test_gangs.py
+++ b/dappledrum/gangs/test_gangs.py
@@ -50,7 +50,7 @@
 
 def plain_capacity(drawn, timeline, cpus, start, span):
     """Tasks that fit on one machine, looked at second by second."""
-    whole, ready, _ = drawn
+    _, ready, _ = drawn
     if start < NOW + ready:
         return 0
     least = 99
--- a/dappledrum/simulation/day_file.py
+++ b/dappledrum/simulation/day_file.py
@@ -1,6 +1,6 @@
-"""Days in files, with the kinds of trouble that the bench's days have, played over the stand-ins.
+"""Days in files, with the kinds of fault that the bench's days have, played over the stand-ins.
 
-Only what `simulation/troubles` lists is known; anything else in a day's file ends it with a clear
+Only what `simulation/faults` lists is known; anything else in a day's file ends it with a clear
 error. `busiest` takes the leader first, `count` how many.
 """
 
@@ -11,7 +11,7 @@
 import msgspec
 
 from dappledrum.simulation.faults import FaultError, convert
-from dappledrum.simulation.faults.base import FaultLog
+from dappledrum.simulation.faults.base import Fault
 
 
 class DayError(Exception):
@@ -22,7 +22,7 @@
     """A day, as far as the stand-ins can play it."""
 
     name: str
-    faults: list[FaultLog] = []
+    faults: list[Fault] = []
     seed: int = 1
 
 
--- a/dappledrum/simulation/experiment.py
+++ b/dappledrum/simulation/experiment.py
@@ -5,7 +5,7 @@
 
 Five whole controllers, a fleet that is kept busy, rules checked after each step. The report (JSON)
 tells what the bench does not: seconds in which nobody may give commands, the longest time in which
-each machine had no answered report, sessions that ended, and for each trouble, up to the next one,
+each machine had no answered report, sessions that ended, and for each fault, up to the next one,
 the seconds until nine tenths of the tasks that ran before ran again, and the machines rented in
 the 10 s after it. Figures are simulated.
 """
@@ -21,7 +21,7 @@
 
 from dappledrum.simulation.cluster import SimulatedCluster, job
 from dappledrum.simulation.day_file import Day, DayError, load
-from dappledrum.simulation.faults.base import FaultLog
+from dappledrum.simulation.faults.base import Fault
 from dappledrum.simulation.trace import MessageTrace
 from dappledrum.simulation.virtual_time import run
 
@@ -37,17 +37,17 @@
 
 
 class After(msgspec.Struct):
-    """What followed one trouble."""
+    """What followed one fault."""
 
     at_s: float
     kind: str
     running_before: int
-    #: Until nine tenths ran again, and went on so; None: not before the next trouble.
+    #: Until nine tenths ran again, and went on so; None: not before the next fault.
     back_s: float | None = None
     rented: int = 0
 
 
-class Report(msgspec.Struct):
+class Report(msgspec.Struct, rename={"faults": "troubles"}):
     """One play."""
 
     day: str
@@ -66,7 +66,7 @@
     state_changes_per_s: float
     first_task_s: float  # the longest that a job waited for it
     unanswered_s: float  # the longest that questions about one job had no answer, once all is over
-    troubles: list[After]
+    faults: list[After]
 
 
 class _Watch:
@@ -75,14 +75,14 @@
     def __init__(self, cluster: SimulatedCluster, day: Day, back: float) -> None:
         self.cluster = cluster
         self.back = back
-        self.left: list[FaultLog] = sorted(day.faults, key=lambda fault: fault.at_s)
+        self.left: list[Fault] = sorted(day.faults, key=lambda fault: fault.at_s)
         self.after: list[tuple[After, float, int]] = []
         self.no_leader = 0.0
         self.gaps: dict[str, float] = {}
         self.sessions: dict[str, int] = {}
 
     def look(self, now: float) -> None:
-        """Let troubles begin that are due, and note what is to be seen."""
+        """Let faults begin that are due, and note what is to be seen."""
         cluster = self.cluster
         running = len(cluster.rules.running)
         while self.left and self.left[0].at_s <= now:
@@ -98,7 +98,7 @@
         for one, began, rented in self.after:
             if now - began <= RENTED_WITHIN:
                 one.rented = cluster.cloud.next - rented
-        if self.after:  # until the next trouble
+        if self.after:  # until the next fault
             one, began, _ = self.after[-1]
             if running < one.running_before * BACK_SHARE:
                 one.back_s = None
@@ -193,7 +193,7 @@
     parser.add_argument("--machines", type=int, default=60, metavar="N", help="default 60")
     parser.add_argument("--seeds", type=int, default=3, metavar="N", help="default 3")
     parser.add_argument("--back", type=float, default=0.3, metavar="S", help="default 0.3")
-    parser.add_argument("--until", type=float, metavar="S", help="default: the last trouble + 60")
+    parser.add_argument("--until", type=float, metavar="S", help="default: the last fault + 60")
     parser.add_argument("--report", type=Path, metavar="FILE", help="JSON, one play a line")
     parser.add_argument("--trace", type=Path, metavar="FILE", help="all messages, one a line")
     options = parser.parse_args(argv)
@@ -220,7 +220,7 @@
             f" task after {report.first_task_s:.1f} s at most, no answer for"
             f" {report.unanswered_s:.1f} s at most afterwards"
         )
-        for one in report.troubles:
+        for one in report.faults:
             back = "not again" if one.back_s is None else f"after {one.back_s:.1f} s"
             print(
                 f"  {one.at_s:6.1f} s {one.kind}: {one.running_before} ran, nine tenths {back};"
--- a/dappledrum/simulation/fault_combinations.py
+++ b/dappledrum/simulation/fault_combinations.py
@@ -1,4 +1,4 @@
-"""Two or three troubles of all kinds that overlap, drawn from a seed, while users submit, ask and
+"""Two or three faults of all kinds that overlap, drawn from a seed, while users submit, ask and
 cancel.
 
     python3 -m dappledrum.simulation.fault_combinations [--from 0] [--count 100]
@@ -7,7 +7,7 @@
 Five whole controllers in virtual time, rules checked after each step, also that every accepted job
 is known once all is over. The seed of each failure is printed; the same seed plays the same again
 (with PYTHONHASHSEED=0). Jobs have one to three tasks whose ends lie far apart, some save, some are
-services or gangs, some wait for others. One of the three troubles of a triple is always a change
+services or gangs, some wait for others. One of the three faults of a triple is always a change
 of leader.
 """
 
@@ -20,14 +20,14 @@
 
 from dappledrum.simulation.cluster import SimulatedCluster, job
 from dappledrum.simulation.faults import KINDS, convert, end_all
-from dappledrum.simulation.faults.base import FaultLog
+from dappledrum.simulation.faults.base import Fault
 from dappledrum.simulation.logged_failures import LoggedFailures
 from dappledrum.simulation.virtual_time import run
 
 FIVE = tuple(f"drummer-{index}" for index in range(5))
 MACHINES = 10
 USERS = 14
-FAULTS_BEGIN = (15.0, 50.0)  # the first trouble begins, the second at the latest
+FAULTS_BEGIN = (15.0, 50.0)  # the first fault begins, the second at the latest
 SPANS = (0.3, 2.0, 5.0, 12.0, 25.0, 45.0)  # the last one is longer than `cancel_s`
 BACK = (0.0, 0.1, 0.3, 1.0, 5.0)
 #: What is drawn of unless kinds are named.
@@ -37,8 +37,8 @@
 CHANGE_SPANS = (5.0, 12.0)  # longer than a leader's lease
 
 
-def draw(name: str, at: float, rng: random.Random) -> FaultLog:
-    """One trouble of a kind, or of one with an option that is always set ("KIND:OPTION")."""
+def draw(name: str, at: float, rng: random.Random) -> Fault:
+    """One fault of a kind, or of one with an option that is always set ("KIND:OPTION")."""
     kind, _, variant = name.partition(":")
     drawn: dict[str, Any] = {"for_s": rng.choice(SPANS)}
     drawn["count"] = rng.choice((1, 1, 2, 5))
@@ -83,8 +83,8 @@
     return left | {by: zone if zone is not None else drawn[by]}
 
 
-def draw_change_of_leader(kind: str, at: float, rng: random.Random) -> FaultLog:
-    """One trouble after which, most likely, another controller leads."""
+def draw_change_of_leader(kind: str, at: float, rng: random.Random) -> Fault:
+    """One fault after which, most likely, another controller leads."""
     options: dict[str, Any] = {"kind": kind, "at_s": at}
     if kind != "leader_transfer":
         options["busiest"] = True
@@ -142,16 +142,16 @@
     return name
 
 
-def draw_troubles(kinds: tuple[str, ...], triple: bool, rng: random.Random) -> list[FaultLog]:
-    """Two troubles of these kinds that overlap or follow each other closely, and for a triple a
+def draw_faults(kinds: tuple[str, ...], triple: bool, rng: random.Random) -> list[Fault]:
+    """Two faults of these kinds that overlap or follow each other closely, and for a triple a
     change of leader beside them; in the order of their beginnings."""
     first = draw(kinds[0], rng.uniform(*FAULTS_BEGIN) - 5, rng)
     near = (first.at_s, first.at_s + first.lasts_s + 2)
-    troubles = [first, draw(kinds[1], rng.uniform(*near), rng)]
+    faults = [first, draw(kinds[1], rng.uniform(*near), rng)]
     if triple:
         kind = rng.choice(CHANGES_OF_LEADER)
-        troubles.append(draw_change_of_leader(kind, rng.uniform(*near), rng))
-    return sorted(troubles, key=lambda fault: fault.at_s)
+        faults.append(draw_change_of_leader(kind, rng.uniform(*near), rng))
+    return sorted(faults, key=lambda fault: fault.at_s)
 
 
 async def play(
@@ -165,15 +165,15 @@
     cluster.cloud.most = MACHINES + 4
     for _ in range(MACHINES):
         cluster.cloud.add(("small", rng.choice(("a", "b")), rng.random() < 0.8))
-    troubles = draw_troubles(chosen, triple, rng)
-    said = "; ".join(str(fault) for fault in troubles)
+    faults = draw_faults(chosen, triple, rng)
+    said = "; ".join(str(fault) for fault in faults)
     back = rng.choice(BACK)
     await cluster.until(lambda: cluster.leader() is not None)
     users = []
     for number in range(USERS):
         one = random.Random(f"{seed} {number}")
         users.append(asyncio.ensure_future(user(cluster, submission(number, one), one)))
-    await _bring_about(cluster, troubles, back)
+    await _inject(cluster, faults, back)
     assert not (cluster.store.out or cluster.store.refused or cluster.network.late_writes), said
     end_all(cluster)
     while cluster.acting or not all(one.done() for one in users):
@@ -187,10 +187,10 @@
     return said
 
 
-async def _bring_about(cluster: SimulatedCluster, troubles: list[FaultLog], back: float) -> None:
-    """Let troubles begin at their times, and wait until they are over."""
-    left = list(troubles)
-    end = max(fault.at_s + fault.lasts_s for fault in troubles) + back + 8
+async def _inject(cluster: SimulatedCluster, faults: list[Fault], back: float) -> None:
+    """Let faults begin at their times, and wait until they are over."""
+    left = list(faults)
+    end = max(fault.at_s + fault.lasts_s for fault in faults) + back + 8
     while cluster.now() < end:
         while left and left[0].at_s <= cluster.now():
             left.pop(0).begin(cluster, back)
--- a/dappledrum/simulation/fault_scenarios.py
+++ b/dappledrum/simulation/fault_scenarios.py
@@ -5,14 +5,14 @@
 
 from dappledrum.simulation.cluster import SimulatedCluster, job
 
-FaultLog = Callable[[SimulatedCluster], Awaitable[None]]
+FaultScenario = Callable[[SimulatedCluster], Awaitable[None]]
 
 
-def in_turn(*troubles: FaultLog) -> FaultLog:
+def in_turn(*scenarios: FaultScenario) -> FaultScenario:
     """Some troubles, one after the other."""
 
     async def all_of_them(cluster: SimulatedCluster) -> None:
-        for fault in troubles:
+        for fault in scenarios:
             await fault(cluster)
 
     return all_of_them
@@ -50,7 +50,7 @@
         await cluster.until_led()
 
 
-def pausing(which: str, seconds: float) -> FaultLog:
+def pausing(which: str, seconds: float) -> FaultScenario:
     """Some controllers ("leader", "follower" or "all") stand still while their clocks go on."""
 
     async def fault(cluster: SimulatedCluster) -> None:
@@ -74,7 +74,7 @@
 # the store
 
 
-def outage(seconds: float) -> FaultLog:
+def outage(seconds: float) -> FaultScenario:
     """The store answers nobody."""
 
     async def fault(cluster: SimulatedCluster) -> None:
--- a/dappledrum/simulation/faults/__init__.py
+++ b/dappledrum/simulation/faults/__init__.py
@@ -1,6 +1,6 @@
-"""Troubles that days and drawn scenarios bring about, one typed class for each kind.
+"""Faults that days and drawn scenarios bring about, one typed class for each kind.
 
-A trouble is written `{ at_s = 60.0, kind = "node_crash", … }` as in `days/*.toml`. A kind takes
+A fault is written `{ at_s = 60.0, kind = "node_crash", … }` as in `days/*.toml`. A kind takes
 only its own options; a value that it can't use is a `FaultError` that names the kind and the
 option.
 """
@@ -11,15 +11,15 @@
 
 from dappledrum.simulation.cluster import SimulatedCluster
 from dappledrum.simulation.faults import controllers, key_value_store, machines, users
-from dappledrum.simulation.faults.base import FaultLog
+from dappledrum.simulation.faults.base import Fault
 
 
 class FaultError(Exception):
-    """A trouble can't be brought about; the text names its kind and what is wrong with it."""
+    """A fault can't be brought about; the text names its kind and what is wrong with it."""
 
 
 #: By the name that a day's file gives it.
-KINDS: dict[str, type[FaultLog]] = {
+KINDS: dict[str, type[Fault]] = {
     str(kind.__struct_config__.tag): kind
     for kind in (
         controllers.NodeCrash,
@@ -45,8 +45,8 @@
 }
 
 
-def convert(options: dict[str, Any]) -> FaultLog:
-    """The trouble that these options describe, or FaultError."""
+def convert(options: dict[str, Any]) -> Fault:
+    """The fault that these options describe, or FaultError."""
     kind = options.get("kind")
     if not isinstance(kind, str):
         raise FaultError(f"no `kind` in {options}")
@@ -59,7 +59,7 @@
 
 
 def end_all(cluster: SimulatedCluster) -> None:
-    """End every trouble that still lasts; the rules' quiet time begins."""
+    """End every fault that still lasts; the rules' quiet time begins."""
     network = cluster.network
     network.heal()
     network.copies = network.late_writes = network.late_commands = network.watcher = None
--- a/dappledrum/simulation/faults/base.py
+++ b/dappledrum/simulation/faults/base.py
@@ -1,4 +1,4 @@
-"""What all troubles share: options with their ranges, and when a trouble begins and ends."""
+"""What all faults share: options with their ranges, and when a fault begins and ends."""
 
 import asyncio
 from collections.abc import Callable
@@ -14,7 +14,7 @@
 Count = Annotated[int, Meta(ge=1, le=100_000)]
 
 
-class FaultLog(msgspec.Struct, kw_only=True, forbid_unknown_fields=True, tag_field="kind"):
+class Fault(msgspec.Struct, kw_only=True, forbid_unknown_fields=True, tag_field="kind"):
     """Something that goes wrong at some time of a day."""
 
     at_s: Seconds
@@ -35,8 +35,8 @@
         raise NotImplementedError
 
 
-class LastingFault(FaultLog):
-    """A trouble that lasts for a given time."""
+class LastingFault(Fault):
+    """A fault that lasts for a given time."""
 
     for_s: Seconds
 
--- a/dappledrum/simulation/faults/controllers.py
+++ b/dappledrum/simulation/faults/controllers.py
@@ -1,9 +1,9 @@
-"""Troubles of controllers: they end, stand still, are cut off, or change leader."""
+"""Faults of controllers: they end, stand still, are cut off, or change leader."""
 
 from typing import Literal
 
 from dappledrum.simulation.cluster import SimulatedCluster
-from dappledrum.simulation.faults.base import Count, FaultLog, LastingFault, Seconds, later
+from dappledrum.simulation.faults.base import Count, Fault, LastingFault, Seconds, later
 
 
 def _chosen(cluster: SimulatedCluster, count: int, busiest: bool) -> list[str]:
@@ -26,7 +26,7 @@
         cluster.kill(member)
 
 
-class NodeCrash(FaultLog, tag="node_crash"):
+class NodeCrash(Fault, tag="node_crash"):
     """Controllers end, and are there again a little later."""
 
     for_s: Seconds = 0.0
@@ -49,7 +49,7 @@
     for_s: Seconds  # type: ignore[misc]
 
 
-class NodeRoll(FaultLog, tag="node_roll"):
+class NodeRoll(Fault, tag="node_roll"):
     """All controllers are restarted, one after the other."""
 
     every_s: Seconds
@@ -121,7 +121,7 @@
         return targets
 
 
-class LeaderTransfer(FaultLog, tag="leader_transfer"):
+class LeaderTransfer(Fault, tag="leader_transfer"):
     """The leader hands over to another controller. Known over the stand-ins only."""
 
     def begin(self, cluster: SimulatedCluster, back: float) -> None:
@@ -129,5 +129,5 @@
         others = [m for m in cluster.members if cluster.alive(m) and m != leader]
         if leader is not None and others:
             cluster.controllers[leader].elector.transfer_leadership(
-                cluster.rng.choice(others), "a drawn trouble"
+                cluster.rng.choice(others), "a drawn fault"
             )
--- a/dappledrum/simulation/faults/key_value_store.py
+++ b/dappledrum/simulation/faults/key_value_store.py
@@ -1,4 +1,4 @@
-"""Troubles of the store: outages, and transactions whose sender hears nothing."""
+"""Faults of the store: outages, and transactions whose sender hears nothing."""
 
 from dappledrum.simulation.cluster import SimulatedCluster
 from dappledrum.simulation.faults.base import LastingFault, Share, later
--- a/dappledrum/simulation/faults/machines.py
+++ b/dappledrum/simulation/faults/machines.py
@@ -1,8 +1,8 @@
-"""Troubles of machines and of the cloud: they fail, hang, hear or reach nobody, and what they send
+"""Faults of machines and of the cloud: they fail, hang, hear or reach nobody, and what they send
 or are sent arrives late."""
 
 from dappledrum.simulation.cluster import SimulatedCluster
-from dappledrum.simulation.faults.base import Count, FaultLog, LastingFault, Share, later
+from dappledrum.simulation.faults.base import Count, Fault, LastingFault, Share, later
 from dappledrum.simulation.fleet import Worker
 from dappledrum.simulation.network import Copies, LateCommands
 
@@ -11,7 +11,7 @@
 LATE_COMMANDS = (2.0, 16.0)  # seconds, as the bench has it
 
 
-class MachineDie(FaultLog, tag="machine_die"):
+class MachineDie(Fault, tag="machine_die"):
     """Machines fail, and the cloud goes on listing them for a while."""
 
     count: Count = 1
@@ -45,7 +45,7 @@
 
 
 class _ChosenMachines(LastingFault):
-    """A trouble of a number of the machines, of a share of all or of those of a zone, or of all of
+    """A fault of a number of the machines, of a share of all or of those of a zone, or of all of
     a zone; of one machine if nothing is given."""
 
     count: Count | None = None
--- a/dappledrum/simulation/faults/users.py
+++ b/dappledrum/simulation/faults/users.py
@@ -1,4 +1,4 @@
-"""Troubles that users make: they cancel, ask and repeat themselves at the worst moments.
+"""Faults that users make: they cancel, ask and repeat themselves at the worst moments.
 
 All their requests go through the world's `submit`, `poll` and `cancel`, so the rules see them.
 """
@@ -11,7 +11,7 @@
 from dappledrum.simulation.cluster import SimulatedCluster, job
 from dappledrum.simulation.faults.base import (
     Count,
-    FaultLog,
+    Fault,
     LastingFault,
     Seconds,
     Share,
@@ -35,7 +35,7 @@
 OPTIONAL = ("id", "builds", "hall", "dueS", "waitsOn", "runS", "broken")  # or chosen by the test
 
 
-class CancelNow(FaultLog, tag="cancel_now"):
+class CancelNow(Fault, tag="cancel_now"):
     """Users call off jobs that have long to go, all at once; machines of theirs may hang."""
 
     count: Count
--- a/dappledrum/simulation/key_value_store.py
+++ b/dappledrum/simulation/key_value_store.py
@@ -92,14 +92,12 @@
     async def __call__(self, source: str, method: str, path: str, body: bytes) -> Reply:
         """One request."""
         self.requests += 1
+        refusal = self._refusal(source)
+        if refusal is not None:
+            return refusal
+        self._expire()
         route, _, query = path.partition("?")
         options = {key: values[0] for key, values in parse_qs(query).items()}
-        if self.out or source in self.refused:
-            return reply(503, {"error": "trouble"})
-        if not self.spare_requests.take(1, self.rps):
-            self.over_rate += 1
-            return reply(429, {"error": "too many requests"})
-        self._expire()
         if route == "/watch":
             return await self._watch(source, options)
         if route == "/multi":
@@ -110,6 +108,15 @@
             return self._list(options)
         return self._get(route.removeprefix("/keys/"))
 
+    def _refusal(self, source: str) -> Reply | None:
+        """Why a request is not served at this moment."""
+        if self.out or source in self.refused:
+            return reply(503, {"error": "trouble"})
+        if not self.spare_requests.take(1, self.rps):
+            self.over_rate += 1
+            return reply(429, {"error": "too many requests"})
+        return None
+
     def _get(self, key: str) -> Reply:
         if key not in self.keys:
             return reply(404, {"tally": self.tally})
@@ -147,7 +154,23 @@
 
     def _multi(self, body: dict[str, Any]) -> Reply:
         changes = body.get("then", [])
-        if len(changes) > self.txn_ops or len(body["guards"]) > self.txn_ops * 4:
+        refusal = self._transaction_refusal(changes, len(body["guards"]))
+        if refusal is not None:
+            return refusal
+        failed = [
+            g["key"]
+            for g in body["guards"]
+            if self.keys.get(g["key"], (None, 0, None))[1] != g["stamp"]
+        ]
+        if failed:
+            return reply(409, {"failed": failed, "tally": self.tally})
+        if changes:
+            self._apply(changes)
+        return reply(200, {"tally": self.tally})
+
+    def _transaction_refusal(self, changes: list[dict[str, Any]], guards: int) -> Reply | None:
+        """Why a transaction is not carried out, whatever its guards say."""
+        if len(changes) > self.txn_ops or guards > self.txn_ops * 4:
             self.too_large.append("transaction")
             return reply(400, {"error": "too many changes in one transaction"})
         if not self.spare_writes.take(len(changes), self.write_rps):
@@ -161,25 +184,20 @@
                 return reply(400, {"error": "the value is too large"})
             if change.get("hold") is not None and change["hold"] not in self.holds:
                 return reply(400, {"error": "no such lease"})
-        failed = [
-            g["key"]
-            for g in body["guards"]
-            if self.keys.get(g["key"], (None, 0, None))[1] != g["stamp"]
-        ]
-        if failed:
-            return reply(409, {"failed": failed, "tally": self.tally})
-        if changes:
-            self.tally += 1
-            for change in changes:
-                if "write" in change:
-                    self.keys[change["write"]] = (change["value"], self.tally, change.get("hold"))
-                    self.log.append(
-                        {"write": change["write"], "value": change["value"], "stamp": self.tally}
-                    )
-                elif self.keys.pop(change["remove"], None) is not None:
-                    self.log.append({"remove": change["remove"], "stamp": self.tally})
-            self._tell()
-        return reply(200, {"tally": self.tally})
+        return None
+
+    def _apply(self, changes: list[dict[str, Any]]) -> None:
+        """Carry out the changes of a transaction under one revision."""
+        self.tally += 1
+        for change in changes:
+            if "write" in change:
+                self.keys[change["write"]] = (change["value"], self.tally, change.get("hold"))
+                self.log.append(
+                    {"write": change["write"], "value": change["value"], "stamp": self.tally}
+                )
+            elif self.keys.pop(change["remove"], None) is not None:
+                self.log.append({"remove": change["remove"], "stamp": self.tally})
+        self._tell()
 
     async def _watch(self, source: str, options: dict[str, str]) -> Reply:
         loop = asyncio.get_running_loop()
--- a/dappledrum/simulation/network.py
+++ b/dappledrum/simulation/network.py
@@ -4,7 +4,7 @@
 import contextvars
 import json
 import random
-from collections.abc import Callable, Coroutine
+from collections.abc import Callable, Coroutine, Iterator
 from datetime import timedelta
 from typing import Any, NamedTuple
 
@@ -12,6 +12,9 @@
 from dappledrum.simulation.trace import MessageTrace, Request
 from dappledrum.timing.timeouts import PauseTolerantTimeout
 
+#: Longer than anybody waits for a response.
+NO_RESPONSE_S = 3_600
+
 Service = Callable[
     [str, str, str, bytes], Coroutine[Any, Any, Reply]
 ]  # source, method, path, body
@@ -203,42 +206,40 @@
         except TimeoutError as error:
             raise NoResponseError("no answer") from error
 
+    def _delays(self, path: str, body: bytes) -> Iterator[float]:
+        """Seconds after which the request arrives without a response, once for each fault that
+        holds it back."""
+        network = self.network
+        if network.watcher is not None:
+            delay = network.watcher(Sent(self.source, self.target, path, body))
+            if delay is not None:
+                yield delay
+        writes = network.late_writes
+        if writes is not None and path == "/multi" and network.rng.random() < writes.share:
+            at_once = writes.at_once
+            yield 0.0 if at_once else network.rng.uniform(writes.least_s, writes.most_s)
+        commands = network.late_commands
+        if commands is not None and path == "/do" and network.rng.random() < commands.share:
+            yield network.rng.uniform(commands.least_s, commands.most_s)
+
     async def _request(self, method: str, path: str, body: bytes) -> Reply:
         network = self.network
         if self.ended:
-            await asyncio.sleep(3600)
+            await asyncio.sleep(NO_RESPONSE_S)
         pair = frozenset((self.source, self.target))
         there = (host(self.source), host(self.target))
         back = (there[1], there[0])
         await asyncio.sleep(network.rng.uniform(0.0005, 0.004) + network.slow.get(there, 0.0))
         if pair in network.cuts or there in network.blocked:
             network.held.append((self.source, self.target, method, path, body))
-            await asyncio.sleep(3600)
+            await asyncio.sleep(NO_RESPONSE_S)
         network._copy(self.source, self.target, method, path, body)
-        if network.watcher is not None:
-            after = network.watcher(Sent(self.source, self.target, path, body))
-            if after is not None:
-                asyncio.get_running_loop().create_task(
-                    network._late(self.source, self.target, method, path, body, after),
-                    context=contextvars.Context(),
-                )
-                await asyncio.sleep(3600)
-        late = network.late_writes
-        if late is not None and path == "/multi" and network.rng.random() < late.share:
-            after = 0.0 if late.at_once else network.rng.uniform(late.least_s, late.most_s)
-            asyncio.get_running_loop().create_task(
-                network._late(self.source, self.target, method, path, body, after),
-                context=contextvars.Context(),
-            )
-            await asyncio.sleep(3600)
-        commands = network.late_commands
-        if commands is not None and path == "/do" and network.rng.random() < commands.share:
-            after = network.rng.uniform(commands.least_s, commands.most_s)
+        for delay in self._delays(path, body):
             asyncio.get_running_loop().create_task(
-                network._late(self.source, self.target, method, path, body, after),
+                network._late(self.source, self.target, method, path, body, delay),
                 context=contextvars.Context(),
             )
-            await asyncio.sleep(3600)
+            await asyncio.sleep(NO_RESPONSE_S)
         service = network.services.get(self.target)
         if service is None or pair in network.refusing or there in network.muted:
             raise NotSentError("connection refused")
@@ -253,9 +254,9 @@
             network._answered(self.target, reply.body)
         await asyncio.sleep(network.rng.uniform(0.0005, 0.004) + network.slow.get(back, 0.0))
         if pair in network.cuts or pair in network.answers_dropped or back in network.blocked:
-            await asyncio.sleep(3600)
+            await asyncio.sleep(NO_RESPONSE_S)
         if self.ended:
-            await asyncio.sleep(3600)
+            await asyncio.sleep(NO_RESPONSE_S)
         if network.services.get(self.target) is not service:
             raise NoResponseError("connection lost")
         return reply
--- a/dappledrum/simulation/test_days.py
+++ b/dappledrum/simulation/test_days.py
@@ -1,4 +1,4 @@
-"""Each kind of trouble brings about what it says, and a bad value is named."""
+"""Each kind of fault brings about what it says, and a bad value is named."""
 
 import asyncio
 import json
@@ -38,7 +38,7 @@
 
 
 def begin(cluster, kind, **options):
-    """Let a trouble begin now."""
+    """Let a fault begin now."""
     fault = convert({"kind": kind, "at_s": 0.0} | options)
     fault.begin(cluster, BACK_S)
     return fault
--- a/dappledrum/simulation/test_fault_combinations.py
+++ b/dappledrum/simulation/test_fault_combinations.py
@@ -1,4 +1,4 @@
-"""Two or three troubles that meet, of all kinds; a fixed dozen and a half here, as many as time
+"""Two or three faults that meet, of all kinds; a fixed dozen and a half here, as many as time
 allows by `python3 -m dappledrum.simulation.fault_combinations`."""
 
 import random
@@ -8,7 +8,7 @@
 from dappledrum.simulation.fault_combinations import (
     CHANGES_OF_LEADER,
     DRAWN,
-    draw_troubles,
+    draw_faults,
     main,
     play,
 )
@@ -49,7 +49,7 @@
 def test_triples_have_all_changes_of_leader():
     changes = set()
     for seed, kinds in TRIPLES:
-        drawn = [fault.kind for fault in draw_troubles(kinds, True, random.Random(seed))]
+        drawn = [fault.kind for fault in draw_faults(kinds, True, random.Random(seed))]
         for kind in kinds:
             drawn.remove(kind.partition(":")[0])
         changes.update(drawn)
