--- a/dappledrum/controller/test_slow_boots.py
+++ b/dappledrum/controller/test_slow_boots.py
@@ -78,7 +78,7 @@
             await cloud.rent(request, lambda: False)
         name = cluster.cloud.add(("small", "a", True))
         with pytest.raises(CloudError):
-            await cloud.give_back([name], lambda: False)
+            await cloud.return_machines([name], lambda: False)
         assert "r-old" not in cluster.cloud.answers and name in cluster.cloud.machines
 
     run(main())
--- a/dappledrum/fleet/autoscaler.py
+++ b/dappledrum/fleet/autoscaler.py
@@ -20,11 +20,11 @@
 
 BOOTS_IN_INTERVAL = 2
 MAX_RENTALS = 50
-TAKEN = timedelta(seconds=1)  # after the moment named in a spot notice
+RECLAIM_GRACE = timedelta(seconds=1)  # after the moment named in a spot notice
 MAX_RETURNS = 100
-ASIDE = timedelta(seconds=8)
-MAX_TIME_ASIDE = timedelta(seconds=30)
-SLOW = 2.0  # times the catalog's figure, from which on slow boots are logged
+MIN_KIND_COOLDOWN = timedelta(seconds=8)
+MAX_KIND_COOLDOWN = timedelta(seconds=30)
+SLOW_BOOT_RATIO = 2.0  # times the catalog's figure, from which on slow boots are logged
 SLOW_NO_MORE = 1.5
 #: Beyond a lease: machines have sent heartbeats to a new leader by then.
 INTRODUCED = timedelta(seconds=20)
@@ -90,7 +90,7 @@
         # Only truly slow boots count: with every change of what is expected the intervals moved,
         # and machines went back to be rented again.
         ratio = self.boots.ratio(kind)
-        boot = model.boot * (ratio if ratio > SLOW else 1.0)
+        boot = model.boot * (ratio if ratio > SLOW_BOOT_RATIO else 1.0)
         return max(self.base_interval, boot * BOOTS_IN_INTERVAL)
 
     def ready_at(self, machine: Machine) -> timedelta:
@@ -145,7 +145,7 @@
         self.boots.refresh(waiting, now)
         for kind in {one.kind for one in waiting}:
             ratio = self.boots.ratio(kind)
-            if ratio > SLOW and kind not in self.slow:
+            if ratio > SLOW_BOOT_RATIO and kind not in self.slow:
                 log.warning("boots of %s take %.1f times as long as usual", kind, ratio)
                 self.slow.add(kind)
         for kind in [k for k in self.slow if self.boots.ratio(k) < SLOW_NO_MORE]:
@@ -218,7 +218,7 @@
 
     def _set_aside(self, kind: InstanceKind) -> None:
         _, before = self.aside.get(kind, (ZERO, ZERO))
-        span = min(max(before * 2, ASIDE), MAX_TIME_ASIDE)
+        span = min(max(before * 2, MIN_KIND_COOLDOWN), MAX_KIND_COOLDOWN)
         self.aside[kind] = (self.clock.now() + span, span)
         log.info("no more %s for now, set aside for %.0f s", kind, span.total_seconds())
 
@@ -241,25 +241,25 @@
             names = [m.name for m in self.registry if m.returning][:MAX_RETURNS]
             if names:
                 try:
-                    await self.cloud.give_back(names, self.leading)
+                    await self.cloud.return_machines(names, self.leading)
                 except CloudError as error:
                     log.warning("return of %d machines unanswered: %s", len(names), error)
                     await asyncio.sleep(1)
                     continue
                 for name in names:
-                    machine = self.registry.get(name)
-                    if machine is not None:
-                        if machine.kind is not None:
-                            self.aside.pop(
-                                machine.kind, None
-                            )  # what has just been given back can be had again
-                        self.reconciler.remove_returned(machine)
+                    returned = self.registry.get(name)
+                    if returned is None:
+                        continue
+                    if returned.kind is not None:
+                        # What has just been returned can be rented again.
+                        self.aside.pop(returned.kind, None)
+                    self.reconciler.remove_returned(returned)
 
     def _why_return(self, machine: Machine) -> str | None:
         now = self.clock.now()
         if machine.failed:
             return "it stopped on its own"
-        if machine.recall_at is not None and now > machine.recall_at + TAKEN:
+        if machine.recall_at is not None and now > machine.recall_at + RECLAIM_GRACE:
             # The answer proves that all on it is gone, a lease earlier than silence does.
             return "it was to be taken by now"
         if machine.placements:
--- a/dappledrum/fleet/cloud_client.py
+++ b/dappledrum/fleet/cloud_client.py
@@ -91,7 +91,7 @@
         reply = await self._call("POST", "/rentals", msgspec.json.encode(request), entitled)
         return self._decode(reply, MachineNames).machines
 
-    async def give_back(self, machines: list[str], entitled: Callable[[], bool]) -> None:
+    async def return_machines(self, machines: list[str], entitled: Callable[[], bool]) -> None:
         """Return machines; on success they are gone."""
         body = msgspec.json.encode(MachineNames(machines))
         await self._call("POST", "/rentals/return", body, entitled)
--- a/dappledrum/fleet/test_autoscaler.py
+++ b/dappledrum/fleet/test_autoscaler.py
@@ -34,7 +34,7 @@
             raise answer
         return answer
 
-    async def give_back(self, names, entitled):
+    async def return_machines(self, names, entitled):
         self.returned += names
 
     async def machines(self):
--- a/dappledrum/golden/test_cloud.py
+++ b/dappledrum/golden/test_cloud.py
@@ -72,8 +72,8 @@
     return cloud.rent(request, entitled)
 
 
-def give_back(cloud):
-    return cloud.give_back(["host-000231", "host-000232"], entitled)
+def return_machines(cloud):
+    return cloud.return_machines(["host-000231", "host-000232"], entitled)
 
 
 def machines(cloud):
@@ -86,7 +86,7 @@
     (rent, ["rent"], ["rented"], ["host-000231", "host-000232"]),
     (rent, ["rent"], ["no-capacity"], NoCapacityError),
     (rent, ["rent"], ["outage"], CloudError),
-    (give_back, ["return"], ["returned"], None),
+    (return_machines, ["return"], ["returned"], None),
     (machines, ["list", "list-further"], ["listed", "listed-last"], LISTED),
 ]
 
