--- a/dappledrum/dependencies/graph.py
+++ b/dappledrum/dependencies/graph.py
@@ -19,12 +19,12 @@
 
 log = logging.getLogger(__name__)
 
-KEPT = 10_000  # outcomes of jobs that are over
-SHOWN = 8  # names in a line of the log
+MAX_REMEMBERED_OUTCOMES = 10_000
+MAX_LOGGED_NAMES = 8
 
 
-class Past(NamedTuple):
-    """What must be known about a job that is over."""
+class StoredOutcome(NamedTuple):
+    """What has to be remembered of a finished job."""
 
     outcome: Outcome
     at: datetime | None  # None: a version that does not say has written the end
@@ -34,8 +34,10 @@
 def shown(names: Iterable[str]) -> str:
     """Some of the names, for the log."""
     ordered = sorted(names)
-    more = f" and {len(ordered) - SHOWN} more" if len(ordered) > SHOWN else ""
-    return ", ".join(ordered[:SHOWN]) + more
+    more = (
+        f" and {len(ordered) - MAX_LOGGED_NAMES} more" if len(ordered) > MAX_LOGGED_NAMES else ""
+    )
+    return ", ".join(ordered[:MAX_LOGGED_NAMES]) + more
 
 
 class DependencyGraph:
@@ -51,10 +53,10 @@
         self.mark = mark
         self.wake = wake
         self.followers: dict[str, dict[str, None]] = {}  # live jobs that wait for each job
-        self.past: OrderedDict[str, Past] = OrderedDict()
+        self.past: OrderedDict[str, StoredOutcome] = OrderedDict()
         self.unknown: dict[
             str, None
-        ] = {}  # neither live nor known to be over: their ends must be read
+        ] = {}  # neither live nor known to be finished: their ends must be read
 
     def clear(self) -> None:
         """Forget everything, since the records are read again."""
@@ -72,7 +74,7 @@
             if live is not None:
                 job.depth = max(job.depth, live.depth + 1)
                 if live.cancelled:
-                    self._take_along(live)
+                    self._cancel_followers(live)
             elif past is not None:
                 self._settle(need, job, past)
             else:
@@ -84,7 +86,7 @@
 
     def cancelled(self, job: Job) -> None:
         """Note that the cancellation of a job is stored, by any controller."""
-        self._take_along(job)
+        self._cancel_followers(job)
 
     def ended(self, job: Job) -> None:
         """Note that the end of a job is stored."""
@@ -96,8 +98,8 @@
     def settle(self, name: str, record: EndedRecord, depth: int = 0) -> None:
         """Note a stored end, and release or cancel the jobs that wait for it."""
         at = None if record.at_ms is None else datetime.fromtimestamp(record.at_ms / 1000, UTC)
-        past = self.past[name] = Past(record.state, at, depth)
-        while len(self.past) > KEPT:
+        past = self.past[name] = StoredOutcome(record.state, at, depth)
+        while len(self.past) > MAX_REMEMBERED_OUTCOMES:
             self.past.popitem(last=False)
         self.unknown.pop(name, None)
         for follower in list(self.followers.get(name, ())):
@@ -114,10 +116,10 @@
                 self.followers.pop(need)
                 self.unknown.pop(need, None)
 
-    def _settle(self, need: str, job: Job, past: Past) -> None:
+    def _settle(self, need: str, job: Job, past: StoredOutcome) -> None:
         if past.outcome is Outcome.CANCELLED:
             self._cancel(job, need)
-            self._take_along(job)
+            self._cancel_followers(job)
             return
         job.unmet_dependencies.discard(need)
         job.depth = max(job.depth, past.depth + 1)
@@ -130,7 +132,7 @@
             log.info("%s is released %.1f s after it came: all it needs is done", job.id, waited)
             self.wake("job released")
 
-    def _take_along(self, first: Job) -> None:
+    def _cancel_followers(self, first: Job) -> None:
         """Cancel all jobs that wait for a job, directly or indirectly. Without recursion, since
         chains may be long."""
         stack = [first]
--- a/dappledrum/dependencies/lookup.py
+++ b/dappledrum/dependencies/lookup.py
@@ -20,9 +20,9 @@
 from dappledrum.store.messages import Guard
 from dappledrum.store.rate_limiter import RequestPriority
 
-KEPT = 20_000
+MAX_CACHED_ARRAYS = 20_000
 REQUEST_TIMEOUT = timedelta(seconds=1)
-SINGLE = 4  # up to so many heads are read one by one, more from the list of all live ones
+MAX_SINGLE_READS = 4  # more heads are read from the list of all live ones
 
 
 class DependencyLookup:
@@ -46,7 +46,7 @@
         if form is Form.ARRAY:
             self.arrays[job] = None
             self.arrays.move_to_end(job)
-            while len(self.arrays) > KEPT:
+            while len(self.arrays) > MAX_CACHED_ARRAYS:
                 self.arrays.popitem(last=False)
 
     async def fault(self, needs: Collection[str], own: str) -> str | None:
@@ -85,7 +85,7 @@
 
     async def _forms(self, names: set[str]) -> dict[str, Form]:
         """Forms of live jobs; those that have ended meanwhile are left out."""
-        if len(names) > SINGLE:
+        if len(names) > MAX_SINGLE_READS:
             many = await self.read_many(names)
             return {n: v[0].spec.form for n, v in many.items() if not isinstance(v, StoreError)}
         records = await asyncio.gather(*(self.read(name) for name in names))
--- a/dappledrum/dependencies/resolver.py
+++ b/dappledrum/dependencies/resolver.py
@@ -16,35 +16,37 @@
 
 log = logging.getLogger(__name__)
 
-AT_ONCE = 8
-LOOK = timedelta(milliseconds=100)
-AGAIN = timedelta(seconds=1)
-MAX_AGAIN_PAUSE = timedelta(seconds=30)
+MAX_CONCURRENT_READS = 8
+POLL_INTERVAL = timedelta(milliseconds=100)
+MIN_RETRY_DELAY = timedelta(seconds=1)
+MAX_RETRY_DELAY = timedelta(seconds=30)
 
 
 class DependencyResolver:
-    """The reader for one term of leadership."""
+    """The resolver of one term of leadership."""
 
     def __init__(self, store: StoreClient, graph: DependencyGraph, clock: Clock) -> None:
         self.store = store
         self.graph = graph
         self.clock = clock
-        self.tries: dict[str, tuple[timedelta, int]] = {}  # when to look again, how often before
+        self.tries: dict[str, tuple[timedelta, int]] = {}  # when to read again, failures so far
 
     async def run(self) -> None:
         """Read as long as any end is unknown."""
         while True:
-            await self.look()
-            await asyncio.sleep(LOOK.total_seconds())
+            await self.resolve_due()
+            await asyncio.sleep(POLL_INTERVAL.total_seconds())
 
-    async def look(self) -> None:
+    async def resolve_due(self) -> None:
         """Read once what is unknown now."""
         now = self.clock.now()
         unknown = self.graph.unknown
         self.tries = {name: held for name, held in self.tries.items() if name in unknown}
         due = [name for name in unknown if self.tries.get(name, (now, 0))[0] <= now]
-        for first in range(0, len(due), AT_ONCE):
-            await asyncio.gather(*(self._read(name) for name in due[first : first + AT_ONCE]))
+        for first in range(0, len(due), MAX_CONCURRENT_READS):
+            await asyncio.gather(
+                *(self._read(name) for name in due[first : first + MAX_CONCURRENT_READS])
+            )
 
     async def _read(self, name: str) -> None:
         try:
@@ -63,17 +65,17 @@
             return
         except msgspec.DecodeError as error:
             log.error("unusable record of %s, what needs it stays pending: %s", name, error)
-            self._later(name, 1)
+            self._retry_later(name, 1)
             return
         if live is not None:
-            self._later(name, 0)  # the watch will tell of it
+            self._retry_later(name, 0)  # the watch will tell of it
             return
         if name not in self.tries:
             waiting = shown(self.graph.followers.get(name, ()))
             log.error("%s has no record, what needs it stays pending: %s", name, waiting)
-        self._later(name, 1)
+        self._retry_later(name, 1)
 
-    def _later(self, name: str, grown: int) -> None:
+    def _retry_later(self, name: str, grown: int) -> None:
         count = self.tries.get(name, (self.clock.now(), 0))[1] + grown
-        pause = min(AGAIN * 2 ** min(count, 6), MAX_AGAIN_PAUSE)
+        pause = min(MIN_RETRY_DELAY * 2 ** min(count, 6), MAX_RETRY_DELAY)
         self.tries[name] = (self.clock.now() + pause, count)
