--- a/dappledrum/controller/catalog.py
+++ b/dappledrum/controller/catalog.py
@@ -2,47 +2,43 @@
 
 import asyncio
 import logging
-import random
-from collections.abc import Callable
 
 import msgspec
 
-from dappledrum.fleet.cloud_client import CloudClient, CloudError
+from dappledrum.controller.environment import Clients, Environment
+from dappledrum.controller.term_runner import TermRunner
+from dappledrum.fleet.cloud_client import CloudError
 from dappledrum.fleet.messages import Catalog, MachineType
 from dappledrum.jobs.api import JobApi
-from dappledrum.leader.leader import Leader
-from dappledrum.settings import Params
-from dappledrum.store.client import StoreClient, StoreError, raw
+from dappledrum.store.client import StoreError, raw
 from dappledrum.store.messages import Guard, Put
 from dappledrum.store.rate_limiter import RequestPriority
-from dappledrum.timing.clock import Clock
 from dappledrum.timing.fault_log import FaultLog
 
 log = logging.getLogger(__name__)
 
 CATALOG = "catalog"
+#: Shortest and longest pause between two attempts, in seconds.
+RETRY_PAUSE_S = (0.5, 1.5)
 
 
 class CatalogLoader:
-    """Passes the catalog to the intake of jobs and to the leader once it is known."""
+    """Passes the catalog to the job API and to the leader once it is loaded."""
 
     def __init__(
         self,
-        store: StoreClient,
-        cloud: CloudClient,
-        params: Params,
-        clock: Clock,
-        rng: random.Random,
+        environment: Environment,
+        clients: Clients,
         job_api: JobApi,
-        leader: Callable[[], Leader | None],
+        term_runner: TermRunner,
     ) -> None:
-        self.store = store
-        self.cloud = cloud
-        self.params = params
-        self.rng = rng
+        self.store = clients.store
+        self.cloud = clients.cloud
+        self.max_value_bytes = environment.params.state.value_bytes
+        self.rng = environment.rng
         self.job_api = job_api
-        self.leader = leader
-        self.no_catalog = FaultLog(log, clock, "no machine types are known yet")
+        self.term_runner = term_runner
+        self.no_catalog = FaultLog(log, environment.clock, "no machine types are known yet")
 
     async def run(self) -> None:
         """Load the catalog: from its stored copy if there is one, since the cloud may be
@@ -52,13 +48,13 @@
             if types:
                 self.no_catalog.over()
                 self.job_api.types = types
-                leader = self.leader()
+                leader = self.term_runner.leader
                 if leader is not None:
                     leader.set_types(types)
                     leader.wake("catalog")
                 log.info("machine types: %s", ", ".join(t.name for t in types))
                 return
-            await asyncio.sleep(self.rng.uniform(0.5, 1.5))
+            await asyncio.sleep(self.rng.uniform(*RETRY_PAUSE_S))
 
     async def _stored_types(self) -> list[MachineType]:
         try:
@@ -77,7 +73,7 @@
             self.no_catalog.seen(f"no catalog: {error}")
             return []
         value = raw(Catalog(types))
-        if types and len(value) < self.params.state.value_bytes:
+        if types and len(value) < self.max_value_bytes:
             try:
                 await self.store.commit(
                     [Guard(CATALOG, 0)], [Put(CATALOG, value)], RequestPriority.INTAKE
--- a/dappledrum/controller/controller.py
+++ b/dappledrum/controller/controller.py
@@ -1,314 +1,125 @@
-"""One controller: connects its parts, and runs the leader's part during its terms."""
+"""One controller: runs its background tasks and serves requests."""
 
 import asyncio
-import logging
-import random
-from collections.abc import Awaitable, Callable
-from datetime import timedelta
-from http import HTTPStatus
+from dataclasses import dataclass
 
-import msgspec
-
-from dappledrum.controller.catalog import CATALOG, CatalogLoader
+from dappledrum.controller.catalog import CatalogLoader
+from dappledrum.controller.environment import Clients, Environment
 from dappledrum.controller.heartbeat_endpoint import HeartbeatEndpoint
-from dappledrum.controller.isolation import Isolation
 from dappledrum.controller.peer_endpoint import PeerEndpoint
 from dappledrum.controller.peer_versions import PeerVersions
+from dappledrum.controller.previous_grants import wait_for_previous_grants
+from dappledrum.controller.routes import Router, route
+from dappledrum.controller.store_share import StoreShare
+from dappledrum.controller.term_runner import TermRunner
+from dappledrum.controller.unreached_leader import UnreachedLeaderMonitor
 from dappledrum.controller.user_endpoint import UserEndpoint
 from dappledrum.election.elector import Elector
-from dappledrum.election.lease_keeper import LeaseKeeper
-from dappledrum.election.messages import LeaseGrantRequest
-from dappledrum.election.voter import LEASE_GRANT
-from dappledrum.fleet.cloud_client import CloudClient, CloudError
-from dappledrum.http.client import Caller
 from dappledrum.http.server import Request, Response
-from dappledrum.jobs.api import JobApi, refusal
-from dappledrum.jobs.job import Job
+from dappledrum.jobs.api import JobApi
 from dappledrum.leader.leader import Leader
-from dappledrum.membership.service import Membership, Probe
-from dappledrum.peers.client import Peers
-from dappledrum.settings import Settings, Tuning
-from dappledrum.store.client import StoreClient, StoreError
-from dappledrum.store.rate_limiter import RequestPriority
-from dappledrum.store.value_limit import ValueLimit
-from dappledrum.timing.clock import ZERO, Clock, longer
+from dappledrum.membership.service import Membership
+from dappledrum.store.client import StoreClient
+from dappledrum.timing.clock import Clock
 from dappledrum.timing.timeouts import PauseDetector
 
-log = logging.getLogger(__name__)
-
-LEADER_SHARE = 0.6
-FOLLOWER_BURST = 2.0  # seconds
-HOLDERS_TIME = timedelta(milliseconds=200)
-SERVED_TIME = timedelta(milliseconds=450)  # a peer waits for the store for 300 ms
-NO_ANSWERS_ASKED = timedelta(seconds=5)  # later answers add nothing
-#: Margin within the time for cancellations: a leader with promises of only a majority stops early
-#: enough that its workers' leases have expired this long before that time is over.
-ALONE_MARGIN = timedelta(seconds=5)
-#: The same margin for a leader that last knew of all cancellations just before the user's.
-KNOWN_MARGIN = timedelta(seconds=1)
-#: Least time for which knowledge of all cancellations lasts. If the time for cancellations were no
-#: longer than a lease, leaders could otherwise answer no worker at all.
-MIN_KNOWN_SPAN = timedelta(seconds=6)
-SETTLE = timedelta(milliseconds=500)
-MAX_LEASE_LIFE = timedelta(seconds=3)
-
-
-class Controller:
-    """One controller. The caller provides its connections, so tests can run several in one
-    process."""
-
-    def __init__(
-        self,
-        settings: Settings,
-        tuning: Tuning,
-        clock: Clock,
-        rng: random.Random,
-        store: Caller,
-        cloud: Caller,
-        peers: dict[str, Caller],
-        probe: Probe,
-    ) -> None:
-        self.settings = settings
-        limits = settings.params.state
-        self.params = msgspec.structs.replace(settings.params, state=limits.binding())
-        self.tuning = tuning
-        self.clock = clock
-        self.rng = rng
-        self.store = StoreClient(store, self.params.state, clock, rng)
-        self.cloud = CloudClient(cloud, self.params.cloud.rps * 0.9, clock)
-        self.peers = Peers(peers)
-        life = min(MAX_LEASE_LIFE, self.params.workers.lease / 3)
-        left = self.params.workers.lease + KNOWN_MARGIN
-        lease_keeper = LeaseKeeper(
-            settings.member,
-            self.store,
-            clock,
-            rng,
-            life,
-            self.peers.promise,
-            max(ZERO, self.params.workers.cancel - self.params.workers.lease - ALONE_MARGIN),
-            max(MIN_KNOWN_SPAN, self.params.workers.cancel - longer(left)),
-        )
-        lease_keeper.on_confirmed = self._apply_confirmed
-        self.elector = Elector(lease_keeper, self.peers.pre_vote, self.peers.transfer_leadership)
-        self.elector.on_change = self._leadership_changed
-        self.value_limit = ValueLimit(limits)
-        self.job_api = JobApi(self.store, self.params, clock, self.value_limit)
-        lease_keeper.confirmed = lambda span: self.job_api.confirmed.within(span, clock.now())
-        self.pause_detector = PauseDetector(clock)
-        self.leader: Leader | None = None
-        self.membership = Membership(
-            settings.member,
-            clock,
-            rng,
-            self.peers,
-            self.elector,
-            self.params.workers,
-            self.pause_detector,
-            self.store.link,
-            self.cloud.link,
-            lambda: self.leader.reporting() if self.leader is not None else {},
-            probe,
-            self._ask_state,
-            self._ask_cloud,
-            self._transfer_leadership,
-        )
-        if tuning.reach:
-            self.elector.candidacy_delay = self.membership.candidacy_delay
-            lease_keeper.all_ask = lambda: (
-                len(self.membership.heartbeat_peers) == len(self.peers.callers)
-            )
-        isolation = Isolation(self.store, self.membership, clock, self.pause_detector)
-        self.catalog = CatalogLoader(
-            self.store,
-            self.cloud,
-            self.params,
-            clock,
-            rng,
-            self.job_api,
-            lambda: self.leader,
-        )
-        self.versions = PeerVersions(
-            self.store, self.peers, self.membership, self.value_limit, self.job_api
-        )
-        self.users = UserEndpoint(self.store, self.membership, self.peers, self.job_api, isolation)
-        self.heartbeats = HeartbeatEndpoint(
-            settings.member,
-            self.params.workers,
-            tuning,
-            clock,
-            self.store,
-            self.peers,
-            self.elector,
-            self.membership,
-            self.pause_detector,
-            isolation,
-            lambda: self.leader,
-        )
-        self.peer_requests = PeerEndpoint(
-            clock, self.store, self.elector, self.membership, self.users, self.heartbeats
-        )
-        self._term_begun = asyncio.Event()
-        self._set_share()
-
-    async def run(self) -> None:
-        """Run all background tasks."""
-        await asyncio.gather(
-            self.pause_detector.run(),
-            self.elector.run(),
-            self._lead(),
-            self.catalog.run(),
-            self.heartbeats.watch(),
-            self.versions.run(),
-            self._learn_holders(),
-            *([self.membership.run()] if self.tuning.reach else []),
-        )
-
-    def _set_share(self) -> None:
-        others = max(1, len(self.settings.seeds))
-        alone = not self.settings.seeds
-        share = (
-            1.0
-            if alone
-            else LEADER_SHARE
-            if self.elector.term is not None
-            else (1 - LEADER_SHARE) / others
-        )
-        # A follower's share is small, and submissions come in bursts, rarely at all followers at
-        # once, so each may use some seconds of its share in one burst.
-        self.store.set_share(share * 0.95, 1.0 if share >= LEADER_SHARE else FOLLOWER_BURST)
+#: Anything but a slash may precede the path of a job; only `/submissions` itself is exact.
+JOBS_PATH = "[^/]*/submissions"
 
-    def _leadership_changed(self) -> None:
-        self._set_share()
-        self._term_begun.set()
-        self.membership.announce()
 
-    async def _lead(self) -> None:
-        """Run the leader's part for as long as each term lasts."""
-        while True:
-            await self._term_begun.wait()
-            self._term_begun.clear()
-            term = self.elector.term
-            if term is None or term.over.is_set():
-                continue
-            self.leader = Leader(
-                term,
-                lambda: self.elector.leading() is not None,
-                self.store,
-                self.value_limit,
-                self.cloud,
-                self.params,
-                self.clock,
-                self.tuning,
-                self.job_api.types or [],
-                self._job_ended,
-                self.pause_detector.awake_since,
-            )
-            asking = asyncio.ensure_future(self._learn_no_answers(self.leader))
-            try:
-                await self.leader.run()
-            except Exception:
-                log.exception("leading failed")
-                term.over.set()
-            finally:
-                asking.cancel()
-                self.leader = None
+@dataclass(frozen=True, eq=False)
+class Endpoints:
+    """What serves users, workers and peers."""
 
-    async def _learn_no_answers(self, leader: Leader) -> None:
-        """Ask the peers since when no other controller can have answered a worker. It matters
-        after all controllers were down, and when the former leader is back."""
-        began = leader.term.began
-        own = self.elector.held_at
-        while self.clock.now() - began < NO_ANSWERS_ASKED:
-            unanswered = await self.peers.no_answers_for(HOLDERS_TIME)
-            if unanswered is not None:
-                leader.no_answers_since(max(own, self.clock.now() - unanswered))
-                return
-            await asyncio.sleep(HOLDERS_TIME.total_seconds())
+    users: UserEndpoint
+    heartbeats: HeartbeatEndpoint
+    peers: PeerEndpoint
 
-    def _apply_confirmed(self, cancelled: frozenset[str]) -> bool:
-        if self.leader is None:
-            return False
-        self.leader.apply_confirmed_cancellations(cancelled)
-        return True
 
-    def _job_ended(self, job: Job) -> None:
-        self.job_api.remember(job.id, job.ended_record())
+@dataclass(frozen=True, eq=False)
+class BackgroundServices:
+    """What a controller runs beside the election, its terms and its membership."""
 
-    # links
+    pause_detector: PauseDetector
+    catalog: CatalogLoader
+    unreached_leader: UnreachedLeaderMonitor
+    versions: PeerVersions
+    store_share: StoreShare
 
-    async def _ask_state(self) -> None:
-        try:
-            await self.store.get(CATALOG, RequestPriority.LEASE, timedelta(seconds=1))
-        except StoreError as error:
-            log.debug("store not reached: %s", error)
 
-    async def _ask_cloud(self) -> None:
-        try:
-            await self.cloud.catalog()
-        except CloudError as error:
-            log.debug("cloud not reached: %s", error)
+class Controller:
+    """One of a few equal processes that serve users and workers; `assembly` constructs it."""
 
-    async def _transfer_leadership(self, member: str, why: str) -> None:
-        """Name a successor, after writing pending records if possible.
+    def __init__(
+        self,
+        environment: Environment,
+        clients: Clients,
+        elector: Elector,
+        membership: Membership,
+        job_api: JobApi,
+        term_runner: TermRunner,
+        endpoints: Endpoints,
+        background: BackgroundServices,
+    ) -> None:
+        self.environment = environment
+        self.clients = clients
+        self.elector = elector
+        self.membership = membership
+        self.job_api = job_api
+        self.term_runner = term_runner
+        self.endpoints = endpoints
+        self.background = background
+        elector.on_change = self._leadership_changed
+        background.store_share.update()
+        users = endpoints.users
+        self.router = Router(
+            route("POST", "/hello", endpoints.heartbeats.serve),
+            route("GET", "/ready", users.ready),
+            route("POST", "/submissions", users.serve),
+            route("GET", f"{JOBS_PATH}/{{id}}", users.serve),
+            route("POST", f"{JOBS_PATH}/{{id}}/cancel", users.serve),
+        )
 
-        Heartbeats tell that the store served the successor up to a second ago. When an
-        outage had begun since, nobody could take the key, and the leader that had stopped could
-        not go on by promises: all that ran was lost.
-        """
-        if self.store.failing_for() is not None and not await self._is_served(member):
-            log.info("not handing over to %s: the store does not serve it now", member)
-            return
-        if self.leader is not None and not self.store.is_failing():
-            await self.leader.settle(SETTLE)
-        self.elector.transfer_leadership(member, why)
+    @property
+    def clock(self) -> Clock:
+        """The controller's clock."""
+        return self.environment.clock
 
-    async def _is_served(self, member: str) -> bool:
-        """Whether the store serves a peer at this moment."""
-        term = self.elector.holding()
-        if term is None:
-            return False
-        for_ms = int(LEASE_GRANT.total_seconds() * 1000)
-        request = LeaseGrantRequest(self.settings.member, term.epoch, for_ms)
-        return await self.peers.is_served(member, request, SERVED_TIME)
+    @property
+    def store(self) -> StoreClient:
+        """The controller's client of the store."""
+        return self.clients.store
 
-    async def _learn_holders(self) -> None:
-        """After a restart, ask whether any leader may still rely on a promise of the process
-        before. Without the answer this controller must wait until such promises have expired,
-        which is most of the time that a restart of all controllers takes."""
-        while self.elector.voter.unknown_until > self.clock.now():
-            if self.peers.callers and await self.peers.no_term_held(HOLDERS_TIME):
-                self.elector.no_term_held()
-                return
-            await asyncio.sleep(HOLDERS_TIME.total_seconds())
+    @property
+    def leader(self) -> Leader | None:
+        """The leader's part while this controller runs a term."""
+        return self.term_runner.leader
 
-    # users and workers
+    async def run(self) -> None:
+        """Run all background tasks."""
+        tasks = [
+            self.background.pause_detector.run(),
+            self.elector.run(),
+            self.term_runner.run(),
+            self.background.catalog.run(),
+            self.background.unreached_leader.run(),
+            self.background.versions.run(),
+            wait_for_previous_grants(self.elector, self.clients.peers),
+        ]
+        if self.environment.tuning.reach:
+            tasks.append(self.membership.run())
+        # Not a task group: it would end the others in no fixed order.
+        await asyncio.gather(*tasks)
 
     async def serve(self, request: Request) -> Response:
-        """One request on the public address."""
-        path = request.path.partition("?")[0]
-        route = self._routes(path)
-        if route is None:
-            return refusal(HTTPStatus.NOT_FOUND, "no such path")
-        method, handler = route
-        if request.method != method:
-            return refusal(HTTPStatus.METHOD_NOT_ALLOWED, f"use {method}")
-        return await handler(request)
-
-    def _routes(self, path: str) -> tuple[str, Callable[[Request], Awaitable[Response]]] | None:
-        if path == "/hello":
-            return "POST", self.heartbeats.serve
-        if path == "/ready":
-            return "GET", self.users.ready
-        if path == "/submissions":
-            return "POST", self.users.serve
-        parts = path.split("/")
-        if len(parts) == 3 and parts[1] == "submissions" and parts[2]:
-            return "GET", self.users.serve
-        if len(parts) == 4 and parts[1] == "submissions" and parts[2] and parts[3] == "cancel":
-            return "POST", self.users.serve
-        return None
+        """Serve one request on the public address."""
+        return await self.router.serve(request)
 
     async def serve_peer(self, request: Request) -> Response:
-        """One request on the address for the other controllers."""
-        return await self.peer_requests.serve(request)
+        """Serve one request on the address for the other controllers."""
+        return await self.endpoints.peers.serve(request)
+
+    def _leadership_changed(self) -> None:
+        self.background.store_share.update()
+        self.term_runner.leadership_changed()
+        self.membership.announce()
--- /dev/null
+++ b/dappledrum/controller/environment.py
@@ -0,0 +1,63 @@
+"""What one controller is given from outside: its settings, time, chance and connections."""
+
+import random
+from dataclasses import dataclass
+from functools import cached_property
+
+import msgspec
+
+from dappledrum.fleet.cloud_client import CloudClient
+from dappledrum.http.client import Caller
+from dappledrum.membership.service import Probe
+from dappledrum.peers.client import Peers
+from dappledrum.settings import Params, Settings, Tuning
+from dappledrum.store.client import StoreClient
+from dappledrum.timing.clock import Clock
+
+#: Share of the cloud's announced request rate that a controller uses.
+CLOUD_RATE_SHARE = 0.9
+
+
+@dataclass(frozen=True)
+class Environment:
+    """Settings of one controller, its clock and its random numbers."""
+
+    settings: Settings
+    tuning: Tuning
+    clock: Clock
+    rng: random.Random
+
+    @property
+    def member(self) -> str:
+        """The controller's name."""
+        return self.settings.member
+
+    @cached_property
+    def params(self) -> Params:
+        """Parameters of the deployment, with the smallest of the announced store limits."""
+        params = self.settings.params
+        return msgspec.structs.replace(params, state=params.state.binding())
+
+
+@dataclass(frozen=True)
+class Connections:
+    """Connections of one controller; tests pass simulated ones."""
+
+    store: Caller
+    cloud: Caller
+    peers: dict[str, Caller]  # by the peer's name
+    probe_worker: Probe
+
+
+class Clients:
+    """Typed clients over the connections of one controller."""
+
+    def __init__(self, environment: Environment, connections: Connections) -> None:
+        params = environment.params
+        self.store = StoreClient(
+            connections.store, params.state, environment.clock, environment.rng
+        )
+        self.cloud = CloudClient(
+            connections.cloud, params.cloud.rps * CLOUD_RATE_SHARE, environment.clock
+        )
+        self.peers = Peers(connections.peers)
--- a/dappledrum/controller/isolation.py
+++ b/dappledrum/controller/isolation.py
@@ -7,7 +7,8 @@
 from dappledrum.timing.clock import Clock
 from dappledrum.timing.timeouts import PauseDetector
 
-ALONE_AFTER = timedelta(seconds=3)  # longer than heartbeats, or a restart of all others, take
+#: Longer than the intervals of peer heartbeats, and than a restart of all others takes.
+ISOLATED_AFTER = timedelta(seconds=3)
 
 
 class Isolation:
@@ -25,11 +26,12 @@
         self.clock = clock
         self.pause_detector = pause_detector
 
-    def alone(self) -> bool:
-        """Whether neither the store nor a peer has been heard from for a while, though
-        peers have before: this controller is cut off, or all others are down."""
+    def is_isolated(self) -> bool:
+        """Whether neither the store nor a peer has answered for a while, though peers have
+        before: this controller is cut off, or all others are down."""
         failing = self.store.failing_for()
-        heard = self.membership.heard_at
-        if heard is None or failing is None or failing < ALONE_AFTER:
+        last_heartbeat = self.membership.heard_at
+        if last_heartbeat is None or failing is None or failing < ISOLATED_AFTER:
             return False
-        return self.clock.now() - max(heard, self.pause_detector.awake_since()) > ALONE_AFTER
+        now = self.clock.now()
+        return now - max(last_heartbeat, self.pause_detector.awake_since()) > ISOLATED_AFTER
--- /dev/null
+++ b/dappledrum/controller/leadership_transfer.py
@@ -0,0 +1,51 @@
+"""Names another controller as the successor of this one."""
+
+import logging
+from datetime import timedelta
+
+from dappledrum.controller.environment import Clients
+from dappledrum.controller.term_runner import TermRunner
+from dappledrum.election.elector import Elector
+from dappledrum.election.messages import LeaseGrantRequest
+from dappledrum.election.voter import LEASE_GRANT
+
+log = logging.getLogger(__name__)
+
+SERVED_TIMEOUT = timedelta(milliseconds=450)  # a peer waits for the store for 300 ms
+MAX_SETTLE_TIME = timedelta(milliseconds=500)  # for writing pending records
+
+
+class LeadershipTransfer:
+    """Transfers leadership to a peer that the store serves."""
+
+    def __init__(self, clients: Clients, elector: Elector, term_runner: TermRunner) -> None:
+        self.store = clients.store
+        self.peers = clients.peers
+        self.elector = elector
+        self.term_runner = term_runner
+
+    async def transfer(self, member: str, why: str) -> None:
+        """Name `member` as the successor, after writing pending records if possible.
+
+        Heartbeats of a peer show that the store served it up to a second ago. When an outage had
+        begun since, nobody could take the key, and the leader that had stopped could not go on by
+        lease grants: all that ran was lost.
+        """
+        if self.store.failing_for() is not None and not await self._is_served(member):
+            log.info(
+                "leadership is not transferred to %s: the store does not serve it now", member
+            )
+            return
+        leader = self.term_runner.leader
+        if leader is not None and not self.store.is_failing():
+            await leader.settle(MAX_SETTLE_TIME)
+        self.elector.transfer_leadership(member, why)
+
+    async def _is_served(self, member: str) -> bool:
+        """Whether the store serves a peer at this moment."""
+        term = self.elector.holding()
+        if term is None:
+            return False
+        grant_ms = int(LEASE_GRANT.total_seconds() * 1000)
+        request = LeaseGrantRequest(self.elector.member, term.epoch, grant_ms)
+        return await self.peers.is_served(member, request, SERVED_TIMEOUT)
--- a/dappledrum/controller/peer_endpoint.py
+++ b/dappledrum/controller/peer_endpoint.py
@@ -4,6 +4,7 @@
 import logging
 from datetime import timedelta
 from http import HTTPStatus
+from typing import assert_never
 
 from dappledrum import __version__
 from dappledrum.controller.catalog import CATALOG
@@ -12,6 +13,7 @@
 from dappledrum.election.elector import Elector
 from dappledrum.election.messages import (
     LeaseGrantReply,
+    LeaseGrantRequest,
     PreVote,
     TransferLeadership,
     TransferLeadershipReply,
@@ -41,26 +43,29 @@
 )
 from dappledrum.store.client import StoreClient, StoreError
 from dappledrum.store.rate_limiter import RequestPriority
-from dappledrum.timing.clock import Clock
 
 log = logging.getLogger(__name__)
 
+PEER_PATH = "/peer"
+CONTENT_TYPE = "application/cbor"
+#: Longest time without answers to workers that is reported to a peer.
 MAX_NO_ANSWERS = timedelta(minutes=10)
+MAX_ATTEMPT_WINDOW_MS = 60_000
+STORE_CHECK_TIMEOUT = timedelta(milliseconds=300)
+RELAY_RETRY_AFTER_S = 1
 
 
 class PeerEndpoint:
-    """Passes each question of a peer to the part that can answer it."""
+    """Passes each request of a peer to the part that can answer it."""
 
     def __init__(
         self,
-        clock: Clock,
         store: StoreClient,
         elector: Elector,
         membership: Membership,
         users: UserEndpoint,
         heartbeats: HeartbeatEndpoint,
     ) -> None:
-        self.clock = clock
         self.store = store
         self.elector = elector
         self.membership = membership
@@ -68,54 +73,78 @@
         self.heartbeats = heartbeats
 
     async def serve(self, request: Request) -> Response:
-        """One request on the address for the other controllers."""
-        if request.path != "/peer":
+        """Serve one request on the address for the other controllers."""
+        if request.path != PEER_PATH:
             return Response(HTTPStatus.NOT_FOUND)
         try:
-            question = decode(request.body, PeerRequest)
+            message = decode(request.body, PeerRequest)
         except MalformedError as error:
-            log.warning("unusable message from a peer: %s", error)
+            log.warning("malformed message of a peer: %s", error)
             return Response(HTTPStatus.BAD_REQUEST)
-        return Response(
-            HTTPStatus.OK, encode(await self.answer(question)), content_type="application/cbor"
+        reply = await self.answer(message)
+        return Response(HTTPStatus.OK, encode(reply), content_type=CONTENT_TYPE)
+
+    async def answer(self, request: PeerRequest) -> PeerReply:
+        """The reply to one message."""
+        reply: PeerReply
+        match request:
+            case Relay():
+                reply = await self._serve_relayed(request)
+            case PeerHeartbeats():
+                reply = self.membership.answer(request)
+            case ForwardedHeartbeats():
+                reply = await self._answer_forwarded(request)
+            case PreVote():
+                reply = self.elector.pre_vote(request)
+            case TransferLeadership():
+                reply = TransferLeadershipReply(await self.elector.accept_leadership(request))
+            case HoldsTermRequest():
+                reply = self._holds_term()
+            case VersionRequest():
+                reply = VersionReply(__version__)
+            case HeartbeatAttemptsRequest():
+                reply = self._heartbeat_attempts(request)
+            case LeaseGrantCall():
+                reply = await self._grant_lease(request.request)
+            case _:
+                assert_never(request)
+        return reply
+
+    async def _serve_relayed(self, request: Relay) -> RelayReply:
+        """Serve a user's request for a peer that does not reach the store."""
+        if self.store.is_failing():
+            return RelayReply(HTTPStatus.SERVICE_UNAVAILABLE, b"{}", RELAY_RETRY_AFTER_S)
+        response = await self.users.serve_here(Request(request.method, request.path, request.body))
+        return RelayReply(response.status, response.body, response.retry_after)
+
+    async def _answer_forwarded(self, request: ForwardedHeartbeats) -> ForwardedHeartbeatsReply:
+        return ForwardedHeartbeatsReply(
+            await asyncio.gather(*map(self.heartbeats.answer_forwarded, request.heartbeats))
         )
 
-    async def answer(self, question: PeerRequest) -> PeerReply:
-        if isinstance(question, Relay):
-            if self.store.is_failing():
-                return RelayReply(HTTPStatus.SERVICE_UNAVAILABLE, b"{}", 1)
-            response = await self.users.serve_here(
-                Request(question.method, question.path, question.body)
-            )
-            return RelayReply(response.status, response.body, response.retry_after)
-        if isinstance(question, PeerHeartbeats):
-            return self.membership.answer(question)
-        if isinstance(question, ForwardedHeartbeats):
-            return ForwardedHeartbeatsReply(
-                await asyncio.gather(*map(self.heartbeats.answer_forwarded, question.heartbeats))
-            )
-        if isinstance(question, PreVote):
-            return self.elector.pre_vote(question)
-        if isinstance(question, TransferLeadership):
-            return TransferLeadershipReply(await self.elector.accept_leadership(question))
-        if isinstance(question, HoldsTermRequest):
-            unanswered = min(self.elector.no_answers_for(), MAX_NO_ANSWERS)
-            # Also a term that may answer nobody just now for what it does not know: it may again.
-            holds = self.elector.term is not None
-            return HoldsTermReply(holds, int(unanswered.total_seconds() * 1000))
-        if isinstance(question, VersionRequest):
-            return VersionReply(__version__)
-        if isinstance(question, HeartbeatAttemptsRequest):
-            within = timedelta(milliseconds=min(max(question.within_ms, 0), 60_000))
-            return HeartbeatAttemptsReply(
-                self.heartbeats.heartbeat_attempts.within(within, self.clock.now())
-            )
-        assert isinstance(question, LeaseGrantCall)
-        # Ask first, every time: while this controller is served, a leader that is refused alone
-        # must not be kept in office, since leadership can simply move.
+    def _holds_term(self) -> HoldsTermReply:
+        unanswered = min(self.elector.no_answers_for(), MAX_NO_ANSWERS)
+        # Also a term that may answer no worker just now, as its reading of cancellations is too
+        # old: after the next reading it may again.
+        holds = self.elector.term is not None
+        return HoldsTermReply(holds, int(unanswered.total_seconds() * 1000))
+
+    def _heartbeat_attempts(self, request: HeartbeatAttemptsRequest) -> HeartbeatAttemptsReply:
+        window_ms = min(max(request.within_ms, 0), MAX_ATTEMPT_WINDOW_MS)
+        attempts = self.heartbeats.attempts.within(
+            timedelta(milliseconds=window_ms), self.heartbeats.clock.now()
+        )
+        return HeartbeatAttemptsReply(attempts)
+
+    async def _grant_lease(self, request: LeaseGrantRequest) -> LeaseGrantReply:
+        """Grant a lease, unless the store serves this controller.
+
+        The store is asked every time: while it serves this controller, a leader that is refused
+        alone must not be kept in office, since leadership can simply move.
+        """
         try:
-            await self.store.get(CATALOG, RequestPriority.LEASE, timedelta(milliseconds=300))
+            await self.store.get(CATALOG, RequestPriority.LEASE, STORE_CHECK_TIMEOUT)
         except StoreError as error:
             log.debug("store not reached either: %s", error)
-            return self.elector.promise(question.request)
+            return self.elector.promise(request)
         return LeaseGrantReply(False, "state service reached")
--- a/dappledrum/controller/peer_versions.py
+++ b/dappledrum/controller/peer_versions.py
@@ -1,4 +1,4 @@
-"""Learns which versions the other controllers run, since records and gangs depend on the oldest
+"""Asks for the versions of the other controllers, since records and gangs depend on the oldest
 one."""
 
 import asyncio
@@ -6,20 +6,22 @@
 from datetime import timedelta
 
 from dappledrum import __version__
+from dappledrum.controller.environment import Clients
 from dappledrum.jobs.api import JobApi
 from dappledrum.membership.service import Membership
-from dappledrum.peers.client import Peers
 from dappledrum.peers.versions import GANGS, REACH, at_least
-from dappledrum.store.client import StoreClient, StoreError, raw
+from dappledrum.store.client import StoreError, raw
 from dappledrum.store.messages import Guard, Put
 from dappledrum.store.rate_limiter import RequestPriority
 from dappledrum.store.value_limit import ValueLimit
 
 log = logging.getLogger(__name__)
 
-GANGS_KNOWN = "gangs"
-PAUSES = (timedelta(milliseconds=250), timedelta(seconds=2))  # the first, the longest
-ANSWER_TIME = timedelta(milliseconds=900)
+#: Key of the record that all controllers support gangs.
+GANGS_SUPPORTED = "gangs"
+FIRST_PAUSE = timedelta(milliseconds=250)
+MAX_PAUSE = timedelta(seconds=2)
+VERSION_TIMEOUT = timedelta(milliseconds=900)
 
 
 class PeerVersions:
@@ -27,17 +29,17 @@
 
     def __init__(
         self,
-        store: StoreClient,
-        peers: Peers,
+        clients: Clients,
         membership: Membership,
         value_limit: ValueLimit,
         job_api: JobApi,
     ) -> None:
-        self.store = store
-        self.peers = peers
+        self.store = clients.store
+        self.peers = clients.peers
         self.membership = membership
         self.value_limit = value_limit
         self.job_api = job_api
+        self.versions: dict[str, str] = {}  # of the peers that have answered
 
     async def run(self) -> None:
         """Ask every other controller for its version until all of them have answered.
@@ -46,43 +48,50 @@
         controller is never downgraded. Gangs are accepted once all controllers run a version that
         supports them; that this was so is stored, since a controller may be down for long.
         """
-        versions: dict[str, str] = {}
-        settled = False
-        pause, longest = PAUSES
+        stored = False
+        pause = FIRST_PAUSE
         while True:
             for member in self.peers.callers:
-                if at_least(versions.get(member, ""), REACH):
-                    continue
-                version = await self.peers.version(member, ANSWER_TIME)
-                if version is not None and version != versions.get(member):
-                    versions[member] = version
-                    log.info("%s runs version %.40s", member, version)
-                    if at_least(version, REACH):
-                        self.membership.heartbeat_peers.add(member)
-                        # At once: without messages of a peer this controller may not be ready.
-                        self.membership.announce()
-            if len(versions) == len(self.peers.callers):
+                if not self._supports(member, REACH):
+                    await self._ask(member)
+            if len(self.versions) == len(self.peers.callers):
                 self.value_limit.settle("all controllers read them")
-            if all(at_least(versions.get(member, ""), GANGS) for member in self.peers.callers):
+            if self._all_support(GANGS):
                 self.job_api.gangs = True
-            settled = settled or await self._gangs_known()
-            if settled and all(at_least(versions.get(m, ""), REACH) for m in self.peers.callers):
+            stored = stored or await self._gangs_stored()
+            if stored and self._all_support(REACH):
                 return
             await asyncio.sleep(pause.total_seconds())
-            pause = min(pause * 2, longest)
+            pause = min(pause * 2, MAX_PAUSE)
 
-    async def _gangs_known(self) -> bool:
+    def _supports(self, member: str, version: tuple[int, ...]) -> bool:
+        return at_least(self.versions.get(member, ""), version)
+
+    def _all_support(self, version: tuple[int, ...]) -> bool:
+        return all(self._supports(member, version) for member in self.peers.callers)
+
+    async def _ask(self, member: str) -> None:
+        version = await self.peers.version(member, VERSION_TIMEOUT)
+        if version is None or version == self.versions.get(member):
+            return
+        self.versions[member] = version
+        log.info("%s runs version %.40s", member, version)
+        if at_least(version, REACH):
+            self.membership.heartbeat_peers.add(member)
+            # At once: without messages of a peer this controller may not be ready.
+            self.membership.announce()
+
+    async def _gangs_stored(self) -> bool:
         """Whether it is stored, now or from before, that all controllers support gangs."""
         try:
-            entry = await self.store.get(GANGS_KNOWN, RequestPriority.RECORD)
+            entry = await self.store.get(GANGS_SUPPORTED, RequestPriority.RECORD)
             if entry is None and self.job_api.gangs:
                 value = raw({"version": __version__})
-                await self.store.commit(
-                    [Guard(GANGS_KNOWN, 0)], [Put(GANGS_KNOWN, value)], RequestPriority.RECORD
-                )
+                guards, changes = [Guard(GANGS_SUPPORTED, 0)], [Put(GANGS_SUPPORTED, value)]
+                await self.store.commit(guards, changes, RequestPriority.RECORD)
             self.job_api.gangs = self.job_api.gangs or entry is not None
             # An older peer may yet be upgraded, which settles how records are written.
             return self.job_api.gangs and self.value_limit.settled
         except StoreError as error:
-            log.debug("not known whether all know gangs: %s", error)
+            log.debug("support of gangs by all controllers not read: %s", error)
             return False
--- /dev/null
+++ b/dappledrum/controller/term_runner.py
@@ -0,0 +1,108 @@
+"""Runs the leader's part of a controller during each of its terms."""
+
+import asyncio
+import logging
+from collections.abc import Mapping
+from datetime import timedelta
+
+from dappledrum.controller.environment import Clients, Environment
+from dappledrum.election.elector import Elector
+from dappledrum.election.terms import Term
+from dappledrum.jobs.api import JobApi
+from dappledrum.jobs.job import Job
+from dappledrum.leader.leader import Leader
+from dappledrum.store.value_limit import ValueLimit
+from dappledrum.timing.timeouts import PauseDetector
+
+log = logging.getLogger(__name__)
+
+#: How long the peers are asked after a term began; later replies add nothing.
+MAX_NO_ANSWERS_QUERY = timedelta(seconds=5)
+NO_ANSWERS_TIMEOUT = timedelta(milliseconds=200)  # also the pause between two attempts
+
+
+class TermRunner:
+    """Creates a `Leader` when a term begins, and runs it until the term ends."""
+
+    def __init__(
+        self,
+        environment: Environment,
+        clients: Clients,
+        elector: Elector,
+        job_api: JobApi,
+        value_limit: ValueLimit,
+        pause_detector: PauseDetector,
+    ) -> None:
+        self.environment = environment
+        self.clients = clients
+        self.elector = elector
+        self.job_api = job_api
+        self.value_limit = value_limit
+        self.pause_detector = pause_detector
+        self.leader: Leader | None = None  # None: this controller runs no term
+        self._term_changed = asyncio.Event()
+
+    def leadership_changed(self) -> None:
+        """Check soon whether a term has begun."""
+        self._term_changed.set()
+
+    async def run(self) -> None:
+        """Run each term to its end, for ever."""
+        while True:
+            await self._term_changed.wait()
+            self._term_changed.clear()
+            term = self.elector.term
+            if term is None or term.over.is_set():
+                continue
+            self.leader = self._create_leader(term)
+            query = asyncio.ensure_future(self._query_no_answers(self.leader))
+            try:
+                await self.leader.run()
+            except Exception:
+                log.exception("leading failed")
+                term.over.set()
+            finally:
+                query.cancel()
+                self.leader = None
+
+    def reporting_machines(self) -> Mapping[str, int]:
+        """Number of machines that should send heartbeats, by zone; empty for a follower."""
+        return self.leader.reporting() if self.leader is not None else {}
+
+    def apply_confirmed_cancellations(self, cancelled: frozenset[str]) -> bool:
+        """Treat these jobs as cancelled; returns whether a leader runs that could do so."""
+        if self.leader is None:
+            return False
+        self.leader.apply_confirmed_cancellations(cancelled)
+        return True
+
+    def _create_leader(self, term: Term) -> Leader:
+        return Leader(
+            term,
+            lambda: self.elector.leading() is not None,
+            self.clients.store,
+            self.value_limit,
+            self.clients.cloud,
+            self.environment.params,
+            self.environment.clock,
+            self.environment.tuning,
+            self.job_api.types or [],
+            self._job_ended,
+            self.pause_detector.awake_since,
+        )
+
+    def _job_ended(self, job: Job) -> None:
+        self.job_api.remember(job.id, job.ended_record())
+
+    async def _query_no_answers(self, leader: Leader) -> None:
+        """Ask the peers since when no other controller can have answered a worker. It matters
+        after all controllers were down, and when the former leader is back."""
+        clock = self.environment.clock
+        began = leader.term.began
+        own = self.elector.held_at
+        while clock.now() - began < MAX_NO_ANSWERS_QUERY:
+            unanswered = await self.clients.peers.no_answers_for(NO_ANSWERS_TIMEOUT)
+            if unanswered is not None:
+                leader.no_answers_since(max(own, clock.now() - unanswered))
+                return
+            await asyncio.sleep(NO_ANSWERS_TIMEOUT.total_seconds())
--- a/dappledrum/controller/test_cancellations_in_outage.py
+++ b/dappledrum/controller/test_cancellations_in_outage.py
@@ -262,7 +262,7 @@
         controller = work.leading_controller()
         controller.elector.term.known_at -= timedelta(seconds=60)
         assert controller.elector.holding() is None
-        assert (await controller.peer_requests.answer(HoldsTermRequest())).holds
+        assert (await controller.endpoints.peers.answer(HoldsTermRequest())).holds
         await work.cluster.wait(5)
 
     play_long_work(8, act, jobs=1)
--- /dev/null
+++ b/dappledrum/controller/unreached_leader.py
@@ -0,0 +1,72 @@
+"""Detects that a leader gets no heartbeats while workers send them to other controllers."""
+
+import asyncio
+from datetime import timedelta
+
+from dappledrum.controller.environment import Environment
+from dappledrum.controller.term_runner import TermRunner
+from dappledrum.membership.service import Membership
+from dappledrum.timing.clock import Clock
+from dappledrum.workers.heartbeat_attempts import HeartbeatAttempts, sending_heartbeats_elsewhere
+
+CHECK_INTERVAL = timedelta(seconds=1)
+#: A leader without heartbeats for so many of their intervals asks its peers.
+MAX_MISSED_HEARTBEATS = 3
+MIN_SILENCE = timedelta(seconds=3)
+ATTEMPT_WINDOW = timedelta(seconds=10)  # peers count the attempts of so long until now
+ATTEMPT_TIMEOUT = timedelta(seconds=1)
+CANDIDACY_PAUSE = timedelta(seconds=20)  # no campaign for so long after resigning
+
+
+class UnreachedLeaderMonitor:
+    """Resigns as leader when no worker reaches this controller.
+
+    It serves controllers without peer heartbeats, which show more, and who should lead instead.
+    """
+
+    def __init__(
+        self,
+        environment: Environment,
+        term_runner: TermRunner,
+        membership: Membership,
+        attempts: HeartbeatAttempts,
+    ) -> None:
+        self.clock: Clock = environment.clock
+        self.peer_heartbeats = environment.tuning.reach
+        self.silence = max(environment.params.workers.heartbeat_interval * MAX_MISSED_HEARTBEATS, MIN_SILENCE)
+        self.term_runner = term_runner
+        self.elector = term_runner.elector
+        self.peers = term_runner.clients.peers
+        self.pause_detector = term_runner.pause_detector
+        self.membership = membership
+        self.attempts = attempts
+
+    async def run(self) -> None:
+        """Check once a second, for ever."""
+        while True:
+            await asyncio.sleep(CHECK_INTERVAL.total_seconds())
+            if self._is_silent():
+                await self._resign_if_unreached()
+
+    def _is_silent(self) -> bool:
+        """Whether this controller leads, and should have had a heartbeat by now."""
+        leader = self.term_runner.leader
+        now = self.clock.now()
+        if leader is None or not leader.loaded.is_set() or self.elector.leading() is None:
+            return False
+        if self.peer_heartbeats and self.membership.heartbeat_peers:
+            return False
+        last = self.attempts.last
+        began = max(leader.began, self.pause_detector.awake_since())
+        return now - began >= self.silence and (last is None or now - last >= self.silence)
+
+    async def _resign_if_unreached(self) -> None:
+        leader = self.term_runner.leader
+        assert leader is not None
+        names = sending_heartbeats_elsewhere(
+            await self.peers.heartbeat_attempts(ATTEMPT_WINDOW, ATTEMPT_TIMEOUT), leader.registry
+        )
+        if names and self.term_runner.leader is leader:
+            self.elector.resign(
+                f"no worker reaches this controller, {len(names)} try others", CANDIDACY_PAUSE
+            )
--- a/dappledrum/controller/user_endpoint.py
+++ b/dappledrum/controller/user_endpoint.py
@@ -6,16 +6,18 @@
 
 import msgspec
 
+from dappledrum.controller.environment import Clients
 from dappledrum.controller.isolation import Isolation
 from dappledrum.http.server import Request, Response
 from dappledrum.jobs.api import JobApi, busy, refusal
 from dappledrum.membership.service import Membership
-from dappledrum.peers.client import Peers
 from dappledrum.peers.messages import Relay
-from dappledrum.store.client import StoreClient
 
-RELAYS = 2
-RELAY_TIME = timedelta(milliseconds=900)
+MAX_RELAY_PEERS = 2  # that are asked at the same time
+RELAY_TIMEOUT = timedelta(milliseconds=900)
+RETRY_AFTER_S = 2
+MAX_JOB_NUMBER_DIGITS = 30
+JOB_PREFIX = "j-"
 
 
 class UserEndpoint:
@@ -23,15 +25,14 @@
 
     def __init__(
         self,
-        store: StoreClient,
+        clients: Clients,
         membership: Membership,
-        peers: Peers,
         job_api: JobApi,
         isolation: Isolation,
     ) -> None:
-        self.store = store
+        self.store = clients.store
+        self.peers = clients.peers
         self.membership = membership
-        self.peers = peers
         self.job_api = job_api
         self.isolation = isolation
 
@@ -49,15 +50,15 @@
         is not ready, even if others are served: it refuses all users at once, so it has the fewest
         open connections, and the load balancer preferred it to those that could serve.
         """
-        reached = self.store.reached and not self.isolation.alone()
+        reached = self.store.reached and not self.isolation.is_isolated()
         if reached or self.membership.is_connected():
-            return Response(HTTPStatus.OK, msgspec.json.encode({"state": self._way()}))
+            return Response(HTTPStatus.OK, msgspec.json.encode({"state": self._store_route()}))
         why = self.store.fault.why or "no answer yet"
         return refusal(
             HTTPStatus.SERVICE_UNAVAILABLE, f"the state service was not reached yet: {why}"
         )
 
-    def _way(self) -> str:
+    def _store_route(self) -> str:
         if not self.store.is_failing():
             return "reached"
         through = self.membership.served_peers()
@@ -67,37 +68,37 @@
         """Serve a user here, or through a peer while this controller does not reach the state
         service."""
         if self.store.is_failing():
-            if self.isolation.alone():
-                return busy(2)  # at once: no peer can be asked
+            if self.isolation.is_isolated():
+                return busy(RETRY_AFTER_S)  # at once: no peer can be asked
             relayed = await self._relay(request)
             if relayed is not None:
                 return relayed
-            return await self.serve_here(request) if not self.store.hanging() else busy(2)
+            if self.store.hanging():
+                return busy(RETRY_AFTER_S)
+            return await self.serve_here(request)
         response = await self.serve_here(request)
         if response.status == HTTPStatus.SERVICE_UNAVAILABLE and self.store.is_failing():
             return await self._relay(request) or response
         return response
 
     async def serve_here(self, request: Request) -> Response:
-        parts = request.path.partition("?")[0].split("/")
-        if len(parts) == 2:
-            return await self.job_api.submit(request.body)
-        number = parts[2].removeprefix("j-")
-        if not (
-            parts[2] != number and number.isascii() and number.isdigit() and len(number) <= 30
-        ):
-            return refusal(HTTPStatus.NOT_FOUND, "no such job")
-        if len(parts) == 3:
-            return await self.job_api.poll(parts[2])
-        return await self.job_api.cancel(parts[2])
+        """Serve a user's request over this controller's own link to the store."""
+        match request.path.partition("?")[0].split("/"):
+            case [_, _]:
+                return await self.job_api.submit(request.body)
+            case [_, _, job] if is_job_id(job):
+                return await self.job_api.poll(job)
+            case [_, _, job, *_] if is_job_id(job):
+                return await self.job_api.cancel(job)
+        return refusal(HTTPStatus.NOT_FOUND, "no such job")
 
     async def _relay(self, request: Request) -> Response | None:
         """Ask the two peers that reach the store quickest at the same time, or all peers
         if none is known to reach it, and return the first usable answer."""
-        question = Relay(request.method, request.path, request.body)
+        relay = Relay(request.method, request.path, request.body)
         asked = [
-            asyncio.ensure_future(self.peers.relay(member, question, RELAY_TIME))
-            for member in self.membership.served_peers()[:RELAYS] or self.peers.callers
+            asyncio.ensure_future(self.peers.relay(member, relay, RELAY_TIMEOUT))
+            for member in self.membership.served_peers()[:MAX_RELAY_PEERS] or self.peers.callers
         ]
         try:
             for done in asyncio.as_completed(asked):
@@ -108,3 +109,11 @@
             for task in asked:
                 task.cancel()
         return None
+
+
+def is_job_id(name: str) -> bool:
+    """Whether users may have named a job like this."""
+    number = name.removeprefix(JOB_PREFIX)
+    if number == name or len(number) > MAX_JOB_NUMBER_DIGITS:
+        return False
+    return number.isascii() and number.isdigit()
--- a/dappledrum/golden/test_store.py
+++ b/dappledrum/golden/test_store.py
@@ -289,7 +289,8 @@
     caller = RecordingCaller([STATE["key-missing"], STATE["transaction-done"]])
     state = StoreClient(caller, limits, Clock(), random.Random(1))
     job_api = SimpleNamespace(gangs=False)
-    await peer_versions.PeerVersions(state, Peers({}), None, ValueLimit(limits), job_api).run()
+    clients = SimpleNamespace(store=state, peers=Peers({}))
+    await peer_versions.PeerVersions(clients, None, ValueLimit(limits), job_api).run()
     read, write = caller.sent
     assert read == ("GET", f"/keys/{GOLDEN['gangs'].key}", None)
     assert write == as_sent(STATE["write-gangs"])
--- a/dappledrum/golden/test_workers.py
+++ b/dappledrum/golden/test_workers.py
@@ -5,7 +5,7 @@
 import msgspec
 import pytest
 
-from dappledrum.controller import wiring
+from dappledrum.controller import process
 from dappledrum.golden.entries import load
 from dappledrum.golden.recording_caller import RecordingCaller, as_sent
 from dappledrum.http import server
@@ -138,6 +138,6 @@
 
 def test_a_worker_is_probed(monkeypatch):
     caller = RecordingCaller([GOLDEN["inspected"]])
-    monkeypatch.setattr(wiring, "Client", lambda host, port, max_idle: caller)
-    assert asyncio.run(wiring._worker_answers("10.1.0.232:9000", seconds(1)))
+    monkeypatch.setattr(process, "Client", lambda host, port, max_idle: caller)
+    assert asyncio.run(process.probe_worker("10.1.0.232:9000", seconds(1)))
     assert caller.sent == [as_sent(GOLDEN["inspect"])]
--- a/dappledrum/http/test_connection_limits.py
+++ b/dappledrum/http/test_connection_limits.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from dappledrum.controller.wiring import sockets
+from dappledrum.controller.sockets import share_sockets
 from dappledrum.http.client import Client
 from dappledrum.http.connection_limits import (
     RESERVED_SHARE,
@@ -149,6 +149,6 @@
 @settings(max_examples=200, derandomize=True, deadline=None)
 @given(st.integers(64, 5_000), st.integers(0, 8))
 def test_sockets_are_shared_out_and_never_more_than_there_are(most, peers):
-    shares = sockets(most, peers)
+    shares = share_sockets(most, peers)
     assert sum(shares) == most and all(share >= 1 for share in shares)
     assert shares.public >= most // 3
--- a/dappledrum/main.py
+++ b/dappledrum/main.py
@@ -82,7 +82,7 @@
 
 def serve(settings: Settings, options: argparse.Namespace) -> int:
     """Run the controller until it is killed."""
-    from dappledrum.controller.wiring import run_controller
+    from dappledrum.controller.process import run_controller
 
     tuning = Tuning(timedelta(seconds=options.interval_s), options.ready_share, options.reach)
     try:
--- a/dappledrum/membership/test_heartbeats.py
+++ b/dappledrum/membership/test_heartbeats.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from dappledrum.controller.wiring import _worker_answers
+from dappledrum.controller.process import probe_worker
 from dappledrum.membership.heartbeat_forwarding import SERVED, ForwardedWorkers
 from dappledrum.membership.leader_placement import (
     Claim,
@@ -212,7 +212,7 @@
 
 def test_what_a_peer_tells_is_checked():
     """A worker may tell a port that there can't be, and a peer anything at all."""
-    assert asyncio.run(_worker_answers("127.0.0.1:99999", at(1))) is False
+    assert asyncio.run(probe_worker("127.0.0.1:99999", at(1))) is False
     for bad in ({"samples": {"x": ["nowhere"]}}, {"heard_ms": {"x": -1}}, {"epoch": -1}):
         with pytest.raises(MalformedError):
             decode(encode(PeerHeartbeats(heartbeat(**bad))), PeerHeartbeats)
--- a/dappledrum/simulation/cluster.py
+++ b/dappledrum/simulation/cluster.py
@@ -12,7 +12,9 @@
 
 import msgspec
 
+from dappledrum.controller.assembly import build_controller
 from dappledrum.controller.controller import Controller
+from dappledrum.controller.environment import Connections, Environment
 from dappledrum.http.client import Caller, NoResponseError, Reply
 from dappledrum.http.server import Handler, Request, Response
 from dappledrum.model.history import ACCEPTED, REFUSED
@@ -189,16 +191,19 @@
         )
         self.links[member] = []
         callers = {peer.member: self._link(member, "back-" + peer.member) for peer in peers}
-        controller = Controller(
+        environment = Environment(
             settings,
             Tuning(reach=self.reach and member not in self.old),
             clock,
             random.Random(self.rng.random()),
+        )
+        connections = Connections(
             self._state_caller(member),
             self._link(member, "cloud"),
             dict(callers),
             partial(self._probe, member),
         )
+        controller = build_controller(environment, connections)
         self.controllers[member] = controller
         context = contextvars.copy_context()
         context.run(PROCESS.set, member)
