--- a/dappledrum/controller/test_cancellations_in_outage.py
+++ b/dappledrum/controller/test_cancellations_in_outage.py
@@ -12,7 +12,7 @@
 from dappledrum.peers.messages import HoldsTermRequest
 from dappledrum.simulation.cluster import job
 from dappledrum.simulation.scenario import CANCEL_S, now
-from dappledrum.simulation.workloads import FIVE, job_name, play_long_work
+from dappledrum.simulation.workloads import FIVE, job_name, long_running_jobs
 from dappledrum.store.client import RefusedError
 
 THREE = pytest.mark.parametrize("seed", range(3))
@@ -20,11 +20,11 @@
 
 
 @pytest.mark.parametrize("seed", range(9))
-def test_a_cancellation_between_a_leaders_refusal_and_an_outage(seed):
+async def test_a_cancellation_between_a_leaders_refusal_and_an_outage(seed):
     """It went on for the promises of all, and knew nothing of it: the tasks ran on for as long as
     the outage lasted."""
 
-    async def act(work):
+    async with long_running_jobs(seed) as work:
         cluster, controller, peers = work.cluster, work.leading_controller(), work.others()
         sessions = work.sessions()
         cluster.store.refused.add(cluster.leader())
@@ -38,15 +38,13 @@
         assert not work.running(0) and len(work.running(2)) == 3
         assert work.sessions() == sessions, "nothing of what nobody has cancelled is lost"
 
-    play_long_work(seed, act)
-
 
 @pytest.mark.parametrize("how", ["ends", "back at once", "stands still", "cut off"])
-def test_whoever_confirmed_it_can_not_be_asked(how, caplog):
+async def test_whoever_confirmed_it_can_not_be_asked(how, caplog):
     """Then the leader must not answer for longer than a lease before the time is over: all that
     runs ends, which is the price."""
 
-    async def act(work):
+    async with long_running_jobs(1) as work:
         cluster = work.cluster
         cluster.store.refused.add(cluster.leader())
         told = work.others()[0]
@@ -67,13 +65,11 @@
         said = "not known what users were told is cancelled" in caplog.text
         assert said or how != "back at once"
 
-    play_long_work(1, act)
-
 
-def test_told_by_a_poll_and_by_a_repeated_submission():
+async def test_told_by_a_poll_and_by_a_repeated_submission():
     """The one that stored the cancellation did not hear so, and told nobody; others did."""
 
-    async def act(work):
+    async with long_running_jobs(2) as work:
         cluster, peers = work.cluster, work.others()
         cluster.network.watcher = lambda sent: 0.0 if sent.path == "/multi" else None  # no answers
         cluster.store.refused.add(cluster.leader())
@@ -92,14 +88,12 @@
         cluster.start(peers[0])
         await cluster.wait(CANCEL_S + 20)
 
-    play_long_work(2, act)
-
 
 @THREE
-def test_an_outage_finds_a_new_leader_before_it_has_read(seed):
+async def test_an_outage_finds_a_new_leader_before_it_has_read(seed):
     """It has won the key and answers nobody, as it does not know whom users have cancelled."""
 
-    async def act(work):
+    async with long_running_jobs(seed) as work:
         cluster, former, peers, scans = work.cluster, work.cluster.leader(), work.others(), []
 
         def stop(sent):
@@ -116,14 +110,12 @@
         assert cluster.controllers[scans[0]].elector.answering() is None
         assert not cluster.rules.running
 
-    play_long_work(seed, act)
-
 
 @THREE
-def test_a_state_service_that_answers_the_leader_slowly(seed):
+async def test_a_state_service_that_answers_the_leader_slowly(seed):
     """Its renewals and readings time out, others are served, then it is slow for all."""
 
-    async def act(work):
+    async with long_running_jobs(seed) as work:
         cluster = work.cluster
         cluster.network.slow[(cluster.leader(), "state")] = 2.5
         await work.cancel(0, work.others()[0])
@@ -131,14 +123,12 @@
             cluster.network.slow[(member, "state")] = 2.5
         await cluster.wait(CANCEL_S + 20)
 
-    play_long_work(seed, act)
-
 
 @THREE
-def test_machines_that_hang_until_the_leader_only_holds_on(seed):
+async def test_machines_that_hang_until_the_leader_only_holds_on(seed):
     """It may command nothing any more but this: that tasks of cancelled jobs stop."""
 
-    async def act(work):
+    async with long_running_jobs(seed) as work:
         cluster, controller, sessions = work.cluster, work.leading_controller(), work.sessions()
         cluster.store.refused.add(cluster.leader())
         await work.cancel(0, work.others()[0])
@@ -151,14 +141,12 @@
         assert work.sessions() == sessions
         assert not work.running(0) and len(work.running(1)) == 3
 
-    play_long_work(seed, act)
-
 
-def test_machines_that_hear_nothing_meanwhile():
+async def test_machines_that_hear_nothing_meanwhile():
     """They never learn of the stop, so no answer may have renewed their lease; the others' work
     goes on."""
 
-    async def act(work):
+    async with long_running_jobs(3) as work:
         cluster, controller = work.cluster, work.leading_controller()
         cluster.store.refused.add(cluster.leader())
         await work.cancel(0, work.others()[0])
@@ -168,14 +156,12 @@
         assert controller.elector.answering() is not None
         assert not work.running(0) and cluster.rules.running
 
-    play_long_work(3, act)
-
 
 @pytest.mark.parametrize("how", ["waits", "fails"])
-def test_a_leader_whose_watch_tells_nothing_while_its_lease_is_renewed(how):
+async def test_a_leader_whose_watch_tells_nothing_while_its_lease_is_renewed(how):
     """A renewal shows that it leads, not that it knows what users have been told."""
 
-    async def act(work):
+    async with long_running_jobs(4) as work:
         cluster, controller = work.cluster, work.leading_controller()
         watch = controller.store.watch
 
@@ -194,13 +180,11 @@
         assert controller.elector.epoch > 1  # it gave its term up, and read anew
         controller.store.watch = watch
 
-    play_long_work(4, act)
-
 
-def test_a_watch_tells_of_its_sending_not_of_its_end():
+async def test_a_watch_tells_of_its_sending_not_of_its_end():
     """It may have waited through an outage, in which its end says nothing of what came after."""
 
-    async def act(work):
+    async with long_running_jobs(7, jobs=1) as work:
         controller, sent = work.leading_controller(), []
         watch = controller.store.watch
 
@@ -215,14 +199,12 @@
             await work.cluster.wait(0.11)
             assert controller.elector.term.known_at in sent[-2:]
 
-    play_long_work(7, act, jobs=1)
-
 
-def test_what_was_learned_in_an_outage_is_in_the_records_afterwards():
+async def test_what_was_learned_in_an_outage_is_in_the_records_afterwards():
     """The leader stops the tasks before it can read that they are cancelled; its records catch up,
     under the cancellation that another controller has stored, and the next leader agrees."""
 
-    async def act(work):
+    async with long_running_jobs(5) as work:
         cluster, leader = work.cluster, work.cluster.leader()
         cluster.store.refused.add(leader)
         await work.cancel(0, work.others()[0])
@@ -236,14 +218,12 @@
         assert cluster.store.keys["ended/j-000000"][0]["state"] == "cancelled"
         await cluster.restart(leader, 0.3)
 
-    play_long_work(5, act)
 
-
-def test_long_outages_move_what_is_known():
+async def test_long_outages_move_what_is_known():
     """All peers attest, so the leader goes on for as long as the outage lasts, and longer than the
     bound from its last reading."""
 
-    async def act(work):
+    async with long_running_jobs(6, JOBS) as work:
         elector = work.leading_controller().elector
         work.cluster.store.out = True
         await work.cluster.wait(3 * CANCEL_S)
@@ -251,18 +231,14 @@
         assert elector.clock.now() - elector.term.known_at < timedelta(seconds=3)
         assert len(work.cluster.rules.running) == 3 * JOBS
 
-    play_long_work(6, act, JOBS)
-
 
-def test_a_term_that_answers_nobody_is_still_held():
+async def test_a_term_that_answers_nobody_is_still_held():
     """Whoever begins anew stands at once when nobody holds a term, as nobody can rely on what its
     process before has promised; this one may learn more and answer again."""
 
-    async def act(work):
+    async with long_running_jobs(8, jobs=1) as work:
         controller = work.leading_controller()
         controller.elector.term.known_at -= timedelta(seconds=60)
         assert controller.elector.holding() is None
         assert (await controller.endpoints.peers.answer(HoldsTermRequest())).holds
         await work.cluster.wait(5)
-
-    play_long_work(8, act, jobs=1)
--- a/dappledrum/controller/test_concurrent_faults.py
+++ b/dappledrum/controller/test_concurrent_faults.py
@@ -1,7 +1,7 @@
-"""Troubles that meet, one test for each meeting (docs/design.md, "Concurrent faults"); seeds are
-fixed, and the moments drawn from them. All the while users submit jobs of one to three tasks whose
-ends lie far apart, ask about them at any controller, and cancel some; the rules are checked in
-each step, and in the end every job is known and over, the same at each controller."""
+"""Troubles that meet, one test for each meeting (docs/design.md, "Concurrent faults"); seeds are fixed, and
+the moments drawn from them. All the while users submit jobs of one to three tasks whose ends lie
+far apart, ask about them at any controller, and cancel some; the rules are checked in each step,
+and in the end every job is known and over, the same at each controller."""
 
 import asyncio
 
@@ -9,17 +9,17 @@
 
 from dappledrum.simulation.fault_combinations import FIVE
 from dappledrum.simulation.network import Copies, LateWrites
-from dappledrum.simulation.scenario import CANCEL_S, LEASE_S, later, now, play
+from dappledrum.simulation.scenario import CANCEL_S, LEASE_S, call_later, now, running_scenario
 
 SEEDS = pytest.mark.parametrize("seed", range(3))
 
 
 @SEEDS
-def test_tasks_end_far_apart_across_changes_of_leader(seed):
+async def test_tasks_end_far_apart_across_changes_of_leader(seed):
     """Ends that one leader has stored and the next has not, forgets that are lost, a leader that
     ends in the midst of writing."""
 
-    async def act(scenario):
+    async with running_scenario(seed) as scenario:
         cluster, rng = scenario.cluster, scenario.rng
         await scenario.submit_long(0, 1, 2)
         for _ in range(6):
@@ -39,15 +39,13 @@
                 await cluster.wait(rng.uniform(1, 6))
                 cluster.network.blocked -= pairs
 
-    play(seed, act)
-
 
 @SEEDS
-def test_commands_and_answers_are_held_up_and_the_machine_goes_on(seed):
+async def test_commands_and_answers_are_held_up_and_the_machine_goes_on(seed):
     """Machines hang, and what goes to and from them is held back, for up to more than a lease;
     some are taken meanwhile, and rentals and returns are carried out late."""
 
-    async def act(scenario):
+    async with running_scenario(seed) as scenario:
         cluster, rng = scenario.cluster, scenario.rng
         await scenario.submit_long(0, 1)
         cluster.network.watcher = lambda sent: (
@@ -61,26 +59,24 @@
                 span = rng.choice((1.0, 3.9, 5.0, LEASE_S - 0.5, LEASE_S + 2))
                 if rng.random() < 0.5:
                     worker.hung = True
-                    later(span, setattr, worker, "hung", False)
+                    call_later(span, setattr, worker, "hung", False)
                 else:
                     pairs = {frozenset((m, worker.name)) for m in FIVE}
                     cluster.network.cuts |= pairs
-                    later(span, cluster.network.mend, pairs)
+                    call_later(span, cluster.network.mend, pairs)
             if turn % 3 == 2 and cluster.leader() is not None:
                 await cluster.restart(cluster.leader(), 0.3)
             if turn == 4 and workers:
                 cluster.cloud.take(rng.choice(workers).name)
             await cluster.wait(rng.uniform(2, 6))
 
-    play(seed, act)
-
 
 @SEEDS
-def test_a_leader_that_only_workers_and_users_reach_while_jobs_are_cancelled_elsewhere(seed):
+async def test_a_leader_that_only_workers_and_users_reach_while_jobs_are_cancelled_elsewhere(seed):
     """It answers no worker after its right has ended, and no user from what it remembers; what the
     new one has cancelled is gone in time."""
 
-    async def act(scenario):
+    async with running_scenario(seed) as scenario:
         cluster, rng = scenario.cluster, scenario.rng
         await scenario.submit_long(0, 1, 2)
         await cluster.wait(8)
@@ -100,15 +96,13 @@
             await cluster.wait(2)
         assert not scenario.machines_of(0) and not scenario.machines_of(1)
 
-    play(seed, act)
-
 
 @SEEDS
 @pytest.mark.parametrize("how", ["hang", "deaf", "cut", "cut from the new one"])
-def test_a_leader_ends_while_machines_with_long_tasks_are_away(seed, how):
+async def test_a_leader_ends_while_machines_with_long_tasks_are_away(seed, how):
     """Nothing starts twice; team limits count what is there until it is proven gone."""
 
-    async def act(scenario):
+    async with running_scenario(seed) as scenario:
         cluster, rng = scenario.cluster, scenario.rng
         await scenario.submit_long(0, 1, crew="red")
         await scenario.submit_long(2)
@@ -119,7 +113,7 @@
         if how == "hang":
             for worker in workers:
                 worker.hung = True
-                later(rng.uniform(1, LEASE_S), setattr, worker, "hung", False)
+                call_later(rng.uniform(1, LEASE_S), setattr, worker, "hung", False)
         elif how == "deaf":
             cluster.drop_answers(away)
         elif how == "cut":
@@ -135,14 +129,12 @@
         await scenario.submit_long(3, 4, crew="red")
         await cluster.wait(rng.uniform(2, 3 * LEASE_S))
 
-    play(seed, act)
-
 
 @SEEDS
-def test_controllers_hand_over_and_back_all_end_and_one_returns(seed):
+async def test_controllers_hand_over_and_back_all_end_and_one_returns(seed):
     """Within seconds, also less than one; jobs are cancelled in between, and an outage follows."""
 
-    async def act(scenario):
+    async with running_scenario(seed) as scenario:
         cluster, rng = scenario.cluster, scenario.rng
         await scenario.submit_long(0, 1, 2)
         await cluster.wait(5)
@@ -169,13 +161,11 @@
         await cluster.wait(CANCEL_S + 5)
         assert not scenario.machines_of(0) and not scenario.machines_of(1)
 
-    play(seed, act)
-
 
 @SEEDS
 @pytest.mark.parametrize("slow", [0.2, 1.2, 2.5])
-def test_a_state_service_that_is_slow_then_refuses_the_leader_then_all(seed, slow):
-    async def act(scenario):
+async def test_a_state_service_that_is_slow_then_refuses_the_leader_then_all(seed, slow):
+    async with running_scenario(seed) as scenario:
         cluster, rng = scenario.cluster, scenario.rng
         await scenario.submit_long(0, 1, 2)
         for member in FIVE:
@@ -200,36 +190,32 @@
                 await cluster.wait(1)
             assert one.result() == "cancelled"
 
-    play(seed, act)
-
 
 @SEEDS
-def test_old_heartbeats_after_newer_ones_and_a_change_of_leader(seed):
+async def test_old_heartbeats_after_newer_ones_and_a_change_of_leader(seed):
     """Also of an earlier session and attempt: the machines lose their sessions in between."""
 
-    async def act(scenario):
+    async with running_scenario(seed) as scenario:
         cluster, rng = scenario.cluster, scenario.rng
         cluster.network.copies = Copies(0.6, 0.5, 4 * LEASE_S, FIVE)
         await scenario.submit_long(0, 1, 2)
         for _ in range(4):
             for worker in rng.sample(cluster.cloud.workers(), 3):
                 worker.hung = True
-                later(rng.uniform(LEASE_S + 0.5, LEASE_S + 6), setattr, worker, "hung", False)
+                call_later(rng.uniform(LEASE_S + 0.5, LEASE_S + 6), setattr, worker, "hung", False)
             await cluster.wait(rng.uniform(1, LEASE_S))
             if cluster.leader() is not None:
                 await cluster.restart(cluster.leader(), rng.choice((0.1, 2.0)))
             await cluster.wait(rng.uniform(4, 12))
 
-    play(seed, act)
-
 
 @SEEDS
 @pytest.mark.parametrize("share", [0.15, 0.6])
-def test_transactions_carried_out_after_newer_ones(seed, share):
+async def test_transactions_carried_out_after_newer_ones(seed, share):
     """Without an answer, 2 to 12 s later: of elections and hand-overs, records and their ends,
     submissions and cancellations; leaders change meanwhile."""
 
-    async def act(scenario):
+    async with running_scenario(seed) as scenario:
         cluster, rng = scenario.cluster, scenario.rng
         await scenario.submit_long(0, 1, 2)
         cluster.network.late_writes = LateWrites(share, 2.0, 12.0)
@@ -247,5 +233,3 @@
         await cluster.wait(13)
         while not cancelled.done():
             await cluster.wait(1)
-
-    play(seed, act)
--- a/dappledrum/controller/test_concurrent_leadership_faults.py
+++ b/dappledrum/controller/test_concurrent_leadership_faults.py
@@ -14,9 +14,9 @@
 
 from dappledrum.simulation.fault_combinations import FIVE
 from dappledrum.simulation.fleet import Worker
-from dappledrum.simulation.ground_truth import watched
+from dappledrum.simulation.ground_truth import compared_with_ground_truth
 from dappledrum.simulation.network import Copies
-from dappledrum.simulation.scenario import CANCEL_S, LEASE_S, later, now, play
+from dappledrum.simulation.scenario import CANCEL_S, LEASE_S, call_later, now, running_scenario
 
 SEEDS = pytest.mark.parametrize("seed", range(3))
 TWO_SEEDS = pytest.mark.parametrize("seed", range(2))
@@ -28,7 +28,7 @@
 @pytest.fixture
 def truth():
     """Everything that leaders conclude from heartbeats and silence must be so."""
-    with watched() as found:
+    with compared_with_ground_truth() as found:
         yield found
     assert not found.wrong, found.wrong
 
@@ -59,7 +59,7 @@
         cluster.controllers[outgoing].elector.transfer_leadership(incoming, "a test")
     elif step == "end":
         cluster.kill(outgoing)
-        later(rng.choice((0.0, 0.1, 0.5)), cluster.start, outgoing)
+        call_later(rng.choice((0.0, 0.1, 0.5)), cluster.start, outgoing)
     elif step == "resignation":
         cluster.controllers[outgoing].elector.resign(
             "a test", cluster.controllers[outgoing].elector.life * 3
@@ -67,16 +67,16 @@
     elif step == "roll":
         for turn, member in enumerate(rng.sample(FIVE, len(FIVE))):
             at = turn * rng.uniform(0.4, 1.2)
-            later(at, cluster.kill, member)
-            later(at + rng.choice((0.1, 0.3)), cluster.start, member)
+            call_later(at, cluster.kill, member)
+            call_later(at + rng.choice((0.1, 0.3)), cluster.start, member)
 
 
 @SEEDS
 @pytest.mark.parametrize("step", ["transfer", "end", "resignation", "roll"])
-def test_jobs_are_cancelled_while_the_work_changes_hands(seed, step, truth):
+async def test_jobs_are_cancelled_while_the_work_changes_hands(seed, step, truth):
     """Confirmed by the outgoing, the incoming and a third controller, right before and after."""
 
-    async def act(scenario):
+    async with running_scenario(seed) as scenario:
         cluster, rng = scenario.cluster, scenario.rng
         moments = [(w, m) for w in ("outgoing", "incoming", "third") for m in ("before", "after")]
         for number, (who, moment) in enumerate(moments):
@@ -97,8 +97,6 @@
         await cluster.wait(CANCEL_S + 5)
         assert not any(scenario.machines_of(number) for number in range(len(moments)))
 
-    play(seed, act)
-
 
 def deliver(cluster, sent, after):
     """A heartbeat arrives once more, at every controller."""
@@ -114,15 +112,15 @@
     cluster, rng = scenario.cluster, scenario.rng
     hanging, gone = rng.sample(cluster.cloud.workers(), 2)
     hanging.hung = True
-    later(rng.uniform(LEASE_S + 0.5, LEASE_S + 4), setattr, hanging, "hung", False)
-    later(rng.uniform(0, 3), cluster.cloud.take, gone.name)
+    call_later(rng.uniform(LEASE_S + 0.5, LEASE_S + 4), setattr, hanging, "hung", False)
+    call_later(rng.uniform(0, 3), cluster.cloud.take, gone.name)
 
 
 @SEEDS
-def test_old_heartbeats_reach_every_controller_as_a_leader_begins(seed, truth):
+async def test_old_heartbeats_reach_every_controller_as_a_leader_begins(seed, truth):
     """Of earlier sessions and attempts, and of machines that were returned meanwhile."""
 
-    async def act(scenario):
+    async with running_scenario(seed) as scenario:
         cluster, rng = scenario.cluster, scenario.rng
         heartbeats = []
 
@@ -142,7 +140,7 @@
             former = cluster.leader()
             if rng.random() < 0.5:
                 cluster.kill(former)
-                later(0.3, cluster.start, former)
+                call_later(0.3, cluster.start, former)
             else:
                 cluster.controllers[former].elector.transfer_leadership(
                     rng.choice(scenario.others()), "a test"
@@ -156,15 +154,13 @@
             await scenario.submit_long(10 + turn)
             await cluster.wait(rng.uniform(2, 5))
 
-    play(seed, act)
-
 
 @SEEDS
 @pytest.mark.parametrize("share", [0.3, 1.0])
-def test_copies_are_kept_until_the_next_leader_has_acted(seed, share, truth):
+async def test_copies_are_kept_until_the_next_leader_has_acted(seed, share, truth):
     """In the order of their heartbeats; nothing that runs is stopped for what they do not show."""
 
-    async def act(scenario):
+    async with running_scenario(seed) as scenario:
         cluster, rng = scenario.cluster, scenario.rng
         cluster.network.copies = Copies(share, 0, 0, FIVE, for_next=True)
         await scenario.submit_long(0, 1)
@@ -181,15 +177,13 @@
         await cluster.wait(LEASE_S)
         assert cluster.network.copied > 20
 
-    play(seed, act)
-
 
 @SEEDS
 @pytest.mark.parametrize("share", [0.4, 1.0])
-def test_heartbeats_are_held_back_until_a_new_leader_has_acted(seed, share, truth):
+async def test_heartbeats_are_held_back_until_a_new_leader_has_acted(seed, share, truth):
     """They come for the first time, from machines that have got work or lost their lease since."""
 
-    async def act(scenario):
+    async with running_scenario(seed) as scenario:
         cluster, rng = scenario.cluster, scenario.rng
         held, delivered = [], 0
 
@@ -225,8 +219,6 @@
             await cluster.wait(rng.uniform(1, 3))
         assert delivered > 12
 
-    play(seed, act)
-
 
 def no_worker(cluster):
     """Nothing passes between controllers and machines, new ones too."""
@@ -238,10 +230,10 @@
 @TWO_SEEDS
 @pytest.mark.parametrize("span", [LEASE_S + 3, CANCEL_S + 6])
 @pytest.mark.parametrize("how", ["down", "no worker", "no state service"])
-def test_all_controllers_are_away(seed, span, how, truth):
+async def test_all_controllers_are_away(seed, span, how, truth):
     """For longer than a lease, and than `cancel_s`; jobs are cancelled before and after."""
 
-    async def act(scenario):
+    async with running_scenario(seed) as scenario:
         cluster, rng = scenario.cluster, scenario.rng
         await scenario.submit_long(0, 1, 2)
         await scenario.submit_long(3, crew="red")
@@ -265,15 +257,13 @@
         await cluster.wait(CANCEL_S + 5)
         assert not scenario.machines_of(0) and not scenario.machines_of(1)
 
-    play(seed, act)
-
 
 @SEEDS
 @pytest.mark.parametrize("outage", [False, True])
-def test_leaders_change_ten_times_in_two_minutes(seed, outage, truth):
+async def test_leaders_change_ten_times_in_two_minutes(seed, outage, truth):
     """In an outage none can follow, so those that lead for promises end, are back and so on."""
 
-    async def act(scenario):
+    async with running_scenario(seed) as scenario:
         cluster, rng = scenario.cluster, scenario.rng
         await scenario.submit_long(0, 1, 2, **LONG)
         await scenario.submit_long(3, crew="red")
@@ -282,8 +272,8 @@
         for turn in range(10):
             began = now()
             if outage and turn in (3, 6):
-                later(rng.uniform(0, 2), setattr, cluster.store, "out", True)
-                later(12 + rng.uniform(0, 10), cluster.store.end_outage)
+                call_later(rng.uniform(0, 2), setattr, cluster.store, "out", True)
+                call_later(12 + rng.uniform(0, 10), cluster.store.end_outage)
             leader = cluster.leader()
             if leader is not None:
                 epochs.add(cluster.controllers[leader].elector.epoch)
@@ -297,8 +287,6 @@
             await cluster.wait(max(0.1, 12 + rng.uniform(-3, 3) - (now() - began)))
         assert outage or len(epochs) >= 9
 
-    play(seed, act)
-
 
 def count_late_answers(monkeypatch):
     """Answers with starts that a worker takes after another was answered with a higher token."""
@@ -326,12 +314,14 @@
 
 @SEEDS
 @pytest.mark.parametrize("held", [1.0, 2.8, 6.0])
-def test_answers_of_a_former_leader_arrive_after_the_new_ones(seed, held, truth, monkeypatch):
+async def test_answers_of_a_former_leader_arrive_after_the_new_ones(
+    seed, held, truth, monkeypatch
+):
     """Within the 4 s in which a worker takes them, and beyond; what they start may be cancelled,
     and its team at its limit."""
     found = count_late_answers(monkeypatch)
 
-    async def act(scenario):
+    async with running_scenario(seed) as scenario:
         cluster, rng = scenario.cluster, scenario.rng
         for turn in range(18):
             if turn >= 6 and (held > 4 or found["starts"]):
@@ -362,17 +352,16 @@
             cluster.network.heal()
             await cluster.wait(rng.uniform(1, 4))
 
-    play(seed, act)
     if held < 4:
         assert found["starts"] > 0
 
 
 @SEEDS
 @pytest.mark.parametrize("leads", [True, False])
-def test_a_controller_begins_anew_in_an_outage(seed, leads, truth):
+async def test_a_controller_begins_anew_in_an_outage(seed, leads, truth):
     """What users were told before cannot be asked of it, so what runs may end; no rule breaks."""
 
-    async def act(scenario):
+    async with running_scenario(seed) as scenario:
         cluster, rng = scenario.cluster, scenario.rng
         await scenario.submit_long(0, 1, 2, **LONG)
         await cluster.wait(6)
@@ -388,5 +377,3 @@
         assert not scenario.machines_of(0)
         cluster.store.end_outage()
         await confirm(scenario, 1, rng.choice(FIVE))
-
-    play(seed, act)
--- a/dappledrum/controller/test_concurrent_limit_faults.py
+++ b/dappledrum/controller/test_concurrent_limit_faults.py
@@ -1,18 +1,25 @@
 """Limits, zones and machines that can't be asked: one test for each meeting of troubles
-(docs/design.md, "Concurrent faults"), over five whole controllers. Seeds are fixed, the moments
-drawn from them, and the rules checked at each step."""
+(docs/design.md, "Concurrent faults"), over five whole controllers. Seeds are fixed, the moments drawn from
+them, and the rules checked at each step."""
 
 import pytest
 
 from dappledrum.settings import Team
 from dappledrum.simulation.fault_combinations import FIVE
-from dappledrum.simulation.scenario import CANCEL_S, LEASE_S, MACHINES, later, now, play
+from dappledrum.simulation.scenario import (
+    CANCEL_S,
+    LEASE_S,
+    MACHINES,
+    call_later,
+    now,
+    running_scenario,
+)
 
 SEEDS = pytest.mark.parametrize("seed", range(3))
 LIMITED = (Team("blue", cpus_max=8.0), Team("red", cpus_max=8.0))
 #: After the last change of leader, or the cancellation, if that is later, a team's limit is free
-#: again: a lease with its margin until silence is proof, and the plan, record and heartbeat of
-#: what starts instead.
+#: again: a lease with its margin until silence is proof, and the plan, record and heartbeat of what
+#: starts instead.
 FREE_AGAIN_S = LEASE_S + 5.0
 
 
@@ -43,8 +50,7 @@
 
 
 async def until_heartbeats(scenario, names, check):
-    """Wait for something, while these machines send heartbeats to the leader, which may not
-    receive them."""
+    """Wait for something, while these machines send heartbeats to the leader, answered or not."""
     reporting = [w for w in scenario.cluster.cloud.workers() if w.name in names]
     while not check():
         for worker in reporting:
@@ -66,7 +72,7 @@
         for worker in cluster.cloud.workers():
             if worker.name in names:
                 worker.hung = True
-                later(rng.uniform(1, 2 * LEASE_S), setattr, worker, "hung", False)
+                call_later(rng.uniform(1, 2 * LEASE_S), setattr, worker, "hung", False)
     elif how == "deaf":
         cluster.drop_answers(names)
     elif how == "mute":
@@ -78,12 +84,12 @@
 @SEEDS
 @pytest.mark.parametrize("how", ["cut", "hang", "deaf", "mute"])
 @pytest.mark.parametrize("changes", [0, 3])
-def test_limits_while_jobs_are_cancelled_whose_machines_are_away(seed, how, changes):
+async def test_limits_while_jobs_are_cancelled_whose_machines_are_away(seed, how, changes):
     """Every team is at its limit, and the cancellations fall into the spell in which some machines
     can't be asked: what is there counts through any number of changes of leader, and the limit is
     free again a lease after the last one."""
 
-    async def act(scenario):
+    async with running_scenario(seed, users=0, teams=LIMITED) as scenario:
         cluster, rng = scenario.cluster, scenario.rng
         for number, team in enumerate(("blue", "red")):
             await scenario.submit_long(
@@ -109,18 +115,16 @@
         await cluster.until(lambda: begun(scenario, 2) and begun(scenario, 3), 60)
         assert now() - since < FREE_AGAIN_S
 
-    play(seed, act, users=0, teams=LIMITED)
-
 
 @SEEDS
 @pytest.mark.parametrize("how", ["cut", "mute"])
 @pytest.mark.parametrize("change", [False, True])
-def test_a_limit_counts_what_runs_though_its_result_is_there_already(seed, how, change):
+async def test_a_limit_counts_what_runs_though_its_result_is_there_already(seed, how, change):
     """A machine completes a task behind a cut, and its heartbeat is held back until the task was
     begun again elsewhere, on a machine that now can't be asked: the job is done, and what runs
     still counts, through a change of leader, too."""
 
-    async def act(scenario):
+    async with running_scenario(seed, users=0) as scenario:
         cluster, rng = scenario.cluster, scenario.rng
         await scenario.submit_long(0, crew="red", beats=1, vcpus=4.0, runS=12.0)
         await cluster.until(lambda: running(scenario, 0) == 1)
@@ -140,8 +144,6 @@
         await scenario.submit_long(1, crew="red", beats=2, vcpus=4.0, runS=20.0, dueS=40.0)
         await cluster.wait(LEASE_S * 2)
 
-    play(seed, act, users=0)
-
 
 def slow_links(scenario):
     """Everything takes longer on its way, some of it much longer."""
@@ -155,11 +157,11 @@
 
 
 @SEEDS
-def test_more_work_than_room_over_slow_links(seed):
+async def test_more_work_than_room_over_slow_links(seed):
     """Urgent and not, small and large, some bound to a zone: nothing is forgotten, nothing is left
     waiting once the links are quick again, and the largest begin in time, too."""
 
-    async def act(scenario):
+    async with running_scenario(seed, users=6) as scenario:
         cluster, rng = scenario.cluster, scenario.rng
         cluster.cloud.most = len(cluster.cloud.machines)
         slow_links(scenario)
@@ -185,8 +187,6 @@
         await cluster.until(lambda: all(begun(scenario, number) for number in range(24)), 240)
         cluster.rules.check_largest(now())
 
-    play(seed, act, users=6)
-
 
 async def cut_zone_off(scenario, zone, member):
     """The workers of a zone and one controller reach only each other, for longer than a lease."""
@@ -203,11 +203,11 @@
 
 @SEEDS
 @pytest.mark.parametrize("leads", [True, False])
-def test_jobs_bound_to_one_zone_while_a_zone_is_cut_off_and_machines_are_lost(seed, leads):
+async def test_jobs_bound_to_one_zone_while_a_zone_is_cut_off_and_machines_are_lost(seed, leads):
     """With the leader or another controller inside; arrays with `oneZone` or a `hall`, and some
     that spread, lose machines on both sides, and the leader changes before and after."""
 
-    async def act(scenario):
+    async with running_scenario(seed) as scenario:
         cluster, rng = scenario.cluster, scenario.rng
         bound = [{"oneZone": True}, {"hall": "a"}, {"hall": "b"}, {"spread": True}]
         # More than its zone takes at once: it still has tasks to place when the zone is cut off.
@@ -222,17 +222,15 @@
         inside = cluster.leader() if leads else rng.choice(scenario.others())
         workers = cluster.cloud.workers()
         for worker in rng.sample(workers, 2):
-            later(rng.uniform(0, LEASE_S), cluster.cloud.take, worker.name)
+            call_later(rng.uniform(0, LEASE_S), cluster.cloud.take, worker.name)
         for worker in rng.sample(workers, 2):
-            later(rng.uniform(0, LEASE_S), setattr, worker, "hung", True)
+            call_later(rng.uniform(0, LEASE_S), setattr, worker, "hung", True)
         await cut_zone_off(scenario, zone, inside)
         await scenario.until_led()
         if cluster.leader() != inside:
             await change_leader(scenario)
         await cluster.wait(rng.uniform(0, LEASE_S))
 
-    play(seed, act)
-
 
 def at_work_since(scenario, before):
     """Machines on which tasks run, and that were not there before."""
@@ -240,13 +238,15 @@
 
 
 @SEEDS
-def test_quick_machines_at_work_that_no_list_shows_while_writes_lag_and_the_leader_ends(seed):
+async def test_quick_machines_at_work_that_no_list_shows_while_writes_lag_and_the_leader_ends(
+    seed,
+):
     """Boots of a second, a list that lags by 15 s, and a record of what boots that comes late or
     never: what runs on machines that the next leader can't know of is begun nowhere else, and
     counts."""
     met = []
 
-    async def act(scenario):
+    async with running_scenario(seed, machines=2, users=4) as scenario:
         cluster, rng = scenario.cluster, scenario.rng
         cluster.cloud.slow = 0.1
         cluster.cloud.lag_s = 15.0
@@ -272,16 +272,15 @@
             if cluster.leader() is not None:
                 await cluster.restart(cluster.leader(), rng.choice((0.1, 4.0)))
 
-    play(seed, act, machines=2, users=4)
     assert sum(met) > 0
 
 
 @SEEDS
-def test_no_job_waits_behind_others_while_there_is_room_and_boots_are_slow(seed):
+async def test_no_job_waits_behind_others_while_there_is_room_and_boots_are_slow(seed):
     """Slow boots make long billed intervals, and to stay within those that are paid for a task was
     planned behind others, on a fleet of idle machines."""
 
-    async def act(scenario):
+    async with running_scenario(seed, users=0) as scenario:
         cluster, rng = scenario.cluster, scenario.rng
         cluster.cloud.most = len(cluster.cloud.machines)
         for model in cluster.cloud.types:
@@ -293,15 +292,13 @@
             await scenario.submit_long(number, beats=1, runS=150.0, expectedS=estimate)
         await cluster.wait(130)
 
-    play(seed, act, users=0)
-
 
 @SEEDS
-def test_machines_that_reach_no_controller_while_direct_commands_reach_them(seed):
+async def test_machines_that_reach_no_controller_while_direct_commands_reach_them(seed):
     """For less than a lease and for longer, while jobs are cancelled and the leader ends: what
     runs there counts until its lease is over, and is begun elsewhere only then."""
 
-    async def act(scenario):
+    async with running_scenario(seed) as scenario:
         cluster, rng = scenario.cluster, scenario.rng
         await scenario.submit_long(0, 1, crew="red", vcpus=1.0)
         await scenario.submit_long(2, 3)
@@ -310,7 +307,7 @@
             on = sorted(scenario.machines_of(number))
             silent = cluster.drop_heartbeats(rng.sample(on, max(1, len(on) - 1)) if on else [])
             span = rng.choice((3.0, LEASE_S - 2, LEASE_S + 3, 3 * LEASE_S))
-            later(span, cluster.network.muted.difference_update, silent)
+            call_later(span, cluster.network.muted.difference_update, silent)
             await cluster.wait(rng.uniform(0, LEASE_S))
             await scenario.cancel(number, rng.choice(FIVE))
             await change_leader(scenario)
@@ -318,14 +315,12 @@
         await cluster.wait(CANCEL_S)
         assert not any(running(scenario, number) for number in range(3))
 
-    play(seed, act)
-
 
 @SEEDS
-def test_tasks_go_on_where_heartbeats_are_missing_for_less_than_a_lease(seed):
+async def test_tasks_go_on_where_heartbeats_are_missing_for_less_than_a_lease(seed):
     """Nothing is stopped there, nor begun elsewhere, as long as the machine may come back."""
 
-    async def act(scenario):
+    async with running_scenario(seed, users=0) as scenario:
         cluster, rng = scenario.cluster, scenario.rng
         await scenario.submit_long(0, 1, beats=2, vcpus=4.0, runS=40.0, dueS=50.0)
         await cluster.until(lambda: running(scenario, 0) + running(scenario, 1) == 4)
@@ -340,18 +335,16 @@
         assert running(scenario, 0) + running(scenario, 1) == 4
         assert cluster.rules.starts == starts
 
-    play(seed, act, users=0)
-
 
 @SEEDS
 @pytest.mark.parametrize(
     "bound", [{"accelerators": 1.0}, {"builds": ["large"]}, {"builds": ["large"], "dueS": 900.0}]
 )
-def test_a_job_that_only_a_machine_about_to_go_can_take_is_not_left_waiting(seed, bound):
+async def test_a_job_that_only_a_machine_about_to_go_can_take_is_not_left_waiting(seed, bound):
     """An ordinary machine gets no new work while spot machines have room to spare; a job bound to
     its type begins there all the same when no other machine can be had."""
 
-    async def act(scenario):
+    async with running_scenario(seed, users=0) as scenario:
         cluster, rng = scenario.cluster, scenario.rng
         cluster.cloud.add(("large", "a", False))
         cluster.cloud.most = len(cluster.cloud.machines)
@@ -367,5 +360,3 @@
         changes = {"runS": 10.0, "expectedS": 10.0, "dueS": 60.0} | bound
         await scenario.submit_long(21, beats=1, **changes)
         await cluster.wait(100)
-
-    play(seed, act, users=0)
--- a/dappledrum/controller/test_concurrent_user_requests.py
+++ b/dappledrum/controller/test_concurrent_user_requests.py
@@ -9,8 +9,8 @@
 
 from dappledrum.simulation.cluster import SimulatedCluster, job
 from dappledrum.simulation.fault_combinations import FIVE
-from dappledrum.simulation.invalid_requests import OddRequests, changed
-from dappledrum.simulation.scenario import now, play
+from dappledrum.simulation.invalid_requests import InvalidRequests, encoded_submission
+from dappledrum.simulation.scenario import now, running_scenario
 from dappledrum.simulation.users import (
     ACCEPTED,
     AnswerOrder,
@@ -18,7 +18,6 @@
     one_task_user,
     wandering_latency,
 )
-from dappledrum.simulation.virtual_time import run
 
 SEEDS = pytest.mark.parametrize("seed", range(3))
 
@@ -52,7 +51,7 @@
 
 @SEEDS
 @pytest.mark.parametrize("fault", ["none", "refused", "slow", "lists in parts"])
-def test_answers_at_all_nodes_within_milliseconds(seed, fault):
+async def test_answers_at_all_nodes_within_milliseconds(seed, fault):
     """Right after a job is accepted, ended or cancelled nobody answers anything older: nor a
     controller that the store refuses alone and that relays its users, nor one whose
     requests overtake each other, nor one that reads the list of jobs in several requests."""
@@ -62,7 +61,7 @@
             cluster.store.refused = {rng.choice(FIVE)}
             await asyncio.sleep(rng.uniform(2, 8))
 
-    async def act(scenario):
+    async with running_scenario(seed, users=4) as scenario:
         cluster, rng = scenario.cluster, scenario.rng
         order = AnswerOrder()
         users = impatient(scenario, order, seed, 12)
@@ -80,8 +79,6 @@
         assert set(states) == {"done", "cancelled"}
         assert sum(len(answers) for answers in order.answers.values()) > 1500
 
-    play(seed, act, users=4)
-
 
 async def follow(scenario, order, user):
     """Submit a job that waits for this user's job, once that is accepted."""
@@ -96,12 +93,12 @@
 
 @SEEDS
 @pytest.mark.parametrize("written", [False, True])
-def test_cancellations_and_questions_meet_the_end_of_the_last_task(seed, written):
+async def test_cancellations_and_questions_meet_the_end_of_the_last_task(seed, written):
     """Within half a second after the task has completed, or within milliseconds of the leader's
     write of the end: one of the two wins, everybody is told the same for ever, and a job that
     waits for this one is done or cancelled with it."""
 
-    async def act(scenario):
+    async with running_scenario(seed, users=2) as scenario:
         cluster, order = scenario.cluster, AnswerOrder()
         users = impatient(scenario, order, seed, 16)
         most = 0.04 if written else 0.5
@@ -114,47 +111,43 @@
             await cluster.until(lambda name=name: f"ended/{name}" in cluster.store.keys)
             assert cluster.store.keys[f"ended/{name}"][0]["state"] == state
 
-    play(seed, act, users=2)
-
 
 @SEEDS
-def test_odd_requests_at_every_controller_and_in_the_first_second_of_a_process(seed):
+async def test_odd_requests_at_every_controller_and_in_the_first_second_of_a_process(seed):
     """A process that has not learned the machine types yet refuses nothing that it can't judge,
     and accepts nothing that can't run."""
 
-    async def act(scenario):
+    async with running_scenario(seed, users=2) as scenario:
         cluster, rng = scenario.cluster, scenario.rng
-        odd = OddRequests(cluster)
-        await odd.prepare()
+        invalid = InvalidRequests(cluster)
+        await invalid.prepare()
         for member in FIVE:
-            await odd.check(member)
+            await invalid.check(member)
         member = rng.choice(FIVE)
         cluster.store.refused.add(member)
-        await odd.check(member, undecided=(503,))
+        await invalid.check(member, undecided=(503,))
         await cluster.wait(2)
-        await odd.check(member)  # served through its peers
+        await invalid.check(member)  # served through its peers
         cluster.store.refused.clear()
         for member in rng.sample(FIVE, 3):
             await cluster.restart(member, rng.choice((0.1, 1.0)))
             for _ in range(8):
-                await odd.check(member, undecided=(503,))
+                await invalid.check(member, undecided=(503,))
                 await asyncio.sleep(rng.uniform(0, 0.2))
         await cluster.wait(5)
         for member in FIVE:
-            await odd.check(member)
+            await invalid.check(member)
         await cluster.cancel("j-000961")
 
-    play(seed, act, users=2)
-
 
 @SEEDS
-def test_odd_requests_while_no_machine_types_are_known(seed):
+async def test_odd_requests_while_no_machine_types_are_known(seed):
     """All controllers begin without the cloud and without a record of its types."""
 
-    async def act(scenario):
+    async with running_scenario(seed, users=2) as scenario:
         cluster = scenario.cluster
-        odd = OddRequests(cluster)
-        await odd.prepare()
+        invalid = InvalidRequests(cluster)
+        await invalid.prepare()
         for member in FIVE:
             cluster.kill(member)
         cluster.cloud.out = True
@@ -164,55 +157,55 @@
         await cluster.wait(2)
         for member in FIVE:
             assert cluster.controllers[member].job_api.types is None
-            await odd.check(member, undecided=(503,))
-            response, _ = await odd.ask(member, "POST", "/submissions", changed(952, {}))
+            await invalid.check(member, undecided=(503,))
+            response, _ = await invalid.ask(
+                member, "POST", "/submissions", encoded_submission(952, {})
+            )
             assert response.status == 503
-            response, state = await odd.ask(
-                member, "POST", "/submissions", changed(960, {"vcpus": 400.0})
+            response, state = await invalid.ask(
+                member, "POST", "/submissions", encoded_submission(960, {"vcpus": 400.0})
             )
             assert (response.status, state) == (200, "done")
         cluster.cloud.out = False
         await cluster.wait(8)
         for member in FIVE:
-            await odd.check(member)
+            await invalid.check(member)
         await cluster.cancel("j-000961")
 
-    play(seed, act, users=2)
-
 
 @SEEDS
-def test_odd_requests_in_an_outage(seed):
+async def test_odd_requests_in_an_outage(seed):
     """Whatever needs the store is answered with 503 and a time to come back, at once."""
 
-    async def act(scenario):
+    async with running_scenario(seed, users=2) as scenario:
         cluster, rng = scenario.cluster, scenario.rng
-        odd = OddRequests(cluster)
-        await odd.prepare()
+        invalid = InvalidRequests(cluster)
+        await invalid.prepare()
         cluster.store.out = True
-        odd.longest_s = 0.0
+        invalid.longest_s = 0.0
         until = now() + rng.uniform(5, 20)
         while now() < until:
             member = rng.choice(FIVE)
-            await odd.check(member, undecided=(503,))
-            assert odd.longest_s < 1.2
-            response, _ = await odd.ask(member, "POST", "/submissions", changed(952, {}))
+            await invalid.check(member, undecided=(503,))
+            assert invalid.longest_s < 1.2
+            response, _ = await invalid.ask(
+                member, "POST", "/submissions", encoded_submission(952, {})
+            )
             assert response.status == 503
             await cluster.wait(rng.uniform(0, 1))
         cluster.store.end_outage()
         await cluster.wait(8)
         for member in FIVE:
-            await odd.check(member)
+            await invalid.check(member)
         await cluster.cancel("j-000961")
 
-    play(seed, act, users=2)
-
 
 @pytest.mark.parametrize("seed", range(6))
-def test_a_former_leader_finds_a_job_ended_by_its_successor(seed):
+async def test_a_former_leader_finds_a_job_ended_by_its_successor(seed):
     """Its own end of the job, as done, had no known outcome; the user cancelled meanwhile, and the
     successor ended it as cancelled. The former leader must not answer from its memory."""
 
-    async def act(scenario):
+    async with running_scenario(seed, users=2) as scenario:
         cluster, rng = scenario.cluster, scenario.rng
         spec = job(800, beats=1, runS=rng.uniform(2, 4), expectedS=3.0, dueS=None)
         scenario.names.append(spec["id"])
@@ -240,81 +233,71 @@
             await cluster.wait(0.1)
         assert not order.broken, order.broken
 
-    play(seed, act, users=2)
-
 
 ONE_TASK_JOBS = 480  # two minutes of them
 A_SECOND = 4.0
 
 
 @pytest.mark.parametrize(("seed", "rps", "write_rps"), [(0, 250.0, 35.0), (1, 200.0, 80.0)])
-def test_one_task_jobs_four_a_second_a_quarter_of_them_cancelled(seed, rps, write_rps):
+async def test_one_task_jobs_four_a_second_a_quarter_of_them_cancelled(seed, rps, write_rps):
     """At the rates of requests and changes that large deployments have: users are answered, the
     queue of changes does not grow, nothing is forgotten, and nothing is kept of ended jobs but
     their ends."""
 
-    async def main():
-        cluster = SimulatedCluster(seed, members=FIVE, rps=rps, write_rps=write_rps, limited=True)
-        cluster.cloud.most = 30
-        for _ in range(12):
-            cluster.cloud.add(("small", cluster.rng.choice(("a", "b")), True))
-        await cluster.until(lambda: cluster.leader() is not None)
-        leader = cluster.controllers[cluster.leader()].leader
-        accepted_after, users, queue = [], [], []
-        for number in range(ONE_TASK_JOBS):
-            one = random.Random(f"{seed} one task {number}")
-            user = one_task_user(cluster, number, one, accepted_after, 0.25)
-            users.append(asyncio.ensure_future(user))
-            await cluster.wait(one.expovariate(A_SECOND))
-            queue.append(len(leader.record_writer.dirty) + len(leader.record_writer.ending))
-        await cluster.until(lambda: all(user.done() for user in users))
-        states = [user.result() for user in users]
-        assert states.count("cancelled") > ONE_TASK_JOBS * 0.15
-        assert sorted(accepted_after)[int(ONE_TASK_JOBS * 0.95)] < 0.3
-        assert max(queue) < cluster.params.state.txn_ops
-        assert cluster.store.over_rate == 0
-        cluster.rules.faults_over_at = now()
-        for number in range(0, ONE_TASK_JOBS, 7):
-            for member in FIVE:
-                assert await cluster.poll(f"j-{number:06d}", member) == states[number]
-        await cluster.wait(5)
-        assert cluster.controllers[cluster.leader()].leader is leader
-        assert not leader.jobs and not leader.graph.jobs and not leader.reconciler.jobs
-        assert not leader.record_writer.dirty and not leader.record_writer.garbage
-        assert {key.split("/")[0] for key in cluster.store.keys if "/j-" in key} == {"ended"}
-        for controller in cluster.controllers.values():
-            assert (
-                not controller.job_api.polls.waiting and not controller.job_api.admission.waiting
-            )
-        assert not cluster.rules.broken, cluster.rules.broken
-
-    run(main())
+    cluster = SimulatedCluster(seed, members=FIVE, rps=rps, write_rps=write_rps, limited=True)
+    cluster.cloud.most = 30
+    for _ in range(12):
+        cluster.cloud.add(("small", cluster.rng.choice(("a", "b")), True))
+    await cluster.until(lambda: cluster.leader() is not None)
+    leader = cluster.controllers[cluster.leader()].leader
+    accepted_after, users, queue = [], [], []
+    for number in range(ONE_TASK_JOBS):
+        one = random.Random(f"{seed} one task {number}")
+        user = one_task_user(cluster, number, one, accepted_after, 0.25)
+        users.append(asyncio.ensure_future(user))
+        await cluster.wait(one.expovariate(A_SECOND))
+        queue.append(len(leader.record_writer.dirty) + len(leader.record_writer.ending))
+    await cluster.until(lambda: all(user.done() for user in users))
+    states = [user.result() for user in users]
+    assert states.count("cancelled") > ONE_TASK_JOBS * 0.15
+    assert sorted(accepted_after)[int(ONE_TASK_JOBS * 0.95)] < 0.3
+    assert max(queue) < cluster.params.state.txn_ops
+    assert cluster.store.over_rate == 0
+    cluster.rules.faults_over_at = now()
+    for number in range(0, ONE_TASK_JOBS, 7):
+        for member in FIVE:
+            assert await cluster.poll(f"j-{number:06d}", member) == states[number]
+    await cluster.wait(5)
+    assert cluster.controllers[cluster.leader()].leader is leader
+    assert not leader.jobs and not leader.graph.jobs and not leader.reconciler.jobs
+    assert not leader.record_writer.dirty and not leader.record_writer.garbage
+    assert {key.split("/")[0] for key in cluster.store.keys if "/j-" in key} == {"ended"}
+    for controller in cluster.controllers.values():
+        assert not controller.job_api.polls.waiting and not controller.job_api.admission.waiting
+    assert not cluster.rules.broken, cluster.rules.broken
 
 
 @pytest.mark.parametrize("seed", range(2))
-def test_repeated_submissions_leave_the_rate_of_changes_to_new_ones(seed):
+async def test_repeated_submissions_leave_the_rate_of_changes_to_new_ones(seed):
     """Each took a transaction that failed, which counts as a change: new jobs waited for seconds
     while some users repeated theirs at all controllers."""
 
-    async def main():
-        cluster = SimulatedCluster(seed, members=FIVE, rps=250.0, write_rps=35.0, limited=True)
-        cluster.cloud.most = 30
-        for _ in range(12):
-            cluster.cloud.add(("small", cluster.rng.choice(("a", "b")), True))
-        await cluster.until(lambda: cluster.leader() is not None)
-        order, accepted_after, users = AnswerOrder(), [], []
-        for number in range(100):
-            one = random.Random(f"{seed} beside {number}")
-            coming = [one_task_user(cluster, number, one, accepted_after, 0.25)]
-            if number % 4 == 0:
-                spec = job(500 + number, beats=1, vcpus=0.5, runS=one.uniform(1, 8), dueS=None)
-                coming.append(ImpatientUser(cluster, order, spec, one).run())
-            users += [asyncio.ensure_future(user) for user in coming]
-            await cluster.wait(one.expovariate(A_SECOND))
-        await cluster.until(lambda: all(user.done() for user in users))
-        assert sorted(accepted_after)[95] < 0.3
-        assert cluster.store.over_rate == 0
-        assert not order.broken, order.broken
-        assert not cluster.rules.broken, cluster.rules.broken
-
-    run(main())
+    cluster = SimulatedCluster(seed, members=FIVE, rps=250.0, write_rps=35.0, limited=True)
+    cluster.cloud.most = 30
+    for _ in range(12):
+        cluster.cloud.add(("small", cluster.rng.choice(("a", "b")), True))
+    await cluster.until(lambda: cluster.leader() is not None)
+    order, accepted_after, users = AnswerOrder(), [], []
+    for number in range(100):
+        one = random.Random(f"{seed} beside {number}")
+        coming = [one_task_user(cluster, number, one, accepted_after, 0.25)]
+        if number % 4 == 0:
+            spec = job(500 + number, beats=1, vcpus=0.5, runS=one.uniform(1, 8), dueS=None)
+            coming.append(ImpatientUser(cluster, order, spec, one).run())
+        users += [asyncio.ensure_future(user) for user in coming]
+        await cluster.wait(one.expovariate(A_SECOND))
+    await cluster.until(lambda: all(user.done() for user in users))
+    assert sorted(accepted_after)[95] < 0.3
+    assert cluster.store.over_rate == 0
+    assert not order.broken, order.broken
+    assert not cluster.rules.broken, cluster.rules.broken
--- a/dappledrum/controller/test_crash_points.py
+++ b/dappledrum/controller/test_crash_points.py
@@ -6,7 +6,7 @@
 import pytest
 
 from dappledrum.simulation.cluster import job, led_cluster
-from dappledrum.simulation.crash_points import STEPS, play_ends
+from dappledrum.simulation.crash_points import STEPS, run_with_crashes
 from dappledrum.simulation.fault_combinations import FIVE
 from dappledrum.simulation.scenario import now
 
@@ -15,7 +15,7 @@
 @pytest.mark.parametrize("step", STEPS)
 async def test_ends_at_each_step(step):
     """Rules are checked after each step, and every job is done in the end."""
-    ended = [await play_ends(step, seed) for seed in range(2)]
+    ended = [await run_with_crashes(step, seed) for seed in range(2)]
     assert sum(ended) >= 2, "the step never came by"
 
 
--- a/dappledrum/controller/test_end_to_end.py
+++ b/dappledrum/controller/test_end_to_end.py
@@ -6,7 +6,7 @@
 from dappledrum.settings import Team
 from dappledrum.simulation import fault_scenarios
 from dappledrum.simulation.cluster import SimulatedCluster, job, led_cluster
-from dappledrum.simulation.scenario import day, now
+from dappledrum.simulation.scenario import now, run_day
 
 FAULTS = [
     fault_scenarios.quiet,
@@ -31,13 +31,13 @@
     fault_scenarios.heartbeats_arrive_late,
     fault_scenarios.workers_refused,
     fault_scenarios.peers_refused_in_an_outage,
-    fault_scenarios.silent_for_a_minute_then_again,
+    fault_scenarios.leader_down_for_a_minute_twice,
 ]
 
 
 @pytest.mark.parametrize("fault", FAULTS, ids=lambda t: t.__name__)
 async def test_day_keeps_the_rules(fault):
-    await day(SimulatedCluster(seed=3), fault)
+    await run_day(SimulatedCluster(seed=3), fault)
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -53,7 +53,7 @@
         ],
         2,
     )
-    await day(cluster, fault_scenarios.in_turn(*pair), runS=14.0)
+    await run_day(cluster, fault_scenarios.in_turn(*pair), runS=14.0)
 
 
 async def test_long_outage_keeps_running_work():
--- a/dappledrum/controller/test_idle_machines.py
+++ b/dappledrum/controller/test_idle_machines.py
@@ -4,7 +4,6 @@
 
 from dappledrum.scheduling.timeline import Size
 from dappledrum.simulation.cluster import SimulatedCluster, job
-from dappledrum.simulation.virtual_time import run
 
 IDLE = {
     "urgency": "best_effort",
@@ -20,82 +19,68 @@
     return sum(job_id == name for job_id, _ in cluster.rules.running)
 
 
-def test_idle_work_starts_without_a_deadline_and_ends():
+async def test_idle_work_starts_without_a_deadline_and_ends():
     """Planned with a far deadline it was put off at each plan, and began when the day was over."""
 
-    async def main():
-        cluster = SimulatedCluster(seed=21)
-        await cluster.until(lambda: cluster.leader() is not None)
-        await cluster.submit(job(1, beats=12, **IDLE))
-        await cluster.until(lambda: running(cluster, "j-000001") >= 4, most=60)
-        await cluster.finish(["j-000001"])
-        assert all(machine.kind[2] for machine in cluster.cloud.machines.values())
+    cluster = SimulatedCluster(seed=21)
+    await cluster.until(lambda: cluster.leader() is not None)
+    await cluster.submit(job(1, beats=12, **IDLE))
+    await cluster.until(lambda: running(cluster, "j-000001") >= 4, most=60)
+    await cluster.finish(["j-000001"])
+    assert all(machine.kind[2] for machine in cluster.cloud.machines.values())
 
-    run(main())
 
+async def test_idle_work_that_keeps_its_progress_gives_way_to_what_would_be_late():
+    cluster = SimulatedCluster(seed=22)
+    cluster.cloud.most = 2
+    await cluster.until(lambda: cluster.leader() is not None)
+    await cluster.submit(job(1, beats=40, **IDLE | {"runS": 300.0, "builds": ["small"]}))
+    await cluster.until(lambda: running(cluster, "j-000001") >= 3, most=90)
+    before = running(cluster, "j-000001")
+    await cluster.submit(job(2, beats=2, vcpus=3.0, builds=["small"], dueS=40.0))
+    took = await cluster.finish(["j-000002"], most=60)
+    assert took < 40
+    assert running(cluster, "j-000001") < before + 1
+    assert await cluster.cancel("j-000001") == "cancelled"
 
-def test_idle_work_that_keeps_its_progress_gives_way_to_what_would_be_late():
-    async def main():
-        cluster = SimulatedCluster(seed=22)
-        cluster.cloud.most = 2
-        await cluster.until(lambda: cluster.leader() is not None)
-        await cluster.submit(job(1, beats=40, **IDLE | {"runS": 300.0, "builds": ["small"]}))
-        await cluster.until(lambda: running(cluster, "j-000001") >= 3, most=90)
-        before = running(cluster, "j-000001")
-        await cluster.submit(job(2, beats=2, vcpus=3.0, builds=["small"], dueS=40.0))
-        took = await cluster.finish(["j-000002"], most=60)
-        assert took < 40
-        assert running(cluster, "j-000001") < before + 1
-        assert await cluster.cancel("j-000001") == "cancelled"
 
-    run(main())
+async def test_answers_wait_only_where_there_is_room_and_no_end_is_near():
+    """A worker has one heartbeat on its way, so news of an end would wait for the answer."""
 
+    cluster = SimulatedCluster(seed=22)
+    await cluster.until(lambda: cluster.leader() is not None)
+    await cluster.submit(job(1, beats=1, builds=["large"], runS=30.0, expectedS=30.0))
+    await cluster.until(lambda: len(cluster.rules.running) == 1)
+    await cluster.wait(3)
+    leader = cluster.controllers[cluster.leader()].leader
+    [machine] = [m for m in leader.registry if m.placements]
+    assert leader.dispatcher.machines.may_wait(machine, timedelta(seconds=2))
+    assert not leader.dispatcher.machines.may_wait(machine, timedelta(seconds=29))
+    leader.dispatcher.machines.sizes = {Size(16.0, 0.0, 1.0)}  # nothing that would fit beside it
+    assert not leader.dispatcher.machines.may_wait(machine, timedelta(seconds=2))
 
-def test_answers_wait_only_where_there_is_room_and_no_end_is_near():
-    """A worker has one heartbeat on its way, so news of an end would wait for the answer."""
 
-    async def main():
-        cluster = SimulatedCluster(seed=22)
-        await cluster.until(lambda: cluster.leader() is not None)
-        await cluster.submit(job(1, beats=1, builds=["large"], runS=30.0, expectedS=30.0))
-        await cluster.until(lambda: len(cluster.rules.running) == 1)
-        await cluster.wait(3)
-        leader = cluster.controllers[cluster.leader()].leader
-        [machine] = [m for m in leader.registry if m.placements]
-        assert leader.dispatcher.machines.may_wait(machine, timedelta(seconds=2))
-        assert not leader.dispatcher.machines.may_wait(machine, timedelta(seconds=29))
-        leader.dispatcher.machines.sizes = {
-            Size(16.0, 0.0, 1.0)
-        }  # nothing that would fit beside it
-        assert not leader.dispatcher.machines.may_wait(machine, timedelta(seconds=2))
-
-    run(main())
-
-
-def test_ordinary_machines_give_way_to_any_spot_machine_that_can_stand_in():
+async def test_ordinary_machines_give_way_to_any_spot_machine_that_can_stand_in():
     """By type and zone alone the large machines of one bad moment stayed for the day, while idle
     spot machines of another type went back."""
 
-    async def main():
-        cluster = SimulatedCluster(seed=44)
-        large = next(kind for kind in cluster.cloud.types if kind["label"] == "large")
-        large["marketPrice"] = None  # no spot machine of this type
-        cluster.cloud.most = 20
-        await cluster.until(lambda: cluster.leader() is not None)
-        await cluster.submit(job(0, beats=12, vcpus=4.0, loaners=False, dueS=40.0, runS=20.0))
-        await cluster.finish(["j-000000"])
-        ordinary = {m.name for m in cluster.cloud.machines.values() if not m.kind[2]}
-        assert ordinary
-        names = []
-        for number in range(1, 16):
-            await cluster.submit(job(number, beats=4, runS=12.0, expectedS=12.0, dueS=150.0))
-            names.append(f"j-{number:06d}")
-            await cluster.wait(8)
-        on = {m for places in cluster.rules.running.values() for m in places}
-        assert on and not on & ordinary
-        await cluster.finish(names)
-
-    run(main())
+    cluster = SimulatedCluster(seed=44)
+    large = next(kind for kind in cluster.cloud.types if kind["label"] == "large")
+    large["marketPrice"] = None  # no spot machine of this type
+    cluster.cloud.most = 20
+    await cluster.until(lambda: cluster.leader() is not None)
+    await cluster.submit(job(0, beats=12, vcpus=4.0, loaners=False, dueS=40.0, runS=20.0))
+    await cluster.finish(["j-000000"])
+    ordinary = {m.name for m in cluster.cloud.machines.values() if not m.kind[2]}
+    assert ordinary
+    names = []
+    for number in range(1, 16):
+        await cluster.submit(job(number, beats=4, runS=12.0, expectedS=12.0, dueS=150.0))
+        names.append(f"j-{number:06d}")
+        await cluster.wait(8)
+    on = {m for places in cluster.rules.running.values() for m in places}
+    assert on and not on & ordinary
+    await cluster.finish(names)
 
 
 async def busy_cluster(spec, running):
@@ -120,30 +105,24 @@
         assert not any(machine.retiring for machine in leader.registry)
 
 
-def test_ordinary_machines_work_on_while_spot_machines_are_about_to_go():
+async def test_ordinary_machines_work_on_while_spot_machines_are_about_to_go():
     """Room on a spot machine that the cloud is about to take counted as room for what waits. While
     no other machine could be had, ordinary ones then got no new work and were returned."""
 
-    async def main():
-        spec = job(1, beats=40, runS=100.0, expectedS=100.0, dueS=60.0)
-        cluster = await busy_cluster(spec, 10)
-        taken = next(w for w in cluster.cloud.workers() if w.kind[0] == "large")
-        taken.recall_at = cluster.now() + 30
-        await none_retires(cluster, 15)
-        assert len(cluster.rules.running) <= 4, "the spot machine is left in time"
-        cluster.cloud.most = 10
-        await cluster.finish(["j-000001"], most=600)
+    spec = job(1, beats=40, runS=100.0, expectedS=100.0, dueS=60.0)
+    cluster = await busy_cluster(spec, 10)
+    taken = next(w for w in cluster.cloud.workers() if w.kind[0] == "large")
+    taken.recall_at = cluster.now() + 30
+    await none_retires(cluster, 15)
+    assert len(cluster.rules.running) <= 4, "the spot machine is left in time"
+    cluster.cloud.most = 10
+    await cluster.finish(["j-000001"], most=600)
 
-    run(main())
 
-
-def test_ordinary_machines_work_on_while_late_work_waits_for_their_type():
+async def test_ordinary_machines_work_on_while_late_work_waits_for_their_type():
     """Room on spot machines of another type is none for it."""
 
-    async def main():
-        spec = job(1, beats=30, runS=100.0, expectedS=100.0, dueS=60.0, builds=["small"])
-        cluster = await busy_cluster(spec, 4)
-        await none_retires(cluster, 30)
-        assert await cluster.cancel("j-000001") == "cancelled"
-
-    run(main())
+    spec = job(1, beats=30, runS=100.0, expectedS=100.0, dueS=60.0, builds=["small"])
+    cluster = await busy_cluster(spec, 4)
+    await none_retires(cluster, 30)
+    assert await cluster.cancel("j-000001") == "cancelled"
--- a/dappledrum/controller/test_large.py
+++ b/dappledrum/controller/test_large.py
@@ -4,7 +4,6 @@
 
 from dappledrum.simulation.cluster import SimulatedCluster, job
 from dappledrum.simulation.fault_scenarios import leader_killed, rolled, short_outage
-from dappledrum.simulation.virtual_time import run
 
 FIVE = tuple(f"drummer-{index}" for index in range(5))
 
@@ -27,49 +26,41 @@
     [leader_killed, rolled, short_outage, wave_and_leader_killed],
     ids=lambda f: f.__name__,
 )
-def test_a_large_day(fault):
+async def test_a_large_day(fault):
     """Guards, at size, against plans that hold up the renewal of the leader's lease, records that
     do not fit, and takeovers that lose or repeat tasks."""
 
-    async def main():
-        cluster = SimulatedCluster(seed=5, members=FIVE)
-        cluster.cloud.most = 240
-        await cluster.until(lambda: cluster.leader() is not None)
-        names = []
-        for number in range(12):
-            spec = job(
-                number, beats=70, runS=10.0, expectedS=10.0, dueS=40.0, skin=f"i-{number % 3}"
-            )
-            names.append(spec["id"])
-            assert await cluster.submit(spec) == 201
-        await cluster.until(lambda: cluster.rules.starts >= 300)
-        assert len(cluster.cloud.machines) > 100
-        await fault(cluster)
-        await cluster.finish(names)
+    cluster = SimulatedCluster(seed=5, members=FIVE)
+    cluster.cloud.most = 240
+    await cluster.until(lambda: cluster.leader() is not None)
+    names = []
+    for number in range(12):
+        spec = job(number, beats=70, runS=10.0, expectedS=10.0, dueS=40.0, skin=f"i-{number % 3}")
+        names.append(spec["id"])
+        assert await cluster.submit(spec) == 201
+    await cluster.until(lambda: cluster.rules.starts >= 300)
+    assert len(cluster.cloud.machines) > 100
+    await fault(cluster)
+    await cluster.finish(names)
 
-    run(main())
 
-
-def test_ordinary_machines_give_way_to_spot_machines_in_calm_times():
+async def test_ordinary_machines_give_way_to_spot_machines_in_calm_times():
     """Guards against ordinary machines that stay for the day, as small tasks keep them from being
     idle at the end of an interval."""
 
-    async def main():
-        cluster = SimulatedCluster(seed=6)
-        cluster.cloud.most = 3
-        ordinary = [cluster.cloud.add(("large", "a", False)) for _ in range(3)]
-        await cluster.until(lambda: cluster.leader() is not None)
-        names = []
-        for number in range(75):
-            spec = job(number, builds=["large"], beats=6, runS=7.0, expectedS=7.0, dueS=40.0)
-            names.append(spec["id"])
-            assert await cluster.submit(spec) == 201
-            await cluster.wait(2)
-            if number == 20:
-                assert all(name in cluster.cloud.machines for name in ordinary)
-                cluster.cloud.most = 40
-        assert not any(name in cluster.cloud.machines for name in ordinary)
-        assert any(machine.kind[2] for machine in cluster.cloud.machines.values())
-        await cluster.finish(names)
-
-    run(main())
+    cluster = SimulatedCluster(seed=6)
+    cluster.cloud.most = 3
+    ordinary = [cluster.cloud.add(("large", "a", False)) for _ in range(3)]
+    await cluster.until(lambda: cluster.leader() is not None)
+    names = []
+    for number in range(75):
+        spec = job(number, builds=["large"], beats=6, runS=7.0, expectedS=7.0, dueS=40.0)
+        names.append(spec["id"])
+        assert await cluster.submit(spec) == 201
+        await cluster.wait(2)
+        if number == 20:
+            assert all(name in cluster.cloud.machines for name in ordinary)
+            cluster.cloud.most = 40
+    assert not any(name in cluster.cloud.machines for name in ordinary)
+    assert any(machine.kind[2] for machine in cluster.cloud.machines.values())
+    await cluster.finish(names)
--- a/dappledrum/controller/test_late_and_duplicate_heartbeats.py
+++ b/dappledrum/controller/test_late_and_duplicate_heartbeats.py
@@ -7,8 +7,7 @@
 
 from dappledrum.simulation.cluster import job
 from dappledrum.simulation.scenario import LEASE_S, now
-from dappledrum.simulation.virtual_time import run
-from dappledrum.simulation.workloads import FIVE, GhostWatchingCluster, begin_short_work
+from dappledrum.simulation.workloads import FIVE, TerminationCheckingCluster, start_short_jobs
 
 #: Requests of all kinds: of users, workers and controllers, to the store and the cloud.
 ALL = ("/hello", "/submissions", "/multi", "/holds", "/rentals", "/peer")
@@ -38,22 +37,19 @@
 
 
 @pytest.mark.parametrize(("seed", "paths"), [(0, HEARTBEATS), (1, HEARTBEATS), (2, ALL), (3, ALL)])
-def test_late_copies_amid_ends_and_losses(seed, paths):
+async def test_late_copies_amid_ends_and_losses(seed, paths):
     """Copies from 1 s to three leases late, at any controller, leaders and machines that end and
     machines that hang: no rule is broken, and nothing that has gone looks alive."""
 
-    async def main():
-        work = await begin_short_work(seed, paths)
-        for turn, what in enumerate(FAULTS):
-            await fault(work, what)
-            await work.submit(100 + turn, beats=3)
-            await work.cluster.wait(work.rng.uniform(1, 6))
-        await work.finish(most=400)
-        assert work.cluster.network.copied > 150
-        ghosts = work.cluster.ghosts
-        assert not ghosts, f"{len(ghosts)} times, as {ghosts[0]}"
-
-    run(main())
+    work = await start_short_jobs(seed, paths)
+    for turn, what in enumerate(FAULTS):
+        await fault(work, what)
+        await work.submit(100 + turn, beats=3)
+        await work.cluster.wait(work.rng.uniform(1, 6))
+    await work.finish(timeout_s=400)
+    assert work.cluster.network.copied > 150
+    ghosts = work.cluster.kept_after_termination
+    assert not ghosts, f"{len(ghosts)} times, as {ghosts[0]}"
 
 
 def heartbeats_of(cluster, name):
@@ -70,47 +66,44 @@
 
 
 @pytest.mark.parametrize("takeover", [False, True])
-def test_copies_of_a_dead_machine_do_not_keep_it_alive(takeover):
+async def test_copies_of_a_dead_machine_do_not_keep_it_alive(takeover):
     """Its tasks are given up a lease after its last answer, two at the most after a takeover that
     knew nothing of the order of its heartbeats."""
 
-    async def main():
-        cluster = GhostWatchingCluster(seed=2, members=FIVE, lease_s=LEASE_S)
-        cluster.cloud.most = 3
-        for _ in range(2):
-            cluster.cloud.add(("small", "a", True))
+    cluster = TerminationCheckingCluster(seed=2, members=FIVE, lease_s=LEASE_S)
+    cluster.cloud.most = 3
+    for _ in range(2):
+        cluster.cloud.add(("small", "a", True))
+    await cluster.until(lambda: cluster.leader() is not None)
+    long = job(1, beats=2, vcpus=4.0, runS=300.0, expectedS=20.0, dueS=25.0)
+    assert await cluster.submit(long) == 201
+    await cluster.until(lambda: cluster.rules.starts >= 2)
+    await cluster.wait(3)
+    dead = next(worker for worker in cluster.cloud.workers() if worker.attempts)
+    seen = heartbeats_of(cluster, dead.name)
+    await cluster.wait(4)
+    dead.vanish()
+    died = now()
+    if takeover:
+        await cluster.restart(cluster.leader(), 0.1)
         await cluster.until(lambda: cluster.leader() is not None)
-        long = job(1, beats=2, vcpus=4.0, runS=300.0, expectedS=20.0, dueS=25.0)
-        assert await cluster.submit(long) == 201
-        await cluster.until(lambda: cluster.rules.starts >= 2)
-        await cluster.wait(3)
-        dead = next(worker for worker in cluster.cloud.workers() if worker.attempts)
-        seen = heartbeats_of(cluster, dead.name)
-        await cluster.wait(4)
-        dead.vanish()
-        died = now()
-        if takeover:
-            await cluster.restart(cluster.leader(), 0.1)
-            await cluster.until(lambda: cluster.leader() is not None)
-        leader = cluster.controllers[cluster.leader()].leader
-        await cluster.until(leader.loaded.is_set)
-
-        async def again():
-            """In order, one a second, as though it still reported."""
-            for body in (seen * 20)[:60]:
-                await cluster.network._late(dead.name, cluster.leader(), "POST", "/hello", body)
-                await asyncio.sleep(1)
+    leader = cluster.controllers[cluster.leader()].leader
+    await cluster.until(leader.loaded.is_set)
 
-        def given_up():
-            machine = leader.registry.get(dead.name)
-            return machine is None or not machine.placements
+    async def again():
+        """In order, one a second, as though it still reported."""
+        for body in (seen * 20)[:60]:
+            await cluster.network._late(dead.name, cluster.leader(), "POST", "/hello", body)
+            await asyncio.sleep(1)
 
-        copying = asyncio.ensure_future(again())
-        await cluster.until(given_up, most=(2 if takeover else 1) * LEASE_S + 4)
-        assert now() - died > LEASE_S - 5, "not before it was proven"
-        copying.cancel()
+    def given_up():
+        machine = leader.registry.get(dead.name)
+        return machine is None or not machine.placements
 
-    run(main())
+    copying = asyncio.ensure_future(again())
+    await cluster.until(given_up, most=(2 if takeover else 1) * LEASE_S + 4)
+    assert now() - died > LEASE_S - 5, "not before it was proven"
+    copying.cancel()
 
 
 def unreachable(cluster):
@@ -126,161 +119,145 @@
 
 @pytest.mark.parametrize("seed", range(2))
 @pytest.mark.parametrize("takeover", [False, True])
-def test_machines_that_hear_nothing_get_nothing_and_come_back(seed, takeover):
-    """A third of all: told apart within a lease and some heartbeats, all work is done elsewhere,
-    and they serve again once they hear."""
-
-    async def main():
-        work = await begin_short_work(seed, machines=9)
-        cluster = work.cluster
-        chosen = sorted(worker.name for worker in cluster.cloud.workers())[:3]
-        cluster.drop_answers(chosen)
-        assert await cluster.cancel(work.names.pop(0)) in ("cancelled", "done")
-        if takeover:
-            await cluster.restart(cluster.leader(), 0.3)
-        for number in range(10, 16):
-            form = "ensemble" if number % 3 == 0 else "batch"
-            await work.submit(number, beats=8, form=form, vcpus=1.0)
-        service = await work.submit(20, form="service", beats=2, vcpus=1.0, expectedS=0.0)
-        work.names.remove(service)  # it has no end
-        await cluster.wait(2.5 * LEASE_S)
-        leader = work.leader()
-        still = {n for n in chosen if n in cluster.cloud.machines and leader.registry.get(n)}
-        timelines = leader.dispatcher.machines.timelines(leader.clock.now())
-        # One that has shown nothing in this term is awaited like any that has not come yet.
-        assert not still & {view.machine for view in timelines if not view.booting}
-        assert takeover or unreachable(cluster) & still
-        await cluster.finish(work.names, most=300)
-        assert not set(chosen) & {m.name for m in leader.registry if m.placements}
-        assert await cluster.poll(service) == "running"
-        assert len(work.running(20)) == 2
-        cluster.network.heal()
-        cluster.rules.faults_over_at = now()
-        await cluster.wait(2 * LEASE_S)
-        assert not unreachable(cluster)
-        last = job(99, beats=20, dueS=None)
-        assert await cluster.submit(last) == 201
-        assert await cluster.cancel(service) == "cancelled"
-        await cluster.finish([last["id"], service], most=100)
-
-    run(main())
-
-
-def test_a_controller_that_nobody_hears_blames_no_machine():
-    async def main():
-        work = await begin_short_work(3, machines=6)
-        cluster = work.cluster
-        cluster.drop_answers([worker.name for worker in cluster.cloud.workers()])
-        await cluster.wait(3 * LEASE_S)
-        leader = work.leader()
-        leader.dispatcher.machines.refresh()
-        up = [machine for machine in leader.registry if machine.up]
-        assert (
-            len(unreachable(cluster)) * 2 <= len(up)
-            or leader.dispatcher.machines.mostly_unreachable
-        )
-        cluster.network.heal()
-        await work.finish(most=200)
-
-    run(main())
+async def test_machines_that_hear_nothing_get_nothing_and_come_back(seed, takeover):
+    """A third of all: told apart within a lease and some heartbeats, all work is done elsewhere, and
+    they serve again once they hear."""
+
+    work = await start_short_jobs(seed, machines=9)
+    cluster = work.cluster
+    chosen = sorted(worker.name for worker in cluster.cloud.workers())[:3]
+    cluster.drop_answers(chosen)
+    assert await cluster.cancel(work.names.pop(0)) in ("cancelled", "done")
+    if takeover:
+        await cluster.restart(cluster.leader(), 0.3)
+    for number in range(10, 16):
+        form = "ensemble" if number % 3 == 0 else "batch"
+        await work.submit(number, beats=8, form=form, vcpus=1.0)
+    service = await work.submit(20, form="service", beats=2, vcpus=1.0, expectedS=0.0)
+    work.names.remove(service)  # it has no end
+    await cluster.wait(2.5 * LEASE_S)
+    leader = work.leader()
+    still = {n for n in chosen if n in cluster.cloud.machines and leader.registry.get(n)}
+    timelines = leader.dispatcher.machines.timelines(leader.clock.now())
+    # One that has shown nothing in this term is awaited like any that has not come yet.
+    assert not still & {view.machine for view in timelines if not view.booting}
+    assert takeover or unreachable(cluster) & still
+    await cluster.finish(work.names, most=300)
+    assert not set(chosen) & {m.name for m in leader.registry if m.placements}
+    assert await cluster.poll(service) == "running"
+    assert len(work.running(20)) == 2
+    cluster.network.heal()
+    cluster.rules.faults_over_at = now()
+    await cluster.wait(2 * LEASE_S)
+    assert not unreachable(cluster)
+    last = job(99, beats=20, dueS=None)
+    assert await cluster.submit(last) == 201
+    assert await cluster.cancel(service) == "cancelled"
+    await cluster.finish([last["id"], service], most=100)
+
+
+async def test_a_controller_that_nobody_hears_blames_no_machine():
+    work = await start_short_jobs(3, machines=6)
+    cluster = work.cluster
+    cluster.drop_answers([worker.name for worker in cluster.cloud.workers()])
+    await cluster.wait(3 * LEASE_S)
+    leader = work.leader()
+    leader.dispatcher.machines.refresh()
+    up = [machine for machine in leader.registry if machine.up]
+    assert (
+        len(unreachable(cluster)) * 2 <= len(up) or leader.dispatcher.machines.mostly_unreachable
+    )
+    cluster.network.heal()
+    await work.finish(timeout_s=200)
 
 
 @pytest.mark.parametrize("leads", [True, False])
-def test_a_controller_that_is_left_alone_with_its_workers(leads):
+async def test_a_controller_that_is_left_alone_with_its_workers(leads):
     """It is not ready, tells users at once to come back, sends workers on at once, and they find
     the leader before their lease ends."""
 
-    async def main():
-        work = await begin_short_work(4)
-        cluster = work.cluster
-        member = cluster.leader() if leads else work.others()[0]
-        sessions = work.sessions()
-
-        async def status(path):
-            return (await cluster._ask("GET", path, None, member)).status
-
-        for worker in cluster.cloud.workers()[::2]:
-            worker.controller = member
-        cluster.isolate(member)
-        await cluster.until(lambda: cluster.leader() not in (None, member), most=8)
-        await cluster.wait(5)
-        began = now()
-        assert await status("/ready") == 503
-        assert await status(f"/submissions/{work.names[0]}") == 503
-        assert now() - began < 0.5
-        controller = cluster.controllers[member]
-        assert (
-            controller.elector.holding() is None
-            and controller.heartbeats.redirect_target() is None
-        )
-        await cluster.wait(20)
-        kept = sessions.keys() & work.sessions().keys()
-        assert {name: work.sessions()[name] for name in kept} == {n: sessions[n] for n in kept}
-        cluster.network.heal()
-        cluster.rules.faults_over_at = now()
-        await cluster.wait(2)
-        assert await status("/ready") == 200
-        await cluster.finish(work.names, most=200)
-
-    run(main())
+    work = await start_short_jobs(4)
+    cluster = work.cluster
+    member = cluster.leader() if leads else work.others()[0]
+    sessions = work.sessions()
+
+    async def status(path):
+        return (await cluster._ask("GET", path, None, member)).status
+
+    for worker in cluster.cloud.workers()[::2]:
+        worker.controller = member
+    cluster.isolate(member)
+    await cluster.until(lambda: cluster.leader() not in (None, member), most=8)
+    await cluster.wait(5)
+    began = now()
+    assert await status("/ready") == 503
+    assert await status(f"/submissions/{work.names[0]}") == 503
+    assert now() - began < 0.5
+    controller = cluster.controllers[member]
+    assert (
+        controller.elector.holding() is None
+        and controller.endpoints.heartbeats.redirection.target() is None
+    )
+    await cluster.wait(20)
+    kept = sessions.keys() & work.sessions().keys()
+    assert {name: work.sessions()[name] for name in kept} == {n: sessions[n] for n in kept}
+    cluster.network.heal()
+    cluster.rules.faults_over_at = now()
+    await cluster.wait(2)
+    assert await status("/ready") == 200
+    await cluster.finish(work.names, most=200)
 
 
 @pytest.mark.parametrize("young", [False, True])
 @pytest.mark.parametrize("election", [False, True])
-def test_a_worker_process_that_begins_anew_is_not_taken_for_the_old_one(young, election):
+async def test_a_worker_process_that_begins_anew_is_not_taken_for_the_old_one(young, election):
     """Its `set` and `tick` begin again, below what is known or soon above it, also while another
     controller comes to lead, and copies of the former one's heartbeats go on coming."""
 
-    async def main():
-        work = await begin_short_work(7, HEARTBEATS, machines=4, jobs=2)
-        cluster = work.cluster
-        await cluster.wait(0 if young else 15)
-        long = job(50, beats=4, vcpus=4.0, runS=25.0, expectedS=25.0, dueS=40.0)
-        work.names.append(long["id"])
-        assert await cluster.submit(long) == 201
-        await cluster.wait(4)
-        old = [worker for worker in cluster.cloud.workers() if worker.attempts][:2]
-        assert old
-        if election:
-            cluster.kill(cluster.leader())
-            await cluster.wait(1)
-        for worker in old:
-            worker.vanish()
-            await cluster.wait(0.2)
-            cluster.cloud.machines[worker.name].worker = worker.begin_anew()
-        await cluster.wait(2)
-        for member in FIVE:
-            if not cluster.alive(member):
-                cluster.start(member)
-        assert await work.finish(most=200) < 2 * LEASE_S + 90
-
-    run(main())
-
-
-def test_all_troubles_together():
+    work = await start_short_jobs(7, HEARTBEATS, machines=4, jobs=2)
+    cluster = work.cluster
+    await cluster.wait(0 if young else 15)
+    long = job(50, beats=4, vcpus=4.0, runS=25.0, expectedS=25.0, dueS=40.0)
+    work.names.append(long["id"])
+    assert await cluster.submit(long) == 201
+    await cluster.wait(4)
+    old = [worker for worker in cluster.cloud.workers() if worker.attempts][:2]
+    assert old
+    if election:
+        cluster.kill(cluster.leader())
+        await cluster.wait(1)
+    for worker in old:
+        worker.vanish()
+        await cluster.wait(0.2)
+        cluster.cloud.machines[worker.name].worker = worker.begin_anew()
+    await cluster.wait(2)
+    for member in FIVE:
+        if not cluster.alive(member):
+            cluster.start(member)
+    assert await work.finish(timeout_s=200) < 2 * LEASE_S + 90
+
+
+async def test_all_troubles_together():
     """Copies, machines that hear nothing, a controller alone, ends, an outage: every job is done
     in the end, and known all along."""
 
-    async def main():
-        work = await begin_short_work(5, HEARTBEATS)
-        cluster, rng = work.cluster, work.rng
-        for turn in range(6):
-            up = cluster.cloud.workers()
-            cluster.drop_answers([worker.name for worker in rng.sample(up, len(up) // 4)])
-            cluster.isolate(rng.choice(FIVE))
-            if cluster.leader() is not None and turn % 2:
-                await cluster.restart(cluster.leader(), rng.uniform(0, 0.5))
-            cluster.store.out = turn == 3
-            asked = asyncio.ensure_future(work.submit(200 + turn, beats=4, tries=60))
-            await cluster.wait(rng.uniform(2, 12))
-            if cluster.store.out:
-                cluster.store.end_outage()
-            cluster.network.heal()
-            await cluster.wait(rng.uniform(0, 4))
-            await asked
-        cluster.network.copies = None
-        await work.finish(most=400)
-        cluster.rules.check_largest(now(), 240.0)
-        assert not cluster.rules.broken and cluster.rules.longest_s < 10
-
-    run(main())
+    work = await start_short_jobs(5, HEARTBEATS)
+    cluster, rng = work.cluster, work.rng
+    for turn in range(6):
+        up = cluster.cloud.workers()
+        cluster.drop_answers([worker.name for worker in rng.sample(up, len(up) // 4)])
+        cluster.isolate(rng.choice(FIVE))
+        if cluster.leader() is not None and turn % 2:
+            await cluster.restart(cluster.leader(), rng.uniform(0, 0.5))
+        cluster.store.out = turn == 3
+        asked = asyncio.ensure_future(work.submit(200 + turn, beats=4, tries=60))
+        await cluster.wait(rng.uniform(2, 12))
+        if cluster.store.out:
+            cluster.store.end_outage()
+        cluster.network.heal()
+        await cluster.wait(rng.uniform(0, 4))
+        await asked
+    cluster.network.copies = None
+    await work.finish(timeout_s=400)
+    cluster.rules.check_largest(now(), 240.0)
+    assert not cluster.rules.broken and cluster.rules.longest_s < 10
--- a/dappledrum/controller/test_lost_responses.py
+++ b/dappledrum/controller/test_lost_responses.py
@@ -7,7 +7,7 @@
 import pytest
 
 from dappledrum.simulation.cluster import job
-from dappledrum.simulation.scenario import later, now, play
+from dappledrum.simulation.scenario import call_later, now, running_scenario
 
 SPELL_S = 40.0
 SHARE = 0.6  # of the transactions of the kind
@@ -60,7 +60,7 @@
             place, _, name = (change.get("write") or "").partition("/")
             if place in ("job", "ended"):
                 for member in self.rng.sample(self.cluster.members, 3):
-                    later(self.rng.uniform(0.0, 0.3), self.look, place, name, member)
+                    call_later(self.rng.uniform(0.0, 0.3), self.look, place, name, member)
         return 0.0
 
     def look(self, place, name, member):
@@ -103,8 +103,8 @@
 
 @pytest.mark.parametrize("seed", range(2))
 @pytest.mark.parametrize("kind", ["acceptance", "cancellation", "comparison", "progress", "end"])
-def test_answers_of_one_kind_are_lost(kind, seed):
-    async def act(scenario):
+async def test_answers_of_one_kind_are_lost(kind, seed):
+    async with running_scenario(seed) as scenario:
         lost = LostAnswers(scenario, (kind,))
         await scenario.submit_long(*range(4))
         for number in range(4):
@@ -122,15 +122,13 @@
         assert lost.lost[kind] >= 2
         assert lost.share_within(0.3) > 0.95, sorted(lost.waits)[-5:]
 
-    play(seed, act)
-
 
 @pytest.mark.parametrize("seed", range(2))
-def test_answers_of_elections_and_transfers_are_lost(seed):
+async def test_answers_of_elections_and_transfers_are_lost(seed):
     """The leader ends, resigns or hands over again and again; whoever has taken the key leads with
     it, and does not give it back because it has not heard so."""
 
-    async def act(scenario):
+    async with running_scenario(seed) as scenario:
         cluster, rng = scenario.cluster, scenario.rng
         lost = LostAnswers(scenario, ("election", "transfer"))
         await scenario.submit_long(0, 1)
@@ -141,7 +139,7 @@
             began = now()
             if way == "end":
                 cluster.kill(leader)
-                later(rng.uniform(0.1, 3), cluster.start, leader)
+                call_later(rng.uniform(0.1, 3), cluster.start, leader)
             elif way == "transfer":
                 cluster.controllers[leader].elector.transfer_leadership(
                     rng.choice(scenario.others()), "test"
@@ -157,12 +155,10 @@
         # Of an end the lease and a round of standing, else not even that.
         assert all(span < (5.5 if way == "end" else 1.5) for way, span in vacant), vacant
 
-    play(seed, act)
-
 
 @pytest.mark.parametrize("seed", range(3))
-def test_answers_of_any_kind_are_lost_while_leaders_end(seed):
-    async def act(scenario):
+async def test_answers_of_any_kind_are_lost_while_leaders_end(seed):
+    async with running_scenario(seed) as scenario:
         cluster, rng = scenario.cluster, scenario.rng
         kinds = ("acceptance", "cancellation", "progress", "end", "election", "transfer")
         lost = LostAnswers(scenario, kinds)
@@ -172,10 +168,8 @@
             leader = cluster.leader()
             if leader is not None:
                 await cluster.restart(leader, rng.uniform(0, 2))
-            later(
+            call_later(
                 rng.uniform(0, 1), asyncio.ensure_future, cluster.cancel(f"j-{900 + number:06d}")
             )
         await cluster.wait(10)
         await lost.stop()
-
-    play(seed, act)
--- a/dappledrum/controller/test_paused_processes.py
+++ b/dappledrum/controller/test_paused_processes.py
@@ -7,7 +7,7 @@
 
 from dappledrum.simulation.cluster import SimulatedCluster, led_cluster
 from dappledrum.simulation.fault_scenarios import machines_taken, pausing, rolled, short_outage
-from dappledrum.simulation.scenario import day
+from dappledrum.simulation.scenario import run_day
 from dappledrum.simulation.virtual_time import PROCESS, VirtualLoop, run
 from dappledrum.timing.clock import Clock
 from dappledrum.timing.timeouts import PauseDetector, PauseTolerantTimeout
@@ -17,7 +17,7 @@
 
 @pytest.mark.parametrize("fault", PAUSES, ids=lambda t: t.__name__)
 async def test_a_pause_keeps_the_rules(fault):
-    await day(SimulatedCluster(seed=31), fault, runS=15.0)
+    await run_day(SimulatedCluster(seed=31), fault, runS=15.0)
 
 
 @pytest.mark.parametrize("other", [short_outage, machines_taken, rolled], ids=lambda t: t.__name__)
@@ -30,7 +30,7 @@
         await other(cluster)
         await pause
 
-    await day(cluster, both, runS=15.0)
+    await run_day(cluster, both, runS=15.0)
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -49,7 +49,7 @@
             await cluster.wait(cluster.rng.choice([0.3, 1.0, 2.0, 2.8, 3.3, 5.0, 10.0]))
             cluster.thaw(member)
 
-    await day(cluster, often, jobs=8, runS=12.0)
+    await run_day(cluster, often, jobs=8, runS=12.0)
 
 
 async def test_a_pause_returns_and_rents_nothing():
--- a/dappledrum/controller/test_slow_boots.py
+++ b/dappledrum/controller/test_slow_boots.py
@@ -6,8 +6,7 @@
 from dappledrum.fleet.messages import RentalRequest
 from dappledrum.simulation.cluster import SimulatedCluster, job
 from dappledrum.simulation.fault_scenarios import leader_killed, machines_taken
-from dappledrum.simulation.scenario import day
-from dappledrum.simulation.virtual_time import run
+from dappledrum.simulation.scenario import run_day
 
 
 def slow(factor):
@@ -41,44 +40,35 @@
 
 
 @pytest.mark.parametrize("fault", FAULTS, ids=lambda t: t.__name__)
-def test_day_keeps_the_rules_and_ends(fault):
-    async def main():
-        await day(SimulatedCluster(seed=51), fault, runS=10.0)
+async def test_day_keeps_the_rules_and_ends(fault):
+    await run_day(SimulatedCluster(seed=51), fault, runS=10.0)
 
-    run(main())
 
+async def test_no_storm_of_rentals_while_all_boots_are_slow():
+    cluster = SimulatedCluster(seed=52)
+    cluster.cloud.slow = 8.0
+    await cluster.until(lambda: cluster.leader() is not None)
+    await cluster.submit(job(1, beats=12, dueS=30.0))
+    await cluster.until(lambda: len(cluster.cloud.machines) >= 1)
+    await cluster.wait(8)
+    rented = cluster.cloud.next
+    await cluster.wait(50)
+    assert cluster.cloud.next <= rented + 3
+    await cluster.finish(["j-000001"])
 
-def test_no_storm_of_rentals_while_all_boots_are_slow():
-    async def main():
-        cluster = SimulatedCluster(seed=52)
-        cluster.cloud.slow = 8.0
-        await cluster.until(lambda: cluster.leader() is not None)
-        await cluster.submit(job(1, beats=12, dueS=30.0))
-        await cluster.until(lambda: len(cluster.cloud.machines) >= 1)
-        await cluster.wait(8)
-        rented = cluster.cloud.next
-        await cluster.wait(50)
-        assert cluster.cloud.next <= rented + 3
-        await cluster.finish(["j-000001"])
 
-    run(main())
-
-
-def test_nothing_is_rented_or_returned_for_a_term_that_has_ended_meanwhile():
+async def test_nothing_is_rented_or_returned_for_a_term_that_has_ended_meanwhile():
     """Paced for seconds, or sent after a pause: the machines may be another leader's by then."""
 
-    async def main():
-        cluster = SimulatedCluster(seed=53)
-        await cluster.until(lambda: cluster.leader() is not None)
-        controller = cluster.controllers[cluster.leader()]
-        cloud = CloudClient(cluster.network.caller("drummer-0", "cloud"), 0.5, controller.clock)
-        await cloud.catalog()
-        request = RentalRequest("r-old", "small", "a", True, 1)
-        with pytest.raises(CloudError):
-            await cloud.rent(request, lambda: False)
-        name = cluster.cloud.add(("small", "a", True))
-        with pytest.raises(CloudError):
-            await cloud.give_back([name], lambda: False)
-        assert "r-old" not in cluster.cloud.answers and name in cluster.cloud.machines
-
-    run(main())
+    cluster = SimulatedCluster(seed=53)
+    await cluster.until(lambda: cluster.leader() is not None)
+    controller = cluster.controllers[cluster.leader()]
+    cloud = CloudClient(cluster.network.caller("drummer-0", "cloud"), 0.5, controller.clock)
+    await cloud.catalog()
+    request = RentalRequest("r-old", "small", "a", True, 1)
+    with pytest.raises(CloudError):
+        await cloud.rent(request, lambda: False)
+    name = cluster.cloud.add(("small", "a", True))
+    with pytest.raises(CloudError):
+        await cloud.give_back([name], lambda: False)
+    assert "r-old" not in cluster.cloud.answers and name in cluster.cloud.machines
--- a/dappledrum/controller/test_small_jobs.py
+++ b/dappledrum/controller/test_small_jobs.py
@@ -4,7 +4,6 @@
 from collections import Counter
 
 from dappledrum.simulation.cluster import SimulatedCluster, job
-from dappledrum.simulation.virtual_time import run
 
 JOBS = 150
 
@@ -29,97 +28,85 @@
     return answers
 
 
-def test_a_swarm_shares_reads_and_writes_four_changes_a_job():
+async def test_a_swarm_shares_reads_and_writes_four_changes_a_job():
     """Each poll once was a read of its own, and hundreds of them starved submissions."""
 
-    async def main():
-        cluster = SimulatedCluster(seed=14, rps=60.0)
-        await cluster.until(lambda: cluster.leader() is not None)
-        writes, requests = cluster.store.writes, cluster.store.requests
-        users = []
-        for number in range(JOBS):
-            users.append(asyncio.get_running_loop().create_task(served(cluster, number)))
-            await cluster.wait(0.05)
-        await cluster.until(lambda: all(user.done() for user in users))
-        answers = sum((user.result() for user in users), Counter())
-        assert answers.total() > JOBS * 10
-        assert answers[None] < answers.total() * 0.02
-        assert cluster.store.writes - writes < JOBS * 4.5
-        assert cluster.store.requests - requests < answers.total() * 0.5
-
-    run(main())
-
-
-def test_jobs_of_one_task_that_are_alike_make_one_bag():
+    cluster = SimulatedCluster(seed=14, rps=60.0)
+    await cluster.until(lambda: cluster.leader() is not None)
+    writes, requests = cluster.store.writes, cluster.store.requests
+    users = []
+    for number in range(JOBS):
+        users.append(asyncio.get_running_loop().create_task(served(cluster, number)))
+        await cluster.wait(0.05)
+    await cluster.until(lambda: all(user.done() for user in users))
+    answers = sum((user.result() for user in users), Counter())
+    assert answers.total() > JOBS * 10
+    assert answers[None] < answers.total() * 0.02
+    assert cluster.store.writes - writes < JOBS * 4.5
+    assert cluster.store.requests - requests < answers.total() * 0.5
+
+
+async def test_jobs_of_one_task_that_are_alike_make_one_bag():
     """A plan for 800 of them took two seconds, a bag each."""
 
-    async def main():
-        cluster = SimulatedCluster(seed=15)
-        most, cluster.cloud.most = cluster.cloud.most, 0  # nothing starts, so all stay ready
-        await cluster.until(lambda: cluster.leader() is not None)
-        await cluster.wait(1)
-        for number in range(40):
-            image = "img-1" if number < 20 else "img-2"
-            spec = job(number, beats=1, skin=image, dueS=600.0)
-            assert await cluster.submit(spec) == 201
-        await cluster.submit(job(100, beats=9))
-        await cluster.wait(2)
-        dispatcher = cluster.controllers[cluster.leader()].leader.dispatcher
-        bags = dispatcher.work.bags(dispatcher.clock.now(), 0.0)
-        sizes = Counter()
-        for bag in bags:
-            sizes[bag.image, bag.total == 9] += bag.ready
-        assert sizes == {("img-1", False): 20, ("img-2", False): 20, ("img-1", True): 9}
-        assert len(bags) <= 7
-        cluster.cloud.most = most
-        await cluster.finish([f"j-{n:06d}" for n in [*range(40), 100]])
-
-    run(main())
-
-
-def test_submissions_that_come_together_share_a_transaction_and_not_their_refusals():
-    async def main():
-        cluster = SimulatedCluster(seed=16)
-        await cluster.until(lambda: cluster.leader() is not None)
-        await cluster.wait(3)
-        specs = [job(number, beats=1) for number in range(8)]
-        assert await cluster.submit(specs[3]) == 201
-        requests = cluster.store.requests
-        member = next(m for m in cluster.members if m != cluster.leader())
-        twice = [*specs, specs[5]]
-        statuses = await asyncio.gather(*(cluster.submit(spec, 1, member) for spec in twice))
-        assert statuses == [201, 201, 201, 200, 201, 201, 201, 201, statuses[8]]
-        assert statuses[8] in (200, 201)
-        assert cluster.store.requests - requests < 25
-        await cluster.finish([spec["id"] for spec in specs])
-
-    run(main())
-
-
-def test_a_slow_answer_holds_up_no_later_submission():
+    cluster = SimulatedCluster(seed=15)
+    most, cluster.cloud.most = cluster.cloud.most, 0  # nothing starts, so all stay ready
+    await cluster.until(lambda: cluster.leader() is not None)
+    await cluster.wait(1)
+    for number in range(40):
+        image = "img-1" if number < 20 else "img-2"
+        spec = job(number, beats=1, skin=image, dueS=600.0)
+        assert await cluster.submit(spec) == 201
+    await cluster.submit(job(100, beats=9))
+    await cluster.wait(2)
+    dispatcher = cluster.controllers[cluster.leader()].leader.dispatcher
+    bags = dispatcher.work.bags(dispatcher.clock.now(), 0.0)
+    sizes = Counter()
+    for bag in bags:
+        sizes[bag.image, bag.total == 9] += bag.ready
+    assert sizes == {("img-1", False): 20, ("img-2", False): 20, ("img-1", True): 9}
+    assert len(bags) <= 7
+    cluster.cloud.most = most
+    await cluster.finish([f"j-{n:06d}" for n in [*range(40), 100]])
+
+
+async def test_submissions_that_come_together_share_a_transaction_and_not_their_refusals():
+    cluster = SimulatedCluster(seed=16)
+    await cluster.until(lambda: cluster.leader() is not None)
+    await cluster.wait(3)
+    specs = [job(number, beats=1) for number in range(8)]
+    assert await cluster.submit(specs[3]) == 201
+    requests = cluster.store.requests
+    member = next(m for m in cluster.members if m != cluster.leader())
+    twice = [*specs, specs[5]]
+    statuses = await asyncio.gather(*(cluster.submit(spec, 1, member) for spec in twice))
+    assert statuses == [201, 201, 201, 200, 201, 201, 201, 201, statuses[8]]
+    assert statuses[8] in (200, 201)
+    assert cluster.store.requests - requests < 25
+    await cluster.finish([spec["id"] for spec in specs])
+
+
+async def test_a_slow_answer_holds_up_no_later_submission():
     """Written one transaction at a time, each slow answer made the next users wait, too."""
 
-    async def main():
-        cluster = SimulatedCluster(seed=17)
-        await cluster.until(lambda: cluster.leader() is not None)
-        await cluster.wait(2)
-        member = next(m for m in cluster.members if m != cluster.leader())
-        state, slow = cluster.network.services["state"], True
-
-        async def service(source, method, path, body):
-            nonlocal slow
-            if slow and source == member and b'"job/' in body:
-                slow = False
-                await asyncio.sleep(0.6)
-            return await state(source, method, path, body)
-
-        cluster.network.services["state"] = service
-        loop = asyncio.get_running_loop()
-        first = loop.create_task(cluster.submit(job(1), 1, member))
-        await asyncio.sleep(0.05)
-        began = loop.time()
-        assert await cluster.submit(job(2), 1, member) == 201
-        assert loop.time() - began < 0.2
-        assert await first == 201
-
-    run(main())
+    cluster = SimulatedCluster(seed=17)
+    await cluster.until(lambda: cluster.leader() is not None)
+    await cluster.wait(2)
+    member = next(m for m in cluster.members if m != cluster.leader())
+    state, slow = cluster.network.services["state"], True
+
+    async def service(source, method, path, body):
+        nonlocal slow
+        if slow and source == member and b'"job/' in body:
+            slow = False
+            await asyncio.sleep(0.6)
+        return await state(source, method, path, body)
+
+    cluster.network.services["state"] = service
+    loop = asyncio.get_running_loop()
+    first = loop.create_task(cluster.submit(job(1), 1, member))
+    await asyncio.sleep(0.05)
+    began = loop.time()
+    assert await cluster.submit(job(2), 1, member) == 201
+    assert loop.time() - began < 0.2
+    assert await first == 201
--- a/dappledrum/controller/test_upgrade.py
+++ b/dappledrum/controller/test_upgrade.py
@@ -16,7 +16,6 @@
 from dappledrum.jobs.page_encoding import load_rows, page_changes
 from dappledrum.settings import NextLimits
 from dappledrum.simulation.cluster import SimulatedCluster, job
-from dappledrum.simulation.virtual_time import run
 
 NEXT = NextLimits(write_rps=40.0, value_kb=2.0, txn_ops=8)
 
@@ -110,59 +109,53 @@
         crash_in_the_midst,
     ],
 )
-def test_an_upgrade_while_serving_and_limits_that_drop_right_after(upgrade):
-    async def main():
-        cluster = old_world(51)
-        await cluster.until(lambda: cluster.leader() is not None)
-        await submit_old(cluster)
-        await upgrade(cluster)
-        assert not cluster.old and not cluster.store.too_large
-        cluster.drop_limits()
-        # Named by both: a job of the version before, still live or not.
-        assert await cluster.submit(job(10, waitsOn=[name(1), name(4)], dueS=None)) == 201
-        assert await cluster.submit(job(11, waitsOn=[name(10)], dueS=200.0)) == 201
-        assert await cluster.submit(job(12, waitsOn=[name(3)])) == 201
-        await cluster.finish([name(n) for n in (1, 3, 4, 10, 11, 12)])
-        assert await cluster.poll(name(2)) == "running"
-        assert await cluster.cancel(name(2)) == "cancelled"
-        await cluster.wait(25)
-        assert not cluster.rules.running
-        assert await cluster.poll(name(2)) == "cancelled"
-        await cluster.wait(5)
-        left = [key for key in cluster.store.keys if key.split("/")[0] in ("page", "rows", "spec")]
-        assert not left
-        assert cluster.store.over_rate <= 3
-        # The first refusal only tells that the limits have dropped.
-        assert len(cluster.store.too_large) <= 3
-
-    run(main())
-
-
-def test_limits_that_drop_before_all_have_told_their_version():
+async def test_an_upgrade_while_serving_and_limits_that_drop_right_after(upgrade):
+    cluster = old_world(51)
+    await cluster.until(lambda: cluster.leader() is not None)
+    await submit_old(cluster)
+    await upgrade(cluster)
+    assert not cluster.old and not cluster.store.too_large
+    cluster.drop_limits()
+    # Named by both: a job of the version before, still live or not.
+    assert await cluster.submit(job(10, waitsOn=[name(1), name(4)], dueS=None)) == 201
+    assert await cluster.submit(job(11, waitsOn=[name(10)], dueS=200.0)) == 201
+    assert await cluster.submit(job(12, waitsOn=[name(3)])) == 201
+    await cluster.finish([name(n) for n in (1, 3, 4, 10, 11, 12)])
+    assert await cluster.poll(name(2)) == "running"
+    assert await cluster.cancel(name(2)) == "cancelled"
+    await cluster.wait(25)
+    assert not cluster.rules.running
+    assert await cluster.poll(name(2)) == "cancelled"
+    await cluster.wait(5)
+    left = [key for key in cluster.store.keys if key.split("/")[0] in ("page", "rows", "spec")]
+    assert not left
+    assert cluster.store.over_rate <= 3
+    # The first refusal only tells that the limits have dropped.
+    assert len(cluster.store.too_large) <= 3
+
+
+async def test_limits_that_drop_before_all_have_told_their_version():
     """One controller does not come back for a while, so records are still written whole; the
     first refusal tells, and nothing stays unwritable."""
 
-    async def main():
-        cluster = old_world(53)
-        await cluster.until(lambda: cluster.leader() is not None)
-        await submit_old(cluster)
-        missing = next(member for member in cluster.members if member != cluster.leader())
-        cluster.kill(missing)
-        for member in cluster.members:
-            if member != missing:
-                await cluster.upgrade(member)
-                await cluster.wait(4)
-        cluster.drop_limits()
-        await cluster.finish([name(3), name(4)])
-        assert 0 < len(cluster.store.too_large) < 12
-        assert await cluster.cancel(name(2)) == "cancelled"
-        cluster.old.clear()
-        cluster.start(missing)
-        await cluster.finish([name(1)])
-        await cluster.wait(25)
-        assert not cluster.rules.running
-
-    run(main())
+    cluster = old_world(53)
+    await cluster.until(lambda: cluster.leader() is not None)
+    await submit_old(cluster)
+    missing = next(member for member in cluster.members if member != cluster.leader())
+    cluster.kill(missing)
+    for member in cluster.members:
+        if member != missing:
+            await cluster.upgrade(member)
+            await cluster.wait(4)
+    cluster.drop_limits()
+    await cluster.finish([name(3), name(4)])
+    assert 0 < len(cluster.store.too_large) < 12
+    assert await cluster.cancel(name(2)) == "cancelled"
+    cluster.old.clear()
+    cluster.start(missing)
+    await cluster.finish([name(1)])
+    await cluster.wait(25)
+    assert not cluster.rules.running
 
 
 def placed(page):
@@ -204,22 +197,19 @@
     assert len(removed) > 1
 
 
-def test_hundreds_of_names_are_taken_and_too_many_are_refused():
-    async def main():
-        cluster = SimulatedCluster(seed=52, next=NEXT)
-        cluster.drop_limits()
-        await cluster.until(lambda: cluster.leader() is not None)
-        await cluster.wait(5)
-        ids = []
-        for number in range(300):
-            spec = job(number, beats=1, vcpus=0.1, memGb=0.1, runS=1.0, dueS=None)
-            ids.append(spec["id"])
-            assert await cluster.submit(spec) == 201
-        assert await cluster.submit(job(900, waitsOn=ids)) == 201
-        await cluster.restart(cluster.leader())
-        await cluster.finish([name(900)])
-        assert not cluster.store.too_large
-        await asyncio.sleep(5)
-        assert not [key for key in cluster.store.keys if key.startswith("spec/")]
-
-    run(main())
+async def test_hundreds_of_names_are_taken_and_too_many_are_refused():
+    cluster = SimulatedCluster(seed=52, next=NEXT)
+    cluster.drop_limits()
+    await cluster.until(lambda: cluster.leader() is not None)
+    await cluster.wait(5)
+    ids = []
+    for number in range(300):
+        spec = job(number, beats=1, vcpus=0.1, memGb=0.1, runS=1.0, dueS=None)
+        ids.append(spec["id"])
+        assert await cluster.submit(spec) == 201
+    assert await cluster.submit(job(900, waitsOn=ids)) == 201
+    await cluster.restart(cluster.leader())
+    await cluster.finish([name(900)])
+    assert not cluster.store.too_large
+    await asyncio.sleep(5)
+    assert not [key for key in cluster.store.keys if key.startswith("spec/")]
--- a/dappledrum/controller/unreached_leader.py
+++ b/dappledrum/controller/unreached_leader.py
@@ -33,7 +33,9 @@
     ) -> None:
         self.clock: Clock = environment.clock
         self.peer_heartbeats = environment.tuning.reach
-        self.silence = max(environment.params.workers.heartbeat_interval * MAX_MISSED_HEARTBEATS, MIN_SILENCE)
+        self.silence = max(
+            environment.params.workers.heartbeat_interval * MAX_MISSED_HEARTBEATS, MIN_SILENCE
+        )
         self.term_runner = term_runner
         self.elector = term_runner.elector
         self.peers = term_runner.clients.peers
--- a/dappledrum/membership/test_link_health.py
+++ b/dappledrum/membership/test_link_health.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from dappledrum.simulation.fault_combinations import FIVE
-from dappledrum.simulation.scenario import busy_cluster
+from dappledrum.simulation.scenario import cluster_with_long_jobs
 from dappledrum.simulation.virtual_time import run
 
 GROUPS = 3
@@ -106,7 +106,7 @@
 
 
 async def play(drawn, length=40.0):
-    cluster = await busy_cluster(seed=7)
+    cluster = await cluster_with_long_jobs(seed=7)
     cluster.cloud.most = len(cluster.cloud.machines)  # none comes that the drawn links do not name
     for phase in drawn:
         apply(cluster, phase)
--- a/dappledrum/membership/test_outages.py
+++ b/dappledrum/membership/test_outages.py
@@ -7,7 +7,7 @@
 
 from dappledrum.simulation.cluster import SimulatedCluster
 from dappledrum.simulation.fault_combinations import FIVE
-from dappledrum.simulation.scenario import busy_cluster, nothing_lost
+from dappledrum.simulation.scenario import cluster_with_long_jobs, wait_without_lost_leases
 from dappledrum.simulation.virtual_time import run
 
 
@@ -17,7 +17,7 @@
     that ran."""
 
     async def main():
-        cluster = await busy_cluster(seed=4)
+        cluster = await cluster_with_long_jobs(seed=4)
         missing = next(m for m in FIVE if m != cluster.leader())
         if how == "killed":
             cluster.kill(missing)
@@ -27,12 +27,12 @@
             others = [m for m in FIVE if m != missing]
             cluster.cut_off(missing, "state", *others, *("back-" + m for m in others))
         cluster.store.out = True
-        await nothing_lost(cluster, 15)
+        await wait_without_lost_leases(cluster, 15)
         cluster.store.end_outage()
         if how == "frozen":
             cluster.thaw(missing)
         cluster.network.heal()
-        await nothing_lost(cluster, 5)
+        await wait_without_lost_leases(cluster, 5)
 
     run(main())
 
@@ -42,7 +42,7 @@
     cancellation, 9 s of lease, 5 s to spare."""
 
     async def main():
-        cluster = await busy_cluster(seed=4)
+        cluster = await cluster_with_long_jobs(seed=4)
         leader = cluster.leader()
         cluster.kill(next(m for m in FIVE if m != leader))
         cluster.store.out = True
@@ -83,7 +83,7 @@
     not hear of counts as running until a majority has told that it holds to no promise."""
 
     async def main():
-        cluster = await busy_cluster(seed=5)
+        cluster = await cluster_with_long_jobs(seed=5)
         leader, _ = two_sides(cluster)
         await cluster.until(lambda: cluster.leader() not in (None, leader), most=10)
         seen = 0.0
@@ -107,7 +107,7 @@
 
 def test_who_stands_without_a_majority_of_the_living_leads_all_the_same():
     async def main():
-        cluster = await busy_cluster(seed=6)
+        cluster = await cluster_with_long_jobs(seed=6)
         leader = cluster.leader()
         others = [m for m in FIVE if m != leader]
         for member in (leader, *others[:2]):
--- a/dappledrum/membership/test_partitions.py
+++ b/dappledrum/membership/test_partitions.py
@@ -9,12 +9,16 @@
 from dappledrum.simulation.cluster import job, led_cluster
 from dappledrum.simulation.fault_combinations import FIVE
 from dappledrum.simulation.network_partitions import after
-from dappledrum.simulation.scenario import busy_cluster, nothing_lost, sessions
+from dappledrum.simulation.scenario import (
+    cluster_with_long_jobs,
+    sessions,
+    wait_without_lost_leases,
+)
 
 
 async def test_who_is_not_served_names_no_former_leader():
     """Four that the store did not serve once named the former leader to every worker."""
-    cluster = await busy_cluster(lease_s=15.0)
+    cluster = await cluster_with_long_jobs(lease_s=15.0)
     leader = cluster.leader()
     others = cluster.others(leader)
     heartbeat = {"drum": "host-9", "endpoint": "10.1.0.1:9000", "build": "small", "hall": "a"}
@@ -38,7 +42,7 @@
 async def test_four_of_five_lose_the_state_service(mode, seed):
     """The four once named the former leader to every worker, which went round between them until
     its lease was over, while the fifth led and reached everything."""
-    cluster = await busy_cluster(seed=seed)
+    cluster = await cluster_with_long_jobs(seed=seed)
     leader = cluster.leader()
     fifth = after(leader, 3)
     for member in cluster.others(fifth):
@@ -48,7 +52,7 @@
             cluster.network.refusing.add(frozenset((member, "state")))
         else:
             cluster.store.refused.add(member)
-    await nothing_lost(cluster, 30)
+    await wait_without_lost_leases(cluster, 30)
     assert cluster.leader() == fifth
     for member in cluster.others(fifth):
         assert await cluster.poll("j-000001", member) == "running"
@@ -59,7 +63,7 @@
 @pytest.mark.parametrize("seed", range(2))
 async def test_the_leader_alone_is_cut_off_from_all_workers(seed):
     """It once needed three heartbeats' time to see it, and its successor was drawn by lot."""
-    cluster = await busy_cluster(seed=seed, lease_s=15.0)
+    cluster = await cluster_with_long_jobs(seed=seed, lease_s=15.0)
     leader = cluster.leader()
     other = after(leader, 2)
     for name in cluster.cloud.machines:
@@ -67,13 +71,13 @@
         cluster.network.cut(other, name)
     took = await cluster.until(lambda: cluster.leader() not in (None, leader))
     assert took < 5 and cluster.leader() != other
-    await nothing_lost(cluster, 20)
+    await wait_without_lost_leases(cluster, 20)
 
 
 async def test_a_leader_that_neither_workers_nor_peers_reach_steps_aside():
     """Connections between controllers are refused, so it can ask nobody; it once kept its key
     until they were no more."""
-    cluster = await busy_cluster(seed=2, lease_s=24.0)
+    cluster = await cluster_with_long_jobs(seed=2, lease_s=24.0)
     await cluster.wait(8)
     leader = cluster.leader()
     for one in FIVE:
@@ -83,11 +87,11 @@
         cluster.network.refusing.add(frozenset((leader, name)))
     took = await cluster.until(lambda: cluster.leader() not in (None, leader))
     assert took < 10
-    await nothing_lost(cluster, 20)
+    await wait_without_lost_leases(cluster, 20)
 
 
 async def test_the_only_one_left_leads_again_when_it_has_stepped_aside():
-    cluster = await busy_cluster(seed=2, lease_s=24.0)
+    cluster = await cluster_with_long_jobs(seed=2, lease_s=24.0)
     await cluster.wait(8)
     leader = cluster.leader()
     for member in cluster.others(leader):
@@ -101,7 +105,7 @@
 
 async def test_only_one_controller_reaches_the_workers_and_another_the_state_service():
     """Neither can serve alone: heartbeats go through the one to the other."""
-    cluster = await busy_cluster(seed=3, lease_s=20.0)
+    cluster = await cluster_with_long_jobs(seed=3, lease_s=20.0)
     leader = cluster.leader()
     through = after(leader, 1)
     for member in FIVE:
@@ -110,7 +114,7 @@
         if member != through:
             for name in cluster.cloud.machines:
                 cluster.network.cut(member, name)
-    await nothing_lost(cluster, 40)
+    await wait_without_lost_leases(cluster, 40)
     assert cluster.leader() == leader
     await cluster.submit(job(50), member=leader)
     await cluster.until(lambda: any(j == "j-000050" for j, _ in cluster.rules.running), 30)
@@ -118,7 +122,7 @@
 
 async def test_a_zone_is_cut_off_with_the_leader_inside():
     """Inside it goes on as long as it may; outside another leads, and loses none of its own."""
-    cluster = await busy_cluster(seed=8, lease_s=15.0)
+    cluster = await cluster_with_long_jobs(seed=8, lease_s=15.0)
     await cluster.accept(job(60, beats=4, hall="b", runS=200.0, expectedS=200.0, dueS=400.0))
     await cluster.until(lambda: len(cluster.rules.running) == 22)
     leader = cluster.leader()
@@ -146,7 +150,7 @@
 async def test_links_that_come_and_go_move_leadership_only_so_often(caplog):
     """Every two seconds the store refuses the other half of the controllers: a leader may
     hand over three times a minute, and its lease lasts through the rest."""
-    cluster = await busy_cluster(seed=4)
+    cluster = await cluster_with_long_jobs(seed=4)
     before = max(controller.elector.epoch for controller in cluster.controllers.values())
     for second in range(60):
         refused = [m for n, m in enumerate(FIVE) if (n + second // 2) % 2]
@@ -165,7 +169,7 @@
 @pytest.mark.parametrize("who", ["leader", "successor"])
 async def test_a_handover_in_the_midst_of_which_one_is_cut_off_or_ends(who, when):
     """Whatever arrives of it, and however late: one leads, and nothing is lost."""
-    cluster = await busy_cluster(seed=5)
+    cluster = await cluster_with_long_jobs(seed=5)
     leader = cluster.leader()
     successor = after(leader, 1)
     cluster.controllers[leader].elector.transfer_leadership(successor, "a test")
@@ -173,13 +177,13 @@
     gone = leader if who == "leader" else successor
     cluster.isolate(gone)
     await cluster.until(lambda: cluster.leader() not in (None, gone), most=12)
-    await nothing_lost(cluster, 10)
+    await wait_without_lost_leases(cluster, 10)
     cluster.network.heal()
-    await nothing_lost(cluster, 10)
+    await wait_without_lost_leases(cluster, 10)
 
 
 async def test_an_offer_that_comes_late_is_declined():
-    cluster = await busy_cluster(seed=6)
+    cluster = await cluster_with_long_jobs(seed=6)
     leader = cluster.leader()
     term = cluster.controllers[leader].elector.term
     offer = TransferLeadership(leader, term.epoch, term.version, [], True)
--- a/dappledrum/simulation/crash_points.py
+++ b/dappledrum/simulation/crash_points.py
@@ -1,9 +1,9 @@
-"""Processes that end at a chosen step of what they do, and are there again within a second.
+"""Processes that crash at a chosen step of what they do, and restart within a second.
 
-A step is told by the request that it sends, or by the one that it is about to answer. When the
-chosen one comes by, its sender (or whoever should answer) ends: before anything has left, right
-after the request has, or so that the request is executed a while later, when the next process of
-the same name runs already. That one begins after a span drawn from 0 to 1 s.
+A step is recognised by the request that it sends, or by the one that it is about to answer. At
+the chosen one its sender (or whoever should answer) crashes: before the request has left, right
+after it has, or so that the request is executed a while later, when the next process of the same
+name runs already. That one starts after a delay drawn from 0 to 1 s.
 """
 
 import asyncio
@@ -17,12 +17,13 @@
 from dappledrum.simulation.fault_combinations import FIVE
 from dappledrum.simulation.network import Sent, host
 
-BACK = (0.0, 0.01, 0.1, 0.3, 1.0)
-MAX_LATENESS = 5.0
+RESTART_DELAYS_S = (0.0, 0.01, 0.1, 0.3, 1.0)
+MAX_REQUEST_DELAY_S = 5.0
+NEVER_S = 3600.0  # longer than any test
 
 
 class Step(NamedTuple):
-    """A kind of request, and whether it is who answers it that ends."""
+    """A kind of request, and whether it is the answering process that crashes."""
 
     matches: Callable[[Sent], bool]
     answering: bool = False
@@ -45,102 +46,119 @@
 
 
 STEPS: dict[str, Step] = {
-    "first look": _step("state", "/keys?prefix=leader"),
+    "read of the leader key": _step("state", "/keys?prefix=leader"),
     "lease": Step(lambda sent: sent.target == "state" and sent.path == "/holds"),
-    "end of the former hold": Step(
+    "end of the former lease": Step(
         lambda sent: sent.target == "state" and re.fullmatch(r"/holds/\d+", sent.path) is not None
     ),
-    "candidate asks": _peer(b"standing"),
-    "candidate is answered": _peer(b"standing", True),
+    "pre-vote sent": _peer(b"standing"),
+    "pre-vote answered": _peer(b"standing", True),
     "election": Step(lambda sent: _writes(sent, b"leader")),
     "renewal": Step(lambda sent: sent.target == "state" and sent.path.endswith("/touch")),
-    "first read": _step("state", "/keys?prefix=job/"),
+    "read of the jobs": _step("state", "/keys?prefix=job/"),
     "records": Step(lambda sent: _writes(sent, b"job/")),
     "end of a job": Step(lambda sent: _writes(sent, b"ended/")),
     "rental": Step(lambda sent: sent.target == "cloud" and sent.path == "/rentals"),
     "return": _step("cloud", "/rentals/return"),
-    "promise asked": _peer(b"promise"),
-    "promise given": _peer(b"promise", True),
-    "handover": _peer(b"hand_over"),
-    "handover taken": _peer(b"hand_over", True),
-    "word": _peer(b"reach"),
-    "report": Step(lambda sent: sent.path == "/hello", True),
+    "lease grant requested": _peer(b"promise"),
+    "lease grant given": _peer(b"promise", True),
+    "leadership transfer sent": _peer(b"hand_over"),
+    "leadership transfer accepted": _peer(b"hand_over", True),
+    "peer heartbeat": _peer(b"reach"),
+    "heartbeat": Step(lambda sent: sent.path == "/hello", True),
+}
+
+
+#: Earlier names of steps, which seed their draws, so that the same moments are drawn as ever.
+SEED_NAMES = {
+    "read of the leader key": "first look",
+    "end of the former lease": "end of the former hold",
+    "pre-vote sent": "candidate asks",
+    "pre-vote answered": "candidate is answered",
+    "read of the jobs": "first read",
+    "lease grant requested": "promise asked",
+    "lease grant given": "promise given",
+    "leadership transfer sent": "handover",
+    "leadership transfer accepted": "handover taken",
+    "peer heartbeat": "word",
+    "heartbeat": "report",
 }
 
 
 class CrashPoints:
-    """Ends controllers of a world at one step, now and then."""
+    """Crashes controllers of a cluster at one step, now and then."""
 
     def __init__(
-        self, cluster: SimulatedCluster, step: Step, rng: random.Random, most: int
+        self, cluster: SimulatedCluster, step: Step, rng: random.Random, max_crashes: int
     ) -> None:
         self.cluster = cluster
         self.step = step
         self.rng = rng
-        self.most = most
-        self.next = rng.randint(1, 2)  # of those that come by, until one is chosen
-        self.fates: Counter[str] = Counter()
-        cluster.network.watcher = self._sees
+        self.max_crashes = max_crashes
+        self.until_crash = rng.randint(1, 2)  # matching requests
+        self.crashes: Counter[str] = Counter()  # by moment
+        cluster.network.watcher = self._observe
 
-    def _sees(self, sent: Sent) -> float | None:
-        if self.fates.total() >= self.most or not self.step.matches(sent):
+    def _observe(self, sent: Sent) -> float | None:
+        if self.crashes.total() >= self.max_crashes or not self.step.matches(sent):
             return None
         member = host(sent.target if self.step.answering else sent.source)
         if member not in self.cluster.members or not self.cluster.alive(member):
             return None
-        self.next -= 1
-        if self.next > 0:
+        self.until_crash -= 1
+        if self.until_crash > 0:
             return None
-        self.next = self.rng.randint(1, 8)
-        fate = self.rng.choice(("before", "after", "late"))
-        self.fates[fate] += 1
+        self.until_crash = self.rng.randint(1, 8)
+        moment = self.rng.choice(("before", "after", "late"))
+        self.crashes[moment] += 1
         loop = asyncio.get_running_loop()
-        if fate == "after":
-            loop.call_later(self.rng.uniform(0.0, 0.01), self._end, member)
+        if moment == "after":
+            loop.call_later(self.rng.uniform(0.0, 0.01), self._crash, member)
             return None
-        self._end(member)
+        self._crash(member)
         if self.step.answering:
-            return None  # nobody is there, or the next process
-        return self.rng.uniform(0.0, MAX_LATENESS) if fate == "late" else 3600.0
+            return None  # no process answers, or the next one
+        return self.rng.uniform(0.0, MAX_REQUEST_DELAY_S) if moment == "late" else NEVER_S
 
-    def _end(self, member: str) -> None:
+    def _crash(self, member: str) -> None:
         if self.cluster.alive(member):
             self.cluster.kill(member)
             asyncio.get_running_loop().call_later(
-                self.rng.choice(BACK), self.cluster.start, member
+                self.rng.choice(RESTART_DELAYS_S), self.cluster.start, member
             )
 
 
-async def play_ends(step: str, seed: int) -> int:
-    """Play five controllers at work that end at one step, now and then, until every job is over;
-    how often one did."""
-    rng = random.Random(f"{step} {seed}")
+async def run_with_crashes(step: str, seed: int) -> int:
+    """Run five controllers that crash at one step, now and then, until every job has finished;
+    returns the number of crashes."""
+    rng = random.Random(f"{SEED_NAMES.get(step, step)} {seed}")
     cluster = await led_cluster(seed, members=FIVE)
-    ends = CrashPoints(cluster, STEPS[step], rng, most=10)
+    crash_points = CrashPoints(cluster, STEPS[step], rng, max_crashes=10)
     names = []
     for number in range(6):
         spec = job(number, beats=6, dueS=None, crew="red" if number == 5 else "blue")
         names.append(spec["id"])
         assert await cluster.submit(spec) in (200, 201)
     await cluster.until(lambda: cluster.rules.starts >= 4)
-    names.append(await _make_each_step_come_by(cluster, rng))
+    names.append(await _reach_each_step(cluster, rng))
     cluster.network.watcher = None
     await cluster.wait(2)
     await cluster.finish(names, most=400)
-    return ends.fates.total()
+    return crash_points.crashes.total()
 
 
-async def _make_each_step_come_by(cluster: SimulatedCluster, rng: random.Random) -> str:
-    """An outage, leaders that end or must hand over, machines taken; the name of a job that was
-    submitted meanwhile."""
+async def _reach_each_step(cluster: SimulatedCluster, rng: random.Random) -> str:
+    """An outage, leaders that crash or must transfer leadership, machines taken; the name of a job
+    that was submitted meanwhile."""
     for _ in range(2):
         await cluster.wait(rng.uniform(1, 3))
-        if cluster.leader() is not None:
-            await cluster.restart(cluster.leader(), rng.uniform(0, 4))
+        leader = cluster.leader()
+        if leader is not None:
+            await cluster.restart(leader, rng.uniform(0, 4))
     cluster.store.out = True
     await cluster.wait(rng.uniform(2, 4))
     cluster.store.end_outage()
-    await cluster.wait(rng.uniform(14, 16))  # a term that is long enough to be handed over
+    await cluster.wait(rng.uniform(14, 16))  # a term that is long enough for a transfer
     leader = cluster.leader()
     if leader is not None:
         cluster.store.refused.add(leader)
@@ -151,8 +169,9 @@
     late = job(900, dueS=None)
     assert await cluster.submit(late) in (200, 201)
     await cluster.wait(60)  # and idle machines for long enough to be returned
-    if cluster.leader() is not None:
-        cluster.store.refused.add(cluster.leader())
+    leader = cluster.leader()
+    if leader is not None:
+        cluster.store.refused.add(leader)
     await cluster.wait(6)
     cluster.store.refused.clear()
     return str(late["id"])
--- a/dappledrum/simulation/fault_scenarios.py
+++ b/dappledrum/simulation/fault_scenarios.py
@@ -1,21 +1,28 @@
-"""Troubles that tests bring about in a world: each is a coroutine that takes the world and returns
-once it is over, or once only the network is left to heal."""
+"""Faults that tests bring about in a simulated cluster: each is a coroutine that returns once the
+fault has ended, or once only the network is left to heal."""
 
 from collections.abc import Awaitable, Callable
 
 from dappledrum.simulation.cluster import SimulatedCluster, job
 
-FaultLog = Callable[[SimulatedCluster], Awaitable[None]]
+Fault = Callable[[SimulatedCluster], Awaitable[None]]
 
 
-def in_turn(*troubles: FaultLog) -> FaultLog:
-    """Some troubles, one after the other."""
+def leading(cluster: SimulatedCluster) -> str:
+    """The controller that leads; there must be one when the fault begins."""
+    leader = cluster.leader()
+    assert leader is not None, "no controller leads"
+    return leader
+
+
+def in_turn(*faults: Fault) -> Fault:
+    """Some faults, one after the other."""
 
-    async def all_of_them(cluster: SimulatedCluster) -> None:
-        for fault in troubles:
+    async def each_in_turn(cluster: SimulatedCluster) -> None:
+        for fault in faults:
             await fault(cluster)
 
-    return all_of_them
+    return each_in_turn
 
 
 # controllers
@@ -27,12 +34,12 @@
 
 
 async def leader_killed(cluster: SimulatedCluster) -> None:
-    """The leader ends, and starts again."""
-    await cluster.restart(cluster.leader())
+    """The leader crashes, and restarts."""
+    await cluster.restart(leading(cluster))
 
 
 async def all_killed(cluster: SimulatedCluster) -> None:
-    """All controllers end at once."""
+    """All controllers crash at once."""
     await cluster.restart_all()
 
 
@@ -43,20 +50,20 @@
         await cluster.wait(6)
 
 
-async def silent_for_a_minute_then_again(cluster: SimulatedCluster) -> None:
-    """A controller without power; the others serve, and its successor meets the same."""
+async def leader_down_for_a_minute_twice(cluster: SimulatedCluster) -> None:
+    """A controller loses power while the others serve; then its successor does."""
     for _ in range(2):
-        await cluster.restart(cluster.leader(), after=60)
+        await cluster.restart(leading(cluster), after=60)
         await cluster.until_led()
 
 
-def pausing(which: str, seconds: float) -> FaultLog:
-    """Some controllers ("leader", "follower" or "all") stand still while their clocks go on."""
+def pausing(which: str, seconds: float) -> Fault:
+    """Some controllers ("leader", "follower" or "all") are suspended while their clocks go on."""
 
     async def fault(cluster: SimulatedCluster) -> None:
         leader = cluster.leader()
         paused = {
-            "leader": [leader],
+            "leader": [leader] if leader is not None else [],
             "follower": cluster.others(leader)[:1],
             "all": list(cluster.members),
         }[which]
@@ -74,7 +81,7 @@
 # the store
 
 
-def outage(seconds: float) -> FaultLog:
+def outage(seconds: float) -> Fault:
     """The store answers nobody."""
 
     async def fault(cluster: SimulatedCluster) -> None:
@@ -96,7 +103,7 @@
 
 
 async def outage_and_all_killed(cluster: SimulatedCluster) -> None:
-    """All controllers end in an outage, and start again in it."""
+    """All controllers crash in an outage, and restart in it."""
     cluster.store.out = True
     await cluster.wait(4)
     await all_killed(cluster)
@@ -106,7 +113,7 @@
 
 async def leader_refused_in_a_wave(cluster: SimulatedCluster) -> None:
     """The store refuses the leader while half of the spot machines are taken."""
-    cluster.store.refused.add(cluster.leader())
+    cluster.store.refused.add(leading(cluster))
     for name in [m.name for m in cluster.cloud.machines.values() if m.kind[2]][::2]:
         cluster.cloud.take(name)
     await cluster.wait(20)
@@ -118,29 +125,29 @@
 
 async def leader_cut_from_state(cluster: SimulatedCluster) -> None:
     """Requests of the leader to the store are held back."""
-    cluster.cut_off(cluster.leader(), "state")
+    cluster.cut_off(leading(cluster), "state")
     await cluster.wait(25)
 
 
 async def leader_cut_from_workers(cluster: SimulatedCluster) -> None:
     """Nothing passes between the leader and the workers."""
-    leader = cluster.leader()
+    leader = leading(cluster)
     for name in list(cluster.cloud.machines):
         cluster.network.cut(leader, name)
     await cluster.wait(25)
 
 
 async def leader_cut_from_all(cluster: SimulatedCluster) -> None:
-    """Nobody but users reaches the leader."""
-    leader = cluster.leader()
+    """Only users reach the leader."""
+    leader = leading(cluster)
     cluster.isolate(leader)
     cluster.cut_off(leader, "cloud", *cluster.cloud.machines)
     await cluster.wait(25)
 
 
 async def cut_then_killed(cluster: SimulatedCluster) -> None:
-    """The leader is cut off from the workers, and ends 3 s later."""
-    leader = cluster.leader()
+    """The leader is cut off from the workers, and crashes 3 s later."""
+    leader = leading(cluster)
     for name in list(cluster.cloud.machines):
         cluster.network.cut(leader, name)
     await cluster.wait(3)
@@ -149,27 +156,27 @@
 
 
 async def answers_lost(cluster: SimulatedCluster) -> None:
-    """The store does what the leader asks, and its answers are lost."""
-    cluster.network.answers_dropped.add(frozenset((cluster.leader(), "state")))
+    """The store carries out the leader's requests, and its responses are lost."""
+    cluster.network.answers_dropped.add(frozenset((leading(cluster), "state")))
     await cluster.wait(8)
 
 
 async def _leader_refused_by(cluster: SimulatedCluster, *hosts: str) -> None:
-    leader = cluster.leader()
+    leader = leading(cluster)
     cluster.network.refusing |= {frozenset((leader, other)) for other in hosts}
     await cluster.wait(25)
     cluster.network.refusing.clear()
 
 
 async def workers_refused(cluster: SimulatedCluster) -> None:
-    """The leader looks well from the store's side, and no worker reaches it."""
+    """The store serves the leader, and no worker reaches it."""
     await _leader_refused_by(cluster, *cluster.cloud.machines)
 
 
 async def peers_refused_in_an_outage(cluster: SimulatedCluster) -> None:
-    """No promise can be had, so the leader has to fall silent in time."""
+    """No peer grants a lease, so the leader has to stop answering in time."""
     cluster.store.out = True
-    others = cluster.others(cluster.leader())
+    others = cluster.others(leading(cluster))
     await _leader_refused_by(cluster, *("back-" + member for member in others))
     cluster.store.end_outage()
 
@@ -179,7 +186,7 @@
 
 async def cloud_requests_arrive_late(cluster: SimulatedCluster) -> None:
     """Rentals and returns are held back, and executed under the next leader."""
-    leader = cluster.leader()
+    leader = leading(cluster)
     cluster.cut_off(leader, "cloud")
     await cluster.submit(job(800, beats=12, dueS=40.0))
     await cluster.wait(15)
@@ -192,7 +199,7 @@
 
 async def transactions_arrive_late(cluster: SimulatedCluster) -> None:
     """The leader's writes are held back until another one leads, then all arrive."""
-    leader = cluster.leader()
+    leader = leading(cluster)
     cluster.cut_off(leader, "state")
     await cluster.wait(8)
     assert cluster.leader() not in (None, leader)
@@ -202,7 +209,8 @@
 
 
 async def heartbeats_arrive_late(cluster: SimulatedCluster) -> None:
-    """Heartbeats are held back, their machines start anew, then the old heartbeats arrive."""
+    """Heartbeats are held back, their machines begin a new session, then the old heartbeats
+    arrive."""
     for name in list(cluster.cloud.machines)[:3]:
         for member in cluster.members:
             cluster.network.cut(name, member)
@@ -222,7 +230,7 @@
 
 
 async def machines_hang(cluster: SimulatedCluster) -> None:
-    """Two machines stand still, one of them for longer than its lease."""
+    """Two machines are suspended, one of them for longer than its lease."""
     hung = cluster.cloud.workers()[:2]
     for worker in hung:
         worker.hung = True
@@ -241,7 +249,7 @@
 
 
 async def boots_stall(cluster: SimulatedCluster) -> None:
-    """No machine that is rented comes up for a while."""
+    """No rented machine finishes booting for a while."""
     cluster.cloud.stalled = 1.0
     await machines_taken(cluster)
     await cluster.wait(20)
--- a/dappledrum/simulation/ground_truth.py
+++ b/dappledrum/simulation/ground_truth.py
@@ -1,7 +1,7 @@
-"""Compares what leaders take for proven with what is so on the machines.
+"""Compares what leaders consider proven with what is on the machines.
 
-A loop of a leader would only log a failed assertion and go on, so everything wrong is collected
-and looked at in the end.
+A loop of a leader would only log a failed assertion and go on, so wrong conclusions are collected
+and checked in the end.
 """
 
 import asyncio
@@ -19,82 +19,83 @@
 
 
 class GroundTruth:
-    """Which machines are gone, and what was wrongly concluded of any."""
+    """Which machines have terminated, and wrong conclusions about any of them."""
 
     def __init__(self) -> None:
         self.clouds: list[CloudService] = []
-        self.gone_at: dict[str, float] = {}
+        self.terminated_at: dict[str, float] = {}
         self.began_at: dict[Reconciler, float] = {}  # of each term
         self.proofs = 0
         self.wrong: list[str] = []
 
-    def check_gone(self, machine: str, task: str, attempt: int, why: str) -> None:
-        """A leader takes an attempt for gone from a machine."""
+    def check_terminated(self, machine: str, task: str, attempt: int, why: str) -> None:
+        """A leader considers an attempt terminated on a machine."""
         self.proofs += 1
-        if self._is_there(machine, task, attempt):
-            self.wrong.append(f"{task} is on {machine}, not gone: {why}")
+        if self._is_on_machine(machine, task, attempt):
+            self.wrong.append(f"{task} is on {machine}, not terminated: {why}")
 
-    def _is_there(self, machine: str, task: str, attempt: int) -> bool:
+    def _is_on_machine(self, machine: str, task: str, attempt: int) -> bool:
         for cloud in self.clouds:
             rented = cloud.machines.get(machine)
             worker = rented.worker if rented is not None else None
-            there = worker.attempts.get((task, attempt)) if worker is not None else None
-            if there is not None and there.state != "ended":
+            found = worker.attempts.get((task, attempt)) if worker is not None else None
+            if found is not None and found.state != "ended":
                 return True
         return False
 
-    def check_alive(self, books: Reconciler, machine: Machine) -> None:
-        """A leader has taken a heartbeat of a machine."""
-        gone = self.gone_at.get(machine.name)
-        if machine.up and gone is not None and gone < self.began_at[books]:
-            self.wrong.append(f"{machine.name} is gone and looks alive")
+    def check_alive(self, reconciler: Reconciler, machine: Machine) -> None:
+        """A leader has processed a heartbeat of a machine."""
+        terminated = self.terminated_at.get(machine.name)
+        if machine.up and terminated is not None and terminated < self.began_at[reconciler]:
+            self.wrong.append(f"{machine.name} has terminated and counts as up")
 
-    def check_never_begun(self, machine: Machine, lost_before: set[Placement]) -> None:
-        """A machine may have been taken for deaf, and what it has not shown for never begun."""
+    def check_never_started(self, machine: Machine, lost_before: set[Placement]) -> None:
+        """A machine may be considered unreachable, and attempts that it has not reported as never
+        started."""
         if not machine.reachability.unreachable:
             return
         for placement in machine.placements.values():
             if placement.observed or not placement.lost or placement in lost_before:
                 continue
             task = placement.name
-            if self._is_there(machine.name, task, placement.attempt):
+            if self._is_on_machine(machine.name, task, placement.attempt):
                 self.wrong.append(f"{task} is on {machine.name}, and will be stopped")
 
 
 @contextmanager
-def watched() -> Iterator[GroundTruth]:
-    """Watch all leaders and clouds until the end of the block."""
+def compared_with_ground_truth() -> Iterator[GroundTruth]:
+    """Observe all leaders and clouds until the end of the block."""
     truth = GroundTruth()
     begin, take, lose = Reconciler.__init__, Reconciler.take, Reconciler._lost
     open_cloud, remove = CloudService.__init__, CloudService.take
 
-    def begun(books: Reconciler, *parts: Any, **more: Any) -> None:  # noqa: ANN401 - passed on
-        begin(books, *parts, **more)
-        truth.began_at[books] = asyncio.get_running_loop().time()
+    def begun(reconciler: Reconciler, *parts: Any, **more: Any) -> None:  # noqa: ANN401 - passed on
+        begin(reconciler, *parts, **more)
+        truth.began_at[reconciler] = asyncio.get_running_loop().time()
 
-    def taken(books: Reconciler, heartbeat: WorkerHeartbeat) -> Machine | None:
-        known = books.registry.get(heartbeat.machine)
+    def taken(reconciler: Reconciler, heartbeat: WorkerHeartbeat) -> Machine | None:
+        known = reconciler.registry.get(heartbeat.machine)
         placements = known.placements.values() if known is not None else ()
         lost_before = {placement for placement in placements if placement.lost}
-        machine = take(books, heartbeat)
+        machine = take(reconciler, heartbeat)
         if machine is not None:
-            truth.check_alive(books, machine)
-            truth.check_never_begun(machine, lost_before)
+            truth.check_alive(reconciler, machine)
+            truth.check_never_started(machine, lost_before)
         return machine
 
     def lost(
-        books: Reconciler, machine: Machine, placement: Placement, why: str, entry: Entry
+        reconciler: Reconciler, machine: Machine, placement: Placement, why: str, entry: Entry
     ) -> None:
         task = placement.name
-        truth.check_gone(machine.name, task, placement.attempt, why)
-        lose(books, machine, placement, why, entry)
+        truth.check_terminated(machine.name, task, placement.attempt, why)
+        lose(reconciler, machine, placement, why, entry)
 
     def opened(cloud: CloudService, *parts: Any, **more: Any) -> None:  # noqa: ANN401 - passed on
         open_cloud(cloud, *parts, **more)
         truth.clouds.append(cloud)
 
     def removed(cloud: CloudService, name: str) -> None:
-        truth.gone_at.setdefault(name, asyncio.get_running_loop().time())
+        truth.terminated_at.setdefault(name, asyncio.get_running_loop().time())
         remove(cloud, name)
 
     with (
--- a/dappledrum/simulation/history_recording.py
+++ b/dappledrum/simulation/history_recording.py
@@ -1,4 +1,4 @@
-"""Requests and answers on the wire as events of the history."""
+"""Records requests of users and their responses as events of the history."""
 
 import json
 
@@ -40,7 +40,7 @@
 
 
 def answer(number: int, at: float, reply: Reply | None) -> Answer:
-    """What a user was told, if anything."""
+    """The response that a user got, if any."""
     if reply is None:
         return Answer(number, at, None)
     if reply.status not in ACCEPTED:
--- a/dappledrum/simulation/invalid_requests.py
+++ b/dappledrum/simulation/invalid_requests.py
@@ -1,5 +1,5 @@
-"""Requests that nobody should send, and what each controller has to answer: submissions that can
-never run or lack a field, repeated ones that differ from the first, questions about unknown jobs.
+"""Invalid requests, and what each controller has to answer: submissions that can never run or lack
+a field, repeated ones that differ from the first, polls and cancellations of unknown jobs.
 """
 
 import asyncio
@@ -11,9 +11,9 @@
 from dappledrum.simulation.users import sent_form
 
 ABSENT = object()  # a field that is left out
-#: Requests that nobody should send: method, path, changes of a submission (None: another body),
+#: Method, path, changes of a submission (None: another body),
 #: and what is answered when the controller can decide.
-ODD: list[tuple[str, str, dict[str, Any] | None, int]] = [
+INVALID_REQUESTS: list[tuple[str, str, dict[str, Any] | None, int]] = [
     ("POST", "/submissions", {"vcpus": 400.0}, 422),
     ("POST", "/submissions", {"crew": "nobody"}, 422),
     ("POST", "/submissions", {"crew": "red", "vcpus": 4.0, "form": "service"}, 422),
@@ -27,7 +27,7 @@
     ("POST", "/submissions/j-000950/cancel", None, 404),
 ]
 #: How a submission of an accepted job may differ from the first one.
-KNOWN_CHANGES: tuple[dict[str, Any], ...] = (
+REPEATED_CHANGES: tuple[dict[str, Any], ...] = (
     {},
     {"vcpus": ABSENT},
     {"vcpus": 400.0},
@@ -35,21 +35,21 @@
 )
 
 
-def changed(number: int, changes: dict[str, Any]) -> bytes:
+def encoded_submission(number: int, changes: dict[str, Any]) -> bytes:
     """A submission as it is sent, changed."""
     spec = job(number, **changes)
     return sent_form({key: value for key, value in spec.items() if value is not ABSENT})
 
 
-class OddRequests:
+class InvalidRequests:
     """Requests about a finished, a running and an unknown job, and jobs that can never run."""
 
     def __init__(self, cluster: SimulatedCluster) -> None:
         self.cluster = cluster
-        self.longest_s = 0.0  # that any answer took
+        self.longest_s = 0.0  # the slowest response
 
     async def prepare(self) -> None:
-        """One job is done, one runs for long."""
+        """Submit a job that finishes at once, and one that runs for long."""
         await self.cluster.submit(job(960, beats=1, runS=1.0, dueS=None))
         await self.cluster.submit(job(961, beats=1, runS=300.0, expectedS=300.0, dueS=None))
         await self.cluster.until(lambda: "ended/j-000960" in self.cluster.store.keys)
@@ -57,7 +57,7 @@
     async def ask(
         self, member: str, method: str, path: str, body: bytes = b""
     ) -> tuple[Response, str | None]:
-        """One request to one controller; the answer as it goes over the wire, and the state."""
+        """Send one request to one controller; the response, and the job's state in it."""
         controller = self.cluster.controllers[member]
         asked = asyncio.get_running_loop().time()
         response = await controller.serve(Request(method, path, body))
@@ -68,26 +68,26 @@
         return response, state
 
     async def check(self, member: str, undecided: tuple[int, ...] = ()) -> None:
-        """All of them; `undecided`: the statuses that may be answered instead, with a time to
-        come back."""
-        for method, path, changes, status in ODD:
-            body = b"{" if changes is None else changed(950, changes)
+        """Send all invalid requests to one controller, and check the responses; `undecided`: the
+        statuses that may be answered instead, with a time after which to retry."""
+        for method, path, changes, status in INVALID_REQUESTS:
+            body = b"{" if changes is None else encoded_submission(950, changes)
             response, _ = await self.ask(member, method, path, body)
-            self.right(response, {status}, undecided, (member, path, changes))
+            self._check_response(response, {status}, undecided, (member, path, changes))
         for number, states in ((960, {"done"}), (961, {"pending", "running"})):
-            for changes in KNOWN_CHANGES:
-                body = changed(number, changes)
+            for changes in REPEATED_CHANGES:
+                body = encoded_submission(number, changes)
                 response, state = await self.ask(member, "POST", "/submissions", body)
-                self.right(response, {200}, undecided, (member, number, changes))
+                self._check_response(response, {200}, undecided, (member, number, changes))
                 assert response.status == 503 or state in states
         response, state = await self.ask(member, "POST", "/submissions/j-000960/cancel")
-        self.right(response, {200}, undecided, (member, "cancel of a finished job"))
+        self._check_response(response, {200}, undecided, (member, "cancel of a finished job"))
         assert response.status == 503 or state == "done"
 
     @staticmethod
-    def right(
-        response: Response, statuses: set[int], undecided: tuple[int, ...], what: object
+    def _check_response(
+        response: Response, statuses: set[int], undecided: tuple[int, ...], request: object
     ) -> None:
-        """The protocol's answer, or a time to come back."""
-        assert response.status in {*statuses, *undecided}, (response, what)
-        assert response.status != 503 or response.retry_after in range(1, 31), (response, what)
+        """The response is the protocol's, or names a time after which to retry."""
+        assert response.status in {*statuses, *undecided}, (response, request)
+        assert response.status != 503 or response.retry_after in range(1, 31), (response, request)
--- a/dappledrum/simulation/scenario.py
+++ b/dappledrum/simulation/scenario.py
@@ -1,21 +1,21 @@
-"""One scenario over five whole controllers: users, a trouble that a test brings about, and the end
-at which every accepted job must be known and over.
+"""One scenario over five whole controllers: users, faults that a test brings about, and the end
+at which every accepted job must have finished, and be the same at each controller.
 
-A test calls `play` with a seed and a coroutine that makes the trouble; users, moments and machines
-are drawn from the seed, and the rules are checked at each step. `day` is smaller: any world, and a
-few jobs before and after one trouble.
+A test brings about faults in the body of `async with running_scenario(seed)`; users, moments and
+machines are drawn from the seed, and the invariants are checked at each step. `run_day` is
+smaller: any simulated cluster, and a few jobs before and after one fault.
 """
 
 import asyncio
 import random
-from collections.abc import Awaitable, Callable
+from collections.abc import AsyncIterator, Awaitable, Callable
+from contextlib import asynccontextmanager
 from dataclasses import dataclass, field
 from typing import Any
 
 from dappledrum.simulation.cluster import SimulatedCluster, job, led_cluster
 from dappledrum.simulation.fault_combinations import FIVE, submission, user
 from dappledrum.simulation.faults import end_all
-from dappledrum.simulation.virtual_time import run
 
 LEASE_S = 9.0
 CANCEL_S = 30.0
@@ -28,14 +28,14 @@
     return asyncio.get_running_loop().time()
 
 
-def later(seconds: float, act: Callable[..., object], *arguments: object) -> None:
-    """Call something after so many seconds."""
-    asyncio.get_running_loop().call_later(seconds, act, *arguments)
+def call_later(seconds: float, callback: Callable[..., object], *arguments: object) -> None:
+    """Call something after so many seconds of virtual time."""
+    asyncio.get_running_loop().call_later(seconds, callback, *arguments)
 
 
 @dataclass
 class Scenario:
-    """A world in which something goes wrong, and the jobs that the test itself submitted."""
+    """A simulated cluster with faults, and the jobs that the test itself submitted."""
 
     cluster: SimulatedCluster
     rng: random.Random
@@ -56,7 +56,9 @@
         """Cancel one of these jobs at a controller that must answer at once."""
         path = f"/submissions/j-{900 + number:06d}/cancel"
         reply = await self.cluster._ask("POST", path, b"", member)
-        assert reply is not None and reply.status == 200 and b'"cancelled"' in reply.body
+        assert reply is not None, f"{member} does not answer"
+        assert reply.status == 200
+        assert b'"cancelled"' in reply.body
 
     def machines_of(self, number: int) -> set[str]:
         """Machines on which tasks of one of these jobs run."""
@@ -65,59 +67,61 @@
         return {machine for (job_id, _), where in running if job_id == name for machine in where}
 
     async def until_led(self, *besides: str) -> None:
-        """Wait until somebody leads who is none of these."""
+        """Wait until a controller leads that is none of these."""
         await self.cluster.until(lambda: self.cluster.leader() not in (None, *besides), most=60)
 
 
 def end_faults(cluster: SimulatedCluster) -> None:
-    """End everything that a test may have left broken; the rules' quiet time begins."""
+    """End everything that a test may have left broken; the invariants' quiet time begins."""
     end_all(cluster)
 
 
-def play(
+@asynccontextmanager
+async def running_scenario(
     seed: int,
-    act: Callable[[Scenario], Awaitable[None]],
     machines: int = MACHINES,
     users: int = USERS,
-    **of_cluster: Any,  # noqa: ANN401 - any field of the world
-) -> None:
-    """Play one scenario to its end, at which all jobs are over and the same at each controller."""
-
-    async def main() -> None:
-        cluster = SimulatedCluster(seed=seed, members=FIVE, lease_s=LEASE_S, **of_cluster)
-        cluster.cloud.most = machines + 4
-        rng = random.Random(f"meeting {seed}")
-        for _ in range(machines):
-            cluster.cloud.add(("small", rng.choice(("a", "b")), rng.random() < 0.8))
-        await cluster.until(lambda: cluster.leader() is not None)
-        asking = []
-        for number in range(users):
-            one = random.Random(f"{seed} {number}")
-            asking.append(asyncio.ensure_future(user(cluster, submission(number, one), one)))
-        scenario = Scenario(cluster, rng)
-        await cluster.wait(10)
-        await act(scenario)
-        end_faults(cluster)
-        while cluster.acting or not all(one.done() for one in asking):
-            await cluster.wait(1)
-        accepted = [name for one in asking if (name := one.result()) is not None]
-        names = accepted + scenario.names
-        await cluster.finish(names, most=500)
-        for name in names:
-            for member in FIVE:
-                await cluster.poll(name, member)
-        assert not cluster.rules.broken, cluster.rules.broken
-
-    run(main())
-
-
-async def day(
+    **of_cluster: Any,  # noqa: ANN401 - any field of the cluster
+) -> AsyncIterator[Scenario]:
+    """A scenario in which the body of the `async with` brings about faults.
+
+    After the body all faults end; then every accepted job must finish, and be the same at each
+    controller. Nothing more is checked when the body has failed.
+    """
+    cluster = SimulatedCluster(seed=seed, members=FIVE, lease_s=LEASE_S, **of_cluster)
+    cluster.cloud.most = machines + 4
+    rng = random.Random(f"meeting {seed}")
+    for _ in range(machines):
+        cluster.cloud.add(("small", rng.choice(("a", "b")), rng.random() < 0.8))
+    await cluster.until(lambda: cluster.leader() is not None)
+    user_tasks = []
+    for number in range(users):
+        user_rng = random.Random(f"{seed} {number}")
+        submitting = user(cluster, submission(number, user_rng), user_rng)
+        user_tasks.append(asyncio.ensure_future(submitting))
+    scenario = Scenario(cluster, rng)
+    await cluster.wait(10)
+    yield scenario
+    end_faults(cluster)
+    while cluster.acting or not all(task.done() for task in user_tasks):
+        await cluster.wait(1)
+    accepted = [name for task in user_tasks if (name := task.result()) is not None]
+    names = accepted + scenario.names
+    await cluster.finish(names, most=500)
+    for name in names:
+        for member in FIVE:
+            await cluster.poll(name, member)
+    assert not cluster.rules.broken, cluster.rules.broken
+
+
+async def run_day(
     cluster: SimulatedCluster,
     fault: Callable[[SimulatedCluster], Awaitable[None]],
     jobs: int = 6,
     **changes: Any,  # noqa: ANN401 - any field of the jobs
 ) -> None:
-    """Submit jobs, let something go wrong while they run, submit more, and see them all end."""
+    """Submit jobs, bring about a fault while they run, submit one more, and wait for the end of
+    all."""
     await cluster.until_led()
     names = await cluster.accept_jobs(jobs, **changes)
     await cluster.until(lambda: cluster.rules.starts >= 4)
@@ -131,8 +135,8 @@
             assert await cluster.poll(name, member) in ("done", None)
 
 
-async def busy_cluster(**settings: Any) -> SimulatedCluster:  # noqa: ANN401 - any field of a world
-    """Five controllers, and machines with work that lasts longer than any trouble."""
+async def cluster_with_long_jobs(**settings: Any) -> SimulatedCluster:  # noqa: ANN401 - any field of a cluster
+    """Five controllers, and machines with work that lasts longer than any fault."""
     cluster = await led_cluster(members=FIVE, **settings)
     await cluster.accept_jobs(3, beats=6, runS=200.0, expectedS=200.0, dueS=400.0)
     await cluster.until(lambda: len(cluster.rules.running) == 18)
@@ -145,9 +149,9 @@
     return {worker.name: worker.session for worker in cluster.cloud.workers()}
 
 
-async def nothing_lost(cluster: SimulatedCluster, seconds: float) -> None:
-    """Let time pass, in which no worker may lose its lease."""
+async def wait_without_lost_leases(cluster: SimulatedCluster, seconds: float) -> None:
+    """Let time pass, in which no worker's lease may expire."""
     before = sessions(cluster)
     await cluster.wait(seconds)
     lost = [name for name, session in sessions(cluster).items() if session > before.get(name, 1)]
-    assert lost == []
+    assert lost == [], "workers whose lease has expired"
--- a/dappledrum/simulation/workloads.py
+++ b/dappledrum/simulation/workloads.py
@@ -1,12 +1,13 @@
-"""Five whole controllers with work, for tests that bring about one meeting: the set-up, what a
-test does to machines and jobs, and the final checks.
+"""Five whole controllers with jobs, for tests of concurrent faults: the set-up, what a test does
+to machines and jobs, and the final checks.
 
-`play_long_work` has jobs that outlast any trouble, of which the test cancels some;
-`begin_short_work` has jobs that end by themselves.
+`long_running_jobs` has jobs that outlast any fault, of which the test cancels some;
+`start_short_jobs` has jobs that end by themselves.
 """
 
 import random
-from collections.abc import Awaitable, Callable
+from collections.abc import AsyncIterator
+from contextlib import asynccontextmanager
 from dataclasses import dataclass, field
 from datetime import timedelta
 from typing import Any
@@ -17,11 +18,11 @@
 from dappledrum.simulation.fault_combinations import FIVE
 from dappledrum.simulation.fleet import Worker
 from dappledrum.simulation.network import Copies
-from dappledrum.simulation.scenario import LEASE_S, end_faults, later, now
-from dappledrum.simulation.virtual_time import run
+from dappledrum.simulation.scenario import LEASE_S, call_later, end_faults, now
 
-LOOK_EVERY_S = 0.25
-CLOCKS_OFF = timedelta(seconds=0.5)  # and the steps in which the worlds are looked at
+CHECK_INTERVAL_S = 0.25
+#: How far clocks may differ, with the interval between two checks of a cluster.
+MAX_CLOCK_DIFFERENCE = timedelta(seconds=0.5)
 
 
 def job_name(number: int) -> str:
@@ -29,49 +30,49 @@
     return f"j-{number:06d}"
 
 
-class GhostWatchingCluster(SimulatedCluster):
-    """Notes when the leader takes a machine that is gone for one that is there."""
+class TerminationCheckingCluster(SimulatedCluster):
+    """Records machines that the leader counts as up after they have terminated."""
 
     def __post_init__(self) -> None:
         super().__post_init__()
-        self.gone_at: dict[str, float] = {}
-        self.ghosts: list[str] = []
-        take = self.cloud.take
+        self.terminated_at: dict[str, float] = {}
+        self.kept_after_termination: list[str] = []
+        terminate = self.cloud.take
 
-        def taken(name: str) -> None:
-            self.gone_at.setdefault(name, now())
-            take(name)
+        def terminate_and_record(name: str) -> None:
+            self.terminated_at.setdefault(name, now())
+            terminate(name)
 
-        self.cloud.take = taken  # type: ignore[method-assign]
+        self.cloud.take = terminate_and_record  # type: ignore[method-assign]
 
     async def wait(self, seconds: float) -> None:
-        """Look on the way."""
+        """Let time pass, and check the leader's machines on the way."""
         end = now() + seconds
         while now() < end:
-            await super().wait(min(LOOK_EVERY_S, end - now()))
+            await super().wait(min(CHECK_INTERVAL_S, end - now()))
             member = self.leader()
             leader = self.controllers[member].leader if member is not None else None
             if leader is not None:
-                self._look(leader)
+                self._check_machines(leader)
 
-    def _look(self, leader: Leader) -> None:
+    def _check_machines(self, leader: Leader) -> None:
         time = leader.clock.now()
         began = now() - (time - leader.began).total_seconds()
         planned = {view.machine for view in leader.dispatcher.machines.timelines(time)}
         for machine in leader.registry:
-            gone = self.gone_at.get(machine.name)
-            if gone is None or gone > began - CLOCKS_OFF.total_seconds():
+            terminated = self.terminated_at.get(machine.name)
+            if terminated is None or terminated > began - MAX_CLOCK_DIFFERENCE.total_seconds():
                 continue
             # The cloud's list may show it for a while, and a record say that it boots.
-            told = machine.listed_at is not None or machine.rented_at != machine.seen_at
-            counted = machine.name in planned and not told
-            if machine.up or counted and not machine.placements:
-                self.ghosts.append(machine.name)
+            reported = machine.listed_at is not None or machine.rented_at != machine.seen_at
+            counted = machine.name in planned and not reported
+            if machine.up or (counted and not machine.placements):
+                self.kept_after_termination.append(machine.name)
 
 
 @dataclass
-class Busy:
-    """A world with jobs that it must finish."""
+class LoadedCluster:
+    """A simulated cluster with jobs that it must finish."""
 
     cluster: SimulatedCluster
     rng: random.Random
@@ -79,7 +80,7 @@
     cancelled: set[int] = field(default_factory=set)
 
     def leader(self) -> Leader:
-        """What the controller that leads now does as a leader."""
+        """The leader's part of the controller that leads now."""
         member = self.cluster.leader()
         assert member is not None
         leader = self.cluster.controllers[member].leader
@@ -105,7 +106,7 @@
         return [task for name, task in self.cluster.rules.running if name == job_name(number)]
 
     async def submit(self, number: int, tries: int = 40, **changes: Any) -> str:  # noqa: ANN401
-        """Submit a job that must be over in the end; its name."""
+        """Submit a job that must have finished in the end; its name."""
         spec = job(number, **({"dueS": None} | changes))
         self.names.append(spec["id"])
         assert await self.cluster.submit(spec, tries) in (200, 201)
@@ -116,53 +117,56 @@
         self.cancelled.add(number)
         path = f"/submissions/{job_name(number)}/cancel"
         reply = await self.cluster._ask("POST", path, b"", member)
-        assert reply is not None and reply.status == 200 and b'"cancelled"' in reply.body
+        assert reply is not None, f"{member} does not answer"
+        assert reply.status == 200
+        assert b'"cancelled"' in reply.body
 
     def hang(self, worker: Worker, seconds: float) -> None:
-        """A machine stands still for so long."""
+        """Suspend a machine for so long."""
         worker.hung = True
-        later(seconds, setattr, worker, "hung", False)
+        call_later(seconds, setattr, worker, "hung", False)
 
-    async def finish(self, most: float) -> float:
-        """All troubles but late copies are over: the jobs end in time; how long it took."""
+    async def finish(self, timeout_s: float) -> float:
+        """Wait for the end of all jobs, when all faults but late copies have ended; how long it
+        took."""
         self.cluster.rules.faults_over_at = now()
-        return await self.cluster.finish(self.names, most)
-
-
-def play_long_work(seed: int, act: Callable[[Busy], Awaitable[None]], jobs: int = 4) -> None:
-    """Jobs of three tasks that outlast any trouble. In the end what the test has cancelled stays
-    so, and has no task left; the others run, until they are cancelled here."""
-
-    async def main() -> None:
-        cluster = SimulatedCluster(members=FIVE, seed=seed, lease_s=LEASE_S)
-        work = Busy(cluster, cluster.rng)
-        await cluster.until(lambda: cluster.leader() is not None)
-        for number in range(jobs):
-            spec = job(number, beats=3, runS=400.0, expectedS=400.0, dueS=900.0)
-            assert await cluster.submit(spec) == 201
-        await cluster.until(lambda: len(cluster.rules.running) == 3 * jobs)
-        await cluster.wait(4)
-        await act(work)
-        end_faults(cluster)
-        await cluster.wait(20)
-        for number in range(jobs):
-            if number in work.cancelled:
-                assert await cluster.poll(job_name(number)) == "cancelled"
-                assert not work.running(number)
-            else:
-                assert await cluster.cancel(job_name(number)) == "cancelled"
-        await cluster.finish([job_name(number) for number in range(jobs)], most=60)
-
-    run(main())
-
-
-async def begin_short_work(
+        return await self.cluster.finish(self.names, timeout_s)
+
+
+@asynccontextmanager
+async def long_running_jobs(seed: int, jobs: int = 4) -> AsyncIterator[LoadedCluster]:
+    """Jobs of three tasks that outlast any fault, while the body of the `async with` runs.
+
+    After the body all faults end; then the jobs that it has cancelled must be so and have no task
+    left, and the others run, until they are cancelled here.
+    """
+    cluster = SimulatedCluster(members=FIVE, seed=seed, lease_s=LEASE_S)
+    work = LoadedCluster(cluster, cluster.rng)
+    await cluster.until(lambda: cluster.leader() is not None)
+    for number in range(jobs):
+        spec = job(number, beats=3, runS=400.0, expectedS=400.0, dueS=900.0)
+        assert await cluster.submit(spec) == 201
+    await cluster.until(lambda: len(cluster.rules.running) == 3 * jobs)
+    await cluster.wait(4)
+    yield work
+    end_faults(cluster)
+    await cluster.wait(20)
+    for number in range(jobs):
+        if number in work.cancelled:
+            assert await cluster.poll(job_name(number)) == "cancelled"
+            assert not work.running(number), f"tasks of {job_name(number)}, which is cancelled"
+        else:
+            assert await cluster.cancel(job_name(number)) == "cancelled"
+    await cluster.finish([job_name(number) for number in range(jobs)], most=60)
+
+
+async def start_short_jobs(
     seed: int, copies: tuple[str, ...] = (), machines: int = 8, jobs: int = 5
-) -> Busy:
-    """Some machines, and jobs of six tasks of which some have started; requests to these paths
-    come again, from 1 s to three leases late."""
-    cluster = GhostWatchingCluster(seed=seed, members=FIVE, lease_s=LEASE_S)
-    work = Busy(cluster, random.Random(seed))
+) -> LoadedCluster:
+    """Some machines, and jobs of six tasks of which some have started; requests to the paths in
+    `copies` are repeated, from 1 s to three leases late."""
+    cluster = TerminationCheckingCluster(seed=seed, members=FIVE, lease_s=LEASE_S)
+    work = LoadedCluster(cluster, random.Random(seed))
     for _ in range(machines):
         cluster.cloud.add(("small", "a", True))
     cluster.cloud.most = machines + 4
