--- a/dappledrum/controller/test_cancellations_in_outage.py
+++ b/dappledrum/controller/test_cancellations_in_outage.py
@@ -1,7 +1,7 @@
-"""Cancellations that users were told of and the leader can't read: what runs is gone in time all
-the same, and what nobody cancelled is not lost for it where all controllers can be asked.
+"""Cancellations that users were acknowledged and the leader can't read: the tasks terminate in
+time all the same, and what nobody cancelled is not lost for it where all controllers can be asked.
 
-The rules (`ran_cancelled` among them) are checked in each step of `wait`.
+The invariants (`ran_cancelled` among them) are checked in each step of `wait`.
 """
 
 import asyncio
@@ -20,8 +20,10 @@
 
 
 @pytest.mark.parametrize("seed", range(9))
-async def test_a_cancellation_between_a_leaders_refusal_and_an_outage(seed):
-    """It went on for the promises of all, and knew nothing of it: the tasks ran on for as long as
+async def test_tasks_of_a_job_cancelled_between_the_leaders_refusal_and_an_outage_end_in_time(
+    seed,
+):
+    """It went on on lease grants of all, and was not informed: the tasks ran on for as long as
     the outage lasted."""
 
     async with long_running_jobs(seed) as work:
@@ -35,39 +37,43 @@
         cluster.store.out = True
         await cluster.wait(CANCEL_S + 25)
         assert controller.elector.answering() is not None
-        assert not work.running(0) and len(work.running(2)) == 3
+        assert not work.running(0)
+        assert len(work.running(2)) == 3
         assert work.sessions() == sessions, "nothing of what nobody has cancelled is lost"
 
 
-@pytest.mark.parametrize("how", ["ends", "back at once", "stands still", "cut off"])
-async def test_whoever_confirmed_it_can_not_be_asked(how, caplog):
+@pytest.mark.parametrize("how", ["crashed", "restarted", "suspended", "cut off"])
+async def test_all_tasks_end_when_the_controller_that_confirmed_a_cancellation_cannot_be_asked(
+    how, caplog
+):
     """Then the leader must not answer for longer than a lease before the time is over: all that
     runs ends, which is the price."""
 
     async with long_running_jobs(1) as work:
         cluster = work.cluster
         cluster.store.refused.add(cluster.leader())
-        told = work.others()[0]
-        await work.cancel(0, told)
+        confirming = work.others()[0]
+        await work.cancel(0, confirming)
         began = now()
         cluster.store.out = True
-        if how == "ends":
-            cluster.kill(told)
-        elif how == "back at once":
-            await cluster.restart(told, 0.3)
-        elif how == "stands still":
-            cluster.freeze(told)
+        if how == "crashed":
+            cluster.kill(confirming)
+        elif how == "restarted":
+            await cluster.restart(confirming, 0.3)
+        elif how == "suspended":
+            cluster.freeze(confirming)
         else:
-            cluster.cut_off(told, *(m for m in FIVE if m != told))
-            cluster.cut_off(told, *("back-" + m for m in FIVE if m != told))
+            cluster.cut_off(confirming, *(m for m in FIVE if m != confirming))
+            cluster.cut_off(confirming, *("back-" + m for m in FIVE if m != confirming))
         await cluster.wait(CANCEL_S + 20 - (now() - began))
         assert not cluster.rules.running
-        said = "not known what users were told is cancelled" in caplog.text
-        assert said or how != "back at once"
+        logged = "not known what users were told is cancelled" in caplog.text
+        assert logged or how != "restarted"
 
 
-async def test_told_by_a_poll_and_by_a_repeated_submission():
-    """The one that stored the cancellation did not hear so, and told nobody; others did."""
+async def test_cancellations_acknowledged_only_by_a_poll_and_a_repeated_submission_count():
+    """The controller that stored the cancellation got no response, and acknowledged it to nobody;
+    others did."""
 
     async with long_running_jobs(2) as work:
         cluster, peers = work.cluster, work.others()
@@ -90,8 +96,9 @@
 
 
 @THREE
-async def test_an_outage_finds_a_new_leader_before_it_has_read(seed):
-    """It has won the key and answers nobody, as it does not know whom users have cancelled."""
+async def test_a_new_leader_answers_no_worker_when_an_outage_begins_before_it_has_read(seed):
+    """It has won the key and answers nobody, as it has not read which jobs users have
+    cancelled."""
 
     async with long_running_jobs(seed) as work:
         cluster, former, peers, scans = work.cluster, work.cluster.leader(), work.others(), []
@@ -112,7 +119,7 @@
 
 
 @THREE
-async def test_a_state_service_that_answers_the_leader_slowly(seed):
+async def test_tasks_of_a_cancelled_job_end_in_time_when_the_store_answers_the_leader_slowly(seed):
     """Its renewals and readings time out, others are served, then it is slow for all."""
 
     async with long_running_jobs(seed) as work:
@@ -125,7 +132,7 @@
 
 
 @THREE
-async def test_machines_that_hang_until_the_leader_only_holds_on(seed):
+async def test_suspended_machines_stop_cancelled_tasks_when_the_leader_has_only_lease_grants(seed):
     """It may command nothing any more but this: that tasks of cancelled jobs stop."""
 
     async with long_running_jobs(seed) as work:
@@ -136,13 +143,15 @@
         for worker in cluster.cloud.workers():
             work.hang(worker, work.rng.uniform(4, 6))
         await cluster.wait(4)
-        assert work.running(0) and controller.elector.leading() is None
+        assert work.running(0)
+        assert controller.elector.leading() is None
         await cluster.wait(CANCEL_S + 15)
         assert work.sessions() == sessions
-        assert not work.running(0) and len(work.running(1)) == 3
+        assert not work.running(0)
+        assert len(work.running(1)) == 3
 
 
-async def test_machines_that_hear_nothing_meanwhile():
+async def test_unreachable_machines_lose_their_lease_when_they_cannot_learn_of_a_cancellation():
     """They never learn of the stop, so no answer may have renewed their lease; the others' work
     goes on."""
 
@@ -154,12 +163,13 @@
         cluster.drop_answers([worker.name for worker in cluster.cloud.workers()][::2])
         await cluster.wait(CANCEL_S + 15)
         assert controller.elector.answering() is not None
-        assert not work.running(0) and cluster.rules.running
+        assert not work.running(0)
+        assert cluster.rules.running
 
 
 @pytest.mark.parametrize("how", ["waits", "fails"])
-async def test_a_leader_whose_watch_tells_nothing_while_its_lease_is_renewed(how):
-    """A renewal shows that it leads, not that it knows what users have been told."""
+async def test_a_leader_gives_up_its_term_when_its_watch_returns_nothing(how):
+    """A renewal shows that it leads, not that it has read what users were acknowledged."""
 
     async with long_running_jobs(4) as work:
         cluster, controller = work.cluster, work.leading_controller()
@@ -177,11 +187,11 @@
         await work.cancel(0, work.others()[0])
         await cluster.wait(CANCEL_S + 5)
         assert cluster.leader() is not None
-        assert controller.elector.epoch > 1  # it gave its term up, and read anew
+        assert controller.elector.epoch > 1  # it gave its term up, and read again
         controller.store.watch = watch
 
 
-async def test_a_watch_tells_of_its_sending_not_of_its_end():
+async def test_a_watch_counts_from_when_it_was_sent():
     """It may have waited through an outage, in which its end says nothing of what came after."""
 
     async with long_running_jobs(7, jobs=1) as work:
@@ -200,7 +210,7 @@
             assert controller.elector.term.known_at in sent[-2:]
 
 
-async def test_what_was_learned_in_an_outage_is_in_the_records_afterwards():
+async def test_cancellations_confirmed_in_an_outage_are_in_the_records_afterwards():
     """The leader stops the tasks before it can read that they are cancelled; its records catch up,
     under the cancellation that another controller has stored, and the next leader agrees."""
 
@@ -219,7 +229,7 @@
         await cluster.restart(leader, 0.3)
 
 
-async def test_long_outages_move_what_is_known():
+async def test_peers_confirm_cancellations_throughout_a_long_outage():
     """All peers attest, so the leader goes on for as long as the outage lasts, and longer than the
     bound from its last reading."""
 
@@ -232,9 +242,9 @@
         assert len(work.cluster.rules.running) == 3 * JOBS
 
 
-async def test_a_term_that_answers_nobody_is_still_held():
-    """Whoever begins anew stands at once when nobody holds a term, as nobody can rely on what its
-    process before has promised; this one may learn more and answer again."""
+async def test_a_term_that_may_answer_no_worker_is_still_reported_as_held():
+    """A restarted controller campaigns at once when nobody holds a term, as nobody can rely on
+    what its predecessor has granted; this one may read more and answer again."""
 
     async with long_running_jobs(8, jobs=1) as work:
         controller = work.leading_controller()
--- a/dappledrum/controller/test_concurrent_faults.py
+++ b/dappledrum/controller/test_concurrent_faults.py
@@ -1,7 +1,7 @@
-"""Troubles that meet, one test for each meeting (docs/design.md, "Concurrent faults"); seeds are fixed, and
-the moments drawn from them. All the while users submit jobs of one to three tasks whose ends lie
-far apart, ask about them at any controller, and cancel some; the rules are checked in each step,
-and in the end every job is known and over, the same at each controller."""
+"""Concurrent faults, one test for each combination (docs/design.md, "Concurrent faults"); seeds
+are fixed, and the moments drawn from them. All the while users submit jobs of one to three tasks
+whose ends lie far apart, ask about them at any controller, and cancel some; the invariants are
+checked in each step, and in the end every job is known and over, the same at each controller."""
 
 import asyncio
 
@@ -15,7 +15,7 @@
 
 
 @SEEDS
-async def test_tasks_end_far_apart_across_changes_of_leader(seed):
+async def test_tasks_that_end_far_apart_finish_across_changes_of_leader(seed):
     """Ends that one leader has stored and the next has not, forgets that are lost, a leader that
     ends in the midst of writing."""
 
@@ -41,7 +41,7 @@
 
 
 @SEEDS
-async def test_commands_and_answers_are_held_up_and_the_machine_goes_on(seed):
+async def test_jobs_finish_when_machines_hang_and_messages_are_delayed(seed):
     """Machines hang, and what goes to and from them is held back, for up to more than a lease;
     some are taken meanwhile, and rentals and returns are carried out late."""
 
@@ -72,9 +72,9 @@
 
 
 @SEEDS
-async def test_a_leader_that_only_workers_and_users_reach_while_jobs_are_cancelled_elsewhere(seed):
+async def test_an_isolated_leader_answers_no_worker_while_jobs_are_cancelled_elsewhere(seed):
     """It answers no worker after its right has ended, and no user from what it remembers; what the
-    new one has cancelled is gone in time."""
+    new one has cancelled has terminated in time."""
 
     async with running_scenario(seed) as scenario:
         cluster, rng = scenario.cluster, scenario.rng
@@ -94,13 +94,14 @@
             for number in (0, 1):  # whoever answers, says so
                 assert await cluster.poll(f"j-{900 + number:06d}", former) in (None, "cancelled")
             await cluster.wait(2)
-        assert not scenario.machines_of(0) and not scenario.machines_of(1)
+        assert not scenario.machines_of(0)
+        assert not scenario.machines_of(1)
 
 
 @SEEDS
-@pytest.mark.parametrize("how", ["hang", "deaf", "cut", "cut from the new one"])
-async def test_a_leader_ends_while_machines_with_long_tasks_are_away(seed, how):
-    """Nothing starts twice; team limits count what is there until it is proven gone."""
+@pytest.mark.parametrize("how", ["hang", "unreachable", "cut", "cut from the new leader"])
+async def test_nothing_starts_twice_when_the_leader_crashes_while_machines_are_cut_off(seed, how):
+    """Nothing starts twice; team limits count what is there until it is proven terminated."""
 
     async with running_scenario(seed) as scenario:
         cluster, rng = scenario.cluster, scenario.rng
@@ -114,7 +115,7 @@
             for worker in workers:
                 worker.hung = True
                 call_later(rng.uniform(1, LEASE_S), setattr, worker, "hung", False)
-        elif how == "deaf":
+        elif how == "unreachable":
             cluster.drop_answers(away)
         elif how == "cut":
             for name in away:
@@ -123,7 +124,7 @@
         await cluster.wait(rng.uniform(0, 3))
         cluster.kill(former)
         await scenario.until_led(former)
-        if how == "cut from the new one":
+        if how == "cut from the new leader":
             for name in away:
                 cluster.network.cut(cluster.leader(), name)
         await scenario.submit_long(3, 4, crew="red")
@@ -131,7 +132,7 @@
 
 
 @SEEDS
-async def test_controllers_hand_over_and_back_all_end_and_one_returns(seed):
+async def test_cancellations_survive_transfers_and_a_crash_of_all_controllers(seed):
     """Within seconds, also less than one; jobs are cancelled in between, and an outage follows."""
 
     async with running_scenario(seed) as scenario:
@@ -159,12 +160,15 @@
                 cluster.start(member)
             await cluster.wait(rng.uniform(0, 0.3))
         await cluster.wait(CANCEL_S + 5)
-        assert not scenario.machines_of(0) and not scenario.machines_of(1)
+        assert not scenario.machines_of(0)
+        assert not scenario.machines_of(1)
 
 
 @SEEDS
 @pytest.mark.parametrize("slow", [0.2, 1.2, 2.5])
-async def test_a_state_service_that_is_slow_then_refuses_the_leader_then_all(seed, slow):
+async def test_cancellations_are_confirmed_after_the_store_was_slow_and_then_refused_all(
+    seed, slow
+):
     async with running_scenario(seed) as scenario:
         cluster, rng = scenario.cluster, scenario.rng
         await scenario.submit_long(0, 1, 2)
@@ -192,7 +196,7 @@
 
 
 @SEEDS
-async def test_old_heartbeats_after_newer_ones_and_a_change_of_leader(seed):
+async def test_old_heartbeats_after_newer_ones_do_no_harm_across_changes_of_leader(seed):
     """Also of an earlier session and attempt: the machines lose their sessions in between."""
 
     async with running_scenario(seed) as scenario:
@@ -211,7 +215,7 @@
 
 @SEEDS
 @pytest.mark.parametrize("share", [0.15, 0.6])
-async def test_transactions_carried_out_after_newer_ones(seed, share):
+async def test_transactions_executed_after_newer_ones_do_no_harm(seed, share):
     """Without an answer, 2 to 12 s later: of elections and hand-overs, records and their ends,
     submissions and cancellations; leaders change meanwhile."""
 
--- a/dappledrum/controller/test_concurrent_leadership_faults.py
+++ b/dappledrum/controller/test_concurrent_leadership_faults.py
@@ -1,8 +1,9 @@
-"""Meetings of other troubles with changes of leader (docs/design.md, "Concurrent faults").
+"""Other faults concurrent with changes of leader (docs/design.md, "Concurrent faults").
 
 Seeds are fixed and moments drawn from them; users submit, ask and cancel all the while, and the
-rules are checked in each step (`simulation/scenario.py`). Besides, whatever a leader takes as
-proof that a task is gone is compared with what is on the machine (`simulation/ground_truth.py`).
+invariants are checked in each step (`simulation/scenario.py`). Besides, whatever a leader takes as
+proof that a task has terminated is compared with what is on the machine
+(`simulation/ground_truth.py`).
 """
 
 import asyncio
@@ -25,6 +26,10 @@
 LONG = {"runS": [LONG_S] * 3, "expectedS": LONG_S, "vcpus": 0.5}
 
 
+#: Conclusions of all leaders are checked in each test.
+pytestmark = pytest.mark.usefixtures("truth")
+
+
 @pytest.fixture
 def truth():
     """Everything that leaders conclude from heartbeats and silence must be so."""
@@ -73,7 +78,7 @@
 
 @SEEDS
 @pytest.mark.parametrize("step", ["transfer", "end", "resignation", "roll"])
-async def test_jobs_are_cancelled_while_the_work_changes_hands(seed, step, truth):
+async def test_cancellations_around_a_change_of_leader_are_kept(seed, step):
     """Confirmed by the outgoing, the incoming and a third controller, right before and after."""
 
     async with running_scenario(seed) as scenario:
@@ -110,14 +115,14 @@
 async def disturb(scenario):
     """Heartbeats become old: a machine loses its session, another is returned."""
     cluster, rng = scenario.cluster, scenario.rng
-    hanging, gone = rng.sample(cluster.cloud.workers(), 2)
+    hanging, taken = rng.sample(cluster.cloud.workers(), 2)
     hanging.hung = True
     call_later(rng.uniform(LEASE_S + 0.5, LEASE_S + 4), setattr, hanging, "hung", False)
-    call_later(rng.uniform(0, 3), cluster.cloud.take, gone.name)
+    call_later(rng.uniform(0, 3), cluster.cloud.take, taken.name)
 
 
 @SEEDS
-async def test_old_heartbeats_reach_every_controller_as_a_leader_begins(seed, truth):
+async def test_old_heartbeats_do_no_harm_as_a_term_begins(seed):
     """Of earlier sessions and attempts, and of machines that were returned meanwhile."""
 
     async with running_scenario(seed) as scenario:
@@ -157,7 +162,7 @@
 
 @SEEDS
 @pytest.mark.parametrize("share", [0.3, 1.0])
-async def test_copies_are_kept_until_the_next_leader_has_acted(seed, share, truth):
+async def test_heartbeats_repeated_to_the_next_leader_stop_nothing_that_runs(seed, share):
     """In the order of their heartbeats; nothing that runs is stopped for what they do not show."""
 
     async with running_scenario(seed) as scenario:
@@ -180,7 +185,7 @@
 
 @SEEDS
 @pytest.mark.parametrize("share", [0.4, 1.0])
-async def test_heartbeats_are_held_back_until_a_new_leader_has_acted(seed, share, truth):
+async def test_heartbeats_delayed_until_the_next_term_do_no_harm(seed, share):
     """They come for the first time, from machines that have got work or lost their lease since."""
 
     async with running_scenario(seed) as scenario:
@@ -230,7 +235,7 @@
 @TWO_SEEDS
 @pytest.mark.parametrize("span", [LEASE_S + 3, CANCEL_S + 6])
 @pytest.mark.parametrize("how", ["down", "no worker", "no state service"])
-async def test_all_controllers_are_away(seed, span, how, truth):
+async def test_cancelled_jobs_have_no_tasks_left_after_all_controllers_were_away(seed, span, how):
     """For longer than a lease, and than `cancel_s`; jobs are cancelled before and after."""
 
     async with running_scenario(seed) as scenario:
@@ -255,13 +260,17 @@
                 cluster.start(member)
         await confirm(scenario, 1, rng.choice(FIVE))
         await cluster.wait(CANCEL_S + 5)
-        assert not scenario.machines_of(0) and not scenario.machines_of(1)
+        assert not scenario.machines_of(0)
+        assert not scenario.machines_of(1)
 
 
 @SEEDS
 @pytest.mark.parametrize("outage", [False, True])
-async def test_leaders_change_ten_times_in_two_minutes(seed, outage, truth):
-    """In an outage none can follow, so those that lead for promises end, are back and so on."""
+async def test_cancellations_are_kept_when_the_leader_changes_ten_times_in_two_minutes(
+    seed, outage
+):
+    """In an outage none can follow, so those that lead on lease grants crash, restart and so
+    on."""
 
     async with running_scenario(seed) as scenario:
         cluster, rng = scenario.cluster, scenario.rng
@@ -314,9 +323,7 @@
 
 @SEEDS
 @pytest.mark.parametrize("held", [1.0, 2.8, 6.0])
-async def test_answers_of_a_former_leader_arrive_after_the_new_ones(
-    seed, held, truth, monkeypatch
-):
+async def test_answers_of_a_former_leader_after_newer_ones_do_no_harm(seed, held, monkeypatch):
     """Within the 4 s in which a worker takes them, and beyond; what they start may be cancelled,
     and its team at its limit."""
     found = count_late_answers(monkeypatch)
@@ -325,7 +332,7 @@
         cluster, rng = scenario.cluster, scenario.rng
         for turn in range(18):
             if turn >= 6 and (held > 4 or found["starts"]):
-                break  # six turns at least, and on until the meeting has come about
+                break  # six turns at least, and on until the faults have coincided
             await scenario.until_led()
             former = cluster.leader()
             slow = [worker.name for worker in cluster.cloud.workers()[turn % 2 :: 2]]
@@ -358,18 +365,19 @@
 
 @SEEDS
 @pytest.mark.parametrize("leads", [True, False])
-async def test_a_controller_begins_anew_in_an_outage(seed, leads, truth):
-    """What users were told before cannot be asked of it, so what runs may end; no rule breaks."""
+async def test_cancelled_tasks_end_when_a_controller_restarts_in_an_outage(seed, leads):
+    """What it has acknowledged to users before cannot be asked of it, so what runs may end; no
+    invariant breaks."""
 
     async with running_scenario(seed) as scenario:
         cluster, rng = scenario.cluster, scenario.rng
         await scenario.submit_long(0, 1, 2, **LONG)
         await cluster.wait(6)
-        leader, told = cluster.leader(), rng.choice(scenario.others())
+        leader, confirming = cluster.leader(), rng.choice(scenario.others())
         cluster.store.refused.add(leader)
         await cluster.wait(rng.uniform(0, 0.5))
-        await scenario.cancel(0, told)  # the leader cannot read it
-        member = leader if leads else told
+        await scenario.cancel(0, confirming)  # the leader cannot read it
+        member = leader if leads else confirming
         cluster.store.out = True
         await cluster.wait(rng.uniform(0, 0.3))
         await cluster.restart(member, rng.choice((0.1, 0.3)))
--- a/dappledrum/controller/test_concurrent_limit_faults.py
+++ b/dappledrum/controller/test_concurrent_limit_faults.py
@@ -1,6 +1,6 @@
-"""Limits, zones and machines that can't be asked: one test for each meeting of troubles
-(docs/design.md, "Concurrent faults"), over five whole controllers. Seeds are fixed, the moments drawn from
-them, and the rules checked at each step."""
+"""Limits, zones and unreachable machines: one test for each combination of faults (docs/design.md,
+"Concurrent faults"), over five whole controllers. Seeds are fixed, the moments drawn from them,
+and the invariants checked at each step."""
 
 import pytest
 
@@ -18,8 +18,8 @@
 SEEDS = pytest.mark.parametrize("seed", range(3))
 LIMITED = (Team("blue", cpus_max=8.0), Team("red", cpus_max=8.0))
 #: After the last change of leader, or the cancellation, if that is later, a team's limit is free
-#: again: a lease with its margin until silence is proof, and the plan, record and heartbeat of what
-#: starts instead.
+#: again: a lease with its margin until silence is proof, and the plan, record and heartbeat of
+#: what starts instead.
 FREE_AGAIN_S = LEASE_S + 5.0
 
 
@@ -73,18 +73,18 @@
             if worker.name in names:
                 worker.hung = True
                 call_later(rng.uniform(1, 2 * LEASE_S), setattr, worker, "hung", False)
-    elif how == "deaf":
+    elif how == "unreachable":
         cluster.drop_answers(names)
-    elif how == "mute":
+    elif how == "silent":
         cluster.drop_heartbeats(names)
     else:
         cut_off(scenario, names)
 
 
 @SEEDS
-@pytest.mark.parametrize("how", ["cut", "hang", "deaf", "mute"])
+@pytest.mark.parametrize("how", ["cut", "hang", "unreachable", "silent"])
 @pytest.mark.parametrize("changes", [0, 3])
-async def test_limits_while_jobs_are_cancelled_whose_machines_are_away(seed, how, changes):
+async def test_limits_are_kept_when_jobs_on_unreachable_machines_are_cancelled(seed, how, changes):
     """Every team is at its limit, and the cancellations fall into the spell in which some machines
     can't be asked: what is there counts through any number of changes of leader, and the limit is
     free again a lease after the last one."""
@@ -117,9 +117,9 @@
 
 
 @SEEDS
-@pytest.mark.parametrize("how", ["cut", "mute"])
+@pytest.mark.parametrize("how", ["cut", "silent"])
 @pytest.mark.parametrize("change", [False, True])
-async def test_a_limit_counts_what_runs_though_its_result_is_there_already(seed, how, change):
+async def test_a_limit_counts_a_task_that_still_runs_after_its_job_is_done(seed, how, change):
     """A machine completes a task behind a cut, and its heartbeat is held back until the task was
     begun again elsewhere, on a machine that now can't be asked: the job is done, and what runs
     still counts, through a change of leader, too."""
@@ -157,7 +157,7 @@
 
 
 @SEEDS
-async def test_more_work_than_room_over_slow_links(seed):
+async def test_all_jobs_start_when_work_exceeds_capacity_and_links_were_slow(seed):
     """Urgent and not, small and large, some bound to a zone: nothing is forgotten, nothing is left
     waiting once the links are quick again, and the largest begin in time, too."""
 
@@ -183,7 +183,9 @@
                 await change_leader(scenario)
         await cluster.wait(rng.uniform(20, 40))
         cluster.network.slow.clear()
-        cluster.rules.faults_over_at = now()  # from here on no job may be left waiting beside room
+        cluster.rules.faults_over_at = (
+            now()
+        )  # from here on no job may be left waiting beside free capacity
         await cluster.until(lambda: all(begun(scenario, number) for number in range(24)), 240)
         cluster.rules.check_largest(now())
 
@@ -203,7 +205,7 @@
 
 @SEEDS
 @pytest.mark.parametrize("leads", [True, False])
-async def test_jobs_bound_to_one_zone_while_a_zone_is_cut_off_and_machines_are_lost(seed, leads):
+async def test_zone_bound_jobs_finish_when_a_zone_is_cut_off_and_machines_are_lost(seed, leads):
     """With the leader or another controller inside; arrays with `oneZone` or a `hall`, and some
     that spread, lose machines on both sides, and the leader changes before and after."""
 
@@ -238,7 +240,7 @@
 
 
 @SEEDS
-async def test_quick_machines_at_work_that_no_list_shows_while_writes_lag_and_the_leader_ends(
+async def test_tasks_on_machines_that_no_list_shows_start_nowhere_else_when_the_leader_crashes(
     seed,
 ):
     """Boots of a second, a list that lags by 15 s, and a record of what boots that comes late or
@@ -276,7 +278,7 @@
 
 
 @SEEDS
-async def test_no_job_waits_behind_others_while_there_is_room_and_boots_are_slow(seed):
+async def test_no_job_waits_beside_idle_machines_when_boots_are_slow(seed):
     """Slow boots make long billed intervals, and to stay within those that are paid for a task was
     planned behind others, on a fleet of idle machines."""
 
@@ -286,7 +288,9 @@
         for model in cluster.cloud.types:
             model["readyS"] = 100.0
         await cluster.wait(35)  # the catalog is read every 30 s
-        cluster.rules.faults_over_at = now()  # from here on no job may be left waiting beside room
+        cluster.rules.faults_over_at = (
+            now()
+        )  # from here on no job may be left waiting beside free capacity
         for number in range(12):
             estimate = rng.choice((150.0, 250.0))
             await scenario.submit_long(number, beats=1, runS=150.0, expectedS=estimate)
@@ -294,7 +298,7 @@
 
 
 @SEEDS
-async def test_machines_that_reach_no_controller_while_direct_commands_reach_them(seed):
+async def test_tasks_on_silent_machines_count_until_their_lease_has_expired(seed):
     """For less than a lease and for longer, while jobs are cancelled and the leader ends: what
     runs there counts until its lease is over, and is begun elsewhere only then."""
 
@@ -317,7 +321,7 @@
 
 
 @SEEDS
-async def test_tasks_go_on_where_heartbeats_are_missing_for_less_than_a_lease(seed):
+async def test_tasks_continue_when_heartbeats_are_missing_for_less_than_a_lease(seed):
     """Nothing is stopped there, nor begun elsewhere, as long as the machine may come back."""
 
     async with running_scenario(seed, users=0) as scenario:
@@ -340,9 +344,9 @@
 @pytest.mark.parametrize(
     "bound", [{"accelerators": 1.0}, {"builds": ["large"]}, {"builds": ["large"], "dueS": 900.0}]
 )
-async def test_a_job_that_only_a_machine_about_to_go_can_take_is_not_left_waiting(seed, bound):
-    """An ordinary machine gets no new work while spot machines have room to spare; a job bound to
-    its type begins there all the same when no other machine can be had."""
+async def test_a_job_starts_on_a_retiring_machine_when_no_other_has_its_type(seed, bound):
+    """An ordinary machine gets no new work while spot machines have capacity to spare; a job bound
+    to its type begins there all the same when no other machine can be had."""
 
     async with running_scenario(seed, users=0) as scenario:
         cluster, rng = scenario.cluster, scenario.rng
@@ -356,7 +360,9 @@
         await cluster.wait(rng.uniform(44, 48))
         leader = cluster.controllers[cluster.leader()].leader
         assert any(machine.retiring for machine in leader.registry)
-        cluster.rules.quiet_at = now()  # from here on no job may be left waiting beside room
+        cluster.rules.quiet_at = (
+            now()
+        )  # from here on no job may be left waiting beside free capacity
         changes = {"runS": 10.0, "expectedS": 10.0, "dueS": 60.0} | bound
         await scenario.submit_long(21, beats=1, **changes)
         await cluster.wait(100)
--- a/dappledrum/controller/test_concurrent_user_requests.py
+++ b/dappledrum/controller/test_concurrent_user_requests.py
@@ -1,6 +1,6 @@
-"""Users meet what happens to their jobs (docs/design.md, "Concurrent faults"): acceptance,
-cancellation, the end of the last task, odd requests, many small jobs. Seeds are fixed, moments
-drawn from them."""
+"""Requests of users concurrent with changes of their jobs (docs/design.md, "Concurrent faults"):
+acceptance, cancellation, the end of the last task, invalid requests, many small jobs. Seeds are
+fixed, moments drawn from them."""
 
 import asyncio
 import random
@@ -51,7 +51,7 @@
 
 @SEEDS
 @pytest.mark.parametrize("fault", ["none", "refused", "slow", "lists in parts"])
-async def test_answers_at_all_nodes_within_milliseconds(seed, fault):
+async def test_no_controller_answers_with_an_older_state_within_milliseconds(seed, fault):
     """Right after a job is accepted, ended or cancelled nobody answers anything older: nor a
     controller that the store refuses alone and that relays its users, nor one whose
     requests overtake each other, nor one that reads the list of jobs in several requests."""
@@ -65,14 +65,14 @@
         cluster, rng = scenario.cluster, scenario.rng
         order = AnswerOrder()
         users = impatient(scenario, order, seed, 12)
-        troubles = []
+        disturbances = []
         if fault == "refused":
-            troubles.append(refuse_one_after_another(cluster, rng))
+            disturbances.append(refuse_one_after_another(cluster, rng))
         if fault == "lists in parts":
             cluster.store.list_most = 2
         if fault in ("slow", "lists in parts"):
-            troubles.append(wandering_latency(cluster, rng, FIVE, 0.25))
-        running = [asyncio.ensure_future(one) for one in troubles]
+            disturbances.append(wandering_latency(cluster, rng, FIVE, 0.25))
+        running = [asyncio.ensure_future(one) for one in disturbances]
         states = await finished(scenario, order, [user.run() for user in users])
         for one in running:
             one.cancel()
@@ -93,18 +93,20 @@
 
 @SEEDS
 @pytest.mark.parametrize("written", [False, True])
-async def test_cancellations_and_questions_meet_the_end_of_the_last_task(seed, written):
+async def test_everybody_gets_the_same_answer_when_a_cancellation_races_the_end_of_a_job(
+    seed, written
+):
     """Within half a second after the task has completed, or within milliseconds of the leader's
-    write of the end: one of the two wins, everybody is told the same for ever, and a job that
+    write of the end: one of the two wins, everybody gets the same answer for ever, and a job that
     waits for this one is done or cancelled with it."""
 
     async with running_scenario(seed, users=2) as scenario:
         cluster, order = scenario.cluster, AnswerOrder()
         users = impatient(scenario, order, seed, 16)
         most = 0.04 if written else 0.5
-        meeting = [user.meet_end(written, user.rng.uniform(0, most)) for user in users]
+        racing = [user.meet_end(written, user.rng.uniform(0, most)) for user in users]
         followers = [follow(scenario, order, user) for user in users[::3]]
-        states = (await finished(scenario, order, meeting + followers))[: len(users)]
+        states = (await finished(scenario, order, racing + followers))[: len(users)]
         assert set(states) == {"done", "cancelled"}
         for state, follower in zip(states[::3], users[::3], strict=True):
             name = follower.name.replace("j-0007", "j-0006")
@@ -113,7 +115,7 @@
 
 
 @SEEDS
-async def test_odd_requests_at_every_controller_and_in_the_first_second_of_a_process(seed):
+async def test_invalid_requests_are_refused_at_every_controller_and_right_after_a_restart(seed):
     """A process that has not learned the machine types yet refuses nothing that it can't judge,
     and accepts nothing that can't run."""
 
@@ -141,7 +143,7 @@
 
 
 @SEEDS
-async def test_odd_requests_while_no_machine_types_are_known(seed):
+async def test_invalid_requests_are_undecided_while_no_machine_types_are_loaded(seed):
     """All controllers begin without the cloud and without a record of its types."""
 
     async with running_scenario(seed, users=2) as scenario:
@@ -174,7 +176,7 @@
 
 
 @SEEDS
-async def test_odd_requests_in_an_outage(seed):
+async def test_invalid_requests_in_an_outage_get_503_at_once(seed):
     """Whatever needs the store is answered with 503 and a time to come back, at once."""
 
     async with running_scenario(seed, users=2) as scenario:
@@ -201,7 +203,7 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-async def test_a_former_leader_finds_a_job_ended_by_its_successor(seed):
+async def test_a_former_leader_answers_with_its_successors_end_of_a_job(seed):
     """Its own end of the job, as done, had no known outcome; the user cancelled meanwhile, and the
     successor ended it as cancelled. The former leader must not answer from its memory."""
 
@@ -239,7 +241,9 @@
 
 
 @pytest.mark.parametrize(("seed", "rps", "write_rps"), [(0, 250.0, 35.0), (1, 200.0, 80.0)])
-async def test_one_task_jobs_four_a_second_a_quarter_of_them_cancelled(seed, rps, write_rps):
+async def test_users_are_answered_and_nothing_piles_up_at_four_one_task_jobs_a_second(
+    seed, rps, write_rps
+):
     """At the rates of requests and changes that large deployments have: users are answered, the
     queue of changes does not grow, nothing is forgotten, and nothing is kept of ended jobs but
     their ends."""
@@ -269,11 +273,15 @@
             assert await cluster.poll(f"j-{number:06d}", member) == states[number]
     await cluster.wait(5)
     assert cluster.controllers[cluster.leader()].leader is leader
-    assert not leader.jobs and not leader.graph.jobs and not leader.reconciler.jobs
-    assert not leader.record_writer.dirty and not leader.record_writer.garbage
+    assert not leader.jobs
+    assert not leader.graph.jobs
+    assert not leader.reconciler.jobs
+    assert not leader.record_writer.dirty
+    assert not leader.record_writer.garbage
     assert {key.split("/")[0] for key in cluster.store.keys if "/j-" in key} == {"ended"}
     for controller in cluster.controllers.values():
-        assert not controller.job_api.polls.waiting and not controller.job_api.admission.waiting
+        assert not controller.job_api.polls.waiting
+        assert not controller.job_api.admission.waiting
     assert not cluster.rules.broken, cluster.rules.broken
 
 
--- a/dappledrum/controller/test_crash_points.py
+++ b/dappledrum/controller/test_crash_points.py
@@ -1,5 +1,5 @@
-"""Processes that are there again within a second of their end: what the next one may wrongly take
-for its own, forget or repeat (docs/design.md, "Immediate restarts")."""
+"""Processes that restart within a second of a crash: what the next one may wrongly consider its
+own, forget or repeat (docs/design.md, "Immediate restarts")."""
 
 import asyncio
 
@@ -13,13 +13,13 @@
 
 @pytest.mark.long
 @pytest.mark.parametrize("step", STEPS)
-async def test_ends_at_each_step(step):
-    """Rules are checked after each step, and every job is done in the end."""
-    ended = [await run_with_crashes(step, seed) for seed in range(2)]
-    assert sum(ended) >= 2, "the step never came by"
+async def test_every_job_finishes_when_controllers_crash_at_a_step(step):
+    """Invariants are checked after each step, and every job is done in the end."""
+    crashes = [await run_with_crashes(step, seed) for seed in range(2)]
+    assert sum(crashes) >= 2, "no crash at this step"
 
 
-async def test_processes_that_begin_in_an_outage_are_ready_at_once():
+async def test_controllers_restarted_in_an_outage_are_ready_at_once():
     """They once were when it was over, and the load balancer, which had left them all out by
     then, took them back so slowly that users found nobody for 10 s more."""
     cluster = await led_cluster(3, members=FIVE)
@@ -46,20 +46,20 @@
     assert await cluster.readiness(alone) == 200
 
 
-async def test_words_of_a_later_process_count_though_its_clock_says_that_it_is_the_earlier():
+async def test_heartbeats_of_a_later_process_count_though_its_clock_is_behind():
     """Clocks wander by a quarter of a second, more than a process that ends at once lives."""
     cluster = await led_cluster(4, members=FIVE)
     await cluster.wait(3)
     member = cluster.others(cluster.leader())[0]
     await cluster.restart(member, 0.1)
     cluster.controllers[member].membership.born -= 5_000
-    await cluster.wait(6)  # what the one before has told is not fresh any more
+    await cluster.wait(6)  # the heartbeats of the process before are not fresh any more
     for other in cluster.others(member):
         membership = cluster.controllers[other].membership
         assert membership.table.is_connected(member, membership.clock.now())
 
 
-async def test_a_process_in_a_loop_of_ends_slows_nobody():
+async def test_a_controller_in_a_crash_loop_costs_little():
     """What each restart of a follower costs: some requests to the store, no change of a
     record, and nobody else's time."""
     cluster = await led_cluster(5, members=FIVE)
@@ -77,7 +77,8 @@
         await cluster.wait(0.3)
         assert cluster.leader() == leader
     each = (cluster.store.requests - requests - rest * (now() - began)) / 20
-    assert each < 12 and cluster.store.writes == writes
+    assert each < 12
+    assert cluster.store.writes == writes
     for number, other in enumerate(cluster.others(member)):
         await cluster.restart(member, 0.3)
         assert await cluster.submit(job(number), tries=1, member=other) == 201
@@ -85,9 +86,9 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-async def test_a_leader_that_is_back_at_once_is_replaced_at_once(seed):
-    """Its key kept all others from standing until its hold was over, 3 s later, though its next
-    process knew that nobody led under it."""
+async def test_a_leader_that_restarts_at_once_is_replaced_at_once(seed):
+    """Its key kept all others from campaigning until its lease had expired, 3 s later, though its
+    next process knew that nobody led under it."""
     cluster = await led_cluster(seed, members=FIVE)
     for back in (0.0, 0.05, 0.3):
         await cluster.wait(5)
@@ -97,7 +98,7 @@
         while cluster.leader() is None:
             await asyncio.sleep(0.01)
             assert now() - began < back + 0.5
-        # Whoever is not back within its hold is waited for, as ever.
+        # A leader that does not restart within its lease is waited for, as ever.
         leader = cluster.leader()
         cluster.kill(leader)
         await cluster.wait(2)
@@ -106,14 +107,14 @@
         cluster.start(leader)
 
 
-async def test_a_key_with_ones_own_name_that_nobody_leads_by_goes():
+async def test_a_leader_key_of_an_earlier_process_is_removed():
     """A transaction of an election that is executed after its sender's end: the process after it
     does not lead by that key, and ends it."""
     cluster = await led_cluster(7, members=FIVE)
     await cluster.wait(3)
     state = cluster.store
     leader = cluster.leader()
-    ghost = cluster.others(leader)[0]
+    earlier = cluster.others(leader)[0]
     epoch = state.keys["epoch"][0]["epoch"]
     cluster.kill(leader)
     await cluster.wait(1)
@@ -123,7 +124,7 @@
     body = {
         "guards": [],
         "then": [
-            {"write": "leader", "value": {"member": ghost, "epoch": epoch + 1}, "hold": 99},
+            {"write": "leader", "value": {"member": earlier, "epoch": epoch + 1}, "hold": 99},
             {"write": "epoch", "value": {"epoch": epoch + 1}},
         ],
     }
@@ -135,7 +136,7 @@
     assert cluster.controllers[cluster.leader()].elector.term.epoch == epoch + 2
 
 
-async def test_all_end_again_and_again():
+async def test_jobs_finish_when_all_controllers_crash_again_and_again():
     """Five at once, five times, before the first read is over or after it."""
     cluster = await led_cluster(6, members=FIVE)
     names = await cluster.accept_jobs(4, dueS=None)
--- a/dappledrum/controller/test_end_to_end.py
+++ b/dappledrum/controller/test_end_to_end.py
@@ -1,4 +1,4 @@
-"""Whole days in virtual time: every trouble of the brief, some in pairs, with all rules checked
+"""Whole days in virtual time: every fault, some in pairs, with all invariants checked
 after each step."""
 
 import pytest
@@ -36,12 +36,12 @@
 
 
 @pytest.mark.parametrize("fault", FAULTS, ids=lambda t: t.__name__)
-async def test_day_keeps_the_rules(fault):
+async def test_a_day_with_a_fault_keeps_the_invariants(fault):
     await run_day(SimulatedCluster(seed=3), fault)
 
 
 @pytest.mark.parametrize("seed", range(3))
-async def test_two_troubles_at_once(seed):
+async def test_a_day_with_two_faults_keeps_the_invariants(seed):
     cluster = SimulatedCluster(seed=seed)
     pair = cluster.rng.sample(
         [
@@ -56,9 +56,8 @@
     await run_day(cluster, fault_scenarios.in_turn(*pair), runS=14.0)
 
 
-async def test_long_outage_keeps_running_work():
-    """All peers promise not to stand, so leases go on and nothing is started again (design:
-    promises)."""
+async def test_tasks_continue_in_a_long_outage():
+    """All peers grant leases, so workers' leases are renewed and nothing is started again."""
     cluster = await led_cluster(5)
     names = await cluster.accept_jobs(3, runS=80.0, expectedS=60.0, dueS=100.0)
     await cluster.until(lambda: len(cluster.rules.running) >= 8)
@@ -72,7 +71,7 @@
     assert cluster.rules.starts == 12  # none had to start twice
 
 
-async def test_cancellation_while_a_start_is_on_its_way():
+async def test_a_job_cancelled_while_a_start_is_in_flight_stays_cancelled():
     cluster = await led_cluster(2)
     await cluster.accept(job(1, runS=300.0))
     await cluster.until(lambda: cluster.rules.starts > 0)
@@ -85,7 +84,7 @@
     assert await cluster.submit(job(1)) == 200
 
 
-async def test_services_spread_one_zone_and_limits():
+async def test_services_spread_jobs_zone_bound_jobs_and_limited_teams_run_side_by_side():
     cluster = await led_cluster(4)
     service, *names = await cluster.accept(
         job(1, form="service", expectedS=0.0, dueS=None, beats=2),
@@ -101,7 +100,7 @@
     assert not cluster.rules.running
 
 
-async def test_job_that_fails_everywhere_and_machine_on_which_all_fails():
+async def test_failing_jobs_and_failing_machines_stop_nobody_else():
     cluster = await led_cluster(6)
     broken, *names = await cluster.accept(job(1, broken=True), *map(job, range(2, 7)))
     await cluster.until(lambda: cluster.rules.starts > 3)
@@ -113,7 +112,7 @@
     assert await cluster.cancel(broken) == "cancelled"
 
 
-async def test_what_cannot_be_taken_is_said_at_once():
+async def test_a_submission_in_an_outage_is_refused_at_once():
     cluster = await led_cluster(7)
     cluster.store.out = True
     await cluster.wait(2)
@@ -127,8 +126,8 @@
 
 
 async def test_controllers_started_during_an_outage_become_ready_after_it():
-    """Readiness once hung on the first look for the catalog: all stayed unready when only the
-    cloud had answered it. Without words nobody knows of a peer that could serve instead."""
+    """Readiness once depended on the first read of the catalog: all stayed unready when only the
+    cloud had answered it. Without peer heartbeats no peer is known that could serve instead."""
     cluster = await led_cluster(9, reach=False)
     cluster.store.out = True
     await cluster.wait(1)
@@ -140,7 +139,7 @@
     assert [await cluster.readiness(member) for member in cluster.members] == [200] * 3
 
 
-async def test_a_new_leader_does_not_rent_again_what_is_booting():
+async def test_a_new_leader_does_not_rent_booting_machines_again():
     """The list lags, so a new leader once rented its predecessor's booting machines a second
     time."""
     cluster = SimulatedCluster(seed=10)
@@ -157,7 +156,7 @@
     await cluster.finish(["j-000001"])
 
 
-async def test_a_new_leader_returns_no_machine_that_has_not_found_it_yet():
+async def test_a_new_leader_returns_no_machine_that_has_not_reached_it_yet():
     """Machines long up but not yet heard by the new leader once passed for boots that never
     end."""
     cluster = await led_cluster(11)
@@ -172,7 +171,8 @@
     cluster.kill(leader)
     await cluster.until(lambda: cluster.leader() not in (None, leader))
     await cluster.wait(5)
-    assert names and names <= set(cluster.cloud.machines)
+    assert names
+    assert names <= set(cluster.cloud.machines)
 
 
 async def test_a_team_gets_its_guarantee_from_borrowers_and_urgent_work_goes_first():
@@ -207,7 +207,7 @@
     assert rate < cluster.params.state.write_rps
 
 
-async def test_a_notice_moves_what_would_be_lost_and_proves_the_rest_gone():
+async def test_a_reclaim_notice_moves_tasks_that_would_be_lost_and_keeps_the_others():
     """A task that the notice doomed once ran on until the machine was taken, and began again only
     when the worker's lease had run out: half a minute lost for each."""
     cluster = await led_cluster(18, lease_s=30.0)
@@ -230,13 +230,13 @@
     assert now() - began < 75
 
 
-async def test_after_an_end_of_all_nobody_waits_for_promises_that_no_one_relies_on():
-    """Each restart of all controllers once cost 2 s in which none of them stood."""
+async def test_restarted_controllers_do_not_wait_for_lease_grants_that_nobody_relies_on():
+    """Each restart of all controllers once cost 2 s in which none of them campaigned."""
     cluster = await led_cluster(19)
     await cluster.restart_all(4.0)
     took = await cluster.until_led()
     assert took < 1.6
-    # One that can't be asked may hold a term, so the wait stands.
+    # One that can't be asked may hold a term, so the wait remains.
     cluster.kill("drummer-2")
     await cluster.restart("drummer-0", 1.0)
     controller = cluster.controllers["drummer-0"]
@@ -245,9 +245,9 @@
     assert controller.elector.voter.unknown_until > controller.clock.now()
 
 
-async def test_a_leader_that_holds_on_promises_keeps_a_restarted_peer_from_standing():
-    """The wait is only spared when nobody holds a term; here the leader does, on the promise of
-    the process that has just ended."""
+async def test_a_leader_with_lease_grants_keeps_a_restarted_peer_from_campaigning():
+    """The wait is only spared when nobody holds a term; here the leader does, on the lease grant
+    of the process that has just ended."""
     cluster = await led_cluster(20, lease_s=30.0)
     leader = cluster.leader()
     other = cluster.others(leader)[0]
@@ -262,7 +262,7 @@
     await cluster.wait(3)
 
 
-async def test_an_unreachable_state_service_is_said_once_and_when_it_is_over(caplog):
+async def test_an_unreachable_store_is_logged_once_and_when_it_is_reached_again(caplog):
     cluster = await led_cluster(21)
     caplog.clear()
     cluster.store.out = True
--- a/dappledrum/controller/test_idle_machines.py
+++ b/dappledrum/controller/test_idle_machines.py
@@ -1,4 +1,4 @@
-"""Work that nobody expects by any time: it gets idle room, gives it back, and still ends."""
+"""Work without a deadline: it gets idle capacity, gives it back, and still ends."""
 
 from datetime import timedelta
 
@@ -19,7 +19,7 @@
     return sum(job_id == name for job_id, _ in cluster.rules.running)
 
 
-async def test_idle_work_starts_without_a_deadline_and_ends():
+async def test_work_without_a_deadline_starts_and_ends():
     """Planned with a far deadline it was put off at each plan, and began when the day was over."""
 
     cluster = SimulatedCluster(seed=21)
@@ -30,7 +30,7 @@
     assert all(machine.kind[2] for machine in cluster.cloud.machines.values())
 
 
-async def test_idle_work_that_keeps_its_progress_gives_way_to_what_would_be_late():
+async def test_best_effort_work_with_checkpoints_is_preempted_for_work_that_would_be_late():
     cluster = SimulatedCluster(seed=22)
     cluster.cloud.most = 2
     await cluster.until(lambda: cluster.leader() is not None)
@@ -44,7 +44,7 @@
     assert await cluster.cancel("j-000001") == "cancelled"
 
 
-async def test_answers_wait_only_where_there_is_room_and_no_end_is_near():
+async def test_answers_wait_only_where_there_is_capacity_and_no_end_is_near():
     """A worker has one heartbeat on its way, so news of an end would wait for the answer."""
 
     cluster = SimulatedCluster(seed=22)
@@ -60,7 +60,7 @@
     assert not leader.dispatcher.machines.may_wait(machine, timedelta(seconds=2))
 
 
-async def test_ordinary_machines_give_way_to_any_spot_machine_that_can_stand_in():
+async def test_ordinary_machines_are_replaced_by_any_spot_machine_that_fits():
     """By type and zone alone the large machines of one bad moment stayed for the day, while idle
     spot machines of another type went back."""
 
@@ -79,7 +79,8 @@
         names.append(f"j-{number:06d}")
         await cluster.wait(8)
     on = {m for places in cluster.rules.running.values() for m in places}
-    assert on and not on & ordinary
+    assert on
+    assert not on & ordinary
     await cluster.finish(names)
 
 
@@ -105,8 +106,8 @@
         assert not any(machine.retiring for machine in leader.registry)
 
 
-async def test_ordinary_machines_work_on_while_spot_machines_are_about_to_go():
-    """Room on a spot machine that the cloud is about to take counted as room for what waits. While
+async def test_ordinary_machines_are_kept_while_spot_machines_are_about_to_be_reclaimed():
+    """Capacity of a spot machine that the cloud is about to take counted for what waits. While
     no other machine could be had, ordinary ones then got no new work and were returned."""
 
     spec = job(1, beats=40, runS=100.0, expectedS=100.0, dueS=60.0)
@@ -119,8 +120,8 @@
     await cluster.finish(["j-000001"], most=600)
 
 
-async def test_ordinary_machines_work_on_while_late_work_waits_for_their_type():
-    """Room on spot machines of another type is none for it."""
+async def test_ordinary_machines_are_kept_while_late_work_waits_for_their_type():
+    """Capacity of spot machines of another type is none for it."""
 
     spec = job(1, beats=30, runS=100.0, expectedS=100.0, dueS=60.0, builds=["small"])
     cluster = await busy_cluster(spec, 4)
--- a/dappledrum/controller/test_large.py
+++ b/dappledrum/controller/test_large.py
@@ -26,7 +26,7 @@
     [leader_killed, rolled, short_outage, wave_and_leader_killed],
     ids=lambda f: f.__name__,
 )
-async def test_a_large_day(fault):
+async def test_a_large_cluster_with_a_fault_keeps_the_invariants(fault):
     """Guards, at size, against plans that hold up the renewal of the leader's lease, records that
     do not fit, and takeovers that lose or repeat tasks."""
 
@@ -44,7 +44,7 @@
     await cluster.finish(names)
 
 
-async def test_ordinary_machines_give_way_to_spot_machines_in_calm_times():
+async def test_ordinary_machines_are_replaced_by_spot_machines_in_calm_times():
     """Guards against ordinary machines that stay for the day, as small tasks keep them from being
     idle at the end of an interval."""
 
--- a/dappledrum/controller/test_largest.py
+++ b/dappledrum/controller/test_largest.py
@@ -1,10 +1,10 @@
-"""Jobs that nobody would begin, late already or too large, in a flood of others."""
+"""Jobs that would never start, late already or too large, among many others."""
 
 from dappledrum.dispatch.bag_builder import MAX_WAIT_UNSTARTED
 from dappledrum.simulation.cluster import SimulatedCluster, job
 
 
-async def test_a_job_that_waits_for_long_gets_its_first_task_before_all_others():
+async def test_a_job_that_has_waited_long_starts_its_first_task_before_all_others():
     """What can still be in time goes before what is late, so in a flood of it a large job that had
     missed its deadline would be put off with each plan. One task of it is enough to begin."""
 
--- a/dappledrum/controller/test_late_and_duplicate_heartbeats.py
+++ b/dappledrum/controller/test_late_and_duplicate_heartbeats.py
@@ -1,5 +1,5 @@
-"""Heartbeats that come again late, machines that hear nothing, and controllers that are left alone
-with their workers."""
+"""Heartbeats that are repeated late, machines that no answer reaches, and controllers that are cut
+off from all but their workers."""
 
 import asyncio
 
@@ -16,7 +16,7 @@
 
 
 async def fault(work, what):
-    """One of the troubles above."""
+    """Bring about one of the faults above."""
     cluster, rng = work.cluster, work.rng
     workers = [worker for worker in cluster.cloud.workers() if not worker.hung]
     if what == "end" and cluster.leader() is not None:
@@ -37,9 +37,9 @@
 
 
 @pytest.mark.parametrize(("seed", "paths"), [(0, HEARTBEATS), (1, HEARTBEATS), (2, ALL), (3, ALL)])
-async def test_late_copies_amid_ends_and_losses(seed, paths):
+async def test_no_terminated_machine_counts_as_up_when_requests_are_repeated_late(seed, paths):
     """Copies from 1 s to three leases late, at any controller, leaders and machines that end and
-    machines that hang: no rule is broken, and nothing that has gone looks alive."""
+    machines that hang: no invariant is broken, and no terminated machine counts as up."""
 
     work = await start_short_jobs(seed, paths)
     for turn, what in enumerate(FAULTS):
@@ -48,8 +48,8 @@
         await work.cluster.wait(work.rng.uniform(1, 6))
     await work.finish(timeout_s=400)
     assert work.cluster.network.copied > 150
-    ghosts = work.cluster.kept_after_termination
-    assert not ghosts, f"{len(ghosts)} times, as {ghosts[0]}"
+    earliers = work.cluster.kept_after_termination
+    assert not earliers, f"{len(earliers)} times, as {earliers[0]}"
 
 
 def heartbeats_of(cluster, name):
@@ -66,7 +66,7 @@
 
 
 @pytest.mark.parametrize("takeover", [False, True])
-async def test_copies_of_a_dead_machine_do_not_keep_it_alive(takeover):
+async def test_repeated_heartbeats_of_a_terminated_machine_do_not_keep_its_tasks(takeover):
     """Its tasks are given up a lease after its last answer, two at the most after a takeover that
     knew nothing of the order of its heartbeats."""
 
@@ -107,7 +107,7 @@
 
 
 def unreachable(cluster):
-    """Machines that the leader believes to hear nothing."""
+    """Machines that the leader considers unreachable."""
     member = cluster.leader()
     leader = cluster.controllers[member].leader if member is not None else None
     return (
@@ -119,9 +119,9 @@
 
 @pytest.mark.parametrize("seed", range(2))
 @pytest.mark.parametrize("takeover", [False, True])
-async def test_machines_that_hear_nothing_get_nothing_and_come_back(seed, takeover):
-    """A third of all: told apart within a lease and some heartbeats, all work is done elsewhere, and
-    they serve again once they hear."""
+async def test_unreachable_machines_get_no_work_until_they_are_reachable_again(seed, takeover):
+    """A third of all: detected within a lease and some heartbeats, all work is done elsewhere, and
+    they serve again once answers reach them."""
 
     work = await start_short_jobs(seed, machines=9)
     cluster = work.cluster
@@ -156,7 +156,7 @@
     await cluster.finish([last["id"], service], most=100)
 
 
-async def test_a_controller_that_nobody_hears_blames_no_machine():
+async def test_no_machine_counts_as_unreachable_when_all_of_them_are():
     work = await start_short_jobs(3, machines=6)
     cluster = work.cluster
     cluster.drop_answers([worker.name for worker in cluster.cloud.workers()])
@@ -172,9 +172,9 @@
 
 
 @pytest.mark.parametrize("leads", [True, False])
-async def test_a_controller_that_is_left_alone_with_its_workers(leads):
-    """It is not ready, tells users at once to come back, sends workers on at once, and they find
-    the leader before their lease ends."""
+async def test_workers_leave_an_isolated_controller_before_their_lease_expires(leads):
+    """It is not ready, refuses users at once with a time to retry, redirects workers at once, and
+    they find the leader before their lease ends."""
 
     work = await start_short_jobs(4)
     cluster = work.cluster
@@ -194,10 +194,8 @@
     assert await status(f"/submissions/{work.names[0]}") == 503
     assert now() - began < 0.5
     controller = cluster.controllers[member]
-    assert (
-        controller.elector.holding() is None
-        and controller.endpoints.heartbeats.redirection.target() is None
-    )
+    assert controller.elector.holding() is None
+    assert controller.endpoints.heartbeats.redirection.target() is None
     await cluster.wait(20)
     kept = sessions.keys() & work.sessions().keys()
     assert {name: work.sessions()[name] for name in kept} == {n: sessions[n] for n in kept}
@@ -210,7 +208,7 @@
 
 @pytest.mark.parametrize("young", [False, True])
 @pytest.mark.parametrize("election", [False, True])
-async def test_a_worker_process_that_begins_anew_is_not_taken_for_the_old_one(young, election):
+async def test_a_restarted_worker_process_is_not_mistaken_for_its_predecessor(young, election):
     """Its `set` and `tick` begin again, below what is known or soon above it, also while another
     controller comes to lead, and copies of the former one's heartbeats go on coming."""
 
@@ -237,8 +235,8 @@
     assert await work.finish(timeout_s=200) < 2 * LEASE_S + 90
 
 
-async def test_all_troubles_together():
-    """Copies, machines that hear nothing, a controller alone, ends, an outage: every job is done
+async def test_every_job_finishes_under_all_faults_together():
+    """Copies, unreachable machines, an isolated controller, crashes, an outage: every job is done
     in the end, and known all along."""
 
     work = await start_short_jobs(5, HEARTBEATS)
@@ -260,4 +258,5 @@
     cluster.network.copies = None
     await work.finish(timeout_s=400)
     cluster.rules.check_largest(now(), 240.0)
-    assert not cluster.rules.broken and cluster.rules.longest_s < 10
+    assert not cluster.rules.broken
+    assert cluster.rules.longest_s < 10
--- a/dappledrum/controller/test_lost_responses.py
+++ b/dappledrum/controller/test_lost_responses.py
@@ -1,5 +1,6 @@
-"""A transaction is carried out at once and only its answer is lost, while other nodes read what it
-wrote: acceptance, cancellation, progress of tasks, moves to the ended jobs, election, transfer."""
+"""A transaction is executed at once and only its response is lost, while other controllers read
+what it wrote: acceptance, cancellation, progress of tasks, moves to the ended jobs, election,
+transfer."""
 
 import asyncio
 import json
@@ -33,7 +34,7 @@
 
 
 class LostAnswers:
-    """Loses answers of some kinds of transactions, and lets users look at what those wrote."""
+    """Loses answers of some kinds of transactions, and lets users read what those wrote."""
 
     def __init__(self, scenario, kinds):
         self.cluster = scenario.cluster
@@ -41,7 +42,7 @@
         self.kinds = kinds
         self.lost = dict.fromkeys(kinds, 0)
         self.waits = []  # of users, for answers to requests that are carried out
-        self.looks = []
+        self.reads = []
         self.ask = self.cluster._ask
         self.cluster._ask = self.checked
         self.cluster.network.watcher = self.watch
@@ -60,22 +61,22 @@
             place, _, name = (change.get("write") or "").partition("/")
             if place in ("job", "ended"):
                 for member in self.rng.sample(self.cluster.members, 3):
-                    call_later(self.rng.uniform(0.0, 0.3), self.look, place, name, member)
+                    call_later(self.rng.uniform(0.0, 0.3), self.read, place, name, member)
         return 0.0
 
-    def look(self, place, name, member):
+    def read(self, place, name, member):
         """A user asks, and now and then repeats the submission."""
         if member not in self.cluster.network.services:
             return
-        self.looks.append(asyncio.ensure_future(self.cluster.poll(name, member)))
+        self.reads.append(asyncio.ensure_future(self.cluster.poll(name, member)))
         key = self.cluster.store.keys.get(f"job/{name}")
         if place == "job" and key is not None and self.rng.random() < 0.3:
             body = json.dumps(key[0]["spec"]).encode()
             again = self.cluster._ask("POST", "/submissions", body, member)
-            self.looks.append(asyncio.ensure_future(again))
+            self.reads.append(asyncio.ensure_future(again))
 
     async def checked(self, method, path, body=None, member=None):
-        """Ask a controller; whatever it tells must be stored by then."""
+        """Ask a controller; whatever it reports must be stored by then."""
         began = now()
         reply = await self.ask(method, path, body, member)
         if reply is None or reply.status not in (200, 201):
@@ -83,10 +84,10 @@
         said = json.loads(reply.body)
         keys = self.cluster.store.keys
         live, over = keys.get(f"job/{said['id']}"), keys.get(f"ended/{said['id']}")
-        assert live or over, f"{said['id']} told and not stored"
+        assert live or over, f"{said['id']} reported and not stored"
         if said["stance"] == "cancelled":
-            assert over or live[0]["cancelled"], f"{said['id']} told cancelled"
-        assert said["stance"] != "done" or over, f"{said['id']} told done"
+            assert over or live[0]["cancelled"], f"{said['id']} reported as cancelled"
+        assert said["stance"] != "done" or over, f"{said['id']} reported as done"
         if method == "POST":
             self.waits.append(now() - began)
         return reply
@@ -94,7 +95,7 @@
     async def stop(self):
         """Every answer arrives from now on."""
         self.cluster.network.watcher = None
-        await asyncio.gather(*self.looks)
+        await asyncio.gather(*self.reads)
 
     def share_within(self, span):
         """Share of the users' changes that were answered in time."""
@@ -103,7 +104,7 @@
 
 @pytest.mark.parametrize("seed", range(2))
 @pytest.mark.parametrize("kind", ["acceptance", "cancellation", "comparison", "progress", "end"])
-async def test_answers_of_one_kind_are_lost(kind, seed):
+async def test_users_are_answered_in_time_when_responses_of_one_kind_are_lost(kind, seed):
     async with running_scenario(seed) as scenario:
         lost = LostAnswers(scenario, (kind,))
         await scenario.submit_long(*range(4))
@@ -124,9 +125,9 @@
 
 
 @pytest.mark.parametrize("seed", range(2))
-async def test_answers_of_elections_and_transfers_are_lost(seed):
-    """The leader ends, resigns or hands over again and again; whoever has taken the key leads with
-    it, and does not give it back because it has not heard so."""
+async def test_leadership_is_soon_taken_when_responses_of_elections_and_transfers_are_lost(seed):
+    """The leader crashes, resigns or transfers leadership again and again; the controller that has
+    taken the key leads with it, and does not give it back because the response was lost."""
 
     async with running_scenario(seed) as scenario:
         cluster, rng = scenario.cluster, scenario.rng
@@ -134,7 +135,7 @@
         await scenario.submit_long(0, 1)
         vacant = []
         for way in ("end", "transfer", "resign", "end"):
-            await cluster.wait(rng.uniform(11, 14))  # a term may be handed over after 10 s
+            await cluster.wait(rng.uniform(11, 14))  # a term may be transferred after 10 s
             leader = cluster.leader()
             began = now()
             if way == "end":
@@ -152,12 +153,12 @@
             vacant.append((way, round(now() - began, 2)))
         await lost.stop()
         assert sum(lost.lost.values()) >= 2, lost.lost
-        # Of an end the lease and a round of standing, else not even that.
+        # After a crash the lease and a round of campaigning, else not even that.
         assert all(span < (5.5 if way == "end" else 1.5) for way, span in vacant), vacant
 
 
 @pytest.mark.parametrize("seed", range(3))
-async def test_answers_of_any_kind_are_lost_while_leaders_end(seed):
+async def test_only_stored_states_are_reported_when_any_responses_are_lost_and_leaders_crash(seed):
     async with running_scenario(seed) as scenario:
         cluster, rng = scenario.cluster, scenario.rng
         kinds = ("acceptance", "cancellation", "progress", "end", "election", "transfer")
--- a/dappledrum/controller/test_paused_processes.py
+++ b/dappledrum/controller/test_paused_processes.py
@@ -1,4 +1,4 @@
-"""A controller stands still while its clocks, and everybody else, go on."""
+"""A controller is suspended while its clocks, and everything else, go on."""
 
 import asyncio
 from datetime import timedelta
@@ -16,12 +16,12 @@
 
 
 @pytest.mark.parametrize("fault", PAUSES, ids=lambda t: t.__name__)
-async def test_a_pause_keeps_the_rules(fault):
+async def test_a_day_with_a_pause_keeps_the_invariants(fault):
     await run_day(SimulatedCluster(seed=31), fault, runS=15.0)
 
 
 @pytest.mark.parametrize("other", [short_outage, machines_taken, rolled], ids=lambda t: t.__name__)
-async def test_a_pause_of_the_leader_meets_another_trouble(other):
+async def test_a_day_with_a_pause_of_the_leader_and_another_fault_keeps_the_invariants(other):
     cluster = SimulatedCluster(seed=32)
 
     async def both(cluster):
@@ -34,7 +34,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-async def test_pauses_at_any_moment(seed):
+async def test_a_day_with_pauses_at_any_moment_keeps_the_invariants(seed):
     """Short ones and ones longer than the leader's lease, at moments that fall into renewals,
     transactions, plans and held answers; each controller in turn."""
     cluster = SimulatedCluster(seed=40 + seed)
@@ -52,7 +52,7 @@
     await run_day(cluster, often, jobs=8, runS=12.0)
 
 
-async def test_a_pause_returns_and_rents_nothing():
+async def test_a_short_pause_of_the_leader_changes_nothing():
     """Shorter than the leader's lease: leadership, machines and tasks stay as they are."""
     cluster = await led_cluster(37)
     names = await cluster.accept_jobs(3, runS=30.0, expectedS=30.0, dueS=55.0)
@@ -65,12 +65,13 @@
         cluster.thaw(leader)
         await cluster.wait(1.5)
         assert cluster.leader() == leader
-    assert set(cluster.cloud.machines) == machines and cluster.cloud.next == rented
+    assert set(cluster.cloud.machines) == machines
+    assert cluster.cloud.next == rented
     await cluster.finish(names)
     assert cluster.rules.starts == 12
 
 
-async def test_an_answer_that_came_during_a_pause_is_read_before_it_is_called_missing():
+async def test_an_answer_that_arrived_during_a_pause_is_read_before_the_timeout():
     loop = asyncio.get_running_loop()
     assert isinstance(loop, VirtualLoop)
 
@@ -97,7 +98,7 @@
         await loop.create_task(ask_in_vain())
 
 
-async def test_a_pause_is_noticed():
+async def test_a_pause_is_detected():
     pause_detector = PauseDetector(Clock())
     began = pause_detector.awake_since()
     await asyncio.sleep(1)
@@ -106,7 +107,7 @@
     assert pause_detector.awake_since() == pause_detector.clock.now() > began
 
 
-def test_a_failure_while_a_process_stands_still_ends_the_test():
+def test_a_failure_while_a_process_is_suspended_ends_the_test():
     """It once never ended, and nobody saw what had failed."""
 
     async def main():
--- a/dappledrum/controller/test_slow_boots.py
+++ b/dappledrum/controller/test_slow_boots.py
@@ -40,11 +40,11 @@
 
 
 @pytest.mark.parametrize("fault", FAULTS, ids=lambda t: t.__name__)
-async def test_day_keeps_the_rules_and_ends(fault):
+async def test_a_day_with_slow_boots_keeps_the_invariants(fault):
     await run_day(SimulatedCluster(seed=51), fault, runS=10.0)
 
 
-async def test_no_storm_of_rentals_while_all_boots_are_slow():
+async def test_few_machines_are_rented_while_all_boots_are_slow():
     cluster = SimulatedCluster(seed=52)
     cluster.cloud.slow = 8.0
     await cluster.until(lambda: cluster.leader() is not None)
@@ -57,7 +57,7 @@
     await cluster.finish(["j-000001"])
 
 
-async def test_nothing_is_rented_or_returned_for_a_term_that_has_ended_meanwhile():
+async def test_nothing_is_rented_or_returned_for_a_term_that_has_ended():
     """Paced for seconds, or sent after a pause: the machines may be another leader's by then."""
 
     cluster = SimulatedCluster(seed=53)
@@ -71,4 +71,5 @@
     name = cluster.cloud.add(("small", "a", True))
     with pytest.raises(CloudError):
         await cloud.give_back([name], lambda: False)
-    assert "r-old" not in cluster.cloud.answers and name in cluster.cloud.machines
+    assert "r-old" not in cluster.cloud.answers
+    assert name in cluster.cloud.machines
--- a/dappledrum/controller/test_small_jobs.py
+++ b/dappledrum/controller/test_small_jobs.py
@@ -28,7 +28,7 @@
     return answers
 
 
-async def test_a_swarm_shares_reads_and_writes_four_changes_a_job():
+async def test_many_small_jobs_share_reads_and_cost_four_writes_each():
     """Each poll once was a read of its own, and hundreds of them starved submissions."""
 
     cluster = SimulatedCluster(seed=14, rps=60.0)
@@ -46,7 +46,7 @@
     assert cluster.store.requests - requests < answers.total() * 0.5
 
 
-async def test_jobs_of_one_task_that_are_alike_make_one_bag():
+async def test_alike_jobs_of_one_task_form_one_bag():
     """A plan for 800 of them took two seconds, a bag each."""
 
     cluster = SimulatedCluster(seed=15)
@@ -70,7 +70,7 @@
     await cluster.finish([f"j-{n:06d}" for n in [*range(40), 100]])
 
 
-async def test_submissions_that_come_together_share_a_transaction_and_not_their_refusals():
+async def test_simultaneous_submissions_share_a_transaction_but_not_their_refusals():
     cluster = SimulatedCluster(seed=16)
     await cluster.until(lambda: cluster.leader() is not None)
     await cluster.wait(3)
@@ -86,7 +86,7 @@
     await cluster.finish([spec["id"] for spec in specs])
 
 
-async def test_a_slow_answer_holds_up_no_later_submission():
+async def test_a_slow_response_delays_no_later_submission():
     """Written one transaction at a time, each slow answer made the next users wait, too."""
 
     cluster = SimulatedCluster(seed=17)
--- a/dappledrum/controller/test_upgrade.py
+++ b/dappledrum/controller/test_upgrade.py
@@ -1,7 +1,7 @@
-"""The version before chains and this one side by side, while users are served.
+"""The version before job dependencies and this one side by side, while users are served.
 
 An old controller is this code with what the version before would have written: it drops fields
-that it does not know, makes pages of 256 tasks, knows no later limits and refuses the question for
+that it does not know, makes pages of 256 tasks, ignores later limits and refuses the request for
 its version (see `simulation/cluster.py`).
 """
 
@@ -109,12 +109,13 @@
         crash_in_the_midst,
     ],
 )
-async def test_an_upgrade_while_serving_and_limits_that_drop_right_after(upgrade):
+async def test_jobs_finish_when_limits_drop_right_after_an_upgrade(upgrade):
     cluster = old_world(51)
     await cluster.until(lambda: cluster.leader() is not None)
     await submit_old(cluster)
     await upgrade(cluster)
-    assert not cluster.old and not cluster.store.too_large
+    assert not cluster.old
+    assert not cluster.store.too_large
     cluster.drop_limits()
     # Named by both: a job of the version before, still live or not.
     assert await cluster.submit(job(10, waitsOn=[name(1), name(4)], dueS=None)) == 201
@@ -130,13 +131,13 @@
     left = [key for key in cluster.store.keys if key.split("/")[0] in ("page", "rows", "spec")]
     assert not left
     assert cluster.store.over_rate <= 3
-    # The first refusal only tells that the limits have dropped.
+    # The first refusal only shows that the limits have dropped.
     assert len(cluster.store.too_large) <= 3
 
 
-async def test_limits_that_drop_before_all_have_told_their_version():
+async def test_jobs_finish_when_limits_drop_before_all_versions_are_read():
     """One controller does not come back for a while, so records are still written whole; the
-    first refusal tells, and nothing stays unwritable."""
+    first refusal shows it, and nothing stays unwritable."""
 
     cluster = old_world(53)
     await cluster.until(lambda: cluster.leader() is not None)
@@ -162,7 +163,7 @@
     return {(p.task, p.attempt, p.machine, p.session, p.zone) for p in page.placements.values()}
 
 
-def test_a_page_of_the_version_before_goes_into_parts():
+def test_a_page_of_the_previous_version_is_split_into_parts():
     """256 tasks on machines of their own, written again under a quarter of the limit, and read by
     a successor; a specification that needs hundreds of jobs likewise."""
     spec = job(1, beats=300, waitsOn=[name(n) for n in range(400)])
@@ -184,7 +185,8 @@
     assert len(specs) == head.spec_parts
     parts = [msgspec.json.decode(changes[key], type=SpecPart) for key in specs]
     second = Job(head, 4, parts)
-    assert second.spec == first.spec and len(second.unmet_dependencies) == 400
+    assert second.spec == first.spec
+    assert len(second.unmet_dependencies) == 400
     for key, value in changes.items():
         if key.startswith("rows/"):
             load_rows(second.page(0), msgspec.json.decode(value, type=RowsRecord))
@@ -197,7 +199,7 @@
     assert len(removed) > 1
 
 
-async def test_hundreds_of_names_are_taken_and_too_many_are_refused():
+async def test_a_job_with_hundreds_of_dependencies_is_accepted():
     cluster = SimulatedCluster(seed=52, next=NEXT)
     cluster.drop_limits()
     await cluster.until(lambda: cluster.leader() is not None)
