--- a/dappledrum/controller/assembly.py
+++ b/dappledrum/controller/assembly.py
@@ -1,10 +1,10 @@
 """Constructs all parts of one controller, each after those that it uses."""
 
 from datetime import timedelta
-from typing import NamedTuple
 
 from dappledrum.controller.catalog import CatalogLoader
 from dappledrum.controller.controller import BackgroundServices, Controller, Endpoints
+from dappledrum.controller.election_host import ElectionHost
 from dappledrum.controller.environment import Clients, Connections, Environment
 from dappledrum.controller.heartbeat_endpoint import HeartbeatEndpoint
 from dappledrum.controller.isolation import Isolation
@@ -17,46 +17,41 @@
 from dappledrum.controller.term_runner import TermRunner
 from dappledrum.controller.unreached_leader import UnreachedLeaderMonitor
 from dappledrum.controller.user_endpoint import UserEndpoint
+from dappledrum.election.context import ElectionContext, LeaseLimits
 from dappledrum.election.elector import Elector
-from dappledrum.election.lease_keeper import LeaseKeeper
 from dappledrum.jobs.api import JobApi
 from dappledrum.membership.service import Membership, Probe
 from dappledrum.settings import WorkerLimits
 from dappledrum.store.value_limit import ValueLimit
-from dappledrum.timing.clock import ZERO, longer
+from dappledrum.timing.clock import ZERO, longest_local_span
 from dappledrum.timing.timeouts import PauseDetector
 from dappledrum.workers.heartbeat_attempts import HeartbeatAttempts
 
-MAX_LEASE_DURATION = timedelta(seconds=3)
-LEASES_PER_WORKER_LEASE = 3
+MAX_LEASE_TTL = timedelta(seconds=3)
+LEADER_LEASES_PER_WORKER_LEASE = 3
 #: Margin within the time for cancellations: a leader with lease grants of only a majority stops
 #: early enough that its workers' leases have expired this long before that time has passed.
-MAJORITY_GRANT_MARGIN = timedelta(seconds=5)
+MAJORITY_GRANTS_MARGIN = timedelta(seconds=5)
 #: The same margin for a leader that last read all cancellations just before the user's.
-LAST_READ_MARGIN = timedelta(seconds=1)
+CANCELLATIONS_AGE_MARGIN = timedelta(seconds=1)
 #: Least time for which a reading of all cancellations counts. If the time for cancellations were
 #: no longer than a lease, leaders could otherwise answer no worker at all.
-MIN_READ_VALIDITY = timedelta(seconds=6)
+MIN_CANCELLATIONS_AGE = timedelta(seconds=6)
 
 
 def build_controller(environment: Environment, connections: Connections) -> Controller:
     """Construct a controller over these connections; `Controller.run` starts it."""
-    clock = environment.clock
     clients = Clients(environment, connections)
-    lease_keeper = _build_lease_keeper(environment, clients)
-    elector = Elector(lease_keeper, clients.peers.pre_vote, clients.peers.transfer_leadership)
     value_limit = ValueLimit(environment.settings.params.state)
-    job_api = JobApi(clients.store, environment.params, clock, value_limit)
-    pause_detector = PauseDetector(clock)
+    job_api = JobApi(clients.store, environment.params, environment.clock, value_limit)
+    election_host = ElectionHost(environment, clients.peers)
+    elector = _build_elector(environment, clients, job_api, election_host)
+    pause_detector = PauseDetector(environment.clock)
     term_runner = TermRunner(environment, clients, elector, job_api, value_limit, pause_detector)
-    lease_keeper.on_confirmed = term_runner.apply_confirmed_cancellations
-    lease_keeper.confirmed = lambda span: job_api.confirmed.within(span, clock.now())
     membership = _build_membership(environment, clients, term_runner, connections.probe_worker)
-    if environment.tuning.reach:
-        elector.candidacy_delay = membership.candidacy_delay
-        lease_keeper.all_ask = lambda: (
-            len(membership.heartbeat_peers) == len(clients.peers.callers)
-        )
+    store_share = StoreShare(clients.store, elector, len(environment.settings.seeds))
+    election_host.connect(term_runner, membership, store_share)
+    store_share.update()
     attempts = HeartbeatAttempts()
     return Controller(
         environment,
@@ -71,40 +66,37 @@
             CatalogLoader(environment, clients, job_api, term_runner),
             UnreachedLeaderMonitor(environment, term_runner, membership, attempts),
             PeerVersions(clients, membership, value_limit, job_api),
-            StoreShare(clients.store, elector, len(environment.settings.seeds)),
         ),
     )
 
 
-class LeaseTimes(NamedTuple):
-    """Time limits of a leader's lease."""
-
-    duration: timedelta
-    max_majority_grant: timedelta  # on lease grants of only a majority, from the last renewal
-    max_read_age: timedelta  # of the last reading of all cancellations
-
-
-def lease_times(limits: WorkerLimits) -> LeaseTimes:
+def lease_limits(workers: WorkerLimits) -> LeaseLimits:
     """Derive a leader's limits from those that workers and users were given."""
-    last_answer_to_end = longer(limits.lease + LAST_READ_MARGIN)
-    return LeaseTimes(
-        min(MAX_LEASE_DURATION, limits.lease / LEASES_PER_WORKER_LEASE),
-        max(ZERO, limits.cancel - limits.lease - MAJORITY_GRANT_MARGIN),
-        max(MIN_READ_VALIDITY, limits.cancel - last_answer_to_end),
+    lease, cancellation = workers.lease_duration, workers.cancellation_limit
+    return LeaseLimits(
+        ttl=min(MAX_LEASE_TTL, lease / LEADER_LEASES_PER_WORKER_LEASE),
+        max_time_on_majority_grants=max(ZERO, cancellation - lease - MAJORITY_GRANTS_MARGIN),
+        max_cancellations_age=max(
+            MIN_CANCELLATIONS_AGE,
+            cancellation - longest_local_span(lease + CANCELLATIONS_AGE_MARGIN),
+        ),
     )
 
 
-def _build_lease_keeper(environment: Environment, clients: Clients) -> LeaseKeeper:
-    times = lease_times(environment.params.workers)
-    return LeaseKeeper(
-        environment.member,
-        clients.store,
-        environment.clock,
-        environment.rng,
-        times.duration,
-        clients.peers.promise,
-        times.max_majority_grant,
-        times.max_read_age,
+def _build_elector(
+    environment: Environment, clients: Clients, job_api: JobApi, host: ElectionHost
+) -> Elector:
+    return Elector(
+        ElectionContext(
+            member=environment.member,
+            store=clients.store,
+            clock=environment.clock,
+            rng=environment.rng,
+            limits=lease_limits(environment.params.workers),
+            peers=clients.peers,
+            host=host,
+            confirmed=job_api.confirmed,
+        )
     )
 
 
@@ -121,7 +113,7 @@
         elector,
         environment.params.workers,
         term_runner.pause_detector,
-        clients.store.link,
+        clients.store.availability.link,
         clients.cloud.link,
         term_runner.reporting_machines,
         probe_worker,
--- a/dappledrum/controller/controller.py
+++ b/dappledrum/controller/controller.py
@@ -10,12 +10,11 @@
 from dappledrum.controller.peer_versions import PeerVersions
 from dappledrum.controller.previous_grants import wait_for_previous_grants
 from dappledrum.controller.routes import Router, route
-from dappledrum.controller.store_share import StoreShare
 from dappledrum.controller.term_runner import TermRunner
 from dappledrum.controller.unreached_leader import UnreachedLeaderMonitor
 from dappledrum.controller.user_endpoint import UserEndpoint
 from dappledrum.election.elector import Elector
-from dappledrum.http.server import Request, Response
+from dappledrum.http.messages import Request, Response
 from dappledrum.jobs.api import JobApi
 from dappledrum.leader.leader import Leader
 from dappledrum.membership.service import Membership
@@ -44,7 +43,6 @@
     catalog: CatalogLoader
     unreached_leader: UnreachedLeaderMonitor
     versions: PeerVersions
-    store_share: StoreShare
 
 
 class Controller:
@@ -69,8 +67,6 @@
         self.term_runner = term_runner
         self.endpoints = endpoints
         self.background = background
-        elector.on_change = self._leadership_changed
-        background.store_share.update()
         users = endpoints.users
         self.router = Router(
             route("POST", "/hello", endpoints.heartbeats.serve),
@@ -106,7 +102,7 @@
             self.background.versions.run(),
             wait_for_previous_grants(self.elector, self.clients.peers),
         ]
-        if self.environment.tuning.reach:
+        if self.environment.tuning.peer_heartbeats_enabled:
             tasks.append(self.membership.run())
         # Not a task group: it would end the others in no fixed order.
         await asyncio.gather(*tasks)
@@ -118,8 +114,3 @@
     async def serve_peer(self, request: Request) -> Response:
         """Serve one request on the address for the other controllers."""
         return await self.endpoints.peers.serve(request)
-
-    def _leadership_changed(self) -> None:
-        self.background.store_share.update()
-        self.term_runner.leadership_changed()
-        self.membership.announce()
--- a/dappledrum/controller/environment.py
+++ b/dappledrum/controller/environment.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from dappledrum.fleet.cloud_client import CloudClient
-from dappledrum.http.client import Caller
+from dappledrum.http.client import HttpClient
 from dappledrum.membership.service import Probe
 from dappledrum.peers.client import Peers
 from dappledrum.settings import Params, Settings, Tuning
@@ -36,16 +36,16 @@
     def params(self) -> Params:
         """Parameters of the deployment, with the smallest of the announced store limits."""
         params = self.settings.params
-        return msgspec.structs.replace(params, state=params.state.binding())
+        return msgspec.structs.replace(params, state=params.state.strictest())
 
 
 @dataclass(frozen=True)
 class Connections:
     """Connections of one controller; tests pass simulated ones."""
 
-    store: Caller
-    cloud: Caller
-    peers: dict[str, Caller]  # by the peer's name
+    store: HttpClient
+    cloud: HttpClient
+    peers: dict[str, HttpClient]  # by the peer's name
     probe_worker: Probe
 
 
--- a/dappledrum/controller/heartbeat_endpoint.py
+++ b/dappledrum/controller/heartbeat_endpoint.py
@@ -8,7 +8,7 @@
 
 from dappledrum.controller.redirection import Redirection
 from dappledrum.controller.term_runner import TermRunner
-from dappledrum.http.server import Request, Response
+from dappledrum.http.messages import Request, Response
 from dappledrum.jobs.api import refusal
 from dappledrum.leader.heartbeat_responder import MAX_IDLE_WAIT
 from dappledrum.membership.service import Membership
@@ -36,7 +36,7 @@
         attempts: HeartbeatAttempts,
     ) -> None:
         self.clock = term_runner.environment.clock
-        self.peer_heartbeats = term_runner.environment.tuning.reach
+        self.peer_heartbeats = term_runner.environment.tuning.peer_heartbeats_enabled
         self.term_runner = term_runner
         self.elector = term_runner.elector
         self.membership = membership
@@ -71,10 +71,10 @@
     async def _commands(self, heartbeat: WorkerHeartbeat, max_wait: timedelta) -> Commands | None:
         """The leader's answer; None: this controller is not entitled to give one."""
         leader = self.term_runner.leader
-        if leader is None or self.elector.holding() is not leader.term:
+        if leader is None or self.elector.valid_term() is not leader.term:
             return None
         return await leader.answer_heartbeat(
-            heartbeat, lambda: self.elector.answering() is leader.term, max_wait
+            heartbeat, lambda: self.elector.answering_term() is leader.term, max_wait
         )
 
     async def _forward_or_redirect(self, heartbeat: WorkerHeartbeat, body: bytes) -> Response:
--- a/dappledrum/controller/isolation.py
+++ b/dappledrum/controller/isolation.py
@@ -29,9 +29,9 @@
     def is_isolated(self) -> bool:
         """Whether neither the store nor a peer has answered for a while, though peers have
         before: this controller is cut off, or all others are down."""
-        failing = self.store.failing_for()
+        failing = self.store.availability.failing_for()
         last_heartbeat = self.membership.heard_at
         if last_heartbeat is None or failing is None or failing < ISOLATED_AFTER:
             return False
         now = self.clock.now()
-        return now - max(last_heartbeat, self.pause_detector.awake_since()) > ISOLATED_AFTER
+        return now - max(last_heartbeat, self.pause_detector.running_since()) > ISOLATED_AFTER
--- a/dappledrum/controller/leadership_transfer.py
+++ b/dappledrum/controller/leadership_transfer.py
@@ -7,7 +7,7 @@
 from dappledrum.controller.term_runner import TermRunner
 from dappledrum.election.elector import Elector
 from dappledrum.election.messages import LeaseGrantRequest
-from dappledrum.election.voter import LEASE_GRANT
+from dappledrum.election.voter import LEASE_GRANT_DURATION
 
 log = logging.getLogger(__name__)
 
@@ -31,21 +31,21 @@
         begun since, nobody could take the key, and the leader that had stopped could not go on by
         lease grants: all that ran was lost.
         """
-        if self.store.failing_for() is not None and not await self._is_served(member):
+        if self.store.availability.failing_for() is not None and not await self._is_served(member):
             log.info(
                 "leadership is not transferred to %s: the store does not serve it now", member
             )
             return
         leader = self.term_runner.leader
-        if leader is not None and not self.store.is_failing():
+        if leader is not None and not self.store.availability.is_failing():
             await leader.settle(MAX_SETTLE_TIME)
         self.elector.transfer_leadership(member, why)
 
     async def _is_served(self, member: str) -> bool:
         """Whether the store serves a peer at this moment."""
-        term = self.elector.holding()
+        term = self.elector.valid_term()
         if term is None:
             return False
-        grant_ms = int(LEASE_GRANT.total_seconds() * 1000)
+        grant_ms = int(LEASE_GRANT_DURATION.total_seconds() * 1000)
         request = LeaseGrantRequest(self.elector.member, term.epoch, grant_ms)
         return await self.peers.is_served(member, request, SERVED_TIMEOUT)
--- a/dappledrum/controller/link_checks.py
+++ b/dappledrum/controller/link_checks.py
@@ -6,7 +6,7 @@
 from dappledrum.controller.catalog import CATALOG
 from dappledrum.controller.environment import Clients
 from dappledrum.fleet.cloud_client import CloudError
-from dappledrum.store.client import StoreError
+from dappledrum.store.errors import StoreError
 from dappledrum.store.rate_limiter import RequestPriority
 
 log = logging.getLogger(__name__)
--- a/dappledrum/controller/peer_endpoint.py
+++ b/dappledrum/controller/peer_endpoint.py
@@ -18,7 +18,7 @@
     TransferLeadership,
     TransferLeadershipReply,
 )
-from dappledrum.http.server import Request, Response
+from dappledrum.http.messages import Request, Response
 from dappledrum.membership.messages import (
     ForwardedHeartbeats,
     ForwardedHeartbeatsReply,
@@ -41,7 +41,8 @@
     decode,
     encode,
 )
-from dappledrum.store.client import StoreClient, StoreError
+from dappledrum.store.client import StoreClient
+from dappledrum.store.errors import StoreError
 from dappledrum.store.rate_limiter import RequestPriority
 
 log = logging.getLogger(__name__)
@@ -112,7 +113,7 @@
 
     async def _serve_relayed(self, request: Relay) -> RelayReply:
         """Serve a user's request for a peer that does not reach the store."""
-        if self.store.is_failing():
+        if self.store.availability.is_failing():
             return RelayReply(HTTPStatus.SERVICE_UNAVAILABLE, b"{}", RELAY_RETRY_AFTER_S)
         response = await self.users.serve_here(Request(request.method, request.path, request.body))
         return RelayReply(response.status, response.body, response.retry_after)
@@ -146,5 +147,5 @@
             await self.store.get(CATALOG, RequestPriority.LEASE, STORE_CHECK_TIMEOUT)
         except StoreError as error:
             log.debug("store not reached either: %s", error)
-            return self.elector.promise(request)
+            return self.elector.grant_lease(request)
         return LeaseGrantReply(False, "state service reached")
--- a/dappledrum/controller/peer_versions.py
+++ b/dappledrum/controller/peer_versions.py
@@ -10,8 +10,8 @@
 from dappledrum.jobs.api import JobApi
 from dappledrum.membership.service import Membership
 from dappledrum.peers.versions import GANGS, REACH, at_least
-from dappledrum.store.client import StoreError, raw
-from dappledrum.store.messages import Guard, Put
+from dappledrum.store.errors import StoreError
+from dappledrum.store.messages import Guard, Put, encode_value
 from dappledrum.store.rate_limiter import RequestPriority
 from dappledrum.store.value_limit import ValueLimit
 
@@ -55,7 +55,7 @@
                 if not self._supports(member, REACH):
                     await self._ask(member)
             if len(self.versions) == len(self.peers.callers):
-                self.value_limit.settle("all controllers read them")
+                self.value_limit.reduce("all controllers read them")
             if self._all_support(GANGS):
                 self.job_api.gangs = True
             stored = stored or await self._gangs_stored()
@@ -86,12 +86,12 @@
         try:
             entry = await self.store.get(GANGS_SUPPORTED, RequestPriority.RECORD)
             if entry is None and self.job_api.gangs:
-                value = raw({"version": __version__})
+                value = encode_value({"version": __version__})
                 guards, changes = [Guard(GANGS_SUPPORTED, 0)], [Put(GANGS_SUPPORTED, value)]
                 await self.store.commit(guards, changes, RequestPriority.RECORD)
             self.job_api.gangs = self.job_api.gangs or entry is not None
             # An older peer may yet be upgraded, which settles how records are written.
-            return self.job_api.gangs and self.value_limit.settled
+            return self.job_api.gangs and self.value_limit.is_reduced
         except StoreError as error:
             log.debug("support of gangs by all controllers not read: %s", error)
             return False
--- a/dappledrum/controller/previous_grants.py
+++ b/dappledrum/controller/previous_grants.py
@@ -16,8 +16,8 @@
     Without the replies this controller must wait until such grants have expired, which is most of
     the time that a restart of all controllers takes.
     """
-    while elector.voter.unknown_until > elector.clock.now():
+    while elector.voter.restart_wait_until > elector.clock.now():
         if peers.callers and await peers.no_term_held(HOLDS_TERM_TIMEOUT):
-            elector.no_term_held()
+            elector.skip_restart_wait()
             return
         await asyncio.sleep(HOLDS_TERM_TIMEOUT.total_seconds())
--- a/dappledrum/controller/process.py
+++ b/dappledrum/controller/process.py
@@ -13,7 +13,7 @@
     MAX_STORE_CONNECTIONS,
     share_sockets,
 )
-from dappledrum.http.client import Client, NoResponseError
+from dappledrum.http.client import NoResponseError, PooledClient
 from dappledrum.http.server import Server
 from dappledrum.settings import Settings, Tuning, split_address
 from dappledrum.timing.clock import Clock
@@ -27,7 +27,7 @@
 async def probe_worker(address: str, timeout: timedelta) -> bool:
     """Whether a worker answers at the address that it has reported."""
     try:
-        client = Client(*split_address(address), max_idle=0)
+        client = PooledClient(*split_address(address), max_idle=0)
         return (await client.request("GET", "/inspect", None, timeout)).status == HTTPStatus.OK
     except (NoResponseError, OverflowError) as error:  # a port may be any five digits
         log.debug("no answer from the worker at %s: %s", address, error)
@@ -47,8 +47,8 @@
     # The time after which this process counts the lease grants of its predecessor as expired
     # begins with its construction. A predecessor that still has the addresses may grant leases
     # yet, so the controller is constructed when that process has exited.
-    await public.take(*split_address(settings.serve_on))
-    await private.take(*split_address(settings.back))
+    await public.bind(*split_address(settings.serve_on))
+    await private.bind(*split_address(settings.back))
     environment = Environment(settings, tuning, Clock(), random.Random())
     controller = build_controller(environment, _connect(settings))
     await public.start(*split_address(settings.serve_on))
@@ -60,18 +60,18 @@
 def _connect(settings: Settings) -> Connections:
     """Clients for all that the controller calls; they connect on the first request."""
     return Connections(
-        store=Client(
+        store=PooledClient(
             *split_address(settings.external.state),
             max_idle=MAX_IDLE_STORE_CONNECTIONS,
             max_open=MAX_STORE_CONNECTIONS,
         ),
-        cloud=Client(
+        cloud=PooledClient(
             *split_address(settings.external.cloud),
             max_idle=MAX_IDLE_CLOUD_CONNECTIONS,
             max_open=MAX_CLOUD_CONNECTIONS,
         ),
         peers={
-            peer.member: Client(*split_address(peer.address), max_open=MAX_PEER_CONNECTIONS)
+            peer.member: PooledClient(*split_address(peer.address), max_open=MAX_PEER_CONNECTIONS)
             for peer in settings.seeds
         },
         probe_worker=probe_worker,
--- a/dappledrum/controller/redirection.py
+++ b/dappledrum/controller/redirection.py
@@ -19,7 +19,7 @@
         isolation: Isolation,
     ) -> None:
         self.member = environment.member
-        self.peer_heartbeats = environment.tuning.reach
+        self.peer_heartbeats = environment.tuning.peer_heartbeats_enabled
         self.store = store
         self.elector = elector
         self.membership = membership
@@ -37,6 +37,6 @@
         if self.peer_heartbeats:
             member = self.membership.redirect_target()
         else:
-            known = None if self.store.is_failing() else self.elector.leader
+            known = None if self.store.availability.is_failing() else self.elector.leader
             member = known.member if known is not None else None
         return None if member == self.member else member
--- a/dappledrum/controller/routes.py
+++ b/dappledrum/controller/routes.py
@@ -5,7 +5,7 @@
 from http import HTTPStatus
 from typing import NamedTuple
 
-from dappledrum.http.server import Request, Response
+from dappledrum.http.messages import Request, Response
 from dappledrum.jobs.api import refusal
 
 Handler = Callable[[Request], Awaitable[Response]]
--- a/dappledrum/controller/sockets.py
+++ b/dappledrum/controller/sockets.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from dappledrum.http.server import LISTEN
+from dappledrum.http.server import MAX_ACCEPT_QUEUE
 
 #: Requests to the store at a time; they come from loops and batches, never one for each user.
 MAX_STORE_CONNECTIONS = 40
@@ -37,6 +37,6 @@
     own = min(outgoing + RESERVED_SOCKETS, max_sockets // OWN_DIVISOR)
     peers = min(MAX_PEER_CONNECTIONS * max(peer_count, 1), max_sockets // PEER_DIVISOR)
     peers_waiting = max(1, peers // WAITING_DIVISOR)
-    public_waiting = min(LISTEN, max_sockets // WAITING_DIVISOR)
+    public_waiting = min(MAX_ACCEPT_QUEUE, max_sockets // WAITING_DIVISOR)
     public = max_sockets - own - peers - peers_waiting - public_waiting
     return SocketShares(own, peers, peers_waiting, public, public_waiting)
--- a/dappledrum/controller/store_share.py
+++ b/dappledrum/controller/store_share.py
@@ -25,7 +25,7 @@
         """Apply the share of the present role; called at the start and when leadership changes."""
         share = self._share()
         burst = LEADER_BURST_S if share >= LEADER_SHARE else FOLLOWER_BURST_S
-        self.store.set_share(share * SAFE_SHARE, burst)
+        self.store.budget.set_rate_share(share * SAFE_SHARE, burst)
 
     def _share(self) -> float:
         if self.peer_count == 0:
--- a/dappledrum/controller/term_runner.py
+++ b/dappledrum/controller/term_runner.py
@@ -52,7 +52,7 @@
             await self._term_changed.wait()
             self._term_changed.clear()
             term = self.elector.term
-            if term is None or term.over.is_set():
+            if term is None or term.ended.is_set():
                 continue
             self.leader = self._create_leader(term)
             query = asyncio.ensure_future(self._query_no_answers(self.leader))
@@ -60,7 +60,7 @@
                 await self.leader.run()
             except Exception:
                 log.exception("leading failed")
-                term.over.set()
+                term.ended.set()
             finally:
                 query.cancel()
                 self.leader = None
@@ -79,7 +79,7 @@
     def _create_leader(self, term: Term) -> Leader:
         return Leader(
             term,
-            lambda: self.elector.leading() is not None,
+            lambda: self.elector.leading_term() is not None,
             self.clients.store,
             self.value_limit,
             self.clients.cloud,
@@ -88,7 +88,7 @@
             self.environment.tuning,
             self.job_api.types or [],
             self._job_ended,
-            self.pause_detector.awake_since,
+            self.pause_detector.running_since,
         )
 
     def _job_ended(self, job: Job) -> None:
@@ -98,8 +98,8 @@
         """Ask the peers since when no other controller can have answered a worker. It matters
         after all controllers were down, and when the former leader is back."""
         clock = self.environment.clock
-        began = leader.term.began
-        own = self.elector.held_at
+        began = leader.term.started_at
+        own = self.elector.last_possible_answer_at
         while clock.now() - began < MAX_NO_ANSWERS_QUERY:
             unanswered = await self.clients.peers.no_answers_for(NO_ANSWERS_TIMEOUT)
             if unanswered is not None:
--- a/dappledrum/controller/test_cancellations_in_outage.py
+++ b/dappledrum/controller/test_cancellations_in_outage.py
@@ -13,7 +13,7 @@
 from dappledrum.simulation.cluster import job
 from dappledrum.simulation.scenario import CANCEL_S, now
 from dappledrum.simulation.workloads import FIVE, job_name, long_running_jobs
-from dappledrum.store.client import RefusedError
+from dappledrum.store.errors import RefusedError
 
 THREE = pytest.mark.parametrize("seed", range(3))
 JOBS = 4
@@ -36,7 +36,7 @@
             await work.cancel(1, peers[1])
         cluster.store.out = True
         await cluster.wait(CANCEL_S + 25)
-        assert controller.elector.answering() is not None
+        assert controller.elector.answering_term() is not None
         assert not work.running(0)
         assert len(work.running(2)) == 3
         assert work.sessions() == sessions, "nothing of what nobody has cancelled is lost"
@@ -67,7 +67,7 @@
             cluster.cut_off(confirming, *("back-" + m for m in FIVE if m != confirming))
         await cluster.wait(CANCEL_S + 20 - (now() - began))
         assert not cluster.rules.running
-        logged = "not known what users were told is cancelled" in caplog.text
+        logged = "answering no workers: confirmed cancellations of the last" in caplog.text
         assert logged or how != "restarted"
 
 
@@ -114,7 +114,7 @@
         await cluster.until(lambda: cluster.store.out, most=10)
         cluster.network.watcher = None
         await cluster.wait(CANCEL_S + 10)
-        assert cluster.controllers[scans[0]].elector.answering() is None
+        assert cluster.controllers[scans[0]].elector.answering_term() is None
         assert not cluster.rules.running
 
 
@@ -144,7 +144,7 @@
             work.hang(worker, work.rng.uniform(4, 6))
         await cluster.wait(4)
         assert work.running(0)
-        assert controller.elector.leading() is None
+        assert controller.elector.leading_term() is None
         await cluster.wait(CANCEL_S + 15)
         assert work.sessions() == sessions
         assert not work.running(0)
@@ -162,7 +162,7 @@
         cluster.store.out = True
         cluster.drop_answers([worker.name for worker in cluster.cloud.workers()][::2])
         await cluster.wait(CANCEL_S + 15)
-        assert controller.elector.answering() is not None
+        assert controller.elector.answering_term() is not None
         assert not work.running(0)
         assert cluster.rules.running
 
@@ -175,9 +175,9 @@
         cluster, controller = work.cluster, work.leading_controller()
         watch = controller.store.watch
 
-        async def nothing(prefix, after, wait, rank):
+        async def nothing(prefix, after, wait, priority):
             if prefix != "job/":
-                return await watch(prefix, after, wait, rank)
+                return await watch(prefix, after, wait, priority)
             if how == "waits":
                 await asyncio.sleep(3600)
             raise RefusedError("status 429")
@@ -198,16 +198,16 @@
         controller, sent = work.leading_controller(), []
         watch = controller.store.watch
 
-        async def late(prefix, after, wait, rank):
+        async def late(prefix, after, wait, priority):
             if prefix == "job/":
                 sent.append(controller.clock.now())
-            return await watch(prefix, after, wait, rank)
+            return await watch(prefix, after, wait, priority)
 
         controller.store.watch = late
         await work.cluster.wait(6)
         for _ in range(60):
             await work.cluster.wait(0.11)
-            assert controller.elector.term.known_at in sent[-2:]
+            assert controller.elector.term.cancellations_known_at in sent[-2:]
 
 
 async def test_cancellations_confirmed_in_an_outage_are_in_the_records_afterwards():
@@ -237,8 +237,8 @@
         elector = work.leading_controller().elector
         work.cluster.store.out = True
         await work.cluster.wait(3 * CANCEL_S)
-        assert elector.answering() is not None
-        assert elector.clock.now() - elector.term.known_at < timedelta(seconds=3)
+        assert elector.answering_term() is not None
+        assert elector.clock.now() - elector.term.cancellations_known_at < timedelta(seconds=3)
         assert len(work.cluster.rules.running) == 3 * JOBS
 
 
@@ -248,7 +248,7 @@
 
     async with long_running_jobs(8, jobs=1) as work:
         controller = work.leading_controller()
-        controller.elector.term.known_at -= timedelta(seconds=60)
-        assert controller.elector.holding() is None
+        controller.elector.term.cancellations_known_at -= timedelta(seconds=60)
+        assert controller.elector.valid_term() is None
         assert (await controller.endpoints.peers.answer(HoldsTermRequest())).holds
         await work.cluster.wait(5)
--- a/dappledrum/controller/test_end_to_end.py
+++ b/dappledrum/controller/test_end_to_end.py
@@ -240,9 +240,9 @@
     cluster.kill("drummer-2")
     await cluster.restart("drummer-0", 1.0)
     controller = cluster.controllers["drummer-0"]
-    assert controller.elector.voter.unknown_until > controller.clock.now()
+    assert controller.elector.voter.restart_wait_until > controller.clock.now()
     await cluster.wait(1.5)
-    assert controller.elector.voter.unknown_until > controller.clock.now()
+    assert controller.elector.voter.restart_wait_until > controller.clock.now()
 
 
 async def test_a_leader_with_lease_grants_keeps_a_restarted_peer_from_campaigning():
@@ -253,11 +253,11 @@
     other = cluster.others(leader)[0]
     cluster.store.out = True
     await cluster.wait(4)
-    assert cluster.controllers[leader].elector.holding() is not None
+    assert cluster.controllers[leader].elector.valid_term() is not None
     await cluster.restart(other, 0.2)
     await cluster.wait(1.0)
     voter = cluster.controllers[other].elector.voter
-    assert voter.free_at() > cluster.controllers[other].clock.now()
+    assert voter.campaign_allowed_at() > cluster.controllers[other].clock.now()
     cluster.store.end_outage()
     await cluster.wait(3)
 
@@ -271,5 +271,5 @@
     assert len(during) == len(cluster.members)
     cluster.store.end_outage()
     await cluster.wait(4)
-    over = [r for r in caplog.records if "over after" in r.getMessage()]
+    over = [r for r in caplog.records if "ended after" in r.getMessage()]
     assert len(over) == len(cluster.members)
--- a/dappledrum/controller/test_late_and_duplicate_heartbeats.py
+++ b/dappledrum/controller/test_late_and_duplicate_heartbeats.py
@@ -194,7 +194,7 @@
     assert await status(f"/submissions/{work.names[0]}") == 503
     assert now() - began < 0.5
     controller = cluster.controllers[member]
-    assert controller.elector.holding() is None
+    assert controller.elector.valid_term() is None
     assert controller.endpoints.heartbeats.redirection.target() is None
     await cluster.wait(20)
     kept = sessions.keys() & work.sessions().keys()
--- a/dappledrum/controller/test_lost_responses.py
+++ b/dappledrum/controller/test_lost_responses.py
@@ -147,7 +147,7 @@
                 )
             else:
                 cluster.controllers[leader].elector.resign(
-                    "test", cluster.controllers[leader].elector.life * 2
+                    "test", cluster.controllers[leader].elector.lease_ttl * 2
                 )
             await scenario.until_led(leader)
             vacant.append((way, round(now() - began, 2)))
--- a/dappledrum/controller/unreached_leader.py
+++ b/dappledrum/controller/unreached_leader.py
@@ -32,7 +32,7 @@
         attempts: HeartbeatAttempts,
     ) -> None:
         self.clock: Clock = environment.clock
-        self.peer_heartbeats = environment.tuning.reach
+        self.peer_heartbeats = environment.tuning.peer_heartbeats_enabled
         self.silence = max(
             environment.params.workers.heartbeat_interval * MAX_MISSED_HEARTBEATS, MIN_SILENCE
         )
@@ -54,12 +54,12 @@
         """Whether this controller leads, and should have had a heartbeat by now."""
         leader = self.term_runner.leader
         now = self.clock.now()
-        if leader is None or not leader.loaded.is_set() or self.elector.leading() is None:
+        if leader is None or not leader.loaded.is_set() or self.elector.leading_term() is None:
             return False
         if self.peer_heartbeats and self.membership.heartbeat_peers:
             return False
         last = self.attempts.last
-        began = max(leader.began, self.pause_detector.awake_since())
+        began = max(leader.began, self.pause_detector.running_since())
         return now - began >= self.silence and (last is None or now - last >= self.silence)
 
     async def _resign_if_unreached(self) -> None:
--- a/dappledrum/controller/user_endpoint.py
+++ b/dappledrum/controller/user_endpoint.py
@@ -8,7 +8,7 @@
 
 from dappledrum.controller.environment import Clients
 from dappledrum.controller.isolation import Isolation
-from dappledrum.http.server import Request, Response
+from dappledrum.http.messages import Request, Response
 from dappledrum.jobs.api import JobApi, busy, refusal
 from dappledrum.membership.service import Membership
 from dappledrum.peers.messages import Relay
@@ -50,16 +50,16 @@
         is not ready, even if others are served: it refuses all users at once, so it has the fewest
         open connections, and the load balancer preferred it to those that could serve.
         """
-        reached = self.store.reached and not self.isolation.is_isolated()
+        reached = self.store.availability.was_served and not self.isolation.is_isolated()
         if reached or self.membership.is_connected():
             return Response(HTTPStatus.OK, msgspec.json.encode({"state": self._store_route()}))
-        why = self.store.fault.why or "no answer yet"
+        why = self.store.availability.fault_log.why or "no answer yet"
         return refusal(
             HTTPStatus.SERVICE_UNAVAILABLE, f"the state service was not reached yet: {why}"
         )
 
     def _store_route(self) -> str:
-        if not self.store.is_failing():
+        if not self.store.availability.is_failing():
             return "reached"
         through = self.membership.served_peers()
         return f"through {through[0]}" if through else "not reached"
@@ -67,17 +67,20 @@
     async def serve(self, request: Request) -> Response:
         """Serve a user here, or through a peer while this controller does not reach the state
         service."""
-        if self.store.is_failing():
+        if self.store.availability.is_failing():
             if self.isolation.is_isolated():
                 return busy(RETRY_AFTER_S)  # at once: no peer can be asked
             relayed = await self._relay(request)
             if relayed is not None:
                 return relayed
-            if self.store.hanging():
+            if self.store.availability.last_request_hung():
                 return busy(RETRY_AFTER_S)
             return await self.serve_here(request)
         response = await self.serve_here(request)
-        if response.status == HTTPStatus.SERVICE_UNAVAILABLE and self.store.is_failing():
+        if (
+            response.status == HTTPStatus.SERVICE_UNAVAILABLE
+            and self.store.availability.is_failing()
+        ):
             return await self._relay(request) or response
         return response
 
--- a/dappledrum/golden/test_controllers.py
+++ b/dappledrum/golden/test_controllers.py
@@ -69,7 +69,9 @@
     "relay": Relay(method="POST", path="/submissions", body=b'{"id":"j-000007"}'),
     "report-attempts": HeartbeatAttemptsRequest(within_ms=10000),
     "promise": LeaseGrantCall(
-        request=LeaseGrantRequest(member="drummer-1", epoch=7, for_ms=2000, told_ms=45000)
+        request=LeaseGrantRequest(
+            member="drummer-1", epoch=7, grant_ms=2000, confirmed_span_ms=45000
+        )
     ),
     "version": VersionRequest(),
     "holding": HoldsTermRequest(),
@@ -77,7 +79,11 @@
     "heartbeats-none-heard": PeerHeartbeats(own=SHORT_HEARTBEAT),
     "forwarded-reports": ForwardedHeartbeats(heartbeats=[b'{"drum":"host-000231"}', b"{}"]),
     "transfer-leadership": TransferLeadership(
-        member="drummer-1", epoch=7, version=412, moves_ms=[1000, 60000], clear=True
+        member="drummer-1",
+        epoch=7,
+        version=412,
+        transfer_ages_ms=[1000, 60000],
+        others_stopped=True,
     ),
     "pre-vote": PreVote(member="drummer-1", epoch=8),
 }
@@ -90,7 +96,7 @@
         reason="why",
         weak=True,
         cancelled=["j-000003", "j-000004"],
-        told_ms=45000,
+        confirmed_span_ms=45000,
     ),
     "promise-refused": LeaseGrantReply(granted=False, reason="state service reached"),
     "version-reply": VersionReply(version="0.7.0"),
@@ -175,9 +181,11 @@
 
 async def test_a_promise_counts_with_what_it_tells():
     caller = RecordingCaller([GOLDEN["promise-reply"]])
-    answers = await Peers({"drummer-1": caller}).promise(QUESTIONS["promise"].request, SECOND)
+    answers = await Peers({"drummer-1": caller}).request_lease_grants(
+        QUESTIONS["promise"].request, SECOND
+    )
     assert caller.sent == [as_sent(GOLDEN["promise"])]
-    assert (answers.yes, answers.strong) == (1, 0)
+    assert (answers.agreed, answers.strong) == (1, 0)
     assert answers.confirmed.cancelled == {"j-000003", "j-000004"}
     assert answers.confirmed.span == timedelta(seconds=45)
 
@@ -186,7 +194,7 @@
     caller = RecordingCaller([GOLDEN["pre-vote-reply"]])
     answers = await Peers({"drummer-1": caller}).pre_vote(QUESTIONS["pre-vote"], SECOND)
     assert caller.sent == [as_sent(GOLDEN["pre-vote"])]
-    assert answers.yes == 1
+    assert answers.agreed == 1
 
 
 async def test_a_leader_answers_on_its_address_for_peers():
--- a/dappledrum/golden/test_http_bytes.py
+++ b/dappledrum/golden/test_http_bytes.py
@@ -5,8 +5,8 @@
 import pytest
 
 from dappledrum.golden.entries import load
-from dappledrum.http.client import Client, Reply
-from dappledrum.http.server import Response, encode
+from dappledrum.http.client import PooledClient, Reply
+from dappledrum.http.messages import Response, encode_response
 from dappledrum.timing.clock import seconds
 
 GOLDEN = load("http")
@@ -31,7 +31,7 @@
 @pytest.mark.parametrize("name", RESPONSES)
 def test_responses(name):
     response, keep = RESPONSES[name]
-    assert encode(response, keep) == GOLDEN[name].data
+    assert encode_response(response, keep) == GOLDEN[name].data
 
 
 @pytest.mark.parametrize("name", REQUESTS)
@@ -48,7 +48,7 @@
     async def exchange():
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
-        reply = await Client("127.0.0.1", port).request(*REQUESTS[name], seconds(5))
+        reply = await PooledClient("127.0.0.1", port).request(*REQUESTS[name], seconds(5))
         server.close()
         return port, reply
 
--- a/dappledrum/leader/heartbeat_responder.py
+++ b/dappledrum/leader/heartbeat_responder.py
@@ -64,7 +64,7 @@
             return None
         if heartbeat.token > self.term.epoch:
             log.warning("%s has seen token %d, stepping down", heartbeat.machine, heartbeat.token)
-            self.term.over.set()
+            self.term.ended.set()
             return None
         if heartbeat.machine in self.registry.gone:
             return None
@@ -87,7 +87,7 @@
         machine.last_answer = max(machine.last_answer, now)
         fresh = (machine.session, machine.sequence) == (heartbeat.session, heartbeat.sequence)
         if fresh:
-            machine.reachability.answered(now, self.limits.lease)
+            machine.reachability.answered(now, self.limits.lease_duration)
         commands: list[Command] = []
         if fresh and self.leading():
             commands = self.reconciler.commands.of_records(machine, heartbeat)
--- a/dappledrum/leader/leader.py
+++ b/dappledrum/leader/leader.py
@@ -33,7 +33,8 @@
 from dappledrum.scheduling.estimates import Estimates
 from dappledrum.settings import Params, Tuning
 from dappledrum.store.advisory_record import AdvisoryRecord
-from dappledrum.store.client import CompactedError, StoreClient, StoreError
+from dappledrum.store.client import StoreClient
+from dappledrum.store.errors import CompactedError, StoreError
 from dappledrum.store.messages import Event
 from dappledrum.store.rate_limiter import RequestPriority
 from dappledrum.store.value_limit import ValueLimit
@@ -74,7 +75,7 @@
         tuning: Tuning,
         types: list[MachineType],
         on_ended: Callable[[Job], None],
-        awake_since: Callable[[], timedelta] = lambda: ZERO,
+        running_since: Callable[[], timedelta] = lambda: ZERO,
     ) -> None:
         self.term = term
         self.leading = leading
@@ -105,7 +106,7 @@
             self.wake,
             self.ledger,
             lambda: term.others_stopped_at,
-            awake_since,
+            running_since,
         )
         self.autoscaler = Autoscaler(
             cloud,
@@ -117,10 +118,10 @@
             tuning.interval,
             leading,
             self.wake,
-            awake_since,
+            running_since,
         )
         self.recovery = RecoveryProgress(
-            self.registry, clock, params.workers.lease, lambda: self.autoscaler.listed
+            self.registry, clock, params.workers.lease_duration, lambda: self.autoscaler.listed
         )
         self.reconciler.on_lost = self.recovery.lost
         most = params.state.value_bytes
@@ -150,7 +151,7 @@
             ),
             self.record_writer,
             # Pages of the version before may be larger than new ones, and are stored in parts.
-            min(value_limit.now, value_limit.least * (params.state.txn_ops - 2)),
+            min(value_limit.current_bytes, value_limit.reduced_bytes * (params.state.txn_ops - 2)),
         )
         self.incomplete: dict[str, None] = {}  # new jobs whose specification is in parts
         self.loaded = asyncio.Event()
@@ -178,8 +179,8 @@
     def no_answers_since(self, moment: timedelta) -> None:
         """Note that no other controller has answered a worker since then."""
         term = self.term
-        if moment < term.began:
-            span = (term.began - moment).total_seconds()
+        if moment < term.started_at:
+            span = (term.started_at - moment).total_seconds()
             log.info("nobody has answered a worker for %.1f s before this term", span)
             term.others_stopped_at = (
                 moment if term.others_stopped_at is None else min(term.others_stopped_at, moment)
@@ -209,7 +210,7 @@
         ]
         tasks = [asyncio.get_running_loop().create_task(loop) for loop in loops]
         try:
-            await self.term.over.wait()
+            await self.term.ended.wait()
         finally:
             for task in tasks:
                 task.cancel()
@@ -217,7 +218,7 @@
 
     async def _keep_running(self, loop: Callable[[], Awaitable[None]]) -> None:
         """Run a loop, and start it again when it fails; the others are not affected."""
-        await SUPERVISOR.run_to_completion(loop.__name__, loop, self.term.over)
+        await SUPERVISOR.run_to_completion(loop.__name__, loop, self.term.ended)
 
     # records
 
@@ -233,7 +234,7 @@
             self.graph.add(job)
             self.record_writer.mark_dirty(job.page(0))
         self.revision = revision
-        self.term.knows(started)  # later cancellations are seen by the watch
+        self.term.record_cancellations_known(started)  # later cancellations are seen by the watch
         self.loaded.set()
         took = (self.clock.now() - started).total_seconds() * 1e3
         placed = sum(job.placement_count() for job in self.jobs.values())
@@ -258,7 +259,7 @@
                 if event.put is not None:
                     self._changed(event.put, event.value, event.version)
             self.revision = revision
-            self.term.knows(sent)
+            self.term.record_cancellations_known(sent)
             for name in list(self.incomplete):
                 await self._complete(name)
             await asyncio.sleep(WATCH_GAP.total_seconds())
@@ -414,7 +415,7 @@
 
     def reporting(self) -> Counter[str]:
         """How many machines should report, by zone."""
-        now, lease = self.clock.now(), self.params.workers.lease
+        now, lease = self.clock.now(), self.params.workers.lease_duration
         result: Counter[str] = Counter()
         for machine in self.registry:
             if machine.returning or machine.failed or machine.expired(now, lease):
--- a/dappledrum/leader/test_job_loader.py
+++ b/dappledrum/leader/test_job_loader.py
@@ -40,7 +40,7 @@
         await cluster.finish([fine["id"]], most=60)
         leader = cluster.controllers[cluster.leader()]
         assert "j-000077" not in leader.leader.jobs
-        known = leader.elector.term.known_at
+        known = leader.elector.term.cancellations_known_at
         assert (leader.clock.now() - known).total_seconds() < 3
 
     run(main())
@@ -61,10 +61,10 @@
         victim = next(m for m in cluster.members if m != stuck)
         scan = cluster.controllers[victim].store.scan
 
-        async def nothing(prefix, rank):
+        async def nothing(prefix, priority):
             if prefix == "job/":
                 await asyncio.sleep(3600)
-            return await scan(prefix, rank)
+            return await scan(prefix, priority)
 
         cluster.controllers[victim].store.scan = nothing
         cluster.controllers[stuck].elector.transfer_leadership(victim, "a test")
--- a/dappledrum/membership/service.py
+++ b/dappledrum/membership/service.py
@@ -103,7 +103,7 @@
         self.forwarded_workers = ForwardedWorkers(clock)
         self.forwarder = HeartbeatForwarder(self._send_heartbeats)
         self.began = clock.now()
-        self.born = int(clock.today().timestamp() * 1000)
+        self.born = int(clock.utc_now().timestamp() * 1000)
         self.silent: dict[str, timedelta] = {}
         self.counted_at = ZERO  # machines by zone
         self.heard_at: timedelta | None = None  # the last heartbeat of any peer
@@ -137,7 +137,7 @@
     def own(self) -> PeerHeartbeat:
         """This controller's own heartbeat."""
         now = self.clock.now()
-        term = self.elector.holding()
+        term = self.elector.valid_term()
         leader = self.elector.leader
         state, cloud = self.state.cost(), self.cloud.cost()
         heartbeat = PeerHeartbeat(
@@ -145,11 +145,11 @@
             self.born,
             ms(now - self.began),
             0,
-            ms(now - self.pause_detector.awake_since()),
+            ms(now - self.pause_detector.running_since()),
             epoch=self.elector.epoch,
             leader=leader.member if leader is not None else None,
             holds=term is not None,
-            term_ms=0 if term is None else ms(now - term.began),
+            term_ms=0 if term is None else ms(now - term.started_at),
             state_ms=None if state is None else ms(state),
             served_ms=None if self.state.served_at is None else ms(now - self.state.served_at),
             cloud_ms=None if cloud is None else ms(cloud),
@@ -191,7 +191,7 @@
         peer passes the former process's newest heartbeat on to it, and it begins after that.
         """
         now = ms(self.clock.now() - self.began)
-        newest = int((self.clock.today() + CLOCKS_APART).timestamp() * 1000)
+        newest = int((self.clock.utc_now() + CLOCKS_APART).timestamp() * 1000)
         if (self.born, now) < (heartbeat.born, heartbeat.tick) and heartbeat.born <= newest:
             log.info("words of a process before this one look newer, beginning after them")
             self.born = heartbeat.born + 1
@@ -254,7 +254,7 @@
                 for name, addresses in heartbeat.samples.items() if heartbeat.holds else ():
                     known = self.zone(name).addresses
                     known.extend(a for a in addresses if a not in known)
-            asked = self._to_ask(self.elector.holding() is not None)
+            asked = self._to_ask(self.elector.valid_term() is not None)
             await asyncio.gather(*(self._ask(name) for name in asked[: None if hurried else 1]))
 
     def _to_ask(self, leads: bool) -> list[str]:
@@ -355,12 +355,12 @@
         announced: set[str] = set()
         while True:
             await asyncio.sleep(LOOK.total_seconds())
-            term = self.elector.holding()
+            term = self.elector.valid_term()
             if term is None:
                 self.silent = {}
                 announced = set()
                 continue
-            self.silent = self._silent_zones(term.began)
+            self.silent = self._silent_zones(term.started_at)
             unreachable_zones = set(self._unreachable_zones())
             if unreachable_zones != announced:
                 if unreachable_zones - announced:
@@ -387,7 +387,7 @@
         """Zones with machines that should report, but from which nothing has come for longer than
         any of them may take. Time in which this controller itself was paused does not count."""
         now = self.clock.now()
-        since = max(began, self.pause_detector.awake_since())
+        since = max(began, self.pause_detector.running_since())
         if now - since <= MIN_SILENCE:
             return {}
         # To count all machines four times a second costs more than to hear them. While every zone
@@ -425,7 +425,7 @@
             for name, zone in self.zones.items()
             if name not in self.silent
             and zone.heard_at is not None
-            and now - zone.heard_at <= self.limits.lease
+            and now - zone.heard_at <= self.limits.lease_duration
         )
         return Situation(
             now,
--- a/dappledrum/simulation/cluster.py
+++ b/dappledrum/simulation/cluster.py
@@ -15,8 +15,8 @@
 from dappledrum.controller.assembly import build_controller
 from dappledrum.controller.controller import Controller
 from dappledrum.controller.environment import Connections, Environment
-from dappledrum.http.client import Caller, NoResponseError, Reply
-from dappledrum.http.server import Handler, Request, Response
+from dappledrum.http.client import HttpClient, NoResponseError, Reply
+from dappledrum.http.messages import Handler, Request, Response
 from dappledrum.model.history import ACCEPTED, REFUSED
 from dappledrum.model.invariants import Invariants
 from dappledrum.settings import (
@@ -26,7 +26,7 @@
     Params,
     Peer,
     Settings,
-    StateLimits,
+    StoreLimits,
     Team,
     Tuning,
     WorkerLimits,
@@ -96,7 +96,7 @@
 class OldCaller:
     """Requests of a controller of the version before chains: its records lack what came later."""
 
-    def __init__(self, link: Caller) -> None:
+    def __init__(self, link: HttpClient) -> None:
         self.link = link
 
     async def request(
@@ -164,7 +164,7 @@
         self.params = Params(
             teams=list(self.teams),
             workers=WorkerLimits(1.0, self.lease_s, 30.0),
-            state=StateLimits(self.rps, self.write_rps, 8.0, 24, self.next),
+            state=StoreLimits(self.rps, self.write_rps, 8.0, 24, self.next),
             cloud=CloudLimits(4.0, 4.0),
             zones=["a", "b"],
         )
@@ -193,7 +193,7 @@
         callers = {peer.member: self._link(member, "back-" + peer.member) for peer in peers}
         environment = Environment(
             settings,
-            Tuning(reach=self.reach and member not in self.old),
+            Tuning(peer_heartbeats_enabled=self.reach and member not in self.old),
             clock,
             random.Random(self.rng.random()),
         )
@@ -247,7 +247,7 @@
 
         return refuse
 
-    def _state_caller(self, member: str) -> Caller:
+    def _state_caller(self, member: str) -> HttpClient:
         link = self._link(member, "state")
         return OldCaller(link) if member in self.old else link
 
@@ -318,7 +318,7 @@
         leading = [
             member
             for member, controller in self.controllers.items()
-            if self.alive(member) and controller.elector.leading()
+            if self.alive(member) and controller.elector.leading_term()
         ]
         assert len(leading) <= 1, f"two leaders: {leading}"
         return leading[0] if leading else None
--- a/dappledrum/store/test_hedged_commit.py
+++ b/dappledrum/store/test_hedged_commit.py
@@ -8,29 +8,31 @@
 import msgspec
 import pytest
 
+from dappledrum.election.context import ElectionContext, LeaseLimits
 from dappledrum.election.elector import Elector
-from dappledrum.election.lease_keeper import LeaseKeeper
-from dappledrum.election.quorum import Answers
+from dappledrum.election.quorum import PeerAnswers
 from dappledrum.election.terms import Term
 from dappledrum.jobs.api import JobApi
+from dappledrum.jobs.confirmed_cancellations import ConfirmedCancellations
 from dappledrum.jobs.job import Job
 from dappledrum.jobs.keys import head_key
 from dappledrum.jobs.messages import JobRecord, PageRecord, Spec
 from dappledrum.jobs.page_encoding import page_record
 from dappledrum.jobs.record_writer import RecordWriter
-from dappledrum.settings import CloudLimits, Params, StateLimits, Team, WorkerLimits
+from dappledrum.settings import CloudLimits, Params, StoreLimits, Team, WorkerLimits
 from dappledrum.simulation.cluster import job
 from dappledrum.simulation.key_value_store import KeyValueStore
 from dappledrum.simulation.network import LateWrites, Network
 from dappledrum.simulation.virtual_time import run
-from dappledrum.store.client import ConflictError, StoreClient, UnknownError, raw
-from dappledrum.store.hedged_commit import READS, commit_idempotent, commit_or_find
-from dappledrum.store.messages import Guard, Put
+from dappledrum.store.client import StoreClient
+from dappledrum.store.errors import ConflictError, UnknownOutcomeError
+from dappledrum.store.hedged_commit import MAX_READS, commit_idempotent, commit_or_find
+from dappledrum.store.messages import Guard, Put, encode_value
 from dappledrum.store.rate_limiter import RequestPriority
 from dappledrum.store.value_limit import ValueLimit
 from dappledrum.timing.clock import ZERO, Clock, seconds
 
-LIMITS = StateLimits(200.0, 100.0, 8.0, 24)
+LIMITS = StoreLimits(200.0, 100.0, 8.0, 24)
 LOST = LateWrites(1.0, 0.0, 0.0, at_once=True)
 
 
@@ -73,12 +75,12 @@
         """Write a key with a hedge; what came of it."""
 
         async def find():
-            entry = await self.client.get("key", RequestPriority.INTAKE)
+            entry = await self.client.get("key", RequestPriority.SUBMISSION)
             return "found" if entry is not None else None
 
-        changes = [Put("key", raw(value))]
+        changes = [Put("key", encode_value(value))]
         return await commit_or_find(
-            self.client, [Guard("key", 0)], changes, RequestPriority.INTAKE, find
+            self.client, [Guard("key", 0)], changes, RequestPriority.SUBMISSION, find
         )
 
 
@@ -100,7 +102,7 @@
         assert await store.put() == "found"
         assert now() < 0.1
         assert store.service.requests == 2
-        assert store.client.failing_for() is None
+        assert store.client.availability.failing_for() is None
 
     run(main())
 
@@ -111,10 +113,10 @@
     async def main():
         store = Store()
         store.delay(3.0)
-        with pytest.raises(UnknownError):
+        with pytest.raises(UnknownOutcomeError):
             await store.put()
         assert now() == pytest.approx(1.5, abs=0.05)
-        assert store.service.requests == READS
+        assert store.service.requests == MAX_READS
         await asyncio.sleep(3)
         store = Store()
         store.delay(0.3)
@@ -125,7 +127,7 @@
 
 def use_up(budget):
     """Others take so much that a read would have to wait for about a second."""
-    budget.take(75, seconds(now()))
+    budget.consume(75, seconds(now()))
 
 
 @pytest.mark.parametrize("why", ["budget", "slow", "hanging"])
@@ -134,14 +136,16 @@
         store = Store()
         await store.client.get("key", RequestPriority.POLL)
         if why == "budget":
-            asyncio.get_running_loop().call_later(0.01, lambda: use_up(store.client.requests))
+            asyncio.get_running_loop().call_later(
+                0.01, lambda: use_up(store.client.budget.request_limiter)
+            )
         elif why == "slow":
-            store.client.link.usual = timedelta(seconds=0.25)
+            store.client.availability.link.usual = timedelta(seconds=0.25)
         else:
-            store.client.failing_since = store.clock.now() - timedelta(seconds=1)
+            store.client.availability.failing_since = store.clock.now() - timedelta(seconds=1)
         store.network.late_writes = LOST
         before = store.service.requests
-        with pytest.raises(UnknownError):
+        with pytest.raises(UnknownOutcomeError):
             await store.put()
         assert store.service.requests == before + 1
 
@@ -159,7 +163,7 @@
         if version:
             with pytest.raises(ConflictError) as error:
                 await commit_idempotent(store.client, guards, [], RequestPriority.POLL)
-            assert error.value.failed == ["key"]
+            assert error.value.conflicting_keys == ["key"]
         else:
             await commit_idempotent(store.client, guards, [], RequestPriority.POLL)
         assert now() < 0.1
@@ -179,7 +183,7 @@
     def __init__(self, lease_s=100.0):
         super().__init__()
         self.term = Term(1, self.write("leader", {"member": "node", "epoch": 1}), 1)
-        self.term.valid_until = self.clock.now() + timedelta(seconds=lease_s)
+        self.term.lease_valid_until = self.clock.now() + timedelta(seconds=lease_s)
         self.record_writer = RecordWriter(
             self.client, self.term, LIMITS, ValueLimit(LIMITS), self.clock
         )
@@ -271,7 +275,7 @@
     async def main():
         leader = Leader()
         one = leader.jobs[0]
-        one.page(0).place(0, "host-1", 1, "a", leader.clock.today())
+        one.page(0).place(0, "host-1", 1, "a", leader.clock.utc_now())
         leader.record_writer.mark_dirty(one.page(0))
         await leader.write_for(0.1)
         one.cancelled = True
@@ -300,7 +304,7 @@
         leader.finish(1, 0)
         loop = asyncio.get_running_loop()
         if why == "transfer":
-            loop.call_later(0.05, leader.term.over.set)
+            loop.call_later(0.05, leader.term.ended.set)
         record = leader.jobs[0].head_record(page_record(leader.jobs[0].page(0)))
         stored = json.loads(msgspec.json.encode(record))
         loop.call_later(0.06, leader.write, leader.jobs[0].page(0).key, stored)
@@ -321,7 +325,10 @@
 
     async def admit(self, *numbers):
         """Jobs that come together; what became of each."""
-        puts = {f"j-{n:06d}": [Put(head_key(f"j-{n:06d}"), raw(stored_job(n)))] for n in numbers}
+        puts = {
+            f"j-{n:06d}": [Put(head_key(f"j-{n:06d}"), encode_value(stored_job(n)))]
+            for n in numbers
+        }
         admit = self.job_api.admission.admit
         return await asyncio.gather(
             *(admit(name, put) for name, put in puts.items()), return_exceptions=True
@@ -350,7 +357,7 @@
         )
         first, second = await controller.admit(1, 2)
         assert first[0].spec.id == "j-000001"
-        assert isinstance(second, UnknownError)
+        assert isinstance(second, UnknownOutcomeError)
         assert "job/j-000002" not in controller.service.keys
 
     run(main())
@@ -415,6 +422,20 @@
     run(main())
 
 
+class FreePeer:
+    """One peer, which is free of lease grants."""
+
+    async def pre_vote(self, _question, _timeout):
+        return PeerAnswers(1, 1)
+
+
+class SilentHost:
+    """A controller that does nothing when leadership changes."""
+
+    def leadership_changed(self):
+        pass
+
+
 @pytest.mark.parametrize("own", [True, False])
 def test_only_the_own_lease_proves_an_election(own):
     """A transaction of an earlier process of the same member puts the same key there."""
@@ -422,21 +443,25 @@
     async def main():
         store = Store()
 
-        async def pre_vote(_question, _timeout):
-            return Answers(1, 1)
-
         span = timedelta(seconds=20)
-        life = timedelta(seconds=3)
-        lease_keeper = LeaseKeeper(
-            "node", store.client, store.clock, store.rng, life, None, span, span
+        elector = Elector(
+            ElectionContext(
+                "node",
+                store.client,
+                store.clock,
+                store.rng,
+                LeaseLimits(timedelta(seconds=3), span, span),
+                FreePeer(),
+                SilentHost(),
+                ConfirmedCancellations(ZERO),
+            )
         )
-        elector = Elector(lease_keeper, pre_vote, None)
-        elector.voter.unknown_until = ZERO
-        standing_for = asyncio.ensure_future(elector._campaign())
+        elector.voter.restart_wait_until = ZERO
+        campaign = asyncio.ensure_future(elector._campaign())
         if own:
             store.delay(0.0)
             await asyncio.sleep(0.2)
-            assert elector.leading() is not None
+            assert elector.leading_term() is not None
         else:
             store.delay(60.0)
             asyncio.get_running_loop().call_later(
@@ -444,6 +469,6 @@
             )
             await asyncio.sleep(1.4)
             assert elector.term is None
-        standing_for.cancel()
+        campaign.cancel()
 
     run(main())
