--- a/dappledrum/controller/assembly.py
+++ b/dappledrum/controller/assembly.py
@@ -20,7 +20,13 @@
 from dappledrum.election.context import ElectionContext, LeaseLimits
 from dappledrum.election.elector import Elector
 from dappledrum.jobs.api import JobApi
-from dappledrum.membership.service import Membership, Probe
+from dappledrum.membership.context import (
+    LeaderActions,
+    MembershipContext,
+    ProbedService,
+    WorkerProbe,
+)
+from dappledrum.membership.service import Membership
 from dappledrum.settings import WorkerLimits
 from dappledrum.store.value_limit import ValueLimit
 from dappledrum.timing.clock import ZERO, longest_local_span
@@ -101,25 +107,25 @@
 
 
 def _build_membership(
-    environment: Environment, clients: Clients, term_runner: TermRunner, probe_worker: Probe
+    environment: Environment, clients: Clients, term_runner: TermRunner, probe_worker: WorkerProbe
 ) -> Membership:
     link_checks = LinkChecks(clients)
     elector = term_runner.elector
+    transfer = LeadershipTransfer(clients, elector, term_runner).transfer
     return Membership(
-        environment.member,
-        environment.clock,
-        environment.rng,
-        clients.peers,
-        elector,
-        environment.params.workers,
-        term_runner.pause_detector,
-        clients.store.availability.link,
-        clients.cloud.link,
-        term_runner.reporting_machines,
+        MembershipContext(
+            environment.member,
+            environment.clock,
+            environment.rng,
+            clients.peers,
+            elector,
+            environment.params.workers,
+            term_runner.pause_detector,
+        ),
+        ProbedService(clients.store.availability.link, link_checks.check_store),
+        ProbedService(clients.cloud.link, link_checks.check_cloud),
         probe_worker,
-        link_checks.check_store,
-        link_checks.check_cloud,
-        LeadershipTransfer(clients, elector, term_runner).transfer,
+        LeaderActions(term_runner.expected_heartbeats, transfer),
     )
 
 
--- a/dappledrum/controller/environment.py
+++ b/dappledrum/controller/environment.py
@@ -8,7 +8,7 @@
 
 from dappledrum.fleet.cloud_client import CloudClient
 from dappledrum.http.client import HttpClient
-from dappledrum.membership.service import Probe
+from dappledrum.membership.context import WorkerProbe
 from dappledrum.peers.client import Peers
 from dappledrum.settings import Params, Settings, Tuning
 from dappledrum.store.client import StoreClient
@@ -46,7 +46,7 @@
     store: HttpClient
     cloud: HttpClient
     peers: dict[str, HttpClient]  # by the peer's name
-    probe_worker: Probe
+    probe_worker: WorkerProbe
 
 
 class Clients:
--- a/dappledrum/controller/isolation.py
+++ b/dappledrum/controller/isolation.py
@@ -30,7 +30,7 @@
         """Whether neither the store nor a peer has answered for a while, though peers have
         before: this controller is cut off, or all others are down."""
         failing = self.store.availability.failing_for()
-        last_heartbeat = self.membership.heard_at
+        last_heartbeat = self.membership.peer_heartbeat_at
         if last_heartbeat is None or failing is None or failing < ISOLATED_AFTER:
             return False
         now = self.clock.now()
--- a/dappledrum/controller/leadership_transfer.py
+++ b/dappledrum/controller/leadership_transfer.py
@@ -12,7 +12,7 @@
 log = logging.getLogger(__name__)
 
 SERVED_TIMEOUT = timedelta(milliseconds=450)  # a peer waits for the store for 300 ms
-MAX_SETTLE_TIME = timedelta(milliseconds=500)  # for writing pending records
+MAX_FLUSH_TIME = timedelta(milliseconds=500)  # for writing pending records
 
 
 class LeadershipTransfer:
@@ -38,7 +38,7 @@
             return
         leader = self.term_runner.leader
         if leader is not None and not self.store.availability.is_failing():
-            await leader.settle(MAX_SETTLE_TIME)
+            await leader.flush_records(MAX_FLUSH_TIME)
         self.elector.transfer_leadership(member, why)
 
     async def _is_served(self, member: str) -> bool:
--- a/dappledrum/controller/term_runner.py
+++ b/dappledrum/controller/term_runner.py
@@ -10,6 +10,7 @@
 from dappledrum.election.terms import Term
 from dappledrum.jobs.api import JobApi
 from dappledrum.jobs.job import Job
+from dappledrum.leader.context import TermContext
 from dappledrum.leader.leader import Leader
 from dappledrum.store.value_limit import ValueLimit
 from dappledrum.timing.timeouts import PauseDetector
@@ -65,9 +66,9 @@
                 query.cancel()
                 self.leader = None
 
-    def reporting_machines(self) -> Mapping[str, int]:
+    def expected_heartbeats(self) -> Mapping[str, int]:
         """Number of machines that should send heartbeats, by zone; empty for a follower."""
-        return self.leader.reporting() if self.leader is not None else {}
+        return self.leader.expected_heartbeats() if self.leader is not None else {}
 
     def apply_confirmed_cancellations(self, cancelled: frozenset[str]) -> bool:
         """Treat these jobs as cancelled; returns whether a leader runs that could do so."""
@@ -77,19 +78,18 @@
         return True
 
     def _create_leader(self, term: Term) -> Leader:
-        return Leader(
+        context = TermContext(
             term,
-            lambda: self.elector.leading_term() is not None,
-            self.clients.store,
-            self.value_limit,
-            self.clients.cloud,
-            self.environment.params,
-            self.environment.clock,
-            self.environment.tuning,
-            self.job_api.types or [],
-            self._job_ended,
-            self.pause_detector.running_since,
+            may_command=lambda: self.elector.leading_term() is not None,
+            store=self.clients.store,
+            value_limit=self.value_limit,
+            cloud=self.clients.cloud,
+            params=self.environment.params,
+            tuning=self.environment.tuning,
+            clock=self.environment.clock,
+            running_since=self.pause_detector.running_since,
         )
+        return Leader(context, self.job_api.types or [], self._job_ended)
 
     def _job_ended(self, job: Job) -> None:
         self.job_api.remember(job.id, job.ended_record())
--- a/dappledrum/controller/test_crash_points.py
+++ b/dappledrum/controller/test_crash_points.py
@@ -52,11 +52,11 @@
     await cluster.wait(3)
     member = cluster.others(cluster.leader())[0]
     await cluster.restart(member, 0.1)
-    cluster.controllers[member].membership.born -= 5_000
+    cluster.controllers[member].membership.monitor.incarnation -= 5_000
     await cluster.wait(6)  # the heartbeats of the process before are not fresh any more
     for other in cluster.others(member):
         membership = cluster.controllers[other].membership
-        assert membership.table.is_connected(member, membership.clock.now())
+        assert membership.monitor.table.is_connected(member, membership.clock.now())
 
 
 async def test_a_controller_in_a_crash_loop_costs_little():
--- a/dappledrum/simulation/ground_truth.py
+++ b/dappledrum/simulation/ground_truth.py
@@ -10,9 +10,10 @@
 from typing import Any
 from unittest.mock import patch
 
-from dappledrum.accounting.entries import Entry
+from dappledrum.accounting.cost_categories import CostCategory
 from dappledrum.jobs.placement import Placement
 from dappledrum.simulation.fleet import CloudService
+from dappledrum.workers.attempt_ends import AttemptEnds
 from dappledrum.workers.machine_registry import Machine
 from dappledrum.workers.messages import WorkerHeartbeat
 from dappledrum.workers.reconciler import Reconciler
@@ -38,8 +39,8 @@
         for cloud in self.clouds:
             rented = cloud.machines.get(machine)
             worker = rented.worker if rented is not None else None
-            found = worker.attempts.get((task, attempt)) if worker is not None else None
-            if found is not None and found.state != "ended":
+            there = worker.attempts.get((task, attempt)) if worker is not None else None
+            if there is not None and there.state != "ended":
                 return True
         return False
 
@@ -50,8 +51,7 @@
             self.wrong.append(f"{machine.name} has terminated and counts as up")
 
     def check_never_started(self, machine: Machine, lost_before: set[Placement]) -> None:
-        """A machine may be considered unreachable, and attempts that it has not reported as never
-        started."""
+        """A machine may be considered unreachable, and attempts not in its heartbeats never started."""
         if not machine.reachability.unreachable:
             return
         for placement in machine.placements.values():
@@ -66,29 +66,34 @@
 def compared_with_ground_truth() -> Iterator[GroundTruth]:
     """Observe all leaders and clouds until the end of the block."""
     truth = GroundTruth()
-    begin, take, lose = Reconciler.__init__, Reconciler.take, Reconciler._lost
+    begin, process = Reconciler.__init__, Reconciler.process_heartbeat
+    lose = AttemptEnds.lose
     open_cloud, remove = CloudService.__init__, CloudService.take
 
     def begun(reconciler: Reconciler, *parts: Any, **more: Any) -> None:  # noqa: ANN401 - passed on
         begin(reconciler, *parts, **more)
         truth.began_at[reconciler] = asyncio.get_running_loop().time()
 
-    def taken(reconciler: Reconciler, heartbeat: WorkerHeartbeat) -> Machine | None:
+    def processed(reconciler: Reconciler, heartbeat: WorkerHeartbeat) -> Machine | None:
         known = reconciler.registry.get(heartbeat.machine)
         placements = known.placements.values() if known is not None else ()
         lost_before = {placement for placement in placements if placement.lost}
-        machine = take(reconciler, heartbeat)
+        machine = process(reconciler, heartbeat)
         if machine is not None:
             truth.check_alive(reconciler, machine)
             truth.check_never_started(machine, lost_before)
         return machine
 
     def lost(
-        reconciler: Reconciler, machine: Machine, placement: Placement, why: str, entry: Entry
+        ends: AttemptEnds,
+        machine: Machine,
+        placement: Placement,
+        reason: str,
+        category: CostCategory,
     ) -> None:
         task = placement.name
-        truth.check_terminated(machine.name, task, placement.attempt, why)
-        lose(reconciler, machine, placement, why, entry)
+        truth.check_terminated(machine.name, task, placement.attempt, reason)
+        lose(ends, machine, placement, reason, category)
 
     def opened(cloud: CloudService, *parts: Any, **more: Any) -> None:  # noqa: ANN401 - passed on
         open_cloud(cloud, *parts, **more)
@@ -100,8 +105,8 @@
 
     with (
         patch.object(Reconciler, "__init__", begun),
-        patch.object(Reconciler, "take", taken),
-        patch.object(Reconciler, "_lost", lost),
+        patch.object(Reconciler, "process_heartbeat", processed),
+        patch.object(AttemptEnds, "lose", lost),
         patch.object(CloudService, "__init__", opened),
         patch.object(CloudService, "take", removed),
     ):
--- a/dappledrum/store/hedged_commit.py
+++ b/dappledrum/store/hedged_commit.py
@@ -116,7 +116,7 @@
     timeout: timedelta,
 ) -> T | None:
     """Read until something is proven; None when it is not worthwhile any more."""
-    delay = max(MIN_READ_DELAY, store.availability.link.usual * READ_DELAY_ROUND_TRIPS)
+    delay = max(MIN_READ_DELAY, store.availability.link.smoothed_delay * READ_DELAY_ROUND_TRIPS)
     await asyncio.sleep(queueing_delay.total_seconds())
     for _ in range(MAX_READS):
         if delay > timeout / 2:
--- a/dappledrum/store/test_hedged_commit.py
+++ b/dappledrum/store/test_hedged_commit.py
@@ -140,7 +140,7 @@
                 0.01, lambda: use_up(store.client.budget.request_limiter)
             )
         elif why == "slow":
-            store.client.availability.link.usual = timedelta(seconds=0.25)
+            store.client.availability.link.smoothed_delay = timedelta(seconds=0.25)
         else:
             store.client.availability.failing_since = store.clock.now() - timedelta(seconds=1)
         store.network.late_writes = LOST
