--- a/dappledrum/controller/heartbeat_endpoint.py
+++ b/dappledrum/controller/heartbeat_endpoint.py
@@ -9,7 +9,7 @@
 from dappledrum.controller.redirection import Redirection
 from dappledrum.controller.term_runner import TermRunner
 from dappledrum.http.messages import Request, Response
-from dappledrum.jobs.api import refusal
+from dappledrum.jobs.responses import refusal
 from dappledrum.leader.heartbeat_responder import MAX_IDLE_WAIT
 from dappledrum.membership.service import Membership
 from dappledrum.workers.heartbeat_attempts import HeartbeatAttempts
--- a/dappledrum/controller/test_concurrent_user_requests.py
+++ b/dappledrum/controller/test_concurrent_user_requests.py
@@ -280,8 +280,8 @@
     assert not leader.record_writer.garbage
     assert {key.split("/")[0] for key in cluster.store.keys if "/j-" in key} == {"ended"}
     for controller in cluster.controllers.values():
-        assert not controller.job_api.polls.waiting
-        assert not controller.job_api.admission.waiting
+        assert not controller.job_api.poll_batcher.waiting
+        assert not controller.job_api.submission_batcher.waiting
     assert not cluster.rules.broken, cluster.rules.broken
 
 
