--- a/dappledrum/controller/test_process.py
+++ b/dappledrum/controller/test_process.py
@@ -7,7 +7,7 @@
 
 from dappledrum.controller import process
 from dappledrum.settings import Settings, Tuning
-from dappledrum.test_main import good
+from dappledrum.test_main import valid_settings
 
 
 def test_a_controller_is_constructed_only_when_its_predecessor_has_released_the_address(
@@ -27,7 +27,7 @@
 
     async def main():
         predecessor = socket.create_server(("127.0.0.1", 0))
-        settings = msgspec.convert(good(), Settings)
+        settings = msgspec.convert(valid_settings(), Settings)
         back = f"127.0.0.1:{predecessor.getsockname()[1]}"
         settings = msgspec.structs.replace(settings, back=back)
         running = asyncio.create_task(process.run_controller(settings, Tuning()))
