--- a/dappledrum/controller/assembly.py
+++ b/dappledrum/controller/assembly.py
@@ -19,7 +19,6 @@
 from dappledrum.controller.user_endpoint import UserEndpoint
 from dappledrum.election.context import ElectionContext, LeaseLimits
 from dappledrum.election.elector import Elector
-from dappledrum.jobs.api import JobApi
 from dappledrum.membership.context import (
     LeaderActions,
     MembershipContext,
@@ -31,6 +30,7 @@
 from dappledrum.store.value_limit import ValueLimit
 from dappledrum.timing.clock import ZERO, longest_local_span
 from dappledrum.timing.timeouts import PauseDetector
+from dappledrum.user_api.job_api import JobApi
 from dappledrum.workers.heartbeat_attempts import HeartbeatAttempts
 
 MAX_LEASE_TTL = timedelta(seconds=3)
--- a/dappledrum/controller/catalog.py
+++ b/dappledrum/controller/catalog.py
@@ -9,11 +9,11 @@
 from dappledrum.controller.term_runner import TermRunner
 from dappledrum.fleet.cloud_client import CloudError
 from dappledrum.fleet.messages import Catalog, MachineType
-from dappledrum.jobs.api import JobApi
 from dappledrum.store.errors import StoreError
 from dappledrum.store.messages import Guard, Put, encode_value
 from dappledrum.store.rate_limiter import RequestPriority
 from dappledrum.timing.fault_log import FaultLog
+from dappledrum.user_api.job_api import JobApi
 
 log = logging.getLogger(__name__)
 
--- a/dappledrum/controller/controller.py
+++ b/dappledrum/controller/controller.py
@@ -15,12 +15,12 @@
 from dappledrum.controller.user_endpoint import UserEndpoint
 from dappledrum.election.elector import Elector
 from dappledrum.http.messages import Request, Response
-from dappledrum.jobs.api import JobApi
 from dappledrum.leader.leader import Leader
 from dappledrum.membership.service import Membership
 from dappledrum.store.client import StoreClient
 from dappledrum.timing.clock import Clock
 from dappledrum.timing.timeouts import PauseDetector
+from dappledrum.user_api.job_api import JobApi
 
 #: Anything but a slash may precede the path of a job; only `/submissions` itself is exact.
 JOBS_PATH = "[^/]*/submissions"
--- a/dappledrum/controller/heartbeat_endpoint.py
+++ b/dappledrum/controller/heartbeat_endpoint.py
@@ -9,9 +9,9 @@
 from dappledrum.controller.redirection import Redirection
 from dappledrum.controller.term_runner import TermRunner
 from dappledrum.http.messages import Request, Response
-from dappledrum.jobs.responses import refusal
 from dappledrum.leader.heartbeat_responder import MAX_IDLE_WAIT
 from dappledrum.membership.service import Membership
+from dappledrum.user_api.responses import refusal
 from dappledrum.workers.heartbeat_attempts import HeartbeatAttempts
 from dappledrum.workers.messages import Commands, Redirect, WorkerHeartbeat
 
@@ -50,7 +50,7 @@
         except MalformedHeartbeatError as error:
             log.warning("malformed heartbeat of a worker: %s", error)
             return refusal(HTTPStatus.BAD_REQUEST, str(error))
-        self.attempts.note(heartbeat.machine, self.clock.now())
+        self.attempts.record(heartbeat.machine, self.clock.now())
         self.membership.record_worker_heartbeat(heartbeat)
         commands = await self._commands(heartbeat, MAX_IDLE_WAIT)
         if commands is not None:
--- a/dappledrum/controller/routes.py
+++ b/dappledrum/controller/routes.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 from dappledrum.http.messages import Request, Response
-from dappledrum.jobs.responses import refusal
+from dappledrum.user_api.responses import refusal
 
 Handler = Callable[[Request], Awaitable[Response]]
 
--- a/dappledrum/controller/term_runner.py
+++ b/dappledrum/controller/term_runner.py
@@ -8,12 +8,12 @@
 from dappledrum.controller.environment import Clients, Environment
 from dappledrum.election.elector import Elector
 from dappledrum.election.terms import Term
-from dappledrum.jobs.api import JobApi
 from dappledrum.jobs.job import Job
 from dappledrum.leader.context import TermContext
 from dappledrum.leader.leader import Leader
 from dappledrum.store.value_limit import ValueLimit
 from dappledrum.timing.timeouts import PauseDetector
+from dappledrum.user_api.job_api import JobApi
 
 log = logging.getLogger(__name__)
 
--- a/dappledrum/controller/user_endpoint.py
+++ b/dappledrum/controller/user_endpoint.py
@@ -9,10 +9,10 @@
 from dappledrum.controller.environment import Clients
 from dappledrum.controller.isolation import Isolation
 from dappledrum.http.messages import Request, Response
-from dappledrum.jobs.api import JobApi
-from dappledrum.jobs.responses import busy, refusal
 from dappledrum.membership.service import Membership
 from dappledrum.peers.messages import Relay
+from dappledrum.user_api.job_api import JobApi
+from dappledrum.user_api.responses import busy, refusal
 
 MAX_RELAY_PEERS = 2  # that are asked at the same time
 RELAY_TIMEOUT = timedelta(milliseconds=900)
