--- a/dappledrum/http/test_connection_limits.py
+++ b/dappledrum/http/test_connection_limits.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from dappledrum.controller.wiring import sockets
+from dappledrum.controller.sockets import share_sockets
 from dappledrum.http.client import PooledClient
 from dappledrum.http.connection_limits import (
     RESERVED_SHARE,
@@ -164,7 +164,7 @@
 @settings(max_examples=200, derandomize=True, deadline=None)
 @given(st.integers(64, 5_000), st.integers(0, 8))
 def test_shares_of_the_sockets_add_up_to_the_limit(limit, peers):
-    shares = sockets(limit, peers)
+    shares = share_sockets(limit, peers)
     assert sum(shares) == limit
     assert all(share >= 1 for share in shares)
     assert shares.public >= limit // 3
--- a/dappledrum/membership/test_messages.py
+++ b/dappledrum/membership/test_messages.py
@@ -5,13 +5,13 @@
 
 import pytest
 
-from dappledrum.controller.wiring import _worker_answers
+from dappledrum.controller.process import probe_worker
 from dappledrum.peers.heartbeat_messages import PeerHeartbeats
 from dappledrum.peers.messages import MalformedError, decode, encode
 
 
 def test_a_worker_with_an_impossible_port_does_not_answer_probes():
-    assert asyncio.run(_worker_answers("127.0.0.1:99999", timedelta(seconds=1))) is False
+    assert asyncio.run(probe_worker("127.0.0.1:99999", timedelta(seconds=1))) is False
 
 
 @pytest.mark.parametrize(
--- a/dappledrum/simulation/ground_truth.py
+++ b/dappledrum/simulation/ground_truth.py
@@ -1,7 +1,7 @@
-"""Compares what leaders take for proven with what is so on the machines.
+"""Compares what leaders consider proven with what is on the machines.
 
-A loop of a leader would only log a failed assertion and go on, so everything wrong is collected
-and looked at in the end.
+A loop of a leader would only log a failed assertion and go on, so wrong conclusions are collected
+and checked in the end.
 """
 
 import asyncio
@@ -20,22 +20,22 @@
 
 
 class GroundTruth:
-    """Which machines are gone, and what was wrongly concluded of any."""
+    """Which machines have terminated, and wrong conclusions about any of them."""
 
     def __init__(self) -> None:
         self.clouds: list[CloudService] = []
-        self.gone_at: dict[str, float] = {}
+        self.terminated_at: dict[str, float] = {}
         self.began_at: dict[Reconciler, float] = {}  # of each term
         self.proofs = 0
         self.wrong: list[str] = []
 
-    def check_gone(self, machine: str, task: str, attempt: int, why: str) -> None:
-        """A leader takes an attempt for gone from a machine."""
+    def check_terminated(self, machine: str, task: str, attempt: int, why: str) -> None:
+        """A leader considers an attempt terminated on a machine."""
         self.proofs += 1
-        if self._is_there(machine, task, attempt):
-            self.wrong.append(f"{task} is on {machine}, not gone: {why}")
+        if self._is_on_machine(machine, task, attempt):
+            self.wrong.append(f"{task} is on {machine}, not terminated: {why}")
 
-    def _is_there(self, machine: str, task: str, attempt: int) -> bool:
+    def _is_on_machine(self, machine: str, task: str, attempt: int) -> bool:
         for cloud in self.clouds:
             rented = cloud.machines.get(machine)
             worker = rented.worker if rented is not None else None
@@ -45,26 +45,26 @@
         return False
 
     def check_alive(self, reconciler: Reconciler, machine: Machine) -> None:
-        """A leader has taken a heartbeat of a machine."""
-        gone = self.gone_at.get(machine.name)
-        if machine.up and gone is not None and gone < self.began_at[reconciler]:
-            self.wrong.append(f"{machine.name} is gone and looks alive")
+        """A leader has processed a heartbeat of a machine."""
+        terminated = self.terminated_at.get(machine.name)
+        if machine.up and terminated is not None and terminated < self.began_at[reconciler]:
+            self.wrong.append(f"{machine.name} has terminated and counts as up")
 
-    def check_never_begun(self, machine: Machine, lost_before: set[Placement]) -> None:
-        """A machine may have been taken for deaf, and what it has not shown for never begun."""
+    def check_never_started(self, machine: Machine, lost_before: set[Placement]) -> None:
+        """A machine may be considered unreachable, and attempts not in its heartbeats never started."""
         if not machine.reachability.unreachable:
             return
         for placement in machine.placements.values():
             if placement.observed or not placement.lost or placement in lost_before:
                 continue
             task = placement.name
-            if self._is_there(machine.name, task, placement.attempt):
+            if self._is_on_machine(machine.name, task, placement.attempt):
                 self.wrong.append(f"{task} is on {machine.name}, and will be stopped")
 
 
 @contextmanager
-def watched() -> Iterator[GroundTruth]:
-    """Watch all leaders and clouds until the end of the block."""
+def compared_with_ground_truth() -> Iterator[GroundTruth]:
+    """Observe all leaders and clouds until the end of the block."""
     truth = GroundTruth()
     begin, process = Reconciler.__init__, Reconciler.process_heartbeat
     lose = AttemptEnds.lose
@@ -81,7 +81,7 @@
         machine = process(reconciler, heartbeat)
         if machine is not None:
             truth.check_alive(reconciler, machine)
-            truth.check_never_begun(machine, lost_before)
+            truth.check_never_started(machine, lost_before)
         return machine
 
     def lost(
@@ -92,7 +92,7 @@
         category: CostCategory,
     ) -> None:
         task = placement.name
-        truth.check_gone(machine.name, task, placement.attempt, reason)
+        truth.check_terminated(machine.name, task, placement.attempt, reason)
         lose(ends, machine, placement, reason, category)
 
     def opened(cloud: CloudService, *parts: Any, **more: Any) -> None:  # noqa: ANN401 - passed on
@@ -100,7 +100,7 @@
         truth.clouds.append(cloud)
 
     def removed(cloud: CloudService, name: str) -> None:
-        truth.gone_at.setdefault(name, asyncio.get_running_loop().time())
+        truth.terminated_at.setdefault(name, asyncio.get_running_loop().time())
         remove(cloud, name)
 
     with (
