--- a/dappledrum/peers/messages.py
+++ b/dappledrum/peers/messages.py
@@ -70,12 +70,12 @@
 
 
 class HoldsTermRequest(msgspec.Struct, tag="holding", tag_field="kind"):
-    """Asked by a controller that has just started: whether a leader may rely on a promise of its
+    """Asked by a controller that has just started: whether a leader may rely on a lease grant of its
     former process. Versions before 0.4.0 refuse it."""
 
 
 class HoldsTermReply(msgspec.Struct):
-    """Whether the controller holds a term, by its lease or by promises.
+    """Whether the controller holds a term, by its lease or by lease grants.
 
     `quiet_ms` is for how long it has certainly answered no worker in a term of its own: since its
     last term ended, or since its process began, up to MAX_NO_ANSWERS. Versions before 0.6.0 leave
