--- a/dappledrum/peers/messages.py
+++ b/dappledrum/peers/messages.py
@@ -70,8 +70,8 @@
 
 
 class HoldsTermRequest(msgspec.Struct, tag="holding", tag_field="kind"):
-    """Asked by a controller that has just started: whether a leader may rely on a lease grant of its
-    former process. Versions before 0.4.0 refuse it."""
+    """Asked by a controller that has just started: whether a leader may rely on a lease grant of
+    its former process. Versions before 0.4.0 refuse it."""
 
 
 class HoldsTermReply(msgspec.Struct):
