--- a/dappledrum/__init__.py
+++ b/dappledrum/__init__.py
@@ -1,3 +1,3 @@
 """dappledrum: a small cluster scheduler of replicated controllers over rented machines."""
 
-__version__ = "0.7.0"
+__version__ = "0.7.1"
