--- a/dappledrum/simulation/costs.py
+++ b/dappledrum/simulation/costs.py
@@ -92,7 +92,7 @@
     profile.disable()
     number, seconds, functions = by_slice(pstats.Stats(profile))
     heartbeats = functions["workers/reconciler.py:process_heartbeat"]
-    placed = functions["jobs/job.py:place"]
+    placed = functions["jobs/page.py:place"]
     plans = functions["dispatch/dispatcher.py:run"]
     print(
         f"{options.machines} machines, seed {options.seed}, {options.until:g} s: {heartbeats}"
