--- a/dappledrum/golden/test_store.py
+++ b/dappledrum/golden/test_store.py
@@ -14,7 +14,17 @@
 from dappledrum.golden.entries import load
 from dappledrum.golden.recording_caller import RecordingCaller, as_sent
 from dappledrum.jobs.job import Job
-from dappledrum.jobs.keys import ROWS_PREFIX, ended_key, head_key, page_key, rows_key, spec_key
+from dappledrum.jobs.keys import (
+    JOB_PREFIX,
+    PAGE_PREFIX,
+    ROWS_PREFIX,
+    SPEC_PREFIX,
+    ended_key,
+    head_key,
+    page_key,
+    rows_key,
+    spec_key,
+)
 from dappledrum.jobs.messages import (
     EndedRecord,
     Form,
@@ -27,7 +37,6 @@
     SpecPart,
 )
 from dappledrum.jobs.page_encoding import page_changes
-from dappledrum.leader import job_loader
 from dappledrum.leader.advisory_records import LEARNED
 from dappledrum.learning.messages import BootRow, ClassRow, LearnedRecord
 from dappledrum.peers.client import Peers
@@ -209,10 +218,10 @@
     "live-split-rows-1",
 }
 PREFIXES = {
-    "prefix-jobs": (job_loader.JOBS, head_key("")),
-    "prefix-pages": (job_loader.PAGES,),
-    "prefix-rows": (job_loader.ROWS, ROWS_PREFIX),
-    "prefix-specs": (job_loader.SPECS,),
+    "prefix-jobs": (JOB_PREFIX, head_key("")),
+    "prefix-pages": (PAGE_PREFIX,),
+    "prefix-rows": (ROWS_PREFIX,),
+    "prefix-specs": (SPEC_PREFIX,),
 }
 
 
--- a/dappledrum/leader/job_loader.py
+++ b/dappledrum/leader/job_loader.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from dappledrum.jobs.job import Job
-from dappledrum.jobs.keys import spec_key
+from dappledrum.jobs.keys import JOB_PREFIX, PAGE_PREFIX, ROWS_PREFIX, SPEC_PREFIX, spec_key
 from dappledrum.jobs.messages import JobRecord, PageRecord, RowsRecord, SpecPart
 from dappledrum.jobs.page import Page
 from dappledrum.jobs.page_encoding import load_rows
@@ -19,10 +19,6 @@
 log = logging.getLogger(__name__)
 
 RecordType = TypeVar("RecordType")
-JOBS = "job/"
-PAGES = "page/"
-ROWS = "rows/"
-SPECS = "spec/"
 #: Errors of a record that can be decoded, but has impossible values, as numbers of zones or tasks.
 IMPOSSIBLE_VALUE_ERRORS = (ValueError, LookupError, TypeError)
 
@@ -39,13 +35,13 @@
 
     async def read(self) -> int:
         """Replace all jobs by those that are stored; returns the revision from which to watch."""
-        jobs, revision = await self.store.scan(JOBS, RequestPriority.RECORD)
+        jobs, revision = await self.store.scan(JOB_PREFIX, RequestPriority.RECORD)
         pages, rows, specs = [
             entries
             for entries, _ in await asyncio.gather(
                 *(
                     self.store.scan(prefix, RequestPriority.RECORD)
-                    for prefix in (PAGES, ROWS, SPECS)
+                    for prefix in (PAGE_PREFIX, ROWS_PREFIX, SPEC_PREFIX)
                 )
             )
         ]
@@ -71,7 +67,7 @@
     def _add_jobs(self, entries: Iterable[Entry], parts: dict[str, dict[int, SpecPart]]) -> None:
         """Add the jobs; their parts of specifications are taken out of `parts`."""
         for entry in entries:
-            job_id = entry.key.removeprefix(JOBS)
+            job_id = entry.key.removeprefix(JOB_PREFIX)
             record = self.decode(job_id, entry.value, JobRecord)
             own = parts.pop(job_id, {})
             if record is None or job_id in self.unreadable:
--- a/dappledrum/leader/job_watch.py
+++ b/dappledrum/leader/job_watch.py
@@ -7,10 +7,9 @@
 import msgspec
 
 from dappledrum.jobs.job import Job
-from dappledrum.jobs.keys import head_key, spec_key
+from dappledrum.jobs.keys import JOB_PREFIX, head_key, spec_key
 from dappledrum.jobs.messages import JobRecord, SpecPart
 from dappledrum.leader.context import TermContext, TermState
-from dappledrum.leader.job_loader import JOBS
 from dappledrum.leader.job_records import JobRecords
 from dappledrum.leader.live_jobs import LiveJobs
 from dappledrum.store.errors import CompactedError
@@ -49,11 +48,11 @@
             sent_at = self.clock.now()
             try:
                 events, revision = await self.store.watch(
-                    JOBS, self.state.watch_revision, WATCH_TIMEOUT, RequestPriority.RECORD
+                    JOB_PREFIX, self.state.watch_revision, WATCH_TIMEOUT, RequestPriority.RECORD
                 )
             except CompactedError:
                 sent_at = self.clock.now()
-                entries, revision = await self.store.scan(JOBS, RequestPriority.RECORD)
+                entries, revision = await self.store.scan(JOB_PREFIX, RequestPriority.RECORD)
                 events = [Event(e.version, put=e.key, value=e.value) for e in entries]
             for event in events:
                 if event.put is not None:
@@ -66,7 +65,7 @@
 
     def _apply(self, key: str, value: msgspec.Raw, version: int) -> None:
         """Apply one written head, unless it is this leader's own or was read before."""
-        job_id = key.removeprefix(JOBS)
+        job_id = key.removeprefix(JOB_PREFIX)
         job = self.state.jobs.get(job_id)
         if self.live_jobs.is_finished(job_id):
             return
