--- a/dappledrum/jobs/__init__.py
+++ b/dappledrum/jobs/__init__.py
@@ -1,1 +1,1 @@
-"""Jobs: their stored records, their state in the leader's memory, and the writing of progress."""
+"""Jobs: stored records, state in the leader's memory, and the writing of progress."""
--- a/dappledrum/jobs/garbage_collector.py
+++ b/dappledrum/jobs/garbage_collector.py
@@ -1,4 +1,4 @@
-"""Removes what is left in the store of jobs that are finished, or never were."""
+"""Removes the leftover records of jobs that are finished, or whose submission failed."""
 
 import logging
 from collections import OrderedDict
@@ -14,14 +14,14 @@
 
 
 class GarbageCollector:
-    """The collector for one term of leadership; `keys` are to be removed, oldest first."""
+    """Garbage collector of one term of leadership; `keys` are to be removed, oldest first."""
 
     def __init__(self, committer: TermCommitter, keys: OrderedDict[str, None]) -> None:
         self.committer = committer
         self.keys = keys
 
     def add(self, job: Job) -> None:
-        """Schedule the removal of what a finished job leaves beside its final state."""
+        """Schedule the removal of a finished job's records other than its final state."""
         for page in job.pages.values():
             if page.index > 0 and page.version:
                 self.keys[page.key] = None
@@ -33,10 +33,10 @@
     async def collect(self, capacity: int) -> None:
         """Remove some keys, in one transaction of at most `capacity` guards and changes.
 
-        Only while their jobs have no head, whenever this is carried out: a job that was submitted
-        while a new leader read the records was in the list of parts and not in that of jobs, and
-        lost its parts; and a removal that is carried out late may meet a job that was submitted
-        since. Raises a `StoreError` other than a conflict.
+        The guards require that the jobs have no head when the transaction is executed. Without
+        them, a job submitted while a new leader read the records lost its parts, since the leader
+        listed the parts but not the job. A delayed removal could also hit a job that was
+        submitted in the meantime. Raises any `StoreError` except a conflict.
         """
         keys = list(self.keys)[: max(1, capacity // 2)]
         heads = {key: head_key(job_of_key(key)) for key in keys}
@@ -47,6 +47,6 @@
             if LEADER_KEY in error.conflicting_keys:
                 return
             keys = [key for key in keys if heads[key] in error.conflicting_keys]
-            log.info("not removed, as their jobs live: %s", ", ".join(keys))
+            log.info("records not removed, their jobs are live: %s", ", ".join(keys))
         for key in keys:
             del self.keys[key]
--- a/dappledrum/jobs/job.py
+++ b/dappledrum/jobs/job.py
@@ -1,4 +1,4 @@
-"""A job in the leader's memory."""
+"""State of a live job in the leader's memory."""
 
 from collections.abc import Iterator, Sequence
 from datetime import UTC, datetime
@@ -26,7 +26,7 @@
 
 
 class Job:
-    """A live job."""
+    """A live job: specification, progress of its pages, and the leader's state of it."""
 
     def __init__(
         self, record: JobRecord, version: int, spec_parts: Sequence[SpecPart] = ()
@@ -39,29 +39,29 @@
         self.id = record.spec.id
         self.page_size = record.size
         self.accepted_at = datetime.fromtimestamp(record.at_ms / 1000, UTC)
-        # Jobs that are not stored as done yet: nothing of this one may start before.
+        # Dependencies not yet stored as done; no task of this job may start before they are.
         self.unmet_dependencies: set[str] = set()
-        # From when its times count, its deadline apart: when its last dependency was done.
+        # When its last dependency was done; its times count from here, except its deadline.
         self.released_at = self.accepted_at
         if record.released_ms is None:
             self.unmet_dependencies.update(self.spec.needs or ())
         else:
             self.released_at = datetime.fromtimestamp(record.released_ms / 1000, UTC)
         self.depth = 0  # length of the longest chain of jobs that it depends on
-        # Of its own priority, or of that of a job that depends on it.
+        # Rank of its own priority, or of the priority of a job that depends on it.
         self.effective_rank = PRIORITY_RANKS[record.spec.priority]
-        self.ended_at: datetime | None = None  # when all was done or terminated, stored or not
+        self.ended_at: datetime | None = None  # when it was done or terminated, stored or not
         self.cancelled = record.cancelled
-        self.cancel_stored = record.cancelled  # acknowledged to users already
+        self.cancel_stored = record.cancelled  # users may have received an acknowledgement
         self.done = 0
         self.spec_bytes = len(msgspec.json.encode(self.stored_spec))
         self.pages: dict[int, Page] = {}
         load_page(self.page(0), record.page, version)
         self.done = self.pages[0].done.bit_count()
-        # A task of it has run, as far as the records or this leader's heartbeats show.
+        # Whether any task has run, according to the records and this leader's heartbeats.
         self.has_run = self.done > 0 or self.placement_count() > 0
         self.finished = False
-        self.failures_by_machine: dict[str, int] = {}  # since the last success
+        self.failures_by_machine: dict[str, int] = {}  # since a task last succeeded
         self.retry_at = ZERO
         self.first_open_page = 0  # all tasks of the pages before it are done
 
@@ -71,7 +71,7 @@
         return -(-self.spec.tasks // self.page_size)
 
     def page(self, index: int) -> Page:
-        """The page with this index; pages are made when they are first needed."""
+        """The page with this index, created on first use."""
         page = self.pages.get(index)
         if page is None:
             page = self.pages[index] = Page(self, index)
@@ -82,7 +82,7 @@
         return self.page(task // self.page_size)
 
     def add_page(self, index: int, record: PageRecord, version: int) -> None:
-        """Add a further page from its record; `version` is that of its key."""
+        """Add a page other than the first from its record; `version` is that of its key."""
         page = self.page(index)
         load_page(page, record, version)
         self.done += page.done.bit_count()
@@ -119,7 +119,7 @@
             yield self.page(index)
 
     def complete(self) -> bool:
-        """Every task has completed; a service never does."""
+        """Whether every task has completed; never true of a service."""
         return self.spec.form is not Form.SERVICE and self.done >= self.spec.tasks
 
     def state(self) -> Outcome:
@@ -129,21 +129,21 @@
         return Outcome.RUNNING if self.placement_count() else Outcome.QUEUED
 
     def split_specification(self, max_part_bytes: int) -> None:
-        """Store the lists of a long specification apart from the head."""
+        """Move the lists of a long specification from the head into parts."""
         if not self.spec_parts and self.spec_bytes > max_part_bytes // LONG_SPEC_DIVISOR:
             self.stored_spec, self.unstored_spec_parts = split_spec(self.spec, max_part_bytes)
             self.spec_parts = len(self.unstored_spec_parts)
             self.spec_bytes = len(msgspec.json.encode(self.stored_spec))
 
     def spec_changes(self) -> list[Put | Delete]:
-        """Changes that have to be written with the head."""
+        """Changes that store the parts of the specification, to be written with the head."""
         return [
             Put(spec_key(self.id, at), msgspec.Raw(msgspec.json.encode(part)))
             for at, part in enumerate(self.unstored_spec_parts)
         ]
 
     def head_record(self, page: PageRecord | None = None) -> JobRecord:
-        """Stored form of the head, with that of its page."""
+        """Stored form of the head, including the record of its page."""
         at_ms = round(self.accepted_at.timestamp() * 1000)
         released_ms = None
         if self.spec.needs and not self.unmet_dependencies:
--- a/dappledrum/jobs/keys.py
+++ b/dappledrum/jobs/keys.py
@@ -1,4 +1,4 @@
-"""Keys of the store under which jobs are kept."""
+"""Store keys of the records of jobs."""
 
 JOB_PREFIX = "job/"
 PAGE_PREFIX = "page/"
@@ -13,7 +13,7 @@
 
 
 def page_key(job: str, index: int) -> str:
-    """Key of a further page of a live job."""
+    """Key of a page other than the first of a live job."""
     return f"{PAGE_PREFIX}{job}/{index}"
 
 
@@ -33,5 +33,5 @@
 
 
 def job_of_key(key: str) -> str:
-    """Name of the job that a key of this module belongs to."""
+    """ID of the job that a key of this module belongs to."""
     return key.split("/")[1]
--- a/dappledrum/jobs/messages.py
+++ b/dappledrum/jobs/messages.py
@@ -19,7 +19,7 @@
 
 
 class Form(StrEnum):
-    """What kind of job it is."""
+    """Form of a job: independent tasks, a service, or tasks that run together."""
 
     ARRAY = "batch"
     SERVICE = "service"
@@ -35,7 +35,7 @@
     LOW = "best_effort"
 
 
-#: Smaller numbers go first.
+#: Lower ranks are scheduled first.
 PRIORITY_RANKS = {Priority.PRODUCTION: 0, Priority.HIGH: 1, Priority.NORMAL: 2, Priority.LOW: 3}
 
 
@@ -109,7 +109,7 @@
 
 
 class SubmissionId(msgspec.Struct):
-    """The part of a malformed submission that shows whether its job was accepted before."""
+    """ID in a malformed submission, which shows whether its job was accepted before."""
 
     id: JobId
 
@@ -124,7 +124,7 @@
 
 
 class TaskFigures(NamedTuple):
-    """What is stored of a placement beside its machine."""
+    """Stored figures of a placement, without its machine."""
 
     offset: int  # of the task from the start of the page
     attempt: int
@@ -140,33 +140,33 @@
     machine_suffix: str  # name without the prefix that all machines of the record share
     session: int
     zone_index: int
-    figures: list[int]  # those of each task, one after the other
+    figures: list[int]  # `TaskFigures` of all tasks, concatenated
 
     def tasks(self) -> Iterator[TaskFigures]:
-        """The figures, task by task."""
+        """The figures of each task."""
         for start in range(0, len(self.figures), FIGURES_PER_TASK):
             yield TaskFigures(*self.figures[start : start + FIGURES_PER_TASK])
 
 
-#: A machine in records of versions up to 0.1.0: name, session, zone, figures of each task.
+#: Row of a machine in records of versions up to 0.1.0: name, session, zone, figures of each task.
 LegacyRow = tuple[str, int, str, list[tuple[int, int, int]]]
 
 
 class PageRecord(msgspec.Struct, array_like=True):
     """Progress of a range of tasks: next attempt, bitmap of done tasks in hex, and placements.
 
-    The order of the fields is that of the stored array. Rows are short, since all tasks of a page
-    may be on machines of their own, and a value has a limit.
+    The order of the fields is that of the stored array. Rows are kept short because each task of
+    a page may be on a different machine, and the size of a value is limited.
     """
 
     attempt: int = 1
     done: str = "0"
-    # What versions up to 0.1.0 wrote instead of the rows; read, so that jobs outlive an upgrade.
+    # Written by versions up to 0.1.0 instead of `rows`; still read so that jobs survive upgrades.
     legacy_rows: list[LegacyRow] = []
     prefix: str = ""
     zones: list[str] = []
     rows: list[MachineRow] = []
-    parts: int = 0  # further values with rows; versions up to 0.2.0 read and write none
+    parts: int = 0  # number of additional values with rows; unknown to versions up to 0.2.0
 
 
 class RowsRecord(msgspec.Struct, array_like=True):
@@ -178,14 +178,14 @@
 
 
 class SpecPart(msgspec.Struct, omit_defaults=True):
-    """Value of `spec/<id>/<n>`: names of a specification that is too long for the head."""
+    """Value of `spec/<id>/<n>`: list items of a specification that is too long for the head."""
 
     types: list[str] = []
     needs: list[str] = []
 
 
 class JobRecord(msgspec.Struct, omit_defaults=True, rename={"released_ms": "begun_ms"}):
-    """Value of `job/<id>`: what was submitted, when, and the progress of the first page."""
+    """Value of `job/<id>`: the submission, its time, and the progress of the first page."""
 
     spec: Spec
     at_ms: int
@@ -194,15 +194,15 @@
     cancelled: bool = False
     done: int = 0  # tasks done in all pages
     running: int = 0  # tasks on machines in all pages, without those that have completed
-    # When all its dependencies were done. Versions up to 0.2.0 drop it when they write a record
-    # again; only jobs with dependencies have it, and those come when no such version serves.
+    # When all its dependencies were done. Versions up to 0.2.0 drop it when they rewrite a record,
+    # but only jobs with dependencies have it, which are accepted once no such version is running.
     released_ms: int | None = None
-    spec_parts: int = 0  # further values that hold the specification's lists
+    spec_parts: int = 0  # number of additional values that hold the specification's lists
 
 
 class EndedRecord(msgspec.Struct, omit_defaults=True):
-    """Value of `ended/<id>`: all that must be kept of a finished job."""
+    """Value of `ended/<id>`: the final state of a finished job."""
 
     state: Outcome
     tasks: int
-    at_ms: int | None = None  # when; versions up to 0.2.0 do not say
+    at_ms: int | None = None  # when it ended; not written by versions up to 0.2.0
--- a/dappledrum/jobs/page.py
+++ b/dappledrum/jobs/page.py
@@ -1,7 +1,8 @@
 """Progress of a range of tasks of a job, the unit in which progress is stored.
 
-Every change of a page raises its revision. What a revision allows (sending a start, forgetting an
-end, finishing the job) must wait until a record of at least that revision is known to be stored.
+Every change of a page increments its revision. Actions that depend on a change (sending a start,
+dropping an ended task, finishing the job) must wait until a record of at least that revision is
+known to be stored.
 """
 
 from collections.abc import Iterator
@@ -26,35 +27,35 @@
         self.attempt = 1  # number of the next attempt
         self.done = 0  # bitmap of the tasks that have completed
         self.placements: dict[int, Placement] = {}  # by task
-        #: Placements of tasks that have completed in an earlier attempt, which was taken for lost.
+        #: Number of placements whose task completed in an earlier attempt that was presumed lost.
         self.superfluous = 0
         self.revision = 0
-        self.last_placement_revision = 0  # the newest start waits until this one is stored
+        self.last_placement_revision = 0  # must be stored before the newest start is sent
         self.stored_revision = 0
         self.stored_bytes = 0
-        self.version = 0  # of the stored key; 0: not stored
-        self.parts = 0  # further values of the stored form
-        # The outcome of the last write is unknown: the version is read before the next one.
+        self.version = 0  # of the stored key; 0 if it is not stored
+        self.parts = 0  # number of additional values of the stored form
+        # Whether the version must be read before the next write, as the last outcome is unknown.
         self.version_uncertain = False
-        self.delayed_write_possible = False  # a write without an answer may yet be carried out
+        self.delayed_write_possible = False  # an unanswered write may still be executed
 
     @property
     def key(self) -> str:
-        """Key that the page is stored under; the first page is part of the job's head."""
+        """Key of the page's record; the first page is part of the job's head."""
         return head_key(self.job.id) if self.index == 0 else page_key(self.job.id, self.index)
 
     @property
     def dirty(self) -> bool:
-        """Whether something is not stored yet."""
+        """Whether the page has changes that are not stored yet."""
         return self.revision > self.stored_revision
 
     @property
     def has_unstored_start(self) -> bool:
-        """Whether a start waits for the page to be stored."""
+        """Whether a start is waiting for the page to be stored."""
         return self.last_placement_revision > self.stored_revision
 
     def bump_revision(self) -> int:
-        """Record a change; returns the revision that has to be stored for it."""
+        """Record a change; returns the revision that contains it."""
         self.revision += 1
         return self.revision
 
@@ -82,9 +83,9 @@
         now: datetime,
         attempt: int | None = None,
     ) -> Placement:
-        """Count a task as on a machine, before its start may be sent.
+        """Record a task as placed on a machine, which must precede sending its start.
 
-        `attempt` is no less than the next one of the page, which is the default.
+        `attempt` must be at least the page's next attempt number, which is the default.
         """
         attempt = self.attempt if attempt is None else attempt
         self.attempt = attempt + 1
@@ -100,7 +101,7 @@
         self.placements[task] = placement
 
     def remove(self, task: int) -> None:
-        """Drop the placement of a task, which is proven terminated."""
+        """Drop the placement of a task whose attempt is proven terminated."""
         if self.placements.pop(task, None) is not None:
             self.superfluous -= self.is_done(task)
             self.bump_revision()
--- a/dappledrum/jobs/page_encoding.py
+++ b/dappledrum/jobs/page_encoding.py
@@ -1,7 +1,7 @@
 """Stored form of pages: one value, or several if one would be too long.
 
-All tasks of a page may be on machines of their own, so the form is short: placements are grouped
-by machine, and the names of the machines lack their common prefix.
+Each task of a page may be on a different machine, so the form is compact: placements are grouped
+by machine, and the common prefix of the machine names is stored once.
 """
 
 from datetime import datetime, timedelta
@@ -24,18 +24,18 @@
 
 MAX_TASKS_PER_PAGE = 256
 MIN_TASKS_PER_PAGE = 8
-TYPICAL_ROW_BYTES = 30  # of a task on a machine of its own
-HEAD_OVERHEAD_BYTES = 220  # of a head besides its specification, its bitmap and its rows
-ROW_OVERHEAD_BYTES = 12  # of a row besides the name, the session and the tasks
+TYPICAL_ROW_BYTES = 30  # row of a machine with one task
+HEAD_OVERHEAD_BYTES = 220  # head without its specification, bitmap and rows
+ROW_OVERHEAD_BYTES = 12  # row without the name, the session and the tasks
 ZONE_OVERHEAD_BYTES = 3  # quotes and a comma
-LARGEST_PARTS = 99  # stands for the number of parts while the length of a value is reckoned
+PARTS_PLACEHOLDER = 99  # number of parts that is assumed while computing the length of a value
 
 
 def page_size(spec: Spec, value_bytes: int) -> int:
-    """Tasks in a page of a new job, if a value has at most `value_bytes`.
+    """Number of tasks per page of a new job, for values of at most `value_bytes`.
 
-    As many as fit when each is on a machine of its own, beside the specification in the head, so
-    that no task waits for capacity in a record.
+    The page still fits into the head, beside the specification, when each task is on a different
+    machine, so that no task has to wait for capacity in a record.
     """
     capacity = value_bytes - len(msgspec.json.encode(spec)) - HEAD_OVERHEAD_BYTES
     fitting = capacity * 4 // (TYPICAL_ROW_BYTES * 4 + 1)
@@ -43,15 +43,15 @@
 
 
 def max_row_bytes(page: Page, now: datetime) -> int:
-    """The most that a placement made now takes in the stored form, besides its machine."""
+    """Upper bound for the stored size of a placement made now, without its machine."""
     since = _seconds_since_acceptance(page, now)
     return len(f"{page.count},{page.attempt + page.count},{since},")
 
 
 def max_value_bytes(page: Page, machine: str, now: datetime) -> int:
-    """Upper bound for the stored form of the page with one placement more, on this machine.
+    """Upper bound for the stored size of the page with one more placement, on this machine.
 
-    Each further placement there adds at most `max_row_bytes`.
+    Each further placement on the same machine adds at most `max_row_bytes`.
     """
     machines = {(p.machine, p.session) for p in page.placements.values()}
     names = [name for name, _ in machines] + [machine]
@@ -66,7 +66,7 @@
 
 
 def page_record(page: Page) -> PageRecord:
-    """The stored form of a page, in one piece."""
+    """The stored form of a page as a single record."""
     zones: dict[str, int] = {}
     grouped: dict[tuple[str, int, int], list[int]] = {}
     for placement in page.placements.values():
@@ -86,10 +86,10 @@
 
 
 def page_changes(page: Page, max_bytes: int, max_part_bytes: int) -> list[Put | Delete]:
-    """Changes that store a page, that of its own key first.
+    """Changes that store a page; the first one is for the page's own key.
 
-    It goes into one value of at most `max_bytes`, or else into several of at most
-    `max_part_bytes`.
+    The page is stored in one value if that has at most `max_bytes`, otherwise in several values
+    of at most `max_part_bytes`.
     """
     record = page_record(page)
     value = _encoded(page, record)
@@ -97,7 +97,7 @@
     if len(value) > max_bytes:
         if page.index == 0:
             page.job.split_specification(max_part_bytes)
-        without_rows = msgspec.structs.replace(record, rows=[], parts=LARGEST_PARTS)
+        without_rows = msgspec.structs.replace(record, rows=[], parts=PARTS_PLACEHOLDER)
         capacity = max_part_bytes - len(_encoded(page, without_rows))
         rows, parts = split_rows(
             record.prefix, record.zones, record.rows, capacity, max_part_bytes
@@ -111,7 +111,7 @@
 
 
 def _part_changes(page: Page, parts: list[RowsRecord]) -> list[Put | Delete]:
-    """Changes that store the further values, and remove those that are not needed any more."""
+    """Changes that store the additional values, and delete those that are no longer needed."""
     changes: list[Put | Delete] = []
     for number, part in enumerate(parts):
         value = msgspec.json.encode(part)
@@ -122,7 +122,7 @@
 
 
 def load_page(page: Page, record: PageRecord, version: int) -> None:
-    """Restore a page from what an earlier leader stored; `version` is that of its key."""
+    """Restore a page from the record of an earlier leader; `version` is that of its key."""
     page.attempt = record.attempt
     page.done = int(record.done, 16) & ((1 << page.count) - 1)
     page.version = version
@@ -134,7 +134,7 @@
 
 
 def load_rows(page: Page, record: PageRecord | RowsRecord) -> None:
-    """Restore the placements in the rows of a page's own value or of a further one."""
+    """Restore the placements in the rows of a page's own value or of an additional one."""
     for row in record.rows:
         machine, zone = record.prefix + row.machine_suffix, record.zones[row.zone_index]
         for figures in row.tasks():
@@ -156,4 +156,4 @@
 
 
 def _common_prefix(names: list[str]) -> str:
-    return commonprefix(names)  # noqa: RUF071 - of names, not of paths
+    return commonprefix(names)  # noqa: RUF071 - these are names, not paths
--- a/dappledrum/jobs/placement.py
+++ b/dappledrum/jobs/placement.py
@@ -1,4 +1,4 @@
-"""An attempt of a task on a machine."""
+"""Placement of a task on a machine."""
 
 from datetime import datetime, timedelta
 from typing import TYPE_CHECKING
@@ -43,17 +43,17 @@
     ) -> None:
         self.page = page
         self.task = task
-        self.name = f"{page.job.id}/{task}"  # as heartbeats and commands spell it
+        self.name = f"{page.job.id}/{task}"  # name of the task in heartbeats and commands
         self.attempt = attempt
         self.machine = machine
         self.session = session
         self.zone = zone
         self.placed_at = placed_at
-        self.revision = page.revision  # of the page: the start waits until it is stored
-        self.observed = False  # a heartbeat has shown it
+        self.revision = page.revision  # must be stored before the start is sent
+        self.observed = False  # whether a heartbeat has reported the attempt
         self.running_since: timedelta | None = None
-        # Sequence number of the newest heartbeat whose answer carried the start.
+        # Sequence number of the newest heartbeat whose response contained the start.
         self.offered_sequence = -1
         self.lost = False  # to be given up as soon as that is proven safe
-        self.waiting_for_gang = False  # has its image and waits for the rest of its gang
-        self.accrued_cost = 0.0  # money that its run time has cost so far, see `accounting`
+        self.waiting_for_gang = False  # the image is fetched, the rest of the gang is not ready
+        self.accrued_cost = 0.0  # cost of its run time so far, see `accounting`
--- a/dappledrum/jobs/record_batch.py
+++ b/dappledrum/jobs/record_batch.py
@@ -1,4 +1,4 @@
-"""The records of one transaction of the leader."""
+"""Collects the records that the leader writes in one transaction."""
 
 from typing import NamedTuple
 
@@ -12,18 +12,18 @@
 from dappledrum.store.messages import Delete, Guard, Put, encode_value
 from dappledrum.store.value_limit import ValueLimit
 
-ENDED_JOB_BYTES = 600  # at most, of the changes that end a job
-CHANGE_OVERHEAD_BYTES = 400  # at most, of a change besides its value
+ENDED_JOB_BYTES = 600  # upper bound for the changes that end a job
+CHANGE_OVERHEAD_BYTES = 400  # upper bound for a change without its value
 
 
 class WrittenPage(NamedTuple):
-    """A page as it is in the transaction; it may change while that is on its way."""
+    """State of a page in the transaction; the page may change before the response arrives."""
 
     page: Page
     revision: int
     parts: int
     value_bytes: int
-    cancelled: bool  # the record says so
+    cancelled: bool  # whether the record shows the job as cancelled
 
 
 class RecordBatch:
@@ -40,7 +40,7 @@
         self._bytes = 0
 
     def add_ended(self, job: Job) -> None:
-        """Move a job from the live ones to the ended ones."""
+        """Replace a job's head by its final state."""
         head = job.page(0)
         self.guards.append(Guard(head_key(job.id), head.version))
         final = Put(ended_key(job.id), encode_value(job.ended_record()))
@@ -51,7 +51,7 @@
             self.evidence.append(Evidence(final.key, 0, final.value))
 
     def add_page(self, page: Page) -> bool:
-        """Store a page; False if the transaction has no capacity left for it."""
+        """Add a page; returns False if the transaction has no capacity left for it."""
         changes = page_changes(
             page, self.value_limit.max_whole_bytes, self.value_limit.reduced_bytes
         )
@@ -64,7 +64,7 @@
         main = puts[0]
         self.guards.append(Guard(page.key, page.version))
         self.changes += changes
-        if _is_unmistakable(page):
+        if _identifies_transaction(page):
             self.evidence.append(Evidence(page.key, page.version, main.value))
         parts = sum(put.key.startswith(ROWS_PREFIX) for put in puts)
         self.pages.append(
@@ -73,7 +73,7 @@
         return True
 
     def guarded_pages(self) -> list[Page]:
-        """Pages whose versions the transaction relies on."""
+        """Pages whose versions the transaction guards."""
         return [written.page for written in self.pages] + [job.page(0) for job in self.ended]
 
     def largest_value_bytes(self) -> int:
@@ -81,14 +81,14 @@
         return max((written.value_bytes for written in self.pages), default=0)
 
     def mark_conflicts(self, failed: set[str]) -> None:
-        """Record which guards have failed: those versions are read before the next write."""
+        """Record which guards have failed; those versions are read before the next write."""
         for page in self.guarded_pages():
             page.version_uncertain |= page.key in failed
 
     def mark_outcome_unknown(self) -> None:
-        """Record that the transaction may have been carried out, or may be later."""
+        """Record that the transaction may have been executed, or may still be."""
         for written in self.pages:
-            # Whatever parts may be there are removed later.
+            # Count all parts that may exist, so that unneeded ones are deleted by a later write.
             written.page.parts = max(written.page.parts, written.parts)
         for page in self.guarded_pages():
             page.version_uncertain = page.delayed_write_possible = True
@@ -102,11 +102,11 @@
                 page.job.unstored_spec_parts = []
                 page.job.cancel_stored |= written.cancelled
             page.version = max(page.version, revision)
-            page.delayed_write_possible = False  # it would meet another version
+            page.delayed_write_possible = False  # the guard of an older write now fails
             page.stored_revision = max(page.stored_revision, written.revision)
 
 
-def _is_unmistakable(page: Page) -> bool:
-    """Whether the page's next stored form can only come from the transaction that is about to be
-    sent: not from an earlier one without an answer, nor from a user's cancellation."""
+def _identifies_transaction(page: Page) -> bool:
+    """Whether only the transaction about to be sent can write the page's next stored form, not an
+    earlier unanswered one nor a user's cancellation."""
     return not page.delayed_write_possible and not (page.index == 0 and page.job.cancelled)
--- a/dappledrum/jobs/record_writer.py
+++ b/dappledrum/jobs/record_writer.py
@@ -1,10 +1,10 @@
 """Writes the leader's changes to the store, many pages in one transaction.
 
 Every transaction is guarded by the leader's key and by the version of each page. After a conflict
-or an unknown outcome the pages concerned are read again before they are written again; writing
-them moves their version on, so a delayed twin of the old transaction can't apply any more. While
-an answer is late, one of the values is read that this transaction alone can have written: a
-transaction is carried out whole, so that value is evidence for all of them.
+or an unknown outcome the pages concerned are read again before they are rewritten. Rewriting them
+changes their versions, so a delayed copy of the old transaction can no longer apply. While a
+response is late, one value is read that only this transaction can have written: transactions are
+atomic, so that value is evidence that all of it was executed.
 """
 
 import asyncio
@@ -34,10 +34,10 @@
 log = logging.getLogger(__name__)
 
 
-WRITE_BATCH_WINDOW = timedelta(milliseconds=15)  # for changes that arrive together
-MAX_COMMIT_DELAY = timedelta(seconds=2)  # of ends of tasks, while starts need the rate
-MAX_ENDING_JOBS_MOVED_AT_ONCE = 16  # with more, cancellations are only recorded at first
-CHANGES_PER_ENDED_JOB = 2  # its head is removed, its final state put
+WRITE_BATCH_WINDOW = timedelta(milliseconds=15)  # collects changes that arrive together
+MAX_COMMIT_DELAY = timedelta(seconds=2)  # delay of task ends while starts need the write rate
+MAX_ENDING_JOBS_MOVED_AT_ONCE = 16  # above this, cancellations are recorded before jobs are moved
+CHANGES_PER_ENDED_JOB = 2  # the head is deleted, the final state is put
 RECHECK_INTERVAL = timedelta(milliseconds=100)
 SUPERVISOR = Supervisor(
     log,
@@ -49,7 +49,7 @@
 
 
 class RecordWriter:
-    """The writer of one term of leadership."""
+    """Record writer of one term of leadership."""
 
     def __init__(
         self,
@@ -64,8 +64,8 @@
         self.limits = limits
         self.value_limit = value_limit
         self.clock = clock
-        self.dirty: dict[Page, timedelta] = {}  # since when each waits to be written
-        self.ending: dict[Job, None] = {}  # to be moved to the ended ones
+        self.dirty: dict[Page, timedelta] = {}  # when each page became due for writing
+        self.ending: dict[Job, None] = {}  # jobs whose head is to be replaced by a final state
         self.committer = TermCommitter(store, term, clock)
         self.garbage: OrderedDict[str, None] = OrderedDict()  # keys to be removed
         self.garbage_collector = GarbageCollector(self.committer, self.garbage)
@@ -73,17 +73,17 @@
         self.wake = asyncio.Event()
         self.stored = asyncio.Condition()
         self.on_stored: Callable[[], None] = lambda: None
-        self.on_ended: Callable[[Job], None] = _ignore
-        self.on_cancelled: Callable[[Job], None] = _ignore
+        self.on_ended: Callable[[Job], None] = _no_callback
+        self.on_cancelled: Callable[[Job], None] = _no_callback
 
     def mark_dirty(self, page: Page) -> None:
-        """Have a page that has changed written, or the end of its job."""
+        """Schedule the writing of a changed page, or of its job's final state."""
         job = page.job
         if job.finished:
             return
-        # All tasks may be done while an attempt still runs: its task was completed by an earlier
-        # attempt, whose heartbeat was held back. It counts for the team's limit, also for the next
-        # leader, so the job stays until the attempt is proven gone.
+        # All tasks may be done while an attempt still runs, if an earlier attempt completed its
+        # task and the heartbeat was delayed. The attempt counts towards the team's quota, also
+        # for the next leader, so the job stays live until the attempt is proven terminated.
         if (job.complete() or job.cancelled) and not job.placement_count():
             job.ended_at = job.ended_at or self.clock.utc_now()
             self.ending[job] = None
@@ -91,14 +91,14 @@
             now = self.clock.now()
             self.dirty.setdefault(page, now)
             if page.index > 0:
-                # Users are answered from the head, so its totals follow.
+                # User requests are answered from the head, so its totals must be updated.
                 job.page(0).bump_revision()
                 self.dirty.setdefault(job.page(0), now)
         self.wake.set()
 
     def shrink(self, jobs: Iterable[Job]) -> None:
-        """Write again what is stored in one value that would now be refused: a controller that
-        cancels a job writes its head as it is."""
+        """Rewrite pages stored in a single value that the store would now refuse: a controller
+        that cancels a job writes the head back without splitting it."""
         if self.shrunk or not self.value_limit.is_reduced:
             return
         self.shrunk = True
@@ -109,11 +109,11 @@
                     self.mark_dirty(page)
 
     def unstored_start_count(self) -> int:
-        """Pages with starts that are not stored yet."""
+        """Number of pages with starts that are not stored yet."""
         return sum(page.has_unstored_start for page in self.dirty)
 
     async def run(self) -> None:
-        """Write until the term is over."""
+        """Write changes until the term is over."""
         while not self.term.ended.is_set():
             await self.wake.wait()
             self.wake.clear()
@@ -126,7 +126,7 @@
             await self._pause()
 
     async def _pause(self) -> None:
-        """Sleep until something changes, or what waits has waited a little longer."""
+        """Wait for a change, at most for `RECHECK_INTERVAL`."""
         try:
             async with asyncio.timeout(RECHECK_INTERVAL.total_seconds()):
                 await self.wake.wait()
@@ -136,11 +136,11 @@
         self.wake.clear()
 
     async def _flush(self) -> bool:
-        """Write what is most urgent; False when all that is left had better wait.
+        """Write the most urgent changes; returns False if all remaining ones should wait.
 
-        Workers wait for the records of starts, and users for a job's end. Ends of single tasks
-        only accumulate: written with each of them, a hundred live jobs would use up the rate of
-        changes, and every start would queue behind them.
+        Starts and ends of jobs are written at once, since workers and users wait for them. Ends
+        of single tasks are batched: if each were written at once, a hundred live jobs would use
+        up the rate of changes, and every start would queue behind them.
         """
         selection = _Selection(self._capacity())
         if not self.dirty and not self.ending:
@@ -157,9 +157,9 @@
         return bool(selection.pages or selection.jobs)
 
     def _urgent_pages(self) -> list[Page]:
-        """Pages with starts, or that have waited too long.
+        """Pages with starts, then pages that have waited too long.
 
-        Starts of urgent jobs go before others': a swarm of small jobs must not delay them.
+        Starts of jobs with a high priority come first, so that many small jobs do not delay them.
         """
         now = self.clock.now()
         urgent = [
@@ -171,7 +171,7 @@
         return urgent
 
     def _deferrable_pages(self, urgent: list[Page], capacity: int) -> list[Page]:
-        """Further pages, as many as leave half of the rate limiter's burst to urgent ones."""
+        """Other dirty pages, as many as leave half of the rate limiter's burst to urgent ones."""
         spare = min(
             capacity,
             int(
@@ -182,8 +182,10 @@
         return [page for page in self.dirty if page not in chosen][: max(0, spare)]
 
     def _cancelled_heads(self) -> list[Page]:
-        """Heads of jobs cancelled with others, when there are too many to be moved to the ended
-        ones in time: that takes two changes for each, and recording the cancellation one."""
+        """Heads in which a cancellation is recorded first, if many jobs are ending at once.
+
+        Recording a cancellation takes one change, moving the job to its final state takes two.
+        """
         if len(self.ending) <= MAX_ENDING_JOBS_MOVED_AT_ONCE:
             return []
         return [job.page(0) for job in self.ending if job.cancelled and not job.cancel_stored]
@@ -206,7 +208,7 @@
                 job.page(0)
             ):
                 selection.add_job(job)
-                # Half of the transaction is left to urgent pages.
+                # Leave half of the transaction to urgent pages.
                 changes = len(selection.jobs) * CHANGES_PER_ENDED_JOB
                 if has_urgent and changes * 2 >= self.limits.txn_ops:
                     break
@@ -219,15 +221,14 @@
                 selection.add_page(page)
 
     def _capacity(self) -> int:
-        """Number of changes for the next transaction: what the rate allows now, but always a
-        few."""
+        """Number of changes for the next transaction: what the rate allows, at least four."""
         allowed = int(
             self.store.budget.write_limiter.level - 0.2 * self.store.budget.write_limiter.size
         )
         return max(4, min(self.limits.txn_ops, allowed))
 
     async def _write(self, selection: "_Selection") -> None:
-        """Write what fits into one transaction."""
+        """Write as much of a selection as fits into one transaction."""
         batch = self._batch(selection)
         try:
             revision = await self.committer.commit(batch.guards, batch.changes, batch.evidence)
@@ -237,7 +238,7 @@
         except TooLargeError as error:
             if not self.value_limit.record_refusal(batch.largest_value_bytes(), str(error)):
                 raise
-            return  # certainly not executed: again, in parts
+            return  # not executed; the retry splits the values
         except StoreError:
             batch.mark_outcome_unknown()
             raise
@@ -251,7 +252,7 @@
         await self._notify_stored()
 
     def _batch(self, selection: "_Selection") -> RecordBatch:
-        """As much of a selection as fits into one transaction."""
+        """The part of a selection that fits into one transaction."""
         batch = RecordBatch(self.limits, self.value_limit)
         for job in selection.jobs:
             batch.add_ended(job)
@@ -266,7 +267,7 @@
             self.stored.notify_all()
 
     async def _verify_version(self, page: Page) -> bool:
-        """Make sure of the page's stored version; False when its job turns out to be finished."""
+        """Read the page's stored version if uncertain; returns False if the job has ended."""
         if not page.version_uncertain:
             return True
         job = page.job
@@ -279,10 +280,10 @@
                 and not job.cancelled
             ):
                 job.cancelled = job.cancel_stored = True
-                log.info("%s was cancelled meanwhile", job.id)
+                log.info("%s was cancelled by another controller", job.id)
                 self.on_cancelled(job)
         elif page.index == 0:
-            await self._read_end(job)
+            await self._read_final_state(job)
             self._finish(job)
             await self._notify_stored()
             return False
@@ -291,26 +292,26 @@
         page.version_uncertain = False
         return True
 
-    async def _read_end(self, job: Job) -> None:
-        """Read how a job without a head has ended.
+    async def _read_final_state(self, job: Job) -> None:
+        """Read the final state of a job without a head.
 
-        A leader that has been replaced, and has not noticed yet, finds that its successor has
-        removed heads: of jobs that it had taken for done and that users have cancelled since.
-        It once answered users from what it remembered of them.
+        A leader that does not know yet that it was replaced may believe a job to be done that a
+        user has cancelled and whose head its successor has removed. Without this read, it
+        answered users from its outdated memory.
         """
         entry = await self.store.get(ended_key(job.id), RequestPriority.RECORD)
         if entry is None:
-            log.error("how %s has ended can't be read: no record", job.id)
+            log.error("final state of %s not read: no record", job.id)
             return
         try:
             stored = msgspec.json.decode(entry.value, type=EndedRecord)
-        except msgspec.DecodeError as error:  # must not keep everything else from being written
-            log.error("how %s has ended can't be read: %s", job.id, error)  # noqa: TRY400 - no bug
+        except msgspec.DecodeError as error:  # one bad record must not block all other writes
+            log.error("final state of %s not read: %s", job.id, error)  # noqa: TRY400 - not a bug
             return
         job.cancelled = stored.state is Outcome.CANCELLED
 
     def _finish(self, job: Job) -> None:
-        """The final state of the job is stored."""
+        """Mark a job as finished, after its final state was stored."""
         if job.finished:
             return
         job.finished = True
@@ -322,7 +323,7 @@
 
 
 class _Selection:
-    """What is to be written, as long as `capacity` for changes is left."""
+    """Pages and jobs to be written next; `capacity` is the number of changes that still fit."""
 
     def __init__(self, capacity: int) -> None:
         self.capacity = capacity
@@ -338,5 +339,5 @@
         self.capacity -= CHANGES_PER_ENDED_JOB
 
 
-def _ignore(job: Job) -> None:
-    """Stand for a callback that nobody has set."""
+def _no_callback(job: Job) -> None:
+    """Do nothing; default of the callbacks."""
--- a/dappledrum/jobs/term_committer.py
+++ b/dappledrum/jobs/term_committer.py
@@ -1,4 +1,4 @@
-"""Transactions of a leader, which are carried out only while its term lasts."""
+"""Transactions of a leader, guarded so that they are executed only during its term."""
 
 import logging
 from collections.abc import Sequence
@@ -15,7 +15,7 @@
 
 
 class TermCommitter:
-    """Commits for one term; a conflict at the leader's key ends the term."""
+    """Commits transactions for one term; a conflict on the leader's key ends the term."""
 
     def __init__(self, store: StoreClient, term: Term, clock: Clock) -> None:
         self.store = store
@@ -30,8 +30,8 @@
     ) -> int:
         """Store changes; returns the revision of the transaction.
 
-        `evidence`: values that only this transaction can leave; while the answer is late, the
-        first of them is read. Raises a `StoreError`, as of a guard that fails.
+        `evidence`: values that only this transaction can have written; the first one is read
+        while the response is late. Raises a `StoreError`, among them a failed guard's conflict.
         """
         guards = [self.term.guard(), *guards]
         try:
@@ -49,7 +49,10 @@
             raise
 
     async def delete(self, guards: Sequence[Guard], keys: Sequence[str]) -> None:
-        """Remove keys, in the background; raises a `StoreError`, as of a guard that fails."""
+        """Delete keys with low priority.
+
+        Raises a `StoreError`, among them a failed guard's conflict.
+        """
         guards = [self.term.guard(), *guards]
         changes = [Delete(key) for key in keys]
         try:
@@ -59,9 +62,10 @@
             raise
 
     async def _find(self, evidence: Evidence) -> int | None:
-        """The revision of the transaction that this is evidence of, if it was carried out.
+        """The revision of the transaction that wrote the evidence; None if that is not proven.
 
-        Read while the lease certainly lasted, so no other leader can have written the value.
+        The result only counts if the lease was valid after the read, so that no other leader can
+        have written the value.
         """
         entry = await self.store.get(evidence.key, RequestPriority.RECORD)
         valid = not self.term.ended.is_set() and self.clock.now() < self.term.lease_valid_until
@@ -71,5 +75,5 @@
 
     def _end_term_if_replaced(self, error: ConflictError) -> None:
         if LEADER_KEY in error.conflicting_keys:
-            log.warning("leader key changed, stepping down")
+            log.warning("leader key changed, leader steps down")
             self.term.ended.set()
--- a/dappledrum/jobs/test_garbage.py
+++ b/dappledrum/jobs/test_garbage.py
@@ -1,4 +1,4 @@
-"""What is removed as nobody's: never what belongs to a live job, however late it is removed."""
+"""Garbage collection never removes records of a live job, however late it is executed."""
 
 import msgspec
 import pytest
@@ -11,12 +11,12 @@
 SMALL = NextLimits(value_kb=2.0)
 
 
-def parts(cluster, prefix):
+def stored_keys(cluster, prefix):
     return sorted(key for key in cluster.store.keys if key.startswith(prefix))
 
 
-def inject(cluster, controller, spec):
-    """Another controller accepts a job, at this very moment."""
+def accept_immediately(cluster, controller, spec):
+    """Store a job as accepted by this controller, without any delay."""
 
     sent = {key: value for key, value in spec.items() if key != "runS"}
     puts = controller.job_api._record(msgspec.convert(sent, Spec))
@@ -26,9 +26,9 @@
     assert reply.status == 200
 
 
-def test_a_long_job_that_comes_while_a_new_leader_reads():
-    """Its names were seen in a list that began after the one of the jobs, and were taken for what
-    an ended job had left: the next leader found a job that lacked a part, and it never ran."""
+def test_a_split_job_accepted_while_a_new_leader_reads_the_records_keeps_its_parts():
+    """A new leader lists jobs before parts. It took the parts of a job accepted in between for
+    leftovers of an ended job and removed them; the job lacked a part and never ran."""
 
     async def main():
         cluster = SimulatedCluster(seed=3, next=SMALL)
@@ -38,20 +38,20 @@
         cluster.rules.submitted(spec)
         other = next(m for m in cluster.members if m != cluster.leader())
 
-        def between(sent):
-            if sent.path.startswith("/keys?prefix=page/") and not parts(cluster, "job/"):
-                inject(cluster, cluster.controllers[other], spec)
-                kept.extend(parts(cluster, "spec/"))
+        def accept_between_lists(sent):
+            if sent.path.startswith("/keys?prefix=page/") and not stored_keys(cluster, "job/"):
+                accept_immediately(cluster, cluster.controllers[other], spec)
+                spec_keys.extend(stored_keys(cluster, "spec/"))
 
-        kept = []
-        cluster.network.watcher = between
-        cluster.cloud.out = True  # nothing of it runs until another leads
+        spec_keys = []
+        cluster.network.watcher = accept_between_lists
+        cluster.cloud.out = True  # keeps the job from running until another controller leads
         await cluster.restart(cluster.leader(), 0.3)
-        await cluster.until(lambda: bool(parts(cluster, "job/")), most=10)
+        await cluster.until(lambda: bool(stored_keys(cluster, "job/")), most=10)
         cluster.network.watcher = None
         await cluster.wait(5)
-        assert kept
-        assert parts(cluster, "spec/") == kept
+        assert spec_keys
+        assert stored_keys(cluster, "spec/") == spec_keys
         await cluster.restart(cluster.leader(), 0.3)
         cluster.cloud.out = False
         await cluster.finish([spec["id"]])
@@ -59,9 +59,10 @@
     run(main())
 
 
-def test_rows_that_a_page_has_outgrown_go_with_its_next_record():
-    """They are in the list beside rows of the same page that count. Removed as nobody's, at any
-    later time, they could be in use again: the next leader would not know what runs there."""
+def test_unneeded_row_parts_of_a_live_page_are_deleted_by_its_next_record():
+    """A new leader finds them beside row parts of the same page that are valid. If the garbage
+    collector removed them later, they could be in use again by then, and the next leader would
+    not know of the attempts in them."""
 
     async def main():
         cluster = SimulatedCluster(seed=4, next=SMALL)
@@ -91,14 +92,14 @@
         head.bump_revision()
         leader.record_writer.mark_dirty(head)
         await cluster.wait(3)
-        assert parts(cluster, "rows/j-000008/0/5") == []
+        assert stored_keys(cluster, "rows/j-000008/0/5") == []
 
     run(main())
 
 
 @pytest.mark.parametrize("live", [True, False])
-def test_what_is_removed_late_is_nobodys_still(live):
-    """The removal may be carried out when somebody has submitted the job after all."""
+def test_a_late_removal_only_deletes_records_without_a_live_job(live):
+    """The removal may be executed after a job with the same ID has been submitted."""
 
     async def main():
         cluster = SimulatedCluster(seed=5, next=SMALL)
@@ -110,13 +111,13 @@
         if live:
             spec = job(9, builds=["small"] + [f"{n:04d}" * 10 for n in range(30)], dueS=None)
             cluster.cloud.out = True
-            inject(cluster, cluster.controllers[cluster.leader()], spec)
+            accept_immediately(cluster, cluster.controllers[cluster.leader()], spec)
         else:
             cluster.store._multi({"guards": [], "then": then})
         leader.record_writer.garbage[key] = None
         leader.record_writer.wake.set()
         await cluster.wait(3)
-        assert bool(parts(cluster, key)) is live
+        assert bool(stored_keys(cluster, key)) is live
         assert not leader.record_writer.garbage
 
     run(main())
--- a/dappledrum/jobs/test_old_records.py
+++ b/dappledrum/jobs/test_old_records.py
@@ -1,7 +1,7 @@
-"""Records and messages of version 0.2.0, as it wrote them, and what it makes of new ones.
+"""Compatibility with version 0.2.0: its records are read here, and it can read new ones.
 
-The structures below are how that version decoded and encoded, cut down to what matters: fields
-that it did not know were dropped when it wrote a record again.
+The structures below reproduce how that version decoded and encoded records, reduced to what the
+tests need. That version dropped unknown fields when it rewrote a record.
 """
 
 import cbor2
@@ -84,7 +84,7 @@
 
 
 def rewritten(value, kind):
-    """What is left when the old version reads a value and writes it again."""
+    """The value after the old version has read and rewritten it."""
     return msgspec.json.encode(msgspec.json.decode(value, type=kind))
 
 
@@ -94,40 +94,40 @@
     return result
 
 
-def facts(one):
-    places = {
-        (p.task, p.attempt, p.machine, p.session, p.zone, p.placed_at) for p in one.placements()
+def job_state(live):
+    attempts = {
+        (p.task, p.attempt, p.machine, p.session, p.zone, p.placed_at) for p in live.placements()
     }
-    pages = {index: (page.attempt, page.done) for index, page in one.pages.items()}
-    return one.spec, one.accepted_at, one.page_size, one.cancelled, one.done, places, pages
+    pages = {index: (page.attempt, page.done) for index, page in live.pages.items()}
+    return live.spec, live.accepted_at, live.page_size, live.cancelled, live.done, attempts, pages
 
 
-def test_old_records_are_read_and_what_is_written_again_says_the_same_to_the_old_version():
+def test_old_records_are_read_and_rewritten_without_loss_by_both_versions():
     for page in (PAGE, PAGE_OF_0_1):
-        one = loaded(HEAD, page)
-        assert one.placement_count() == 4
-        assert one.page(0).done == 5
-        assert one.spec.types == ["small"]
-        assert not one.unmet_dependencies
-        assert one.released_at == one.accepted_at
-        [head] = page_changes(one.page(0), 8192, 8192)
-        [further] = page_changes(one.page(1), 8192, 8192)
-        again = loaded(rewritten(head.value, OldHead), rewritten(further.value, OldPage))
-        assert facts(again) == facts(one)
-
-
-def test_an_old_controller_that_cancels_a_job_loses_nothing_of_it():
-    """It reads the head, says that it is cancelled, and writes it again."""
-    one = loaded(HEAD, PAGE)
-    [head] = page_changes(one.page(0), 8192, 8192)
+        live = loaded(HEAD, page)
+        assert live.placement_count() == 4
+        assert live.page(0).done == 5
+        assert live.spec.types == ["small"]
+        assert not live.unmet_dependencies
+        assert live.released_at == live.accepted_at
+        [head] = page_changes(live.page(0), 8192, 8192)
+        [further] = page_changes(live.page(1), 8192, 8192)
+        reloaded = loaded(rewritten(head.value, OldHead), rewritten(further.value, OldPage))
+        assert job_state(reloaded) == job_state(live)
+
+
+def test_an_old_controller_that_cancels_a_job_loses_none_of_its_state():
+    """The old version reads the head, marks it as cancelled, and writes it again."""
+    live = loaded(HEAD, PAGE)
+    [head] = page_changes(live.page(0), 8192, 8192)
     old = msgspec.json.decode(head.value, type=OldHead)
     old.cancelled = True
-    again = loaded(msgspec.json.encode(old), PAGE)
-    one.cancelled = True
-    assert facts(again) == facts(one)
+    reloaded = loaded(msgspec.json.encode(old), PAGE)
+    live.cancelled = True
+    assert job_state(reloaded) == job_state(live)
 
 
-def test_ends_are_the_same_to_both():
+def test_final_states_are_compatible_in_both_directions():
     ended = msgspec.json.decode(ENDED, type=EndedRecord)
     assert (ended.state, ended.tasks, ended.at_ms) == (Outcome.CANCELLED, 4, None)
     new = msgspec.json.encode(EndedRecord(Outcome.DONE, 7, 1_764_000_000_000))
@@ -135,15 +135,15 @@
     assert (old.state, old.tasks) == ("done", 7)
 
 
-def test_a_new_job_means_the_same_to_the_old_version():
-    """Defaults are left out, and the page is smaller."""
+def test_the_old_version_decodes_and_reencodes_a_new_job_without_loss():
+    """New records omit default values and have smaller pages."""
     spec = {key: value for key, value in job(9).items() if key != "runS"}
     record = msgspec.convert({"spec": spec, "at_ms": 5, "size": 45, "page": [1, "0"]}, JobRecord)
     old = msgspec.json.decode(msgspec.json.encode(record), type=OldHead)
     assert msgspec.json.decode(msgspec.json.encode(old), type=JobRecord) == record
 
 
-def test_the_other_keys_and_messages_are_read_as_they_were():
+def test_other_old_records_and_messages_are_still_decoded():
     leader = msgspec.json.decode(b'{"member":"n-1","epoch":7}', type=LeaderRecord)
     assert (leader.member, leader.epoch) == ("n-1", 7)
     assert msgspec.json.decode(b'{"epoch":7}', type=EpochRecord).epoch == 7
@@ -154,7 +154,7 @@
         b'"fetchGbPerS":1.0,"hourly":0.3,"readyS":8.0,"halls":["a"],"marketPrice":0.1}]}'
     )
     assert msgspec.json.decode(catalog, type=Catalog).types[0].name == "small"
-    questions = [
+    requests = [
         ({"kind": "relay", "method": "GET", "path": "/x", "body": b""}, Relay),
         ({"kind": "knocks", "within_ms": 10}, HeartbeatAttemptsRequest),
         (
@@ -162,7 +162,7 @@
             LeaseGrantCall,
         ),
     ]
-    for message, kind in questions:
+    for message, kind in requests:
         assert isinstance(decode_peer(cbor2.dumps(message), PeerRequest), kind)
     replies = [
         ({"status": 200, "body": b"{}", "retry_after": None}, RelayReply),
--- a/dappledrum/jobs/value_parts.py
+++ b/dappledrum/jobs/value_parts.py
@@ -1,7 +1,7 @@
-"""Records that do not fit into one value, in parts.
+"""Splits records that do not fit into one value into parts.
 
-Parts are written in the transaction that writes what they belong to, and removed in one, so they
-need no versions of their own; only a finished job leaves some behind, as garbage.
+Parts are written and deleted in the same transaction as the record that they belong to, so their
+versions need no guards. Only the parts of a finished job are left to garbage collection.
 """
 
 from collections.abc import Iterator, Sequence
@@ -10,17 +10,17 @@
 
 from dappledrum.jobs.messages import FIGURES_PER_TASK, MachineRow, RowsRecord, Spec, SpecPart
 
-MAX_TASKS_PER_ROW = 16  # a machine full of small tasks must not exceed a value
-PART_OVERHEAD_BYTES = 40  # of a part besides its items
+MAX_TASKS_PER_ROW = 16  # the row of a machine with many small tasks must not exceed a value
+PART_OVERHEAD_BYTES = 40  # part without its items
 SEPARATOR_BYTES = 1  # between two items
-LONG_SPEC_DIVISOR = 2  # a specification of more than this part of a value is stored apart
+LONG_SPEC_DIVISOR = 2  # a specification above 1/2 of a value's size is stored in parts
 
 
 def split_rows(
     prefix: str, zones: list[str], rows: Sequence[MachineRow], capacity: int, max_part_bytes: int
 ) -> tuple[list[MachineRow], list[RowsRecord]]:
-    """Rows for the page itself, which has `capacity` bytes left, and for parts of at most
-    `max_part_bytes`."""
+    """Distribute rows over the page's own value, which has `capacity` bytes left, and parts of at
+    most `max_part_bytes`."""
     page_rows: list[MachineRow] = []
     parts: list[RowsRecord] = []
     target = page_rows
@@ -37,7 +37,7 @@
 
 
 def _short_rows(rows: Sequence[MachineRow]) -> Iterator[MachineRow]:
-    """The rows, those with many tasks in pieces."""
+    """The rows, with those of more than `MAX_TASKS_PER_ROW` tasks split."""
     step = MAX_TASKS_PER_ROW * FIGURES_PER_TASK
     for row in rows:
         for start in range(0, len(row.figures), step):
@@ -45,7 +45,7 @@
 
 
 def split_spec(spec: Spec, max_part_bytes: int) -> tuple[Spec, list[SpecPart]]:
-    """A specification without its lists, and the parts with those."""
+    """A specification without its lists, and the parts that hold the lists."""
     parts: list[SpecPart] = []
     capacity = 0
     lists = (("types", spec.types or []), ("needs", spec.needs or []))
@@ -61,7 +61,7 @@
 
 
 def join_spec(spec: Spec, parts: Sequence[SpecPart]) -> Spec:
-    """The whole specification again, from its stored form and its parts."""
+    """The complete specification, from its stored form and its parts."""
     types = [name for part in parts for name in part.types]
     needs = [name for part in parts for name in part.needs]
     return msgspec.structs.replace(spec, types=types or spec.types, needs=needs or spec.needs)
