--- a/dappledrum/dependencies/__init__.py
+++ b/dappledrum/dependencies/__init__.py
@@ -1,1 +1,1 @@
-"""Jobs that wait for other jobs: when they are released, and which are cancelled together."""
+"""Dependencies between jobs: when dependent jobs are released or cancelled."""
--- a/dappledrum/dependencies/graph.py
+++ b/dappledrum/dependencies/graph.py
@@ -1,10 +1,10 @@
-"""The waiting relation among the live jobs, in the memory of one term.
+"""Dependency graph of the live jobs, in the memory of the leader.
 
-It is derived from the records of live and ended jobs, so a successor derives the same. A job is
-released only when the ends of all jobs that it waits for are *stored* as done. The heartbeat of a
-last task is not enough, since a cancellation on another controller may still win the write of the
-record. Likewise, a job is cancelled because of another one only when the cancellation of that one
-is stored.
+It is derived from the records of live and ended jobs, so a new leader derives the same graph. A
+job is released only when all its dependencies are *stored* as done. The heartbeat that reports
+the end of the last task is not enough, since a cancellation by another controller may still be
+the first to write the record. Likewise, a job is cancelled with a dependency only after the
+dependency's cancellation is stored.
 """
 
 import logging
@@ -24,15 +24,15 @@
 
 
 class StoredOutcome(NamedTuple):
-    """What has to be remembered of a finished job."""
+    """The remembered outcome of a finished job."""
 
     outcome: Outcome
-    at: datetime | None  # None: a version that does not say has written the end
+    at: datetime | None  # when it ended; None if written by a version that does not store it
     depth: int
 
 
-def shown(names: Iterable[str]) -> str:
-    """Some of the names, for the log."""
+def format_names(names: Iterable[str]) -> str:
+    """Up to `MAX_LOGGED_NAMES` names and the number of the others, for the log."""
     ordered = sorted(names)
     more = (
         f" and {len(ordered) - MAX_LOGGED_NAMES} more" if len(ordered) > MAX_LOGGED_NAMES else ""
@@ -41,115 +41,118 @@
 
 
 class DependencyGraph:
-    """The relation for one term of leadership."""
+    """Dependency graph of one term of leadership."""
 
     def __init__(
         self,
         jobs: dict[str, Job],
-        mark: Callable[[Page], None],
-        wake: Callable[[str], None],
+        mark_dirty: Callable[[Page], None],
+        request_plan: Callable[[str], None],
     ) -> None:
         self.jobs = jobs
-        self.mark = mark
-        self.wake = wake
-        self.followers: dict[str, dict[str, None]] = {}  # live jobs that wait for each job
-        self.past: OrderedDict[str, StoredOutcome] = OrderedDict()
-        self.unknown: dict[
-            str, None
-        ] = {}  # neither live nor known to be finished: their ends must be read
+        self.mark_dirty = mark_dirty
+        self.request_plan = request_plan
+        self.dependents: dict[str, dict[str, None]] = {}  # live jobs that wait for each job
+        self.outcomes: OrderedDict[str, StoredOutcome] = OrderedDict()
+        # Dependencies neither live nor known to be finished; their records must be read.
+        self.unknown: dict[str, None] = {}
 
     def clear(self) -> None:
-        """Forget everything, since the records are read again."""
-        self.followers.clear()
-        self.past.clear()
+        """Forget everything, before the records are read again."""
+        self.dependents.clear()
+        self.outcomes.clear()
         self.unknown.clear()
 
     def add(self, job: Job) -> None:
         """Add a live job."""
         self.unknown.pop(job.id, None)
         for need in sorted(job.unmet_dependencies):
-            self.followers.setdefault(need, {})[job.id] = None
+            self.dependents.setdefault(need, {})[job.id] = None
         for need in sorted(job.unmet_dependencies):
-            live, past = self.jobs.get(need), self.past.get(need)
+            live, past = self.jobs.get(need), self.outcomes.get(need)
             if live is not None:
                 job.depth = max(job.depth, live.depth + 1)
                 if live.cancelled:
-                    self._cancel_followers(live)
+                    self._cancel_dependents(live)
             elif past is not None:
                 self._settle(need, job, past)
             else:
                 self.unknown[need] = None
         if job.unmet_dependencies and not job.cancelled:
-            log.info("%s waits for %s", job.id, shown(job.unmet_dependencies))
+            log.info("%s waits for %s", job.id, format_names(job.unmet_dependencies))
         if job.cancelled:
             self.cancelled(job)
 
     def cancelled(self, job: Job) -> None:
-        """Note that the cancellation of a job is stored, by any controller."""
-        self._cancel_followers(job)
+        """Handle that the cancellation of a job was stored, by any controller."""
+        self._cancel_dependents(job)
 
     def ended(self, job: Job) -> None:
-        """Note that the end of a job is stored."""
+        """Handle that the final state of a job was stored."""
         record = job.ended_record()
         for need in job.unmet_dependencies:
             self._unlink(need, job.id)
         self.settle(job.id, record, job.depth)
 
     def settle(self, name: str, record: EndedRecord, depth: int = 0) -> None:
-        """Note a stored end, and release or cancel the jobs that wait for it."""
+        """Record a stored final state, and release or cancel the jobs that wait for it."""
         at = None if record.at_ms is None else datetime.fromtimestamp(record.at_ms / 1000, UTC)
-        past = self.past[name] = StoredOutcome(record.state, at, depth)
-        while len(self.past) > MAX_REMEMBERED_OUTCOMES:
-            self.past.popitem(last=False)
+        past = self.outcomes[name] = StoredOutcome(record.state, at, depth)
+        while len(self.outcomes) > MAX_REMEMBERED_OUTCOMES:
+            self.outcomes.popitem(last=False)
         self.unknown.pop(name, None)
-        for follower in list(self.followers.get(name, ())):
-            job = self.jobs.get(follower)
+        for dependent in list(self.dependents.get(name, ())):
+            job = self.jobs.get(dependent)
             if job is not None:
                 self._settle(name, job, past)
-        self.followers.pop(name, None)
+        self.dependents.pop(name, None)
 
-    def _unlink(self, need: str, follower: str) -> None:
-        waiting = self.followers.get(need)
+    def _unlink(self, need: str, dependent: str) -> None:
+        waiting = self.dependents.get(need)
         if waiting is not None:
-            waiting.pop(follower, None)
+            waiting.pop(dependent, None)
             if not waiting:
-                self.followers.pop(need)
+                self.dependents.pop(need)
                 self.unknown.pop(need, None)
 
     def _settle(self, need: str, job: Job, past: StoredOutcome) -> None:
         if past.outcome is Outcome.CANCELLED:
             self._cancel(job, need)
-            self._cancel_followers(job)
+            self._cancel_dependents(job)
             return
         job.unmet_dependencies.discard(need)
         job.depth = max(job.depth, past.depth + 1)
         if past.at is not None:
-            # Without a time, the end was before the job came: then its times count from there.
+            # Without a stored time, the dependency ended before this job was accepted, and the
+            # job's times count from its acceptance.
             job.released_at = max(job.released_at, past.at)
         self._unlink(need, job.id)
         if not job.unmet_dependencies and not job.cancelled:
             waited = (job.released_at - job.accepted_at).total_seconds()
-            log.info("%s is released %.1f s after it came: all it needs is done", job.id, waited)
-            self.wake("job released")
+            log.info("%s released %.1f s after submission: all dependencies done", job.id, waited)
+            self.request_plan("job released")
 
-    def _cancel_followers(self, first: Job) -> None:
-        """Cancel all jobs that wait for a job, directly or indirectly. Without recursion, since
-        chains may be long."""
+    def _cancel_dependents(self, first: Job) -> None:
+        """Cancel all jobs that wait for a job, directly or indirectly.
+
+        Not recursive, since chains may be long.
+        """
         stack = [first]
         while stack:
             job = stack.pop()
-            for name in list(self.followers.get(job.id, ())):
-                follower = self.jobs.get(name)
-                if follower is not None and not follower.cancelled:
-                    self._cancel(follower, job.id)
-                    stack.append(follower)
+            for name in list(self.dependents.get(job.id, ())):
+                dependent = self.jobs.get(name)
+                if dependent is not None and not dependent.cancelled:
+                    self._cancel(dependent, job.id)
+                    stack.append(dependent)
 
     def _cancel(self, job: Job, need: str) -> None:
         if job.cancelled:
             return
         job.cancelled = True
-        log.info("%s is cancelled with %s, which it needs", job.id, need)
+        log.info("%s cancelled with its dependency %s", job.id, need)
         if job.placement_count():
-            job.page(0).bump_revision()  # else it ends at once, and no head is written
-        self.mark(job.page(0))
-        self.wake("job cancelled")
+            # Without placements the job ends at once, and its head is not written again.
+            job.page(0).bump_revision()
+        self.mark_dirty(job.page(0))
+        self.request_plan("job cancelled")
--- a/dappledrum/dependencies/lookup.py
+++ b/dappledrum/dependencies/lookup.py
@@ -1,9 +1,8 @@
-"""Whether the jobs that a submission names were accepted.
+"""Checks that the dependencies named by a submission were accepted.
 
-That a job was accepted stays true, so a controller may answer it from memory; that it was not is
-only said after a read that began after the request came in. One comparing transaction asks for
-many names at once, and for both keys of each: a job that moves from the live ones to the ended
-ones meanwhile is found at either.
+An accepted job stays accepted, so a controller may use its memory of that. A dependency is only
+refused after a read that began after the request arrived. One transaction with guards checks many
+jobs at once, and both keys of each: a job that ends meanwhile is found under one of them.
 """
 
 import asyncio
@@ -22,11 +21,11 @@
 
 MAX_CACHED_ARRAYS = 20_000
 REQUEST_TIMEOUT = timedelta(seconds=1)
-MAX_SINGLE_READS = 4  # more heads are read from the list of all live ones
+MAX_SINGLE_READS = 4  # above this, heads are read from the list of all live jobs
 
 
 class DependencyLookup:
-    """One for each controller."""
+    """Dependency checks of one controller, with a cache of accepted jobs."""
 
     def __init__(
         self,
@@ -39,10 +38,11 @@
         self.max_names = max(1, max_guards // 2)
         self.read = read
         self.read_many = read_many
-        self.arrays: OrderedDict[str, None] = OrderedDict()  # accepted, and not services
+        #: Accepted jobs that are not services, least recently confirmed first.
+        self.arrays: OrderedDict[str, None] = OrderedDict()
 
     def note(self, job: str, form: Form) -> None:
-        """A job is known to be accepted."""
+        """Remember that a job was accepted."""
         if form is Form.ARRAY:
             self.arrays[job] = None
             self.arrays.move_to_end(job)
@@ -50,28 +50,33 @@
                 self.arrays.popitem(last=False)
 
     async def fault(self, needs: Collection[str], own: str) -> str | None:
-        """Why a job can't wait for these, or None when it can."""
+        """Why a submission with these dependencies is refused; None if it is valid.
+
+        `own` is the ID of the submitted job.
+        """
         if own in needs:
             return "a job can't wait for itself"
         names = sorted(need for need in needs if need not in self.arrays)
         live: set[str] = set()
         for first in range(0, len(names), self.max_names):
             batch = names[first : first + self.max_names]
-            found = await self._existing(batch)
+            found = await self._existing_keys(batch)
             for name in batch:
                 if not found & {head_key(name), ended_key(name)}:
                     return f"waits for {name}, which was never accepted"
                 if head_key(name) in found:
                     live.add(name)
                 else:
-                    self.note(name, Form.ARRAY)  # nobody waits for a service that is over
+                    # Its form is unknown, but a dependency on an ended job is valid for any form.
+                    self.note(name, Form.ARRAY)
         for name, form in (await self._forms(live)).items():
             if form is Form.SERVICE:
                 return f"waits for {name}, which is a service and never done"
             self.note(name, form)
         return None
 
-    async def _existing(self, names: Collection[str]) -> set[str]:
+    async def _existing_keys(self, names: Collection[str]) -> set[str]:
+        """Those head keys and final state keys of the jobs that exist in the store."""
         if self.store.budget.queueing_delay(RequestPriority.SUBMISSION) > REQUEST_TIMEOUT / 2:
             raise RateLimitedError
         guards = [Guard(key(name), 0) for name in names for key in (head_key, ended_key)]
@@ -84,7 +89,7 @@
         return set()
 
     async def _forms(self, names: set[str]) -> dict[str, Form]:
-        """Forms of live jobs; those that have ended meanwhile are left out."""
+        """Forms of live jobs by ID, without jobs that have ended meanwhile."""
         if len(names) > MAX_SINGLE_READS:
             many = await self.read_many(names)
             return {n: v[0].spec.form for n, v in many.items() if not isinstance(v, StoreError)}
--- a/dappledrum/dependencies/resolver.py
+++ b/dappledrum/dependencies/resolver.py
@@ -1,4 +1,4 @@
-"""Reads the ends of jobs that other jobs wait for, if this term has not seen them."""
+"""Reads the final states of dependencies that this term does not know."""
 
 import asyncio
 import logging
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from dappledrum.dependencies.graph import DependencyGraph, shown
+from dappledrum.dependencies.graph import DependencyGraph, format_names
 from dappledrum.jobs.keys import ended_key, head_key
 from dappledrum.jobs.messages import EndedRecord
 from dappledrum.store.client import StoreClient
@@ -23,26 +23,26 @@
 
 
 class DependencyResolver:
-    """The resolver of one term of leadership."""
+    """Dependency resolver of one term of leadership."""
 
     def __init__(self, store: StoreClient, graph: DependencyGraph, clock: Clock) -> None:
         self.store = store
         self.graph = graph
         self.clock = clock
-        self.tries: dict[str, tuple[timedelta, int]] = {}  # when to read again, failures so far
+        self.retries: dict[str, tuple[timedelta, int]] = {}  # time of next read, failures so far
 
     async def run(self) -> None:
-        """Read as long as any end is unknown."""
+        """Read unknown final states, forever."""
         while True:
             await self.resolve_due()
             await asyncio.sleep(POLL_INTERVAL.total_seconds())
 
     async def resolve_due(self) -> None:
-        """Read once what is unknown now."""
+        """Read each unknown final state once, if its retry is due."""
         now = self.clock.now()
         unknown = self.graph.unknown
-        self.tries = {name: held for name, held in self.tries.items() if name in unknown}
-        due = [name for name in unknown if self.tries.get(name, (now, 0))[0] <= now]
+        self.retries = {name: held for name, held in self.retries.items() if name in unknown}
+        due = [name for name in unknown if self.retries.get(name, (now, 0))[0] <= now]
         for first in range(0, len(due), MAX_CONCURRENT_READS):
             await asyncio.gather(
                 *(self._read(name) for name in due[first : first + MAX_CONCURRENT_READS])
@@ -50,7 +50,7 @@
 
     async def _read(self, name: str) -> None:
         try:
-            # The live key first, as jobs move from there to the other only.
+            # The head is read first, because a job only moves from its head to its final state.
             live = await self.store.get(head_key(name), RequestPriority.RECORD)
             entry = (
                 await self.store.get(ended_key(name), RequestPriority.RECORD)
@@ -61,23 +61,27 @@
                 self.graph.settle(name, msgspec.json.decode(entry.value, type=EndedRecord))
                 return
         except StoreError as error:
-            log.info("%s not read: %s", name, error)
+            log.info("dependency %s not read: %s", name, error)
             return
         except msgspec.DecodeError as error:
-            log.error(  # noqa: TRY400 - the record is at fault, a traceback says no more
-                "unusable record of %s, what needs it stays pending: %s", name, error
+            log.error(  # noqa: TRY400 - the record is at fault, a traceback adds nothing
+                "dependency %s has an unusable record, its dependents stay pending: %s",
+                name,
+                error,
             )
             self._retry_later(name, 1)
             return
         if live is not None:
-            self._retry_later(name, 0)  # the watch will tell of it
+            self._retry_later(name, 0)  # the watch will report the live job
             return
-        if name not in self.tries:
-            waiting = shown(self.graph.followers.get(name, ()))
-            log.error("%s has no record, what needs it stays pending: %s", name, waiting)
+        if name not in self.retries:
+            waiting = format_names(self.graph.dependents.get(name, ()))
+            log.error(
+                "dependency %s has no record, its dependents stay pending: %s", name, waiting
+            )
         self._retry_later(name, 1)
 
-    def _retry_later(self, name: str, grown: int) -> None:
-        count = self.tries.get(name, (self.clock.now(), 0))[1] + grown
+    def _retry_later(self, name: str, added_failures: int) -> None:
+        count = self.retries.get(name, (self.clock.now(), 0))[1] + added_failures
         pause = min(MIN_RETRY_DELAY * 2 ** min(count, 6), MAX_RETRY_DELAY)
-        self.tries[name] = (self.clock.now() + pause, count)
+        self.retries[name] = (self.clock.now() + pause, count)
--- a/dappledrum/dependencies/test_dependencies.py
+++ b/dappledrum/dependencies/test_dependencies.py
@@ -1,5 +1,5 @@
-"""Chains of jobs over the stand-ins: released in order, cancelled together, whatever happens to
-the controllers in between. The rules are checked after each step."""
+"""Jobs with dependencies in a simulated cluster are released in order and cancelled together, also
+when controllers or the store fail in between. The invariants are checked after each step."""
 
 import json
 
@@ -20,7 +20,7 @@
     return job(number, waitsOn=[name(need) for need in needs], **changes)
 
 
-async def settled_world(seed):
+async def ready_cluster(seed):
     cluster = await led_cluster(seed)
     await cluster.wait(1)
     return cluster
@@ -36,13 +36,13 @@
     )
 
 
-async def test_a_fork_and_a_join_run_in_order():
-    cluster = await settled_world(31)
+async def test_jobs_of_a_fork_and_a_join_run_in_order():
+    cluster = await ready_cluster(31)
     names = await pipeline(cluster)
     assert await cluster.poll(names[-1]) == "pending"
     await cluster.finish(names)
     leader = cluster.controllers[cluster.leader()].leader
-    assert not leader.graph.followers
+    assert not leader.graph.dependents
     assert not leader.graph.unknown
 
 
@@ -58,9 +58,9 @@
 
 
 @pytest.mark.parametrize("fault", FAULTS)
-async def test_a_pipeline_outlives_trouble_at_each_stage(fault):
-    """A successor finds from the records alone what waits, and what has been released."""
-    cluster = await settled_world(32)
+async def test_a_pipeline_survives_a_fault_at_each_stage(fault):
+    """A new leader must derive from the records alone which jobs wait and which are released."""
+    cluster = await ready_cluster(32)
     names = await pipeline(cluster)
     for done in names[:-1]:
         await cluster.until(lambda done=done: len(cluster.rules.jobs[done].done) > 0)
@@ -69,34 +69,34 @@
 
 
 @pytest.mark.parametrize("fault", FAULTS)
-async def test_a_cancellation_takes_along_all_that_follows(fault):
-    """Also when the leader that would have cancelled them ends first."""
-    cluster = await settled_world(33)
+async def test_a_cancellation_also_cancels_all_dependent_jobs(fault):
+    """Also if the leader terminates before it has cancelled the dependent jobs."""
+    cluster = await ready_cluster(33)
     names = await pipeline(cluster, runS=60.0)
     await cluster.until(lambda: cluster.rules.starts > 0)
     assert await cluster.cancel(names[0]) == "cancelled"
     await fault(cluster)
-    # Named long after: accepted all the same, and cancelled.
+    # A job that is submitted later with a cancelled dependency is accepted, then cancelled.
     assert await cluster.submit(link(9, 4)) == 201
     await cluster.wait(28)
-    for told in [*names, name(9)]:
-        assert await cluster.poll(told) == "cancelled"
+    for cancelled in [*names, name(9)]:
+        assert await cluster.poll(cancelled) == "cancelled"
     assert not cluster.rules.running
 
 
-async def test_jobs_after_one_that_was_done_before_its_cancellation_go_on():
-    cluster = await settled_world(34)
+async def test_cancelling_a_job_that_is_already_done_does_not_cancel_its_dependents():
+    cluster = await ready_cluster(34)
     names = await pipeline(cluster)
     await cluster.finish(names[:1])
     assert await cluster.cancel(names[0]) == "done"
     await cluster.finish(names)
-    assert [await cluster.poll(told) for told in names] == ["done"] * 4
+    assert [await cluster.poll(done) for done in names] == ["done"] * 4
 
 
-async def test_a_cancellation_that_beats_the_record_of_the_last_end_releases_nobody():
-    """All tasks have completed, but the user was told that the job is cancelled: the record
-    decides, so what waits must not start on the last heartbeat alone."""
-    cluster = await settled_world(35)
+async def test_a_cancellation_stored_before_the_final_state_releases_no_dependents():
+    """All tasks have completed, but the cancellation was confirmed to the user before that was
+    stored. The record decides, so dependents must not start on the last heartbeat alone."""
+    cluster = await ready_cluster(35)
     await cluster.accept(link(1), link(2, 1))
     state = cluster.network.services["state"]
 
@@ -110,21 +110,25 @@
     await cluster.until(lambda: len(cluster.rules.jobs[name(1)].done) == 2)
     await cluster.wait(2)
     cluster.network.services["state"] = state
-    told = await cluster.cancel(name(1))
+    confirmed = await cluster.cancel(name(1))
     await cluster.wait(10)
     after = await cluster.poll(name(2))
-    assert (told, after) in (("cancelled", "cancelled"), ("done", "running"), ("done", "done"))
+    assert (confirmed, after) in (
+        ("cancelled", "cancelled"),
+        ("done", "running"),
+        ("done", "done"),
+    )
 
 
-async def test_names_are_checked_before_a_submission_is_taken():
-    cluster = await settled_world(36)
+async def test_dependencies_are_checked_before_a_submission_is_accepted():
+    cluster = await ready_cluster(36)
     await cluster.accept(link(1), link(2, form="service", expectedS=0.0))
     assert await cluster.submit(link(3, 77)) == 422
     assert await cluster.submit(link(3, 1, 77)) == 422
     assert await cluster.submit(link(3, 3)) == 422
     assert await cluster.submit(link(3, 1, 2)) == 422
     assert await cluster.submit(link(3, 1, 1)) == 201
-    # Once accepted, it is never refused, whatever is sent now.
+    # An accepted job is never refused later, even with an invalid dependency.
     assert await cluster.submit(link(3, 77)) == 200
     await cluster.finish([name(1), name(3)])
     assert await cluster.submit(link(3, 77)) == 200
@@ -145,8 +149,8 @@
     assert (await cluster._ask("POST", "/submissions", body)).status == 201
 
 
-async def test_while_names_cannot_be_read_the_user_is_told_at_once():
-    cluster = await settled_world(37)
+async def test_submissions_fail_quickly_while_dependencies_cannot_be_read():
+    cluster = await ready_cluster(37)
     assert await cluster.submit(link(1, beats=1)) == 201
     await cluster.finish([name(1)])
     cluster.store.out = True
@@ -160,8 +164,9 @@
     await cluster.finish([name(2)])
 
 
-async def test_long_chains_and_many_followers_are_cancelled_in_time():
-    """Nothing recursive, and their records share transactions, also after the limits dropped."""
+async def test_long_chains_and_many_dependents_are_cancelled_in_time():
+    """Guards against recursion over a long chain, and against one transaction per record, also
+    after the store's limits were lowered."""
     cluster = SimulatedCluster(seed=38, next=NextLimits(write_rps=30.0, value_kb=2.0, txn_ops=8))
     cluster.drop_limits()
     await cluster.until_led()
@@ -176,9 +181,10 @@
     assert states == {"cancelled"}
 
 
-async def test_records_that_make_no_sense_end_no_loop():
-    """A ring, and a name without any record: both stay pending, and can be cancelled."""
-    cluster = await settled_world(39)
+async def test_invalid_dependencies_in_records_do_not_stop_the_leader():
+    """Jobs in a dependency cycle, or with a dependency that has no record, stay pending and can
+    be cancelled; other jobs still run."""
+    cluster = await ready_cluster(39)
     await cluster.accept(*(link(number, runS=200.0, expectedS=200.0) for number in (1, 2, 3)))
     leader = cluster.leader()
     for member in cluster.members:
