--- a/dappledrum/fleet/__init__.py
+++ b/dappledrum/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""The rented machines: the catalog, the list of machines, boots, rentals and returns."""
+"""Rented machines: catalog, machine list, boot times, rentals and returns."""
--- a/dappledrum/fleet/autoscaler.py
+++ b/dappledrum/fleet/autoscaler.py
@@ -1,4 +1,4 @@
-"""Loops that rent and return machines until the fleet is as the plans want it."""
+"""Rents and returns machines so that the fleet matches the newest plan."""
 
 import asyncio
 import logging
@@ -18,16 +18,16 @@
 
 log = logging.getLogger(__name__)
 
-BOOTS_IN_INTERVAL = 2
+BOOT_TIMES_PER_INTERVAL = 2  # minimum length of a billed interval
 MAX_RENTALS = 50
-RECLAIM_GRACE = timedelta(seconds=1)  # after the moment named in a spot notice
+RECLAIM_GRACE = timedelta(seconds=1)  # after the time given in a reclaim notice
 MAX_RETURNS = 100
 MIN_KIND_COOLDOWN = timedelta(seconds=8)
 MAX_KIND_COOLDOWN = timedelta(seconds=30)
-SLOW_BOOT_RATIO = 2.0  # times the catalog's figure, from which on slow boots are logged
-SLOW_NO_MORE = 1.5
-#: Beyond a lease: machines have sent heartbeats to a new leader by then.
-INTRODUCED = timedelta(seconds=20)
+SLOW_BOOT_RATIO = 2.0  # multiple of the catalog's boot time above which boots are logged as slow
+NORMAL_BOOT_RATIO = 1.5  # multiple below which boots are logged as normal again
+#: Time after a lease by which all machines have sent heartbeats to a new leader.
+NEW_LEADER_GRACE = timedelta(seconds=20)
 
 
 class Autoscaler:
@@ -42,8 +42,8 @@
         clock: Clock,
         epoch: int,
         interval: timedelta,
-        leading: Callable[[], bool],
-        wake: Callable[[str], None],
+        may_command: Callable[[], bool],
+        request_plan: Callable[[str], None],
         running_since: Callable[[], timedelta] = lambda: ZERO,
     ) -> None:
         self.running_since = running_since
@@ -54,48 +54,49 @@
         self.clock = clock
         self.epoch = epoch
         self.base_interval = interval
-        self.leading = leading
-        self.wake = wake
+        self.may_command = may_command
+        self.request_plan = request_plan
         self.boots = BootTimes()
-        self.slow: set[InstanceKind] = set()  # kinds whose slow boots were logged
+        self.slow_kinds: set[InstanceKind] = set()  # kinds whose slow boots were logged
         self.types: dict[str, MachineType] = {}
         self.wanted: dict[InstanceKind, int] = {}  # from the newest plan
-        self.needed: set[str] = set()  # machines that the newest plan counts on
-        self.keep_spot = False  # idle spot machines are wanted for what ordinary ones do
-        self.aside: dict[
-            InstanceKind, tuple[timedelta, timedelta]
-        ] = {}  # until when, and for how long it was
-        self.settled: dict[
-            InstanceKind, timedelta
-        ] = {}  # when the newest request for a kind was answered
-        self.counter = 0
-        self.listed = False
-        self.planned = False
-        self.asked = asyncio.Event()
-        self.no_list = FaultLog(log, clock, "the cloud gives no machine list")
+        self.needed: set[str] = set()  # machines that the newest plan uses
+        self.keep_spot = False  # idle spot machines are kept for work that ordinary ones do now
+        #: End and length of the cooldown of each kind that was refused.
+        self.cooldowns: dict[InstanceKind, tuple[timedelta, timedelta]] = {}
+        #: When the newest request for each kind was answered.
+        self.answered_at: dict[InstanceKind, timedelta] = {}
+        self.request_count = 0
+        self.listed = False  # whether the cloud's list was read in this term
+        self.planned = False  # whether a plan was received in this term
+        self.rentals_wanted = asyncio.Event()
+        self.list_fault_log = FaultLog(log, clock, "machine list of the cloud not read")
 
-    # questions of the planner
+    # queries of the planner
 
     def offered(self, kind: InstanceKind) -> bool:
-        """Whether a kind of machine can be requested now."""
-        until = self.aside.get(kind)
-        return until is None or self.clock.now() >= until[0]
+        """Whether a kind of machine can be requested now, that is, has no cooldown."""
+        cooldown = self.cooldowns.get(kind)
+        return cooldown is None or self.clock.now() >= cooldown[0]
 
     def interval(self, kind: InstanceKind) -> timedelta:
-        """Length of a billed interval of a machine: at least some boot times, so that a machine is
-        not returned just to be booted again."""
+        """Length of a billed interval of a kind of machine.
+
+        It is at least `BOOT_TIMES_PER_INTERVAL` boot times, so that a machine is not returned only
+        to be booted again.
+        """
         model = self.types.get(kind.type)
         if model is None:
             return self.base_interval
-        # Only truly slow boots count: with every change of what is expected the intervals moved,
-        # and machines went back to be rented again.
+        # Ratios up to SLOW_BOOT_RATIO are ignored: otherwise intervals shifted with each new
+        # estimate, and machines were returned only to be rented again.
         ratio = self.boots.ratio(kind)
         boot = model.boot * (ratio if ratio > SLOW_BOOT_RATIO else 1.0)
-        return max(self.base_interval, boot * BOOTS_IN_INTERVAL)
+        return max(self.base_interval, boot * BOOT_TIMES_PER_INTERVAL)
 
     def ready_at(self, machine: Machine) -> timedelta:
-        """When a booting machine is expected to be up, or when a machine that was up before this
-        term is expected to send a heartbeat to this leader."""
+        """When a machine is expected to send its first heartbeat to this leader, after booting or,
+        if it was up before this term, after it has found the leader."""
         now = self.clock.now()
         if machine.kind is None:
             return now + self.base_interval
@@ -103,28 +104,27 @@
             return now + expected_heartbeat_in(
                 now - machine.seen_at, self.params.workers.heartbeat_interval
             )
-        return now + self.boots.left(machine.kind, machine.rented_at, now)
+        return now + self.boots.remaining(machine.kind, machine.rented_at, now)
 
     def overdue(self, machine: Machine) -> bool:
-        """Whether a new machine is expected to be up sooner than this one, which may never come
+        """Whether a replacement is expected to be up sooner than this machine, which may never be
         up."""
         now = self.clock.now()
         return (
             not machine.up
             and machine.kind is not None
-            # A new leader hears of machines that have long been up; give them the time to send a
-            # heartbeat to it.
-            and now - machine.seen_at > self.params.workers.lease_duration + INTRODUCED
-            and self.boots.hopeless(machine.kind, machine.rented_at, now)
+            # Machines that were up before this term need time to send a heartbeat to this leader.
+            and now - machine.seen_at > self.params.workers.lease_duration + NEW_LEADER_GRACE
+            and self.boots.should_replace(machine.kind, machine.rented_at, now)
         )
 
-    def look_at_boots(self) -> None:
+    def update_boot_times(self) -> None:
         """Update the boot statistics.
 
-        Only machines that this leader has requested count. Others may have been up for long and
-        away for a while; when those counted as boots of many minutes, every takeover and every
-        wave of reclaims made all new machines look slow. A machine that was given up as lost does
-        not count either.
+        Only machines that this leader has requested count. Others may have been up for a long
+        time and unreachable for a while. When they counted as boots of many minutes, all new
+        machines were expected to be slow after every change of leader and every wave of reclaims.
+        A machine that was given up as lost does not count either.
         """
         now = self.clock.now()
         self.boots.nominal = {name: model.boot for name, model in self.types.items()}
@@ -133,77 +133,91 @@
             if machine.kind is None:
                 continue
             if machine.up_at is not None and machine.asked_at is not None:
-                self.boots.finished(machine.kind, machine.asked_at, machine.up_at)
+                self.boots.record_completed(machine.kind, machine.asked_at, machine.up_at)
                 machine.asked_at = None
             elif (
                 machine.asked_at is not None
                 and not machine.up
                 and not machine.returning
-                and not self.boots.overtaken(machine.kind, machine.asked_at, now)
+                and not self.boots.is_overtaken(machine.kind, machine.asked_at, now)
             ):
                 waiting.append(PendingBoot(machine.kind, machine.rented_at))
-        self.boots.refresh(waiting, now)
-        for kind in {one.kind for one in waiting}:
+        self.boots.set_pending(waiting, now)
+        for kind in {pending.kind for pending in waiting}:
             ratio = self.boots.ratio(kind)
-            if ratio > SLOW_BOOT_RATIO and kind not in self.slow:
-                log.warning("boots of %s take %.1f times as long as usual", kind, ratio)
-                self.slow.add(kind)
-        for kind in [k for k in self.slow if self.boots.ratio(k) < SLOW_NO_MORE]:
-            log.warning("boots of %s take as long as usual again", kind)
-            self.slow.discard(kind)
+            if ratio > SLOW_BOOT_RATIO and kind not in self.slow_kinds:
+                log.warning(
+                    "boots are slow: %.1f times the usual time, type=%s zone=%s spot=%s",
+                    ratio,
+                    *kind,
+                )
+                self.slow_kinds.add(kind)
+        for kind in [k for k in self.slow_kinds if self.boots.ratio(k) < NORMAL_BOOT_RATIO]:
+            log.warning("boots are no longer slow: type=%s zone=%s spot=%s", *kind)
+            self.slow_kinds.discard(kind)
 
     def order(self, rentals: dict[InstanceKind, int], needed: set[str], began: timedelta) -> None:
-        """Replace what is wanted by a newer plan.
+        """Replace the wanted rentals and needed machines by those of a newer plan.
 
-        A plan that began before a request was answered does not know its result, and asks for the
-        same machines again; at a busy time that rented half as many machines too many.
+        Rentals of a kind are ignored if the plan began before the last request for that kind was
+        answered: such a plan does not know the result and requests the same machines again. Under
+        load, that rented half as many machines too many.
         """
         self.wanted = {
             kind: count
             for kind, count in rentals.items()
-            if self.settled.get(kind, timedelta.min) < began
+            if self.answered_at.get(kind, timedelta.min) < began
         }
         self.needed = needed
         self.planned = True
         if self.wanted:
-            self.asked.set()
+            self.rentals_wanted.set()
 
     # renting
 
     async def rent_loop(self) -> None:
         """Request what the newest plan wants, one kind at a time."""
         while True:
-            await self.asked.wait()
-            self.asked.clear()
-            while self.wanted and self.leading():
+            await self.rentals_wanted.wait()
+            self.rentals_wanted.clear()
+            while self.wanted and self.may_command():
                 kind = max(self.wanted, key=lambda k: self.wanted[k])
                 count = min(self.wanted.pop(kind), MAX_RENTALS)
                 if count > 0 and self.offered(kind):
-                    self.settled[kind] = timedelta.max
+                    self.answered_at[kind] = timedelta.max
                     try:
                         await self._rent(kind, count)
                     finally:
-                        self.settled[kind] = self.clock.now()
+                        self.answered_at[kind] = self.clock.now()
 
     async def _rent(self, kind: InstanceKind, count: int) -> None:
-        self.counter += 1
+        self.request_count += 1
         request = RentalRequest(
-            f"r-{self.epoch}-{self.counter}", kind.type, kind.zone, kind.spot, count
+            f"r-{self.epoch}-{self.request_count}", kind.type, kind.zone, kind.spot, count
         )
         sent = self.clock.now()
         try:
-            names = await self.cloud.rent(request, self.leading)
+            names = await self.cloud.rent(request, self.may_command)
         except NoCapacityError:
-            self._set_aside(kind)
-            self.wake("refused")
+            self._start_cooldown(kind)
+            self.request_plan("refused")
             return
         except CloudError as error:
-            # It may have worked: then the machines turn up in the list, and are used or returned.
-            log.warning("rental of %d %s unanswered: %s", count, kind, error)
-            self.aside[kind] = (self.clock.now() + timedelta(seconds=3), timedelta(seconds=3))
-            self.wake("rental failed")
+            # The request may have been executed; the list then shows the machines, and they are
+            # used or returned.
+            log.warning(
+                "rental not confirmed: %s, count=%d type=%s zone=%s spot=%s", error, count, *kind
+            )
+            self.cooldowns[kind] = (self.clock.now() + timedelta(seconds=3), timedelta(seconds=3))
+            self.request_plan("rental failed")
             return
-        log.info("rented %d of %d %s (%s)", len(names), count, kind, ", ".join(names))
+        log.info(
+            "rented machines: count=%d requested=%d type=%s zone=%s spot=%s, %s",
+            len(names),
+            count,
+            *kind,
+            ", ".join(names),
+        )
         for name in names:
             if name not in self.registry.terminated:
                 machine = self.registry.ensure(name, kind, sent)
@@ -211,16 +225,20 @@
                 if not machine.up:
                     machine.asked_at = sent
         if len(names) < count:
-            self._set_aside(kind)
+            self._start_cooldown(kind)
         else:
-            self.aside.pop(kind, None)
-        self.wake("rented")
+            self.cooldowns.pop(kind, None)
+        self.request_plan("rented")
 
-    def _set_aside(self, kind: InstanceKind) -> None:
-        _, before = self.aside.get(kind, (ZERO, ZERO))
+    def _start_cooldown(self, kind: InstanceKind) -> None:
+        _, before = self.cooldowns.get(kind, (ZERO, ZERO))
         span = min(max(before * 2, MIN_KIND_COOLDOWN), MAX_KIND_COOLDOWN)
-        self.aside[kind] = (self.clock.now() + span, span)
-        log.info("no more %s for now, set aside for %.0f s", kind, span.total_seconds())
+        self.cooldowns[kind] = (self.clock.now() + span, span)
+        log.info(
+            "no capacity: type=%s zone=%s spot=%s, not requested for %.0f s",
+            *kind,
+            span.total_seconds(),
+        )
 
     # returning
 
@@ -228,17 +246,17 @@
         """Return machines that are overdue, failed, drained, or idle at the end of an interval."""
         while True:
             await asyncio.sleep(0.5)
-            if not self.leading():
+            if not self.may_command():
                 continue
-            self.look_at_boots()
+            self.update_boot_times()
             self._select_returns()
             names = [m.name for m in self.registry if m.returning][:MAX_RETURNS]
             if not names:
                 continue
             try:
-                await self.cloud.return_machines(names, self.leading)
+                await self.cloud.return_machines(names, self.may_command)
             except CloudError as error:
-                log.warning("return of %d machines unanswered: %s", len(names), error)
+                log.warning("return of %d machines not confirmed: %s", len(names), error)
                 await asyncio.sleep(1)
                 continue
             self._remove_returned(names)
@@ -246,12 +264,12 @@
     def _select_returns(self) -> None:
         """Mark the machines that are to be returned."""
         for machine in self.registry:
-            why = None if machine.returning else self._why_return(machine)
-            if why is not None:
-                log.info("returning %s: %s", machine.name, why)
+            reason = None if machine.returning else self._return_reason(machine)
+            if reason is not None:
+                log.info("returning %s: %s", machine.name, reason)
                 machine.returning = True
                 if not machine.up:
-                    self.boots.given_up(self.clock.now())
+                    self.boots.record_given_up(self.clock.now())
 
     def _remove_returned(self, names: list[str]) -> None:
         """Remove machines whose return the cloud has confirmed."""
@@ -260,24 +278,25 @@
             if machine is None:
                 continue
             if machine.kind is not None:
-                # What has just been returned can be rented again.
-                self.aside.pop(machine.kind, None)
+                # The cloud has capacity for this kind again.
+                self.cooldowns.pop(machine.kind, None)
             self.reconciler.remove_returned(machine)
 
-    def _why_return(  # noqa: PLR0911 - one reason a line, in the order that counts
+    def _return_reason(  # noqa: PLR0911 - one reason per return, in order of precedence
         self, machine: Machine
     ) -> str | None:
-        """Why a machine is returned; None: it is kept."""
+        """Why a machine is to be returned; None if it is kept."""
         now = self.clock.now()
         if machine.failed:
-            return "it stopped on its own"
+            return "it has failed"
         if machine.recall_at is not None and now > machine.recall_at + RECLAIM_GRACE:
-            # The answer proves that all on it is gone, a lease earlier than silence does.
-            return "it was to be taken by now"
+            # A confirmed return proves that its attempts are terminated, one lease sooner than
+            # missing heartbeats do.
+            return "its reclaim time has passed"
         if machine.placements:
             return None
         if self.overdue(machine):
-            return "it does not come up, and a new one is expected sooner"
+            return "its boot is overdue, and a replacement is expected sooner"
         lease = self.params.workers.lease_duration
         if (
             machine.up
@@ -285,40 +304,42 @@
             and now - self.running_since() > lease
             and self._connected(now)
         ):
-            return "it is silent"
+            return "it sends no heartbeats"
         if machine.draining and machine.up:
             return "it is unhealthy"
         if machine.retiring and machine.up:
-            return "it has no work that it is needed for"
+            return "it is retiring and has no tasks"
         if not machine.up or not self.planned or machine.name in self.needed:
             return None
-        spared = self.keep_spot and machine.kind is not None and machine.kind.spot
-        if spared and not machine.reachability.unreachable:
+        kept_as_spot = self.keep_spot and machine.kind is not None and machine.kind.spot
+        if kept_as_spot and not machine.reachability.unreachable:
             return None
         interval = self.interval(machine.kind) if machine.kind is not None else self.base_interval
         left = interval - (now - machine.rented_at) % interval
-        return "it is idle at the end of its interval" if left <= timedelta(seconds=1) else None
+        return "it is idle, and its interval ends" if left <= timedelta(seconds=1) else None
 
     def _connected(self, now: timedelta) -> bool:
-        """Whether heartbeats of most machines arrive, so that the fault is not on this side if one
-        is silent."""
+        """Whether heartbeats of most machines arrive, so that a silent machine is itself at fault
+        and not this controller's network."""
         up = [m for m in self.registry if m.up]
         since = self.running_since()
-        heard = sum(not m.silent(now, self.params.workers.heartbeat_interval, since) for m in up)
-        return heard * 2 > len(up)
+        not_silent = sum(
+            not m.silent(now, self.params.workers.heartbeat_interval, since) for m in up
+        )
+        return not_silent * 2 > len(up)
 
-    # watching
+    # the cloud's list and catalog
 
     async def list_loop(self) -> None:
-        """Compare the known machines with the list of the cloud, which lags behind."""
+        """Reconcile the known machines with the cloud's list, which lags behind."""
         pause = max(self.params.cloud.list_lag / 2, timedelta(seconds=3))
         while True:
-            if self.leading():
+            if self.may_command():
                 try:
                     self._reconcile(await self.cloud.machines())
-                    self.no_list.recovered()
+                    self.list_fault_log.recovered()
                 except CloudError as error:
-                    self.no_list.failed(str(error))
+                    self.list_fault_log.failed(str(error))
             await asyncio.sleep(pause.total_seconds())
 
     def _reconcile(self, listed: list[ListedMachine]) -> None:
@@ -328,7 +349,7 @@
                 continue
             machine = self.registry.get(item.id)
             if machine is None:
-                log.info("%s is in the list (%s), taken on", item.id, item.state)
+                log.info("adopted %s from the machine list: state=%s", item.id, item.state)
                 machine = self.registry.ensure(item.id, None, now)
             if machine.listed_at is None and machine.rented_at == machine.seen_at:
                 machine.rented_at = min(machine.rented_at, now - timedelta(seconds=item.age_s))
@@ -340,7 +361,7 @@
             machine.listed_up |= item.state == "running"
         if not self.listed:
             self.listed = True
-            self.wake("first list")
+            self.request_plan("first list")
         stale = 3 * self.params.cloud.list_lag + timedelta(seconds=10)
         for machine in self.registry:
             known = machine.listed_at if machine.listed_at is not None else machine.rented_at
@@ -348,11 +369,11 @@
             if machine.returning or machine.placements or now - known <= stale or not unheard:
                 continue
             if machine.listed_at is None and not machine.up:
-                continue  # it may yet be listed, however far the list lags; see `overdue`
-            # The list may lag by more than ever, so only the cloud's own word that the name is
-            # returned says that it is gone: dropped on its absence alone, a machine would be paid
-            # for and never be used.
-            log.info("returning %s: it is not in the list any more", machine.name)
+                continue  # the lag of the list has no limit; `overdue` handles a slow boot
+            # The list may lag further than ever before, so only a confirmed return proves that a
+            # machine is gone. If it were dropped because it is not listed, it could be paid for
+            # and never used.
+            log.info("returning %s: it is no longer in the machine list", machine.name)
             machine.returning = True
 
     async def catalog_loop(self) -> None:
@@ -362,4 +383,4 @@
             try:
                 self.types = {t.name: t for t in await self.cloud.catalog()}
             except CloudError as error:
-                log.info("no catalog: %s", error)
+                log.info("catalog not updated: %s", error)
--- a/dappledrum/fleet/cloud_client.py
+++ b/dappledrum/fleet/cloud_client.py
@@ -1,4 +1,4 @@
-"""Client of the cloud that keeps to the allowed call rate."""
+"""Client of the cloud API that keeps to the allowed request rate."""
 
 import asyncio
 import logging
@@ -27,21 +27,21 @@
 
 
 class CloudError(Exception):
-    """The call failed, or its outcome is unknown."""
+    """The request failed, or its outcome is unknown."""
 
 
 class NoCapacityError(CloudError):
-    """There are no machines of this kind at the moment."""
+    """The cloud has no machines of the requested kind at the moment."""
 
 
 class CloudClient:
-    """Client that spaces its requests evenly."""
+    """Cloud client that spaces its requests evenly, at most `rps` a second."""
 
-    def __init__(self, caller: HttpClient, rps: float, clock: Clock) -> None:
-        self.caller = caller
-        self.gap = timedelta(seconds=1 / rps)
+    def __init__(self, http_client: HttpClient, rps: float, clock: Clock) -> None:
+        self.http_client = http_client
+        self.request_interval = timedelta(seconds=1 / rps)
         self.clock = clock
-        self.next_at = ZERO
+        self.next_request_at = ZERO
         self.link = LinkHealth(clock)
 
     async def _call(
@@ -49,20 +49,20 @@
         method: str,
         path: str,
         body: bytes | None,
-        entitled: Callable[[], bool] = lambda: True,
+        may_command: Callable[[], bool] = lambda: True,
     ) -> Reply:
         now = self.clock.now()
-        at = max(self.next_at, now)
-        self.next_at = at + self.gap
+        at = max(self.next_request_at, now)
+        self.next_request_at = at + self.request_interval
         if at > now:
             await asyncio.sleep((at - now).total_seconds())
-        if not entitled():
-            # The process may have stood still since this was decided, and another controller may
-            # be using the machines by now.
-            raise CloudError("no longer entitled")
+        if not may_command():
+            # The process may have been paused since the decision, and another controller may be
+            # using the machines by now.
+            raise CloudError("this controller may no longer command machines")
         sent = self.link.request_sent()
         try:
-            reply = await self.caller.request(method, path, body, REQUEST_TIMEOUT)
+            reply = await self.http_client.request(method, path, body, REQUEST_TIMEOUT)
         except NoResponseError as error:
             raise CloudError(str(error)) from error
         if reply.status < 500 or b"no capacity" in reply.body:
@@ -71,7 +71,9 @@
             raise NoCapacityError("no capacity")
         if reply.status != 200:
             if reply.status == 429:
-                self.next_at = max(self.next_at, self.clock.now() + self.gap * 2)
+                self.next_request_at = max(
+                    self.next_request_at, self.clock.now() + self.request_interval * 2
+                )
             raise CloudError(f"status {reply.status}: {reply.body[:100]!r}")
         return reply
 
@@ -83,21 +85,21 @@
             raise CloudError(f"unusable answer: {error}") from error
 
     async def catalog(self) -> list[MachineType]:
-        """Machine types with their current prices."""
+        """Read the machine types with their current prices."""
         return self._decode(await self._call("GET", "/catalog", None), Catalog).types
 
-    async def rent(self, request: RentalRequest, entitled: Callable[[], bool]) -> list[str]:
-        """Rent machines; the cloud may give fewer than requested."""
-        reply = await self._call("POST", "/rentals", msgspec.json.encode(request), entitled)
+    async def rent(self, request: RentalRequest, may_command: Callable[[], bool]) -> list[str]:
+        """Rent machines and return their names, which may be fewer than requested."""
+        reply = await self._call("POST", "/rentals", msgspec.json.encode(request), may_command)
         return self._decode(reply, MachineNames).machines
 
-    async def return_machines(self, machines: list[str], entitled: Callable[[], bool]) -> None:
-        """Return machines; on success they are gone."""
+    async def return_machines(self, machines: list[str], may_command: Callable[[], bool]) -> None:
+        """Return machines to the cloud; on success they are terminated."""
         body = msgspec.json.encode(MachineNames(machines))
-        await self._call("POST", "/rentals/return", body, entitled)
+        await self._call("POST", "/rentals/return", body, may_command)
 
     async def machines(self) -> list[ListedMachine]:
-        """The list of all machines; it lags behind."""
+        """Read the list of all rented machines, which lags behind."""
         result: list[ListedMachine] = []
         after = ""
         while True:
--- a/dappledrum/fleet/fleet_facts.py
+++ b/dappledrum/fleet/fleet_facts.py
@@ -1,8 +1,8 @@
 """Passes the machines that are still booting on to the next leader.
 
-The list of the cloud lags behind, so a new leader would not see what its predecessor has just
-rented, and would rent it again. The record is advisory: without it, machines turn up in the list
-or by their heartbeats.
+The cloud's list lags behind, so a new leader would not see the machines that its predecessor has
+just rented, and would rent them again. The record is advisory: without it, a new leader learns of
+the machines from the list or their heartbeats.
 """
 
 from datetime import UTC, datetime, timedelta
@@ -14,21 +14,21 @@
 from dappledrum.workers.machine_registry import MachineRegistry
 
 FLEET = "fleet"
-KEPT = timedelta(minutes=10)
-NAME_BYTES = 32  # of the value for each machine, so that it stays within what the service takes
-PAUSE = timedelta(seconds=1)
+MAX_BOOT_AGE = timedelta(minutes=10)
+BYTES_PER_MACHINE = 32  # of the value, to keep it within the size limit of the store
+WRITE_INTERVAL = timedelta(seconds=1)
 
 
 class FleetFacts:
-    """Writes the record when it has changed, during one term."""
+    """Reads and writes the record of booting machines during one term."""
 
     def __init__(
-        self, hint: AdvisoryRecord[FleetRecord], registry: MachineRegistry, clock: Clock
+        self, advisory_record: AdvisoryRecord[FleetRecord], registry: MachineRegistry, clock: Clock
     ) -> None:
-        self.hint = hint
+        self.advisory_record = advisory_record
         self.registry = registry
         self.clock = clock
-        self.most = hint.max_bytes // NAME_BYTES
+        self.max_machines = advisory_record.max_bytes // BYTES_PER_MACHINE
 
     def _record(self) -> FleetRecord:
         utc_now = self.clock.utc_now()
@@ -36,7 +36,9 @@
         known = {
             name: row.at_ms
             for row in (
-                self.hint.last_written.booting if self.hint.last_written is not None else ()
+                self.advisory_record.last_written.booting
+                if self.advisory_record.last_written is not None
+                else ()
             )
             for name in row.names
         }
@@ -44,29 +46,30 @@
         for machine in self.registry:
             age = now - machine.rented_at
             settled = machine.up or machine.returning or machine.unconfirmed
-            if settled or machine.kind is None or age > KEPT:
+            if settled or machine.kind is None or age > MAX_BOOT_AGE:
                 continue
-            # Whole seconds, and only changes of the machines matter: clocks wander by less.
+            # A time that was written once is kept, in whole seconds, so that only changes of the
+            # machines cause a write and the drift of clocks does not.
             at = known.get(machine.name, int((utc_now - age).timestamp()) * 1000)
             groups.setdefault((machine.kind, at), []).append(machine.name)
         rows = [BootingRecord(names, *kind, at) for (kind, at), names in groups.items()]
-        while sum(len(row.names) for row in rows) > self.most:
+        while sum(len(row.names) for row in rows) > self.max_machines:
             rows.pop(0)
         return FleetRecord(rows)
 
     async def run(self) -> None:
-        """Keep the record up to date."""
-        await self.hint.write_periodically(self._record, PAUSE)
+        """Write the record periodically if it has changed."""
+        await self.advisory_record.write_periodically(self._record, WRITE_INTERVAL)
 
     async def recall(self) -> None:
-        """Read what a predecessor has rented."""
-        record = await self.hint.read()
+        """Register the machines that a predecessor has rented."""
+        record = await self.advisory_record.read()
         if record is None:
             return
         now = self.clock.now()
         for row in record.booting:
             age = max(self.clock.utc_now() - datetime.fromtimestamp(row.at_ms / 1000, UTC), ZERO)
-            for name in row.names if age < KEPT else ():
+            for name in row.names if age < MAX_BOOT_AGE else ():
                 if self.registry.get(name) is None:
                     machine = self.registry.ensure(
                         name, InstanceKind(row.type, row.zone, row.spot), now
--- a/dappledrum/fleet/messages.py
+++ b/dappledrum/fleet/messages.py
@@ -28,7 +28,7 @@
         "zones": "halls",
     },
 ):
-    """A machine type of the catalog."""
+    """A machine type in the catalog."""
 
     name: Text
     cpus: Amount
@@ -47,12 +47,12 @@
         return seconds(self.boot_s)
 
     def hourly(self, spot: bool) -> float:
-        """Price of an hour."""
+        """Price of an hour on a spot or an ordinary machine."""
         return self.spot_price if spot and self.spot_price is not None else self.price
 
 
 class Catalog(msgspec.Struct, rename={"types": "builds"}):
-    """GET /catalog."""
+    """Response body of GET /catalog."""
 
     types: list[MachineType]
 
@@ -67,7 +67,7 @@
         "count": "number",
     },
 ):
-    """POST /rentals."""
+    """Request body of POST /rentals; `request` identifies the rental."""
 
     request: str
     type: str
@@ -77,7 +77,7 @@
 
 
 class MachineNames(msgspec.Struct, rename={"machines": "drums"}):
-    """Names of rented machines, or of those to be returned."""
+    """Names of machines that were rented, or are to be returned."""
 
     machines: list[Text]
 
@@ -105,14 +105,14 @@
 
 
 class MachineList(msgspec.Struct, rename={"machines": "drums"}):
-    """GET /rentals."""
+    """Response body of GET /rentals."""
 
     machines: list[ListedMachine]
     more: bool = False
 
 
 class BootingRecord(msgspec.Struct, array_like=True):
-    """Machines that were rented together and have not reported yet."""
+    """Machines that were rented together and have not sent a heartbeat yet."""
 
     names: list[str]
     type: str
@@ -122,6 +122,6 @@
 
 
 class FleetRecord(msgspec.Struct):
-    """Value of the key `fleet`: machines that the lagging list may not show to a successor."""
+    """Value of the key `fleet`: booting machines, which the lagging list may not show yet."""
 
     booting: list[BootingRecord]
--- a/dappledrum/fleet/test_autoscaler.py
+++ b/dappledrum/fleet/test_autoscaler.py
@@ -1,4 +1,4 @@
-"""What the keeper asks for, sets aside and gives back."""
+"""Rentals, cooldowns and returns of the autoscaler."""
 
 import asyncio
 from datetime import timedelta
@@ -19,22 +19,22 @@
 SPOT = InstanceKind("small", "a", True)
 
 
-class Till:
-    """A cloud that answers rentals from a list and notes what it is asked."""
+class FakeCloud:
+    """A cloud that answers rentals from a list and records the requests."""
 
     def __init__(self, *answers):
         self.answers = list(answers)
         self.requests = []
         self.returned = []
 
-    async def rent(self, request, entitled):
+    async def rent(self, request, may_command):
         self.requests.append(request.request)
         answer = self.answers.pop(0)
         if isinstance(answer, Exception):
             raise answer
         return answer
 
-    async def return_machines(self, names, entitled):
+    async def return_machines(self, names, may_command):
         self.returned += names
 
     async def machines(self):
@@ -69,23 +69,23 @@
         task.cancel()
 
 
-async def test_names_of_requests_are_never_used_twice_and_refusals_back_off():
-    cloud = Till(["h1"], NoCapacityError("none"), CloudError("no answer"), ["h2"])
+async def test_request_names_are_unique_and_refused_kinds_have_a_cooldown():
+    cloud = FakeCloud(["h1"], NoCapacityError("none"), CloudError("no answer"), ["h2"])
     autoscaler, registry = keeping(cloud)
-    spans = []
+    offers = []
     for _ in range(4):
         autoscaler.order({SPOT: 1}, set(), autoscaler.clock.now())
         await while_running(autoscaler, autoscaler.rent_loop, for_s=0.1)
-        spans.append(autoscaler.offered(SPOT))
+        offers.append(autoscaler.offered(SPOT))
         while not autoscaler.offered(SPOT):
             await asyncio.sleep(1)
     assert cloud.requests == ["r-3-1", "r-3-2", "r-3-3", "r-3-4"]
-    assert spans == [True, False, False, True]
+    assert offers == [True, False, False, True]
     assert set(registry.machines) == {"h1", "h2"}
 
 
-async def test_idle_machines_go_back_at_the_end_of_their_interval_and_can_be_had_again():
-    cloud = Till(["h1", "h2"], NoCapacityError("none"))
+async def test_idle_machines_are_returned_as_their_interval_ends_and_their_kind_is_offered_again():
+    cloud = FakeCloud(["h1", "h2"], NoCapacityError("none"))
     autoscaler, registry = keeping(cloud)
     for _ in range(2):
         autoscaler.order({SPOT: 2}, {"h2"}, autoscaler.clock.now())
@@ -97,14 +97,14 @@
     assert cloud.returned == []
     for machine in registry:
         machine.last_heartbeat = machine.last_answer = autoscaler.clock.now()
-    autoscaler.aside[SPOT] = (autoscaler.clock.now() + seconds(60), seconds(60))
+    autoscaler.cooldowns[SPOT] = (autoscaler.clock.now() + seconds(60), seconds(60))
     await while_running(autoscaler, autoscaler.return_loop, for_s=3)
     assert cloud.returned == ["h1"]
     assert autoscaler.offered(SPOT)
 
 
-async def test_a_boot_that_a_later_one_has_overtaken_is_given_up():
-    cloud = Till(["h1", "h2"], ["h3"])
+async def test_a_boot_is_given_up_after_a_later_one_has_completed():
+    cloud = FakeCloud(["h1", "h2"], ["h3"])
     autoscaler, registry = keeping(cloud)
     autoscaler.order({SPOT: 2}, {"h1", "h2", "h3"}, autoscaler.clock.now())
     await while_running(autoscaler, autoscaler.rent_loop, for_s=1)
@@ -117,11 +117,11 @@
     assert sorted(cloud.returned) == ["h1", "h2"]
 
 
-async def test_while_no_machine_comes_up_boots_are_exchanged_one_at_a_time():
-    """Given up after a fixed time, all were returned and rented again together, for as long as
-    the trouble lasted."""
+async def test_while_no_machine_comes_up_boots_are_replaced_one_at_a_time():
+    """When boots were given up after a fixed time, all machines were returned and rented again
+    together, for as long as the fault lasted."""
     names = [f"h{n}" for n in range(8)]
-    cloud = Till(names)
+    cloud = FakeCloud(names)
     autoscaler, _ = keeping(cloud)
     autoscaler.order({SPOT: 8}, set(names), autoscaler.clock.now())
     await while_running(autoscaler, autoscaler.rent_loop, autoscaler.return_loop, for_s=35)
@@ -131,23 +131,24 @@
     assert 1 <= len(cloud.returned) <= 4
 
 
-async def test_machines_that_have_not_found_a_new_leader_are_no_slow_boots():
-    """Taken for boots of many minutes, they made every takeover expect six times the boot."""
-    autoscaler, registry = keeping(Till())
+async def test_machines_that_have_not_found_a_new_leader_do_not_count_as_slow_boots():
+    """When they counted as boots of many minutes, each new leader expected six times the usual
+    boot time."""
+    autoscaler, registry = keeping(FakeCloud())
     await asyncio.sleep(300)
     for number in range(10):
         machine = registry.ensure(f"h{number}", SPOT, autoscaler.clock.now())
         machine.rented_at = timedelta(0)
     for _ in range(3):
-        autoscaler.look_at_boots()
+        autoscaler.update_boot_times()
         assert autoscaler.boots.ratio(SPOT) == 1.0
         await asyncio.sleep(40)
 
 
-async def test_a_machine_that_the_list_does_not_show_yet_is_kept():
-    """Lists may lag by far more than usual: dropped on its absence, it was paid for and never
-    used."""
-    cloud = Till(["h1"])
+async def test_a_machine_that_is_not_in_the_list_yet_is_kept():
+    """The list may lag far more than usual. When a machine was dropped because it was not listed,
+    it was paid for and never used."""
+    cloud = FakeCloud(["h1"])
     autoscaler, registry = keeping(cloud)
     autoscaler.order({SPOT: 1}, {"h1"}, autoscaler.clock.now())
     await while_running(autoscaler, autoscaler.rent_loop, autoscaler.list_loop, for_s=28)
@@ -155,9 +156,9 @@
     assert "h1" not in registry.terminated
 
 
-async def test_a_plan_made_while_a_request_was_out_does_not_ask_again():
-    """Guards against renting twice: such a plan has not counted what the answer brought."""
-    cloud = Till(["h1", "h2"], ["h3"])
+async def test_a_plan_made_while_a_rental_is_pending_does_not_request_it_again():
+    """Guards against renting twice: such a plan does not include the machines just rented."""
+    cloud = FakeCloud(["h1", "h2"], ["h3"])
     autoscaler, _ = keeping(cloud)
     before = autoscaler.clock.now()
     autoscaler.order({SPOT: 2}, set(), before)
--- a/dappledrum/learning/__init__.py
+++ b/dappledrum/learning/__init__.py
@@ -1,1 +1,1 @@
-"""Passes what a leader has learned on to the next one."""
+"""Passes learned run times and boot times on to the next leader."""
--- a/dappledrum/learning/messages.py
+++ b/dappledrum/learning/messages.py
@@ -1,4 +1,4 @@
-"""Stored form of what was learned; versions before 0.4.0 neither read nor change it."""
+"""Stored form of the learned values; versions before 0.4.0 neither read nor change it."""
 
 from typing import Annotated
 
@@ -30,7 +30,7 @@
 
 
 class LearnedRecord(msgspec.Struct, omit_defaults=True):
-    """Value of the key `learned`: advisory, without it a leader begins with the priors."""
+    """Value of the key `learned`; it is advisory, without it a leader starts with the priors."""
 
     classes: list[ClassRow] = []
     boots: list[BootRow] = []
--- a/dappledrum/learning/test_learning.py
+++ b/dappledrum/learning/test_learning.py
@@ -1,4 +1,4 @@
-"""What was learned outlives a takeover, and damage to it costs nothing but the learning."""
+"""Learned values survive a change of leader; a damaged record only loses the learned values."""
 
 import msgspec
 import pytest
@@ -13,8 +13,8 @@
 from dappledrum.timing.clock import seconds
 
 
-class Kept:
-    """Holds what would be stored."""
+class InMemoryRecord:
+    """Advisory record whose value is kept in memory."""
 
     max_bytes = 2048
     value = b""
@@ -27,10 +27,10 @@
         return msgspec.json.decode(self.value, type=LearnedRecord)
 
 
-def test_a_successor_expects_what_its_predecessor_did():
+def test_a_new_leader_reads_its_predecessors_estimates():
     async def main():
         cluster = SimulatedCluster(seed=1, members=("drummer-0",))
-        clock, hint = cluster.controllers["drummer-0"].clock, Kept()
+        clock, advisory_record = cluster.controllers["drummer-0"].clock, InMemoryRecord()
         estimates, boots = Estimates(), BootTimes()
         kind = InstanceKind("small", "a", True)
         boots.nominal = {"small": seconds(10)}
@@ -38,22 +38,24 @@
         for number in range(200):
             name = f"class-{number % 40}"
             estimates.record_task_time(f"j-{number}", name, seconds(10), seconds(10 + number % 40))
-            boots.finished(kind, clock.now() - seconds(25), clock.now())
-        before = LearnedEstimates(hint, estimates, boots, clock)
-        await hint.write_if_changed(before.record())
-        later, other = Estimates(), BootTimes()
-        other.nominal = boots.nominal
-        await LearnedEstimates(hint, later, other, clock).recall(boots.nominal)
-        known = [name for name in estimates.classes if name in later.classes]
+            boots.record_completed(kind, clock.now() - seconds(25), clock.now())
+        before = LearnedEstimates(advisory_record, estimates, boots, clock)
+        await advisory_record.write_if_changed(before.record())
+        later_estimates, later_boots = Estimates(), BootTimes()
+        later_boots.nominal = boots.nominal
+        await LearnedEstimates(advisory_record, later_estimates, later_boots, clock).recall(
+            boots.nominal
+        )
+        known = [name for name in estimates.classes if name in later_estimates.classes]
         assert len(known) >= 10
         for name in known:
-            assert abs(later.ratio(name) / estimates.ratio(name) - 1) < 0.02
-        assert other.expected(kind) / boots.expected(kind) == pytest.approx(1, abs=0.15)
+            assert abs(later_estimates.ratio(name) / estimates.ratio(name) - 1) < 0.02
+        assert later_boots.expected(kind) / boots.expected(kind) == pytest.approx(1, abs=0.15)
 
     run(main())
 
 
-def test_estimates_are_there_after_a_takeover_and_damage_is_survived():
+def test_a_new_leader_uses_the_record_and_survives_a_damaged_one():
     async def main():
         cluster = SimulatedCluster(seed=71)
         await cluster.until(lambda: cluster.leader() is not None)
@@ -67,9 +69,9 @@
         await cluster.wait(2)
         leader = cluster.controllers[cluster.leader()].leader
         assert leader.estimates.ratio("plain") < 0.7
-        assert leader.autoscaler.boots.seen
-        for boot in leader.autoscaler.boots.seen:
-            took = boot.up_at - boot.asked_at
+        assert leader.autoscaler.boots.completed
+        for boot in leader.autoscaler.boots.completed:
+            took = boot.up_at - boot.requested_at
             assert abs(took / boot.ratio / leader.autoscaler.types[boot.kind.type].boot - 1) < 0.01
         for damaged in ({"classes": 7}, {"classes": [["x", -1, 0, 0]]}, [], "x", None):
             cluster.store.keys["learned"] = (damaged, *cluster.store.keys["learned"][1:])
