--- a/dappledrum/accounting/__init__.py
+++ b/dappledrum/accounting/__init__.py
@@ -1,1 +1,1 @@
-"""Cost accounting: assigns each paid second of each machine to what it was spent on."""
+"""Cost accounting: assigns each paid second of each machine to a cost category."""
--- a/dappledrum/accounting/idle_categories.py
+++ b/dappledrum/accounting/idle_categories.py
@@ -1,10 +1,10 @@
-"""The reasons for which a machine is idle.
+"""Determines why a machine is idle.
 
-A machine runs several tasks at a time, so a second is divided by CPUs: each task gets the share
-that it uses, and the rest is idle. Idle time is split by its reason, since each has another
-remedy: nothing to do (return sooner, rent less), tasks that do not fit (another type), a team at
-its limit, a kind that no waiting task may use, or capacity that fits and is still not used
-(reserved by the plan, or a start is on its way).
+A machine runs several tasks at a time, so each second is divided by CPUs: a task gets the share
+that it uses, and the rest is idle. Idle time is split by its reason, since each reason has another
+remedy: no waiting tasks (return machines sooner, rent fewer), tasks that do not fit (rent another
+type), a team at its quota, a kind of machine that no waiting task may use, or capacity that a task
+would fit into (reserved by the plan, or a start has not arrived yet).
 """
 
 from collections.abc import Callable, Sequence
@@ -25,9 +25,9 @@
 def idle_category(
     kind: InstanceKind, free: Size, empty: bool, demands: Sequence[Demand]
 ) -> CostCategory:
-    """Why free capacity of a machine is not used.
+    """The category of a machine's idle capacity.
 
-    `free`: what is free on the machine; `empty`: whether nothing is placed there.
+    `free`: free capacity of the machine; `empty`: whether no task is placed there.
     """
     if not demands:
         return CostCategory.IDLE_EMPTY if empty else CostCategory.IDLE_BESIDE_WORK
--- a/dappledrum/accounting/ledger.py
+++ b/dappledrum/accounting/ledger.py
@@ -1,9 +1,9 @@
-"""The cost accounts of one term of leadership.
+"""Books the costs of one term of leadership by category.
 
-They are computed every two seconds from what the leader has in memory anyway; no message and no
-record depends on them. The cost of an attempt is booked with the attempt until its end shows
-whether it was kept or lost. Invariant: the sum of all categories is the cost of the machines that
-the leader is aware of. The amounts are in the currency of the catalog.
+Costs are computed every two seconds from the leader's memory; no message and no record depends on
+them. The cost of an attempt accrues with the attempt until its end shows whether it was kept or
+lost. Invariant: the sum of all categories is the cost of the machines that the leader knows. The
+amounts are in the currency of the catalog.
 """
 
 import logging
@@ -21,17 +21,17 @@
 
 log = logging.getLogger(__name__)
 
-#: How often the time that has passed should be booked.
+#: How often elapsed time should be booked.
 BOOKING_INTERVAL = timedelta(seconds=2)
 LOG_INTERVAL = timedelta(minutes=1)
 #: Categories with a smaller share of the cost are left out of the log.
 MIN_LOGGED_SHARE = 0.005
-#: Shares of a machine below this are errors of rounding.
+#: Shares of a machine below this are rounding errors.
 MIN_IDLE_SHARE = 1e-9
 
 Costs = defaultdict[CostCategory, float]
 
-#: Categories of attempts that are on a machine, in the order in which they are booked.
+#: Categories of attempts on a machine, in the order in which they are booked.
 PLACEMENT_CATEGORIES = (
     CostCategory.RUNNING,
     CostCategory.GANG_WAIT,
@@ -41,7 +41,7 @@
 
 
 def format_shares(costs: Mapping[CostCategory, float]) -> str:
-    """The share of each category as text for the log, largest first."""
+    """The share of each category as text for the log, largest share first."""
     total = sum(costs.values())
     if total <= 0:
         return "nothing"
@@ -54,7 +54,7 @@
 
 
 def _placement_category(placement: Placement) -> CostCategory:
-    """What the time of an attempt on a machine is booked as, until it has ended."""
+    """The category in which an attempt's time is booked until the attempt has ended."""
     if placement.running_since is not None:
         return CostCategory.RUNNING
     if placement.waiting_for_gang:
@@ -80,9 +80,9 @@
         self.registry = registry
         self.clock = clock
         self.began = clock.now()
-        self.accounts: dict[str, _Account] = {}  # by the names of the machines
-        self.unlogged: Costs = defaultdict(float)  # since the last line of the log
-        self.unlogged_ordinary = 0.0  # of that on machines that are not spot
+        self.accounts: dict[str, _Account] = {}  # by machine name
+        self.unlogged: Costs = defaultdict(float)  # costs since the last logged totals
+        self.unlogged_ordinary = 0.0  # part of these on machines that are not spot
         self.logged_at = self.began
 
     def book_elapsed(
@@ -93,9 +93,9 @@
     ) -> None:
         """Book the time since the last call.
 
-        `types`: the catalog, by name; machines of other types are left out.
+        `types`: machine types of the catalog by name; machines of other types are left out.
         `demands`: the waiting tasks.
-        `available`: names of the machines that new work may use; None: all.
+        `available`: names of the machines that new tasks may use; None means all.
         """
         now = self.clock.now()
         usable = None if available is None else set(available)
@@ -105,7 +105,7 @@
                 continue
             account = self.accounts.get(machine.name)
             if account is None:
-                # What was spent under a predecessor is in the predecessor's account.
+                # Costs before this term were booked by the previous leader.
                 start = max(machine.rented_at, self.began)
                 account = self.accounts[machine.name] = _Account(start, machine.kind)
             elapsed = max(now - account.booked_until, ZERO)
@@ -119,7 +119,7 @@
         for name in [name for name in self.accounts if name not in self.registry.machines]:
             account = self.accounts.pop(name)
             total = sum(account.costs.values())
-            log.debug("%s terminated, cost %.4f: %s", name, total, format_shares(account.costs))
+            log.debug("%s terminated: cost=%.4f, %s", name, total, format_shares(account.costs))
 
     def _book_machine(
         self,
@@ -130,7 +130,7 @@
         demands: Sequence[Demand],
         is_usable: bool,
     ) -> None:
-        """Divide the cost of some time of one machine among the categories."""
+        """Divide the cost of a machine's elapsed time among the categories."""
         if machine.returning:
             self._add(account, CostCategory.RETURNING, cost)
             return
@@ -148,8 +148,10 @@
     def _book_placements(
         self, account: _Account, machine: Machine, model: MachineType, cost: float
     ) -> tuple[Size, float]:
-        """Book the attempts on a machine by their CPUs; returns its free capacity and the share of
-        the cost that is left."""
+        """Book the attempts on a machine by their CPUs.
+
+        Returns the machine's free capacity and the share of the cost that is left.
+        """
         free = Size(model.cpus, model.gpus, model.memory_gb)
         left = 1.0
         shares = dict.fromkeys(PLACEMENT_CATEGORIES, 0.0)
@@ -174,7 +176,7 @@
             self.unlogged_ordinary += cost
 
     def settle(self, placement: Placement, category: CostCategory) -> None:
-        """Move the run time of an attempt that has ended to a category of kept or lost cost."""
+        """Move the accrued cost of an ended attempt to a category of kept or lost cost."""
         account = self.accounts.get(placement.machine)
         if account is not None and placement.accrued_cost > 0:
             for costs in (account.costs, self.unlogged):
@@ -183,9 +185,9 @@
         placement.accrued_cost = 0.0
 
     def log_totals(self, at_once: bool = False) -> bool:
-        """Log what was booked since the last line, once a minute or `at_once`.
+        """Log the costs booked since the last logged totals, every `LOG_INTERVAL` or `at_once`.
 
-        The lines of all leaders add up to what was spent. Returns whether a line was due.
+        The totals of all leaders add up to the whole cost. Returns whether totals were due.
         """
         now = self.clock.now()
         if not at_once and now - self.logged_at < LOG_INTERVAL:
@@ -193,9 +195,9 @@
         total = sum(self.unlogged.values())
         if total > 0:
             log.info(
-                "%.3f spent in %.0f s on %d machines, %.0f%% on ordinary ones: %s",
-                total,
+                "costs of the last %.0f s: total=%.3f machines=%d ordinary=%.0f%%, %s",
                 (now - self.logged_at).total_seconds(),
+                total,
                 len(self.accounts),
                 100 * self.unlogged_ordinary / total,
                 format_shares({key: max(cost, 0.0) for key, cost in self.unlogged.items()}),
--- a/dappledrum/accounting/served_counts.py
+++ b/dappledrum/accounting/served_counts.py
@@ -1,8 +1,7 @@
-"""Counts the accepted, started and completed jobs of each team for the log, and describes jobs in
-its lines.
+"""Counts the accepted, started and completed jobs of each team, and describes jobs in log lines.
 
-The service is judged by the smallest share of any team or class; `shares.py` sums up the logs of
-all controllers.
+The quality of service is measured by the smallest share of any team or class; `shares.py` computes
+the shares from the logs of all controllers.
 """
 
 from collections import Counter
@@ -20,10 +19,10 @@
 
 
 def describe_finished_job(job: Job, objectives: Sequence[Objective]) -> str:
-    """A log line for a job that has finished, in the wording that `shares.py` parses.
+    """A log line for a finished job, in the wording that `shares.py` parses.
 
-    It has the job's time since acceptance, and the time allowed, which is its owner's deadline or
-    else the earliest deadline of its class among the `objectives`.
+    It contains the time since acceptance, and the time allowed: the owner's deadline, or else the
+    earliest deadline of the job's class among the `objectives`.
     """
     record = job.ended_record()
     result = f"{job.id} is {record.state}: " + describe_job(
@@ -41,18 +40,18 @@
 
 
 class ServedCounts:
-    """Job counts of one term, including jobs that were live at its beginning."""
+    """Job counts of one term by team, including jobs that were live at its beginning."""
 
     def __init__(self) -> None:
         self.done: Counter[str] = Counter()
         self.cancelled: Counter[str] = Counter()
 
     def count_finished(self, job: Job) -> None:
-        """Count a job whose end is stored."""
+        """Count a job whose final state is stored."""
         (self.cancelled if job.cancelled else self.done)[job.spec.team] += 1
 
     def summary(self, live: Iterable[Job]) -> str:
-        """The counts as text, ordered by the names of the teams; `live` are the live jobs."""
+        """The counts as text, ordered by team name; `live` are the live jobs."""
         waiting: Counter[str] = Counter()
         started: Counter[str] = Counter()
         for job in live:
--- a/dappledrum/accounting/shares.py
+++ b/dappledrum/accounting/shares.py
@@ -1,12 +1,12 @@
-"""Shows how each class, each team and the largest jobs of each class were served, from the logs
-of all controllers.
+"""Reports the share of jobs done and in time by class and team, and for the largest jobs of each
+class, from the logs of all controllers.
 
     python3 -m dappledrum.accounting.shares [--least 0.5] LOG [LOG ...]
 
-The log lines are about single jobs, so any number of controllers, terms and restarts adds up, in
-any order. A job is in time when it was done within its owner's deadline, or else within the
-earliest deadline of its class; a job that never ended is not. Cancelled jobs do not count. The
-exit status is 1 if a share is below the least.
+Each log line is about a single job, so logs of any number of controllers, terms and restarts can
+be combined in any order. A job is in time if it was done within its owner's deadline, or else
+within the earliest deadline of its class; a job that never ended is not. Cancelled jobs do not
+count. The exit status is 1 if a share is below `--least`.
 """
 
 import argparse
@@ -17,55 +17,57 @@
 from operator import attrgetter
 from pathlib import Path
 
-#: Lines of `api.py` and of the leader, with the job described by `served_counts.describe_job`.
+#: Lines logged by `job_api.py` and the leader, with `served_counts.describe_job` in some of them.
 SUBMITTED_LINE = re.compile(r"(?:accepted|new job) (j-\d+): (\d+) tasks of (.+) for (.+)$")
 STARTED_LINE = re.compile(r"(j-\d+) began (-?[\d.]+) s after it came$")
 FINISHED_LINE = re.compile(
     r"(j-\d+) is (done|cancelled): (\d+) tasks of (.+) for (.+?)"
     r"(?:, (-?[\d.]+) s after it came)?(?:, due after ([\d.]+) s)?$"
 )
-#: One in so many jobs of a class, those with the most tasks, are its largest; at least one is.
+#: One in so many jobs of a class counts as its largest, by number of tasks; at least one does.
 JOBS_PER_LARGEST_JOB = 10
-#: The largest jobs of a class should have started by then.
+#: Time after submission by which the largest jobs of a class should have started.
 MAX_START_DELAY_S = 240.0
-EXIT_BELOW_LEAST = 1
+EXIT_SHARE_TOO_LOW = 1
 
 
 @dataclass
 class JobHistory:
-    """What the logs say about one job; times are in seconds after its submission."""
+    """State of one job according to the logs; times are in seconds after its submission."""
 
     job_class: str
     team: str
     tasks: int = 0
     state: str | None = None
-    started_s: float | None = None  # the first start that any leader saw
+    started_s: float | None = None  # the first start that any leader logged
     took_s: float | None = None
     due_s: float | None = None
 
     @property
     def in_time(self) -> bool:
-        """Whether it was done within its deadline."""
+        """Whether the job was done within its deadline."""
         done = self.state == "done" and self.took_s is not None
         return done and (self.due_s is None or (self.took_s or 0.0) <= self.due_s)
 
 
 @dataclass
 class ServiceShare:
-    """How a group of jobs was served, without the cancelled ones."""
+    """Numbers of jobs done and in time in a group of jobs, without the cancelled ones."""
 
     group: str
     jobs: int
     done: int
-    due: int  # of them, those of classes with deadlines
+    due: int  # number of jobs in classes with deadlines
     in_time: int
-    max_start_delay_s: float = 0.0  # from submission to the first start, as far as logs show
-    is_largest: bool = False  # the group is the largest jobs of a class
+    max_start_delay_s: float = 0.0  # from submission to the first start, of jobs with a logged one
+    is_largest: bool = False  # whether the group is the largest jobs of a class
 
     @property
-    def least(self) -> float:
-        """The smaller of the shares done and in time; for the largest jobs of a class only the
-        share done, as there are few of them."""
+    def min_share(self) -> float:
+        """The smaller of the shares done and in time.
+
+        For the largest jobs of a class, which are few, it is the share done.
+        """
         if self.is_largest:
             return self.done / self.jobs
         in_time = self.in_time / self.due if self.due else 1.0
@@ -73,7 +75,7 @@
 
 
 def parse(lines: Iterable[str]) -> dict[str, JobHistory]:
-    """Jobs by their ids, from log lines of any controller, in any order."""
+    """Jobs by ID, from log lines of any controllers in any order."""
     jobs: dict[str, JobHistory] = {}
     for line in lines:
         if (submitted := SUBMITTED_LINE.search(line.rstrip())) is not None:
@@ -130,9 +132,9 @@
     )
 
 
-def _row(share: ServiceShare, least: float) -> str:
-    """One line of the table, marked if the share is below `least` or its jobs started late."""
-    mark = "  below" if share.least < least else ""
+def _format_row(share: ServiceShare, required_share: float) -> str:
+    """A row of the table, marked if the share is below `required_share` or jobs started late."""
+    mark = "  below" if share.min_share < required_share else ""
     if share.is_largest and share.max_start_delay_s > MAX_START_DELAY_S:
         mark += "  late"
     return (
@@ -145,17 +147,21 @@
 def _parser() -> argparse.ArgumentParser:
     parser = argparse.ArgumentParser(
         prog="python3 -m dappledrum.accounting.shares",
-        description="What each class of jobs and each team was served, from controllers' logs.",
+        description="Shares of jobs done and in time by class and team, from controllers' logs.",
+    )
+    parser.add_argument(
+        "logs", nargs="+", type=Path, metavar="LOG", help="log written at level info"
+    )
+    parser.add_argument(
+        "--least", type=float, default=0.5, metavar="X", help="required share, default 0.5"
     )
-    parser.add_argument("logs", nargs="+", type=Path, metavar="LOG", help="written at info")
-    parser.add_argument("--least", type=float, default=0.5, metavar="X", help="default 0.5")
     return parser
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Print the table; returns the exit status, 1 if a share is below the least.
+    """Print the table; returns the exit status, 1 if a share is below the required one.
 
-    Raises `SystemExit` with status 2 if a log can't be read, or shows no jobs.
+    Raises `SystemExit` with status 2 if a log can't be read, or the logs contain no jobs.
     """
     parser = _parser()
     options = parser.parse_args(argv)
@@ -169,10 +175,10 @@
     if not rows:
         parser.error("no jobs in these logs: they must be written at info or debug")
     for row in rows:
-        print(_row(row, options.least))
-    least = min(rows, key=lambda row: row.least)
-    print(f"least: {least.group}, {least.least:.2f}")
-    return EXIT_BELOW_LEAST if least.least < options.least else 0
+        print(_format_row(row, options.least))
+    worst = min(rows, key=lambda row: row.min_share)
+    print(f"least: {worst.group}, {worst.min_share:.2f}")
+    return EXIT_SHARE_TOO_LOW if worst.min_share < options.least else 0
 
 
 if __name__ == "__main__":
--- a/dappledrum/accounting/test_accounting.py
+++ b/dappledrum/accounting/test_accounting.py
@@ -1,4 +1,4 @@
-"""The ledger compared with a plain sum, the categories of idle time, and the served counts."""
+"""The ledger compared with a plain sum, the categories of idle capacity, and the job counts."""
 
 from datetime import UTC, datetime, timedelta
 
@@ -23,7 +23,7 @@
 
 
 class ManualClock:
-    """A clock that is set by hand."""
+    """A clock that only the test advances."""
 
     def __init__(self):
         self.at = 0.0
@@ -54,37 +54,37 @@
 
 @settings(max_examples=150, derandomize=True, deadline=None)
 @given(steps)
-def test_all_cost_is_booked_once_whatever_happens(drawn):
+def test_all_cost_is_booked_exactly_once(drawn):
     clock, registry = ManualClock(), MachineRegistry()
     ledger = Ledger(registry, clock)
-    work = live_job(beats=200, vcpus=2.0)
+    array = live_job(beats=200, vcpus=2.0)
     names = ["host-0", "host-1", "host-2"]
     for name in names:
         registry.ensure(name, KIND, clock.now())
     total = kept = 0.0
-    for span, what, index in drawn:
+    for elapsed_s, step, index in drawn:
         machine = registry.machines[names[index]]
-        free = [p for p in machine.placements.values() if p.running_since is not None]
-        if what == "place" and len(machine.placements) < 2:
+        running = [p for p in machine.placements.values() if p.running_since is not None]
+        if step == "place" and len(machine.placements) < 2:
             machine.up_at = clock.now()
-            task = next(work.page(0).free_tasks())
-            placed = work.page(0).place(task, machine.name, 1, "a", clock.utc_now())
-            machine.placements[(work.id, task)] = placed
-        elif what == "run":
+            task = next(array.page(0).free_tasks())
+            placed = array.page(0).place(task, machine.name, 1, "a", clock.utc_now())
+            machine.placements[(array.id, task)] = placed
+        elif step == "run":
             for placement in machine.placements.values():
                 placement.running_since = placement.running_since or clock.now()
-        elif what in ("done", "lose") and free:
-            placement = free[0]
-            kept += placement.accrued_cost if what == "done" else 0.0
+        elif step in ("done", "lose") and running:
+            placement = running[0]
+            kept += placement.accrued_cost if step == "done" else 0.0
             ledger.settle(
-                placement, CostCategory.KEPT if what == "done" else CostCategory.LOST_LEASE_EXPIRED
+                placement, CostCategory.KEPT if step == "done" else CostCategory.LOST_LEASE_EXPIRED
             )
-            machine.placements.pop((work.id, placement.task))
-            work.page(0).remove(placement.task)
-        elif what == "return":
+            machine.placements.pop((array.id, placement.task))
+            array.page(0).remove(placement.task)
+        elif step == "return":
             machine.returning = True
-        clock.at += span
-        total += span / 3600 * MODEL.hourly(True) * len(registry.machines)
+        clock.at += elapsed_s
+        total += elapsed_s / 3600 * MODEL.hourly(True) * len(registry.machines)
         ledger.book_elapsed({"small": MODEL}, [])
     booked = sum(ledger.unlogged.values())
     assert abs(booked - total) < 1e-9
@@ -96,29 +96,29 @@
     assert not ledger.unlogged
 
 
-def test_why_a_machine_is_idle():
+def test_idle_capacity_is_categorized_by_the_waiting_tasks():
     free = Size(4, 0, 16)
 
-    def why(*demands, empty=True):
+    def category(*demands, empty=True):
         return idle_category(KIND, free, empty, demands)
 
     fits = Demand(Size(2, 0, 2), lambda _kind: True, True)
     large = Demand(Size(8, 0, 2), lambda _kind: True, True)
     elsewhere = Demand(Size(2, 0, 2), lambda kind: not kind.spot, True)
     limited = Demand(Size(2, 0, 2), lambda _kind: True, False)
-    assert why() is CostCategory.IDLE_EMPTY
-    assert why(empty=False) is CostCategory.IDLE_BESIDE_WORK
-    assert why(elsewhere) is CostCategory.IDLE_WRONG_KIND
-    assert why(elsewhere, limited) is CostCategory.IDLE_TEAM_LIMIT
-    assert why(elsewhere, limited, large) is CostCategory.IDLE_TOO_SMALL
-    assert why(elsewhere, limited, large, fits) is CostCategory.IDLE_KEPT_FREE
+    assert category() is CostCategory.IDLE_EMPTY
+    assert category(empty=False) is CostCategory.IDLE_BESIDE_WORK
+    assert category(elsewhere) is CostCategory.IDLE_WRONG_KIND
+    assert category(elsewhere, limited) is CostCategory.IDLE_TEAM_LIMIT
+    assert category(elsewhere, limited, large) is CostCategory.IDLE_TOO_SMALL
+    assert category(elsewhere, limited, large, fits) is CostCategory.IDLE_KEPT_FREE
     assert (
         format_shares({CostCategory.BOOT: 1.0, CostCategory.KEPT: 3.0}) == "kept 75.0%; boot 25.0%"
     )
     assert format_shares({}) == "nothing"
 
 
-def test_served_jobs_are_counted_by_team():
+def test_jobs_are_counted_by_team_and_state():
     served = ServedCounts()
     done, cancelled, started, waiting = (live_job(crew=c) for c in ("b", "b", "b", "a"))
     cancelled.cancelled = True
--- a/dappledrum/accounting/test_shares.py
+++ b/dappledrum/accounting/test_shares.py
@@ -1,4 +1,4 @@
-"""Shares of classes and teams, from the logs of whole controllers that restart meanwhile."""
+"""Shares by class and team, from the logs of simulated controllers that restart meanwhile."""
 
 import pytest
 
@@ -8,8 +8,8 @@
 from dappledrum.simulation.virtual_time import run
 
 
-def test_logs_of_all_controllers_add_up_to_what_users_were_served(caplog, tmp_path, capsys):
-    """Two teams, two classes, a cancelled job, and a leader that restarts meanwhile."""
+def test_shares_are_computed_from_the_combined_logs_of_all_controllers(caplog, tmp_path, capsys):
+    """Two teams and two classes, with a cancelled job and a leader that restarts."""
 
     async def day():
         cluster = SimulatedCluster(seed=8, teams=(Team("blue"), Team("red")))
