--- a/dappledrum/fleet/test_autoscaler.py
+++ b/dappledrum/fleet/test_autoscaler.py
@@ -41,7 +41,7 @@
         return []
 
 
-def keeping(cloud):
+def make_autoscaler(cloud):
     params = SimulatedCluster(seed=1, members=()).params
     registry = MachineRegistry()
     context = ReconciliationContext({}, registry, params.workers, Clock(), 3)
@@ -71,7 +71,7 @@
 
 async def test_request_names_are_unique_and_refused_kinds_have_a_cooldown():
     cloud = FakeCloud(["h1"], NoCapacityError("none"), CloudError("no answer"), ["h2"])
-    autoscaler, registry = keeping(cloud)
+    autoscaler, registry = make_autoscaler(cloud)
     offers = []
     for _ in range(4):
         autoscaler.order({SPOT: 1}, set(), autoscaler.clock.now())
@@ -86,7 +86,7 @@
 
 async def test_idle_machines_are_returned_as_their_interval_ends_and_their_kind_is_offered_again():
     cloud = FakeCloud(["h1", "h2"], NoCapacityError("none"))
-    autoscaler, registry = keeping(cloud)
+    autoscaler, registry = make_autoscaler(cloud)
     for _ in range(2):
         autoscaler.order({SPOT: 2}, {"h2"}, autoscaler.clock.now())
         await while_running(autoscaler, autoscaler.rent_loop, for_s=0.1)
@@ -105,7 +105,7 @@
 
 async def test_a_boot_is_given_up_after_a_later_one_has_completed():
     cloud = FakeCloud(["h1", "h2"], ["h3"])
-    autoscaler, registry = keeping(cloud)
+    autoscaler, registry = make_autoscaler(cloud)
     autoscaler.order({SPOT: 2}, {"h1", "h2", "h3"}, autoscaler.clock.now())
     await while_running(autoscaler, autoscaler.rent_loop, for_s=1)
     autoscaler.order({SPOT: 1}, {"h1", "h2", "h3"}, autoscaler.clock.now())
@@ -122,7 +122,7 @@
     together, for as long as the fault lasted."""
     names = [f"h{n}" for n in range(8)]
     cloud = FakeCloud(names)
-    autoscaler, _ = keeping(cloud)
+    autoscaler, _ = make_autoscaler(cloud)
     autoscaler.order({SPOT: 8}, set(names), autoscaler.clock.now())
     await while_running(autoscaler, autoscaler.rent_loop, autoscaler.return_loop, for_s=35)
     assert cloud.returned == []
@@ -134,7 +134,7 @@
 async def test_machines_that_have_not_found_a_new_leader_do_not_count_as_slow_boots():
     """When they counted as boots of many minutes, each new leader expected six times the usual
     boot time."""
-    autoscaler, registry = keeping(FakeCloud())
+    autoscaler, registry = make_autoscaler(FakeCloud())
     await asyncio.sleep(300)
     for number in range(10):
         machine = registry.ensure(f"h{number}", SPOT, autoscaler.clock.now())
@@ -149,7 +149,7 @@
     """The list may lag far more than usual. When a machine was dropped because it was not listed,
     it was paid for and never used."""
     cloud = FakeCloud(["h1"])
-    autoscaler, registry = keeping(cloud)
+    autoscaler, registry = make_autoscaler(cloud)
     autoscaler.order({SPOT: 1}, {"h1"}, autoscaler.clock.now())
     await while_running(autoscaler, autoscaler.rent_loop, autoscaler.list_loop, for_s=28)
     assert registry.get("h1") is not None
@@ -159,7 +159,7 @@
 async def test_a_plan_made_while_a_rental_is_pending_does_not_request_it_again():
     """Guards against renting twice: such a plan does not include the machines just rented."""
     cloud = FakeCloud(["h1", "h2"], ["h3"])
-    autoscaler, _ = keeping(cloud)
+    autoscaler, _ = make_autoscaler(cloud)
     before = autoscaler.clock.now()
     autoscaler.order({SPOT: 2}, set(), before)
     await while_running(autoscaler, autoscaler.rent_loop, for_s=0.1)
--- a/dappledrum/golden/test_cloud.py
+++ b/dappledrum/golden/test_cloud.py
@@ -4,7 +4,7 @@
 
 from dappledrum.fleet.cloud_client import CloudClient, CloudError, NoCapacityError
 from dappledrum.fleet.messages import ListedMachine, MachineType, RentalRequest
-from dappledrum.fleet.test_autoscaler import SPOT, keeping, while_running
+from dappledrum.fleet.test_autoscaler import SPOT, make_autoscaler, while_running
 from dappledrum.golden.entries import load
 from dappledrum.golden.recording_caller import RecordingCaller, as_sent
 from dappledrum.timing.clock import Clock
@@ -114,7 +114,7 @@
 
 async def test_rental_requests_are_named_after_the_epoch():
     caller = RecordingCaller([GOLDEN["rented"]])
-    manager, _ = keeping(CloudClient(caller, 4.0, Clock()))
+    manager, _ = make_autoscaler(CloudClient(caller, 4.0, Clock()))
     manager.order({SPOT: 1}, set(), manager.clock.now())
     await while_running(manager, manager.rent_loop, for_s=0.1)
     assert caller.sent == [as_sent(GOLDEN["rent-first-of-epoch"])]
