--- a/dappledrum/fleet/fleet_facts.py
+++ b/dappledrum/fleet/fleet_facts.py
@@ -61,7 +61,7 @@
         """Write the record periodically if it has changed."""
         await self.advisory_record.write_periodically(self._record, WRITE_INTERVAL)
 
-    async def recall(self) -> None:
+    async def load_previous(self) -> None:
         """Register the machines that a predecessor has rented."""
         record = await self.advisory_record.read()
         if record is None:
--- a/dappledrum/leader/advisory_records.py
+++ b/dappledrum/leader/advisory_records.py
@@ -34,7 +34,7 @@
             clock,
         )
 
-    async def recall(self, catalog_boot_times: Mapping[str, timedelta]) -> None:
+    async def load_previous(self, catalog_boot_times: Mapping[str, timedelta]) -> None:
         """Read the predecessor's records; `catalog_boot_times` are by machine type."""
-        await self.fleet.recall()
-        await self.estimates.recall(catalog_boot_times)
+        await self.fleet.load_previous()
+        await self.estimates.load_previous(catalog_boot_times)
--- a/dappledrum/leader/term_loader.py
+++ b/dappledrum/leader/term_loader.py
@@ -45,7 +45,7 @@
         graph.clear()
         for job in jobs.values():
             self.reconciler.restore(job)
-        await self.advisory_records.recall(
+        await self.advisory_records.load_previous(
             {name: model.boot for name, model in self.autoscaler.types.items()}
         )
         for job in list(jobs.values()):
--- a/dappledrum/learning/learned_estimates.py
+++ b/dappledrum/learning/learned_estimates.py
@@ -64,7 +64,7 @@
         """Write the record periodically if it has changed."""
         await self.advisory_record.write_periodically(self.record, WRITE_INTERVAL)
 
-    async def recall(self, nominal: Mapping[str, timedelta]) -> None:
+    async def load_previous(self, nominal: Mapping[str, timedelta]) -> None:
         """Read the values learned by a predecessor.
 
         `nominal`: the catalog's boot times, by machine type. They are needed because boots are
--- a/dappledrum/learning/test_learning.py
+++ b/dappledrum/learning/test_learning.py
@@ -43,7 +43,7 @@
         await advisory_record.write_if_changed(before.record())
         later_estimates, later_boots = Estimates(), BootTimes()
         later_boots.nominal = boots.nominal
-        await LearnedEstimates(advisory_record, later_estimates, later_boots, clock).recall(
+        await LearnedEstimates(advisory_record, later_estimates, later_boots, clock).load_previous(
             boots.nominal
         )
         known = [name for name in estimates.classes if name in later_estimates.classes]
