--- a/dappledrum/dependencies/lookup.py
+++ b/dappledrum/dependencies/lookup.py
@@ -49,7 +49,7 @@
             while len(self.arrays) > MAX_CACHED_ARRAYS:
                 self.arrays.popitem(last=False)
 
-    async def fault(self, needs: Collection[str], own: str) -> str | None:
+    async def refusal_reason(self, needs: Collection[str], own: str) -> str | None:
         """Why a submission with these dependencies is refused; None if it is valid.
 
         `own` is the ID of the submitted job.
--- a/dappledrum/store/test_hedged_commit.py
+++ b/dappledrum/store/test_hedged_commit.py
@@ -402,7 +402,7 @@
         if who == "polls":
             await asyncio.gather(*(polls.ask(name) for name in names))
         else:
-            assert await lookup.fault(names, "j-000009") is None
+            assert await lookup.refusal_reason(names, "j-000009") is None
         assert now() - began < 0.2
 
     run(main())
--- a/dappledrum/user_api/job_api.py
+++ b/dappledrum/user_api/job_api.py
@@ -176,7 +176,7 @@
             return refusal(HTTPStatus.BAD_REQUEST, why)
         why = infeasibility(spec, self.params, self.types)
         if why is None and spec.needs:
-            why = await self.lookup.fault(spec.needs, spec.id)
+            why = await self.lookup.refusal_reason(spec.needs, spec.id)
         if why is None and spec.form is Form.GANG and not self.gangs:
             return busy(2)
         return None if why is None else refusal(HTTPStatus.UNPROCESSABLE_ENTITY, why)
