--- a/dappledrum/dependencies/test_dependencies.py
+++ b/dappledrum/dependencies/test_dependencies.py
@@ -15,7 +15,7 @@
     return f"j-{number:06d}"
 
 
-def link(number, *needs, **changes):
+def dependent_job(number, *needs, **changes):
     changes = {"beats": 2, "dueS": None, "runS": 3.0, "expectedS": 3.0} | changes
     return job(number, waitsOn=[name(need) for need in needs], **changes)
 
@@ -29,10 +29,10 @@
 async def pipeline(cluster, first=1, **changes):
     """A fork and a join, with a deadline on the last job only."""
     return await cluster.accept(
-        link(first, urgency="best_effort", **changes),
-        link(first + 1, first),
-        link(first + 2, first, beats=3),
-        link(first + 3, first + 1, first + 2, urgency="high", dueS=90.0),
+        dependent_job(first, urgency="best_effort", **changes),
+        dependent_job(first + 1, first),
+        dependent_job(first + 2, first, beats=3),
+        dependent_job(first + 3, first + 1, first + 2, urgency="high", dueS=90.0),
     )
 
 
@@ -50,11 +50,11 @@
     await fault_scenarios.outage(6)(cluster)
 
 
-async def nothing(cluster):
+async def no_fault(cluster):
     await cluster.wait(0)
 
 
-FAULTS = [nothing, fault_scenarios.leader_killed, fault_scenarios.all_killed, outage]
+FAULTS = [no_fault, fault_scenarios.leader_killed, fault_scenarios.all_killed, outage]
 
 
 @pytest.mark.parametrize("fault", FAULTS)
@@ -77,7 +77,7 @@
     assert await cluster.cancel(names[0]) == "cancelled"
     await fault(cluster)
     # A job that is submitted later with a cancelled dependency is accepted, then cancelled.
-    assert await cluster.submit(link(9, 4)) == 201
+    assert await cluster.submit(dependent_job(9, 4)) == 201
     await cluster.wait(28)
     for cancelled in [*names, name(9)]:
         assert await cluster.poll(cancelled) == "cancelled"
@@ -97,7 +97,7 @@
     """All tasks have completed, but the cancellation was confirmed to the user before that was
     stored. The record decides, so dependents must not start on the last heartbeat alone."""
     cluster = await ready_cluster(35)
-    await cluster.accept(link(1), link(2, 1))
+    await cluster.accept(dependent_job(1), dependent_job(2, 1))
     state = cluster.network.services["state"]
 
     async def no_ends(source, method, path, body):
@@ -122,45 +122,45 @@
 
 async def test_dependencies_are_checked_before_a_submission_is_accepted():
     cluster = await ready_cluster(36)
-    await cluster.accept(link(1), link(2, form="service", expectedS=0.0))
-    assert await cluster.submit(link(3, 77)) == 422
-    assert await cluster.submit(link(3, 1, 77)) == 422
-    assert await cluster.submit(link(3, 3)) == 422
-    assert await cluster.submit(link(3, 1, 2)) == 422
-    assert await cluster.submit(link(3, 1, 1)) == 201
+    await cluster.accept(dependent_job(1), dependent_job(2, form="service", expectedS=0.0))
+    assert await cluster.submit(dependent_job(3, 77)) == 422
+    assert await cluster.submit(dependent_job(3, 1, 77)) == 422
+    assert await cluster.submit(dependent_job(3, 3)) == 422
+    assert await cluster.submit(dependent_job(3, 1, 2)) == 422
+    assert await cluster.submit(dependent_job(3, 1, 1)) == 201
     # An accepted job is never refused later, even with an invalid dependency.
-    assert await cluster.submit(link(3, 77)) == 200
+    assert await cluster.submit(dependent_job(3, 77)) == 200
     await cluster.finish([name(1), name(3)])
-    assert await cluster.submit(link(3, 77)) == 200
-    assert await cluster.submit(link(4, 1, 3)) == 201
-    await cluster.accept(*map(link, range(100, 140)))
+    assert await cluster.submit(dependent_job(3, 77)) == 200
+    assert await cluster.submit(dependent_job(4, 1, 3)) == 201
+    await cluster.accept(*map(dependent_job, range(100, 140)))
     requests = cluster.store.requests
-    assert await cluster.submit(link(5, *range(100, 140))) == 201
+    assert await cluster.submit(dependent_job(5, *range(100, 140))) == 201
     assert cluster.store.requests - requests < 30
     await cluster.finish([name(5)])
     for bad in ("j-000001", ["x"], [1], {"a": 1}):
-        body = json.dumps(link(6) | {"waitsOn": bad}).encode()
+        body = json.dumps(dependent_job(6) | {"waitsOn": bad}).encode()
         reply = await cluster._ask("POST", "/submissions", body)
         assert reply is not None
         assert reply.status == 400
         assert b"waitsOn" in reply.body
-    body = json.dumps(link(7) | {"waitsOn": None}).encode()
-    cluster.rules.submitted(link(7))
+    body = json.dumps(dependent_job(7) | {"waitsOn": None}).encode()
+    cluster.rules.submitted(dependent_job(7))
     assert (await cluster._ask("POST", "/submissions", body)).status == 201
 
 
 async def test_submissions_fail_quickly_while_dependencies_cannot_be_read():
     cluster = await ready_cluster(37)
-    assert await cluster.submit(link(1, beats=1)) == 201
+    assert await cluster.submit(dependent_job(1, beats=1)) == 201
     await cluster.finish([name(1)])
     cluster.store.out = True
     await cluster.wait(2)
-    cluster.rules.submitted(link(2, 1))
+    cluster.rules.submitted(dependent_job(2, 1))
     began = now()
-    assert await cluster.submit(link(2, 1), tries=1) is None
+    assert await cluster.submit(dependent_job(2, 1), tries=1) is None
     assert now() - began < 1.5
     cluster.store.end_outage()
-    assert await cluster.submit(link(2, 1)) == 201
+    assert await cluster.submit(dependent_job(2, 1)) == 201
     await cluster.finish([name(2)])
 
 
@@ -171,10 +171,10 @@
     cluster.drop_limits()
     await cluster.until_led()
     await cluster.wait(1)
-    assert await cluster.submit(link(1, runS=300.0, expectedS=300.0)) == 201
+    assert await cluster.submit(dependent_job(1, runS=300.0, expectedS=300.0)) == 201
     for number in range(2, 330):
         needs = (number - 1,) if number < 160 else (1, number // 2)
-        assert await cluster.submit(link(number, *needs)) == 201
+        assert await cluster.submit(dependent_job(number, *needs)) == 201
     assert await cluster.cancel(name(1)) == "cancelled"
     await cluster.wait(28)
     states = {await cluster.poll(name(number)) for number in range(1, 330)}
@@ -185,7 +185,9 @@
     """Jobs in a dependency cycle, or with a dependency that has no record, stay pending and can
     be cancelled; other jobs still run."""
     cluster = await ready_cluster(39)
-    await cluster.accept(*(link(number, runS=200.0, expectedS=200.0) for number in (1, 2, 3)))
+    await cluster.accept(
+        *(dependent_job(number, runS=200.0, expectedS=200.0) for number in (1, 2, 3))
+    )
     leader = cluster.leader()
     for member in cluster.members:
         cluster.kill(member)
@@ -200,7 +202,7 @@
         cluster.start(member)
     await cluster.until_led()
     assert leader is not None
-    assert await cluster.submit(link(4)) == 201
+    assert await cluster.submit(dependent_job(4)) == 201
     await cluster.finish([name(4)])
     for number in (1, 3):
         assert await cluster.cancel(name(number)) == "cancelled"
--- a/dappledrum/jobs/record_writer.py
+++ b/dappledrum/jobs/record_writer.py
@@ -35,7 +35,7 @@
 
 
 WRITE_BATCH_WINDOW = timedelta(milliseconds=15)  # collects changes that arrive together
-MAX_COMMIT_DELAY = timedelta(seconds=2)  # delay of task ends while starts need the write rate
+MAX_COMMIT_DELAY = timedelta(seconds=2)  # for ends of tasks, while starts need the write rate
 MAX_ENDING_JOBS_MOVED_AT_ONCE = 16  # above this, cancellations are recorded before jobs are moved
 CHANGES_PER_ENDED_JOB = 2  # the head is deleted, the final state is put
 RECHECK_INTERVAL = timedelta(milliseconds=100)
@@ -280,7 +280,7 @@
                 and not job.cancelled
             ):
                 job.cancelled = job.cancel_stored = True
-                log.info("%s was cancelled by another controller", job.id)
+                log.info("cancellation of %s found in the store", job.id)
                 self.on_cancelled(job)
         elif page.index == 0:
             await self._read_final_state(job)
--- a/dappledrum/jobs/term_committer.py
+++ b/dappledrum/jobs/term_committer.py
@@ -31,7 +31,7 @@
         """Store changes; returns the revision of the transaction.
 
         `evidence`: values that only this transaction can have written; the first one is read
-        while the response is late. Raises a `StoreError`, among them a failed guard's conflict.
+        while the response is late. Raises a `StoreError`, such as the conflict of a failed guard.
         """
         guards = [self.term.guard(), *guards]
         try:
@@ -51,7 +51,7 @@
     async def delete(self, guards: Sequence[Guard], keys: Sequence[str]) -> None:
         """Delete keys with low priority.
 
-        Raises a `StoreError`, among them a failed guard's conflict.
+        Raises a `StoreError`, such as the conflict of a failed guard.
         """
         guards = [self.term.guard(), *guards]
         changes = [Delete(key) for key in keys]
