--- a/dappledrum/dependencies/graph.py
+++ b/dappledrum/dependencies/graph.py
@@ -27,7 +27,7 @@
     """The remembered outcome of a finished job."""
 
     outcome: Outcome
-    at: datetime | None  # when it ended; None if written by a version that does not store it
+    ended_at: datetime | None  # when it ended; None if written by a version that does not store it
     depth: int
 
 
@@ -66,18 +66,18 @@
     def add(self, job: Job) -> None:
         """Add a live job."""
         self.unknown.pop(job.id, None)
-        for need in sorted(job.unmet_dependencies):
-            self.dependents.setdefault(need, {})[job.id] = None
-        for need in sorted(job.unmet_dependencies):
-            live, past = self.jobs.get(need), self.outcomes.get(need)
+        for dependency in sorted(job.unmet_dependencies):
+            self.dependents.setdefault(dependency, {})[job.id] = None
+        for dependency in sorted(job.unmet_dependencies):
+            live, stored = self.jobs.get(dependency), self.outcomes.get(dependency)
             if live is not None:
                 job.depth = max(job.depth, live.depth + 1)
                 if live.cancelled:
                     self._cancel_dependents(live)
-            elif past is not None:
-                self._settle(need, job, past)
+            elif stored is not None:
+                self._apply_outcome(dependency, job, stored)
             else:
-                self.unknown[need] = None
+                self.unknown[dependency] = None
         if job.unmet_dependencies and not job.cancelled:
             log.info("%s waits for %s", job.id, format_names(job.unmet_dependencies))
         if job.cancelled:
@@ -90,43 +90,45 @@
     def ended(self, job: Job) -> None:
         """Handle that the final state of a job was stored."""
         record = job.ended_record()
-        for need in job.unmet_dependencies:
-            self._unlink(need, job.id)
-        self.settle(job.id, record, job.depth)
+        for dependency in job.unmet_dependencies:
+            self._unlink(dependency, job.id)
+        self.record_outcome(job.id, record, job.depth)
 
-    def settle(self, name: str, record: EndedRecord, depth: int = 0) -> None:
+    def record_outcome(self, name: str, record: EndedRecord, depth: int = 0) -> None:
         """Record a stored final state, and release or cancel the jobs that wait for it."""
-        at = None if record.at_ms is None else datetime.fromtimestamp(record.at_ms / 1000, UTC)
-        past = self.outcomes[name] = StoredOutcome(record.state, at, depth)
+        ended_at = (
+            None if record.at_ms is None else datetime.fromtimestamp(record.at_ms / 1000, UTC)
+        )
+        stored = self.outcomes[name] = StoredOutcome(record.state, ended_at, depth)
         while len(self.outcomes) > MAX_REMEMBERED_OUTCOMES:
             self.outcomes.popitem(last=False)
         self.unknown.pop(name, None)
         for dependent in list(self.dependents.get(name, ())):
             job = self.jobs.get(dependent)
             if job is not None:
-                self._settle(name, job, past)
+                self._apply_outcome(name, job, stored)
         self.dependents.pop(name, None)
 
-    def _unlink(self, need: str, dependent: str) -> None:
-        waiting = self.dependents.get(need)
+    def _unlink(self, dependency: str, dependent: str) -> None:
+        waiting = self.dependents.get(dependency)
         if waiting is not None:
             waiting.pop(dependent, None)
             if not waiting:
-                self.dependents.pop(need)
-                self.unknown.pop(need, None)
+                self.dependents.pop(dependency)
+                self.unknown.pop(dependency, None)
 
-    def _settle(self, need: str, job: Job, past: StoredOutcome) -> None:
-        if past.outcome is Outcome.CANCELLED:
-            self._cancel(job, need)
+    def _apply_outcome(self, dependency: str, job: Job, stored: StoredOutcome) -> None:
+        if stored.outcome is Outcome.CANCELLED:
+            self._cancel(job, dependency)
             self._cancel_dependents(job)
             return
-        job.unmet_dependencies.discard(need)
-        job.depth = max(job.depth, past.depth + 1)
-        if past.at is not None:
+        job.unmet_dependencies.discard(dependency)
+        job.depth = max(job.depth, stored.depth + 1)
+        if stored.ended_at is not None:
             # Without a stored time, the dependency ended before this job was accepted, and the
             # job's times count from its acceptance.
-            job.released_at = max(job.released_at, past.at)
-        self._unlink(need, job.id)
+            job.released_at = max(job.released_at, stored.ended_at)
+        self._unlink(dependency, job.id)
         if not job.unmet_dependencies and not job.cancelled:
             waited = (job.released_at - job.accepted_at).total_seconds()
             log.info("%s released %.1f s after submission: all dependencies done", job.id, waited)
@@ -146,11 +148,11 @@
                     self._cancel(dependent, job.id)
                     stack.append(dependent)
 
-    def _cancel(self, job: Job, need: str) -> None:
+    def _cancel(self, job: Job, dependency: str) -> None:
         if job.cancelled:
             return
         job.cancelled = True
-        log.info("%s cancelled with its dependency %s", job.id, need)
+        log.info("%s cancelled with its dependency %s", job.id, dependency)
         if job.placement_count():
             # Without placements the job ends at once, and its head is not written again.
             job.page(0).bump_revision()
--- a/dappledrum/dependencies/lookup.py
+++ b/dappledrum/dependencies/lookup.py
@@ -31,13 +31,13 @@
         self,
         store: StoreClient,
         max_guards: int,
-        read: Callable[[str], Awaitable[JobRecord | None]],
-        read_many: Callable[[set[str]], Awaitable[dict[str, LiveRecord]]],
+        read_head: Callable[[str], Awaitable[JobRecord | None]],
+        read_heads: Callable[[set[str]], Awaitable[dict[str, LiveRecord]]],
     ) -> None:
         self.store = store
         self.max_names = max(1, max_guards // 2)
-        self.read = read
-        self.read_many = read_many
+        self.read_head = read_head
+        self.read_heads = read_heads
         #: Accepted jobs that are not services, least recently confirmed first.
         self.arrays: OrderedDict[str, None] = OrderedDict()
 
@@ -91,7 +91,7 @@
     async def _forms(self, names: set[str]) -> dict[str, Form]:
         """Forms of live jobs by ID, without jobs that have ended meanwhile."""
         if len(names) > MAX_SINGLE_READS:
-            many = await self.read_many(names)
+            many = await self.read_heads(names)
             return {n: v[0].spec.form for n, v in many.items() if not isinstance(v, StoreError)}
-        records = await asyncio.gather(*(self.read(name) for name in names))
+        records = await asyncio.gather(*(self.read_head(name) for name in names))
         return {record.spec.id: record.spec.form for record in records if record is not None}
--- a/dappledrum/dependencies/resolver.py
+++ b/dappledrum/dependencies/resolver.py
@@ -41,7 +41,7 @@
         """Read each unknown final state once, if its retry is due."""
         now = self.clock.now()
         unknown = self.graph.unknown
-        self.retries = {name: held for name, held in self.retries.items() if name in unknown}
+        self.retries = {name: retry for name, retry in self.retries.items() if name in unknown}
         due = [name for name in unknown if self.retries.get(name, (now, 0))[0] <= now]
         for first in range(0, len(due), MAX_CONCURRENT_READS):
             await asyncio.gather(
@@ -58,7 +58,7 @@
                 else None
             )
             if entry is not None:
-                self.graph.settle(name, msgspec.json.decode(entry.value, type=EndedRecord))
+                self.graph.record_outcome(name, msgspec.json.decode(entry.value, type=EndedRecord))
                 return
         except StoreError as error:
             log.info("dependency %s not read: %s", name, error)
--- a/dappledrum/fleet/autoscaler.py
+++ b/dappledrum/fleet/autoscaler.py
@@ -195,7 +195,7 @@
         request = RentalRequest(
             f"r-{self.epoch}-{self.request_count}", kind.type, kind.zone, kind.spot, count
         )
-        sent = self.clock.now()
+        sent_at = self.clock.now()
         try:
             names = await self.cloud.rent(request, self.may_command)
         except NoCapacityError:
@@ -220,10 +220,10 @@
         )
         for name in names:
             if name not in self.registry.terminated:
-                machine = self.registry.ensure(name, kind, sent)
-                machine.rented_at = sent
+                machine = self.registry.ensure(name, kind, sent_at)
+                machine.rented_at = sent_at
                 if not machine.up:
-                    machine.asked_at = sent
+                    machine.asked_at = sent_at
         if len(names) < count:
             self._start_cooldown(kind)
         else:
@@ -231,13 +231,13 @@
         self.request_plan("rented")
 
     def _start_cooldown(self, kind: InstanceKind) -> None:
-        _, before = self.cooldowns.get(kind, (ZERO, ZERO))
-        span = min(max(before * 2, MIN_KIND_COOLDOWN), MAX_KIND_COOLDOWN)
-        self.cooldowns[kind] = (self.clock.now() + span, span)
+        _, previous_length = self.cooldowns.get(kind, (ZERO, ZERO))
+        length = min(max(previous_length * 2, MIN_KIND_COOLDOWN), MAX_KIND_COOLDOWN)
+        self.cooldowns[kind] = (self.clock.now() + length, length)
         log.info(
             "no capacity: type=%s zone=%s spot=%s, not requested for %.0f s",
             *kind,
-            span.total_seconds(),
+            length.total_seconds(),
         )
 
     # returning
@@ -362,11 +362,16 @@
         if not self.listed:
             self.listed = True
             self.request_plan("first list")
-        stale = 3 * self.params.cloud.list_lag + timedelta(seconds=10)
+        max_age = 3 * self.params.cloud.list_lag + timedelta(seconds=10)
         for machine in self.registry:
-            known = machine.listed_at if machine.listed_at is not None else machine.rented_at
-            unheard = machine.last_heartbeat is None or now - machine.last_heartbeat > stale
-            if machine.returning or machine.placements or now - known <= stale or not unheard:
+            known_at = machine.listed_at if machine.listed_at is not None else machine.rented_at
+            is_silent = machine.last_heartbeat is None or now - machine.last_heartbeat > max_age
+            if (
+                machine.returning
+                or machine.placements
+                or now - known_at <= max_age
+                or not is_silent
+            ):
                 continue
             if machine.listed_at is None and not machine.up:
                 continue  # the lag of the list has no limit; `overdue` handles a slow boot
--- a/dappledrum/fleet/fleet_facts.py
+++ b/dappledrum/fleet/fleet_facts.py
@@ -33,7 +33,7 @@
     def _record(self) -> FleetRecord:
         utc_now = self.clock.utc_now()
         now = self.clock.now()
-        known = {
+        written_times = {
             name: row.at_ms
             for row in (
                 self.advisory_record.last_written.booting
@@ -45,12 +45,12 @@
         groups: dict[tuple[InstanceKind, int], list[str]] = {}
         for machine in self.registry:
             age = now - machine.rented_at
-            settled = machine.up or machine.returning or machine.unconfirmed
-            if settled or machine.kind is None or age > MAX_BOOT_AGE:
+            excluded = machine.up or machine.returning or machine.unconfirmed
+            if excluded or machine.kind is None or age > MAX_BOOT_AGE:
                 continue
             # A time that was written once is kept, in whole seconds, so that only changes of the
             # machines cause a write and the drift of clocks does not.
-            at = known.get(machine.name, int((utc_now - age).timestamp()) * 1000)
+            at = written_times.get(machine.name, int((utc_now - age).timestamp()) * 1000)
             groups.setdefault((machine.kind, at), []).append(machine.name)
         rows = [BootingRecord(names, *kind, at) for (kind, at), names in groups.items()]
         while sum(len(row.names) for row in rows) > self.max_machines:
--- a/dappledrum/jobs/record_batch.py
+++ b/dappledrum/jobs/record_batch.py
@@ -61,14 +61,14 @@
         if self.changes and (too_many or self._bytes + size > MAX_TRANSACTION_BYTES):
             return False
         self._bytes += size
-        main = puts[0]
+        page_put = puts[0]
         self.guards.append(Guard(page.key, page.version))
         self.changes += changes
         if _identifies_transaction(page):
-            self.evidence.append(Evidence(page.key, page.version, main.value))
+            self.evidence.append(Evidence(page.key, page.version, page_put.value))
         parts = sum(put.key.startswith(ROWS_PREFIX) for put in puts)
         self.pages.append(
-            WrittenPage(page, page.revision, parts, len(bytes(main.value)), page.job.cancelled)
+            WrittenPage(page, page.revision, parts, len(bytes(page_put.value)), page.job.cancelled)
         )
         return True
 
@@ -80,10 +80,10 @@
         """Length of the longest value of a page's own key."""
         return max((written.value_bytes for written in self.pages), default=0)
 
-    def mark_conflicts(self, failed: set[str]) -> None:
+    def mark_conflicts(self, failed_keys: set[str]) -> None:
         """Record which guards have failed; those versions are read before the next write."""
         for page in self.guarded_pages():
-            page.version_uncertain |= page.key in failed
+            page.version_uncertain |= page.key in failed_keys
 
     def mark_outcome_unknown(self) -> None:
         """Record that the transaction may have been executed, or may still be."""
--- a/dappledrum/jobs/test_garbage.py
+++ b/dappledrum/jobs/test_garbage.py
@@ -8,7 +8,7 @@
 from dappledrum.simulation.cluster import SimulatedCluster, job
 from dappledrum.simulation.virtual_time import run
 
-SMALL = NextLimits(value_kb=2.0)
+SMALL_VALUES = NextLimits(value_kb=2.0)
 
 
 def stored_keys(cluster, prefix):
@@ -31,7 +31,7 @@
     leftovers of an ended job and removed them; the job lacked a part and never ran."""
 
     async def main():
-        cluster = SimulatedCluster(seed=3, next=SMALL)
+        cluster = SimulatedCluster(seed=3, next=SMALL_VALUES)
         await cluster.until(lambda: cluster.leader() is not None)
         await cluster.wait(5)
         spec = job(7, builds=["small"] + [f"{n:04d}" * 10 for n in range(30)], dueS=None)
@@ -65,7 +65,7 @@
     not know of the attempts in them."""
 
     async def main():
-        cluster = SimulatedCluster(seed=4, next=SMALL)
+        cluster = SimulatedCluster(seed=4, next=SMALL_VALUES)
         await cluster.until(lambda: cluster.leader() is not None)
         await cluster.wait(4)
         spec = job(8, beats=24, vcpus=0.5, runS=300.0, expectedS=300.0, dueS=400.0)
@@ -102,7 +102,7 @@
     """The removal may be executed after a job with the same ID has been submitted."""
 
     async def main():
-        cluster = SimulatedCluster(seed=5, next=SMALL)
+        cluster = SimulatedCluster(seed=5, next=SMALL_VALUES)
         await cluster.until(lambda: cluster.leader() is not None)
         await cluster.wait(4)
         leader = cluster.controllers[cluster.leader()].leader
