--- a/dappledrum/accounting/ledger.py
+++ b/dappledrum/accounting/ledger.py
@@ -82,7 +82,7 @@
         self.began = clock.now()
         self.accounts: dict[str, _Account] = {}  # by machine name
         self.unlogged: Costs = defaultdict(float)  # costs since the last logged totals
-        self.unlogged_ordinary = 0.0  # part of these on machines that are not spot
+        self.unlogged_on_demand = 0.0  # part of these on on-demand machines
         self.logged_at = self.began
 
     def book_elapsed(
@@ -173,7 +173,7 @@
         account.costs[category] += cost
         self.unlogged[category] += cost
         if not account.kind.spot:
-            self.unlogged_ordinary += cost
+            self.unlogged_on_demand += cost
 
     def settle(self, placement: Placement, category: CostCategory) -> None:
         """Move the accrued cost of an ended attempt to a category of kept or lost cost."""
@@ -195,14 +195,14 @@
         total = sum(self.unlogged.values())
         if total > 0:
             log.info(
-                "costs of the last %.0f s: total=%.3f machines=%d ordinary=%.0f%%, %s",
+                "costs of the last %.0f s: total=%.3f machines=%d on_demand=%.0f%%, %s",
                 (now - self.logged_at).total_seconds(),
                 total,
                 len(self.accounts),
-                100 * self.unlogged_ordinary / total,
+                100 * self.unlogged_on_demand / total,
                 format_shares({key: max(cost, 0.0) for key, cost in self.unlogged.items()}),
             )
         self.logged_at = now
         self.unlogged.clear()
-        self.unlogged_ordinary = 0.0
+        self.unlogged_on_demand = 0.0
         return True
--- a/dappledrum/accounting/test_accounting.py
+++ b/dappledrum/accounting/test_accounting.py
@@ -54,37 +54,37 @@
 
 @settings(max_examples=150, derandomize=True, deadline=None)
 @given(steps)
-def test_all_cost_is_booked_exactly_once(drawn):
+def test_all_cost_is_booked_once_whatever_happens(drawn):
     clock, registry = ManualClock(), MachineRegistry()
     ledger = Ledger(registry, clock)
-    array = live_job(beats=200, vcpus=2.0)
+    work = live_job(beats=200, vcpus=2.0)
     names = ["host-0", "host-1", "host-2"]
     for name in names:
         registry.ensure(name, KIND, clock.now())
     total = kept = 0.0
-    for elapsed_s, step, index in drawn:
+    for span, what, index in drawn:
         machine = registry.machines[names[index]]
-        running = [p for p in machine.placements.values() if p.running_since is not None]
-        if step == "place" and len(machine.placements) < 2:
+        free = [p for p in machine.placements.values() if p.running_since is not None]
+        if what == "place" and len(machine.placements) < 2:
             machine.up_at = clock.now()
-            task = next(array.page(0).free_tasks())
-            placed = array.page(0).place(task, machine.name, 1, "a", clock.utc_now())
-            machine.placements[(array.id, task)] = placed
-        elif step == "run":
+            task = next(work.page(0).free_tasks())
+            placed = work.page(0).place(task, machine.name, 1, "a", clock.utc_now())
+            machine.placements[(work.id, task)] = placed
+        elif what == "run":
             for placement in machine.placements.values():
                 placement.running_since = placement.running_since or clock.now()
-        elif step in ("done", "lose") and running:
-            placement = running[0]
-            kept += placement.accrued_cost if step == "done" else 0.0
+        elif what in ("done", "lose") and free:
+            placement = free[0]
+            kept += placement.accrued_cost if what == "done" else 0.0
             ledger.settle(
-                placement, CostCategory.KEPT if step == "done" else CostCategory.LOST_LEASE_EXPIRED
+                placement, CostCategory.KEPT if what == "done" else CostCategory.LOST_LEASE_EXPIRED
             )
-            machine.placements.pop((array.id, placement.task))
-            array.page(0).remove(placement.task)
-        elif step == "return":
+            machine.placements.pop((work.id, placement.task))
+            work.page(0).remove(placement.task)
+        elif what == "return":
             machine.returning = True
-        clock.at += elapsed_s
-        total += elapsed_s / 3600 * MODEL.hourly(True) * len(registry.machines)
+        clock.at += span
+        total += span / 3600 * MODEL.hourly(True) * len(registry.machines)
         ledger.book_elapsed({"small": MODEL}, [])
     booked = sum(ledger.unlogged.values())
     assert abs(booked - total) < 1e-9
--- a/dappledrum/fleet/autoscaler.py
+++ b/dappledrum/fleet/autoscaler.py
@@ -61,7 +61,7 @@
         self.types: dict[str, MachineType] = {}
         self.wanted: dict[InstanceKind, int] = {}  # from the newest plan
         self.needed: set[str] = set()  # machines that the newest plan uses
-        self.keep_spot = False  # idle spot machines are kept for work that ordinary ones do now
+        self.keep_spot = False  # idle spot machines are kept for work that on-demand ones do now
         #: End and length of the cooldown of each kind that was refused.
         self.cooldowns: dict[InstanceKind, tuple[timedelta, timedelta]] = {}
         #: When the newest request for each kind was answered.
--- a/dappledrum/fleet/boot_times.py
+++ b/dappledrum/fleet/boot_times.py
@@ -2,7 +2,7 @@
 
 The design assumes steady boot times. Where they vary, the catalog's boot time is only a prior.
 Completed boots are weighted by age and by how similar their type, zone and pricing (spot or
-ordinary) are; a boot in progress counts as one that takes at least its present age. The same data
+on-demand) are; a boot in progress counts as one that takes at least its present age. The same data
 decide whether a boot is given up: if machines that were requested later are up already, a
 replacement is expected sooner. While no machine comes up, all boots are slow and a replacement
 would be slow too, so one machine at a time is replaced as a probe.
--- a/dappledrum/fleet/messages.py
+++ b/dappledrum/fleet/messages.py
@@ -47,7 +47,7 @@
         return seconds(self.boot_s)
 
     def hourly(self, spot: bool) -> float:
-        """Price of an hour on a spot or an ordinary machine."""
+        """Price of an hour on a spot or an on-demand machine."""
         return self.spot_price if spot and self.spot_price is not None else self.price
 
 
--- a/dappledrum/jobs/test_job.py
+++ b/dappledrum/jobs/test_job.py
@@ -21,7 +21,7 @@
 )
 
 
-def reloaded(live):
+def stored_again(live):
     """The job as the next leader reads it."""
     result = Job(live.head_record(), 1)
     page = live.page(1)
@@ -31,9 +31,9 @@
 
 @settings(max_examples=200, derandomize=True, deadline=None)
 @given(steps)
-def test_each_task_counts_as_either_waiting_or_running_or_done(drawn):
-    """A task may complete in an attempt that was presumed lost while a later attempt is on a
-    machine. It counts as done only, and must not change the counts of running or waiting tasks."""
+def test_tasks_are_waiting_or_running_or_done(drawn):
+    """A task that completed in an attempt that was taken for lost is done, although a later
+    attempt is on a machine: it neither counts as running nor for another that waits."""
     spec = msgspec.convert(job(7, beats=TASKS), Spec)
     live = Job(JobRecord(spec, 0, PAGE_SIZE, PageRecord()), 1)
     done, placed = set(), set()
@@ -49,7 +49,7 @@
             page.remove(task)
             placed.discard(task)
         elif step == "store":
-            live = reloaded(live)
+            live = stored_again(live)
         waiting = set(range(TASKS)) - done - placed
         assert live.running() == len(placed - done) == live.head_record().running
         assert live.waiting() == len(waiting)
