--- a/dappledrum/fleet/autoscaler.py
+++ b/dappledrum/fleet/autoscaler.py
@@ -176,7 +176,7 @@
     # renting
 
     async def rent_loop(self) -> None:
-        """Request what the newest plan wants, one kind at a time."""
+        """Request the machines that the newest plan wants, one kind at a time."""
         while True:
             await self.rentals_wanted.wait()
             self.rentals_wanted.clear()
@@ -376,8 +376,8 @@
             if machine.listed_at is None and not machine.up:
                 continue  # the lag of the list has no limit; `overdue` handles a slow boot
             # The list may lag further than ever before, so only a confirmed return proves that a
-            # machine is gone. If it were dropped because it is not listed, it could be paid for
-            # and never used.
+            # machine is terminated. If it were dropped because it is not listed, it could be paid
+            # for and never used.
             log.info("returning %s: it is no longer in the machine list", machine.name)
             machine.returning = True
 
--- a/dappledrum/jobs/record_writer.py
+++ b/dappledrum/jobs/record_writer.py
@@ -221,7 +221,7 @@
                 selection.add_page(page)
 
     def _capacity(self) -> int:
-        """Number of changes for the next transaction: what the rate allows, at least four."""
+        """Number of changes allowed in the next transaction by the write rate; at least four."""
         allowed = int(
             self.store.budget.write_limiter.level - 0.2 * self.store.budget.write_limiter.size
         )
