--- a/dappledrum/dispatch/bag_builder.py
+++ b/dappledrum/dispatch/bag_builder.py
@@ -1,4 +1,4 @@
-"""Makes the planner's bag from the ready tasks of one job."""
+"""Builds the planner's bag from the ready tasks of one job."""
 
 from collections.abc import Mapping
 from datetime import timedelta
@@ -18,36 +18,34 @@
 from dappledrum.workers.failure_attribution import is_suspected
 
 MAX_READY_TASKS = 2_000  # tasks of one job that a plan considers
-#: A job of which nothing has begun for so long gets its first task before all others. Users count
-#: on the start of every job within four minutes, and this leaves as much again for capacity to
-#: become free.
+#: A job of which nothing has begun for so long gets its first task before all others. Users expect
+#: every job to start within four minutes; the other two are left for capacity to become free.
 MAX_WAIT_UNSTARTED = timedelta(seconds=120)
-#: A job of which nothing has begun for so long uses capacity that is free, though that costs
-#: another billed interval: operators count on no job being left waiting for 90 s while there is
-#: free capacity.
+#: A job of which nothing has begun for so long uses free capacity even if that adds a billed
+#: interval: operators expect that no job waits for 90 s while there is free capacity.
 MAX_WAIT_FOR_PAID_CAPACITY = timedelta(seconds=60)
-#: A deadline counts as missed only if tasks that take this share of the estimate miss it.
+#: A deadline counts as missed only if tasks that take this share of their estimate miss it.
 OPTIMISTIC_RUN_TIME_SHARE = 0.8
 
 
 class Urgency(IntEnum):
-    """What decides the order of bags after their team's guarantee; smaller goes first."""
+    """Decides the order of bags after their team's guarantee; smaller goes first."""
 
     OVERDUE = -1  # nothing of the job has begun for too long
-    IN_TIME = 0
+    IN_TIME = 0  # a deadline can still be met
     MISSED = 1  # no deadline can be met any more
-    UNCRITICAL = 2  # best effort, or suspected of failing everywhere
+    UNCRITICAL = 2  # best effort, or suspected of failing on every machine
 
 
 class _Target(NamedTuple):
-    """The deadline that a plan works towards for one bag."""
+    """The deadline that a plan aims for with one bag."""
 
     due: timedelta  # moment on the clock
-    missed: bool  # too late for everything: only the cheapest kind is rented for it
+    missed: bool  # no deadline can be met, so only the cheapest kind is rented
 
 
 class BagBuilder:
-    """Bags of jobs in one plan; `begin` sets what the bags of a plan have in common."""
+    """Builds the bags of one plan after another; `begin` sets what the bags of a plan share."""
 
     def __init__(self, deadlines: JobDeadlines, clock: Clock) -> None:
         self.deadlines = deadlines
@@ -65,7 +63,7 @@
         best_effort_cpus: float,
     ) -> None:
         """Begin a plan: `guaranteed` names the jobs within their teams' guarantees, and
-        `best_effort_cpus` is what best-effort jobs may take altogether."""
+        `best_effort_cpus` limits the CPUs of all best-effort jobs together."""
         self.types = types
         self.stages = stages
         self.guaranteed = guaranteed
@@ -73,8 +71,8 @@
 
     def build(self, job: Job, now: timedelta) -> Bag | None:
         """The ready tasks of a job; None if none of them may be placed now."""
-        suspect = is_suspected(job)
-        if not self._may_start(job, now, suspect):
+        suspected = is_suspected(job)
+        if not self._may_start(job, now, suspected):
             return None
         best_effort = self.deadlines.is_best_effort(job, self.stages)
         ready = self._ready_tasks(job, best_effort)
@@ -85,13 +83,13 @@
         run = self.deadlines.task_time(job)
         waited = max(self.clock.utc_now() - job.released_at, ZERO)
         target = self._target(job, stage, run, waited, now, best_effort)
-        # In order of deadlines, what is late waits for all that can still be in time, and in a
-        # flood of work it waited for ever.
-        unstarted = not suspect and job.done == 0 and not job.placement_count()
+        # By deadline alone, late work comes after all work that can still be in time, so under
+        # overload it never started.
+        unstarted = not suspected and job.done == 0 and not job.placement_count()
         overdue = waited > MAX_WAIT_UNSTARTED and unstarted and not best_effort
         if overdue:
             target = _Target(now + run, False)
-        if (overdue or suspect) and not gang:
+        if (overdue or suspected) and not gang:
             ready = 1
         spec = job.spec
         zones = {p.zone for p in job.placements()} if spec.one_zone or spec.spread else set()
@@ -114,13 +112,13 @@
             ),
             rank=self._rank(
                 job,
-                _urgency(suspect or best_effort, overdue, target.missed),
+                _urgency(suspected or best_effort, overdue, target.missed),
                 target.due - run,
             ),
             one_zone=spec.one_zone and not zones,
             zone_capacity=spread_capacity(job, self.types) if spec.spread else None,
             team=spec.team,
-            free_capacity_only=suspect,
+            free_capacity_only=suspected,
             waited=waited,
             cheapest_kind_only=target.missed,
             best_effort=best_effort,
@@ -129,7 +127,7 @@
         )
 
     @staticmethod
-    def _may_start(job: Job, now: timedelta, suspect: bool) -> bool:
+    def _may_start(job: Job, now: timedelta, suspected: bool) -> bool:
         if (
             job.waiting() <= 0
             or job.cancelled
@@ -139,12 +137,13 @@
         ):
             return False
         if is_gang(job) and job.placement_count():
-            return False  # complete on machines, or being stopped
-        # A job that seems to fail everywhere is tried with one task at a time.
-        return not (suspect and any(not p.lost for p in job.placements()))
+            return False  # all of it is placed, or it is being stopped
+        # A job suspected of failing on every machine is tried with one task at a time.
+        return not (suspected and any(not p.lost for p in job.placements()))
 
     def _ready_tasks(self, job: Job, best_effort: bool) -> int:
-        """How many tasks a plan considers; counts those of best-effort jobs as taken."""
+        """How many tasks a plan considers; those of best-effort jobs are deducted from the CPUs
+        that remain for such jobs."""
         ready = job.waiting() if is_gang(job) else min(job.waiting(), MAX_READY_TASKS)
         if best_effort:
             ready = min(ready, int(self._best_effort_cpus / max(job.spec.cpus, 0.1)))
@@ -161,13 +160,15 @@
         best_effort: bool,
     ) -> _Target:
         if best_effort:
-            return _Target(now, True)  # as soon as there is capacity, however long it has waited
-        limits = self.deadlines.of_job(job, stage, run, waited)
-        limit = next_deadline(limits, run * OPTIMISTIC_RUN_TIME_SHARE)
-        return _Target(now + (limits[-1] if limit is None else limit), limit is None)
+            return _Target(now, True)  # as soon as there is capacity, regardless of the wait
+        job_deadlines = self.deadlines.of_job(job, stage, run, waited)
+        deadline = next_deadline(job_deadlines, run * OPTIMISTIC_RUN_TIME_SHARE)
+        return _Target(
+            now + (job_deadlines[-1] if deadline is None else deadline), deadline is None
+        )
 
     def _rank(self, job: Job, urgency: Urgency, latest_start: timedelta) -> tuple[float, ...]:
-        """What decides before the order of the paper: guarantees, then jobs that can still meet
+        """Sort key that precedes the order of the paper: guarantees, then jobs that can still meet
         their deadline, then high priority (which could preempt the rest anyway), then the least
         slack."""
         return (
--- a/dappledrum/dispatch/bag_combination.py
+++ b/dappledrum/dispatch/bag_combination.py
@@ -1,7 +1,7 @@
 """Combines very small jobs that are similar into one bag.
 
-A plan examines all machines for each bag, so hundreds of jobs of one task each took seconds,
-though in the terms of the paper they are one bag of tasks.
+A plan examines the machines anew for each bag, so a plan for hundreds of jobs of one task each
+took seconds. In the terms of the paper such jobs are one bag of tasks.
 """
 
 import math
@@ -11,14 +11,14 @@
 from dappledrum.jobs.job import Job
 from dappledrum.scheduling.bags import Bag
 
-MAX_COMBINED_JOB_TASKS = 4  # tasks of a job that may share a bag with others
-SIMILAR_RUN_TIME_FACTOR = 1.3  # factor up to which run times count as alike
+MAX_COMBINED_JOB_TASKS = 4  # larger jobs get a bag of their own
+SIMILAR_RUN_TIME_FACTOR = 1.3  # run times within this factor count as similar
 MIN_RUN_TIME_S = 0.1  # shorter run times count as this long
-MIN_DEADLINE_STEP = timedelta(seconds=5)  # deadlines that differ by less count as alike
+MIN_DEADLINE_STEP = timedelta(seconds=5)  # deadlines that differ by less count as similar
 
 
 def may_be_combined(job: Job, bag: Bag) -> bool:
-    """Whether the bag of a job may take in tasks of other jobs."""
+    """Whether the bag of a job may be combined with those of other jobs."""
     return not (
         job.spec.tasks > MAX_COMBINED_JOB_TASKS
         or bag.gang
@@ -30,7 +30,7 @@
 
 
 def similarity_key(job: Job, bag: Bag) -> Hashable:
-    """Equal for jobs whose tasks may share a bag."""
+    """A key that is equal for jobs whose tasks may share a bag."""
     spec = job.spec
     run_time_s = max(bag.run.total_seconds(), MIN_RUN_TIME_S)
     deadline_step = max(bag.run * (SIMILAR_RUN_TIME_FACTOR - 1), MIN_DEADLINE_STEP)
@@ -43,7 +43,7 @@
 
 
 def merge(combined: Bag, bag: Bag) -> None:
-    """Add the tasks of a bag to a similar one, which takes the stricter of their limits."""
+    """Add the tasks of a bag to a similar one, which takes the stricter limits of the two."""
     combined.ready += bag.ready
     combined.total += bag.total
     combined.run = max(combined.run, bag.run)
--- a/dappledrum/dispatch/context.py
+++ b/dappledrum/dispatch/context.py
@@ -1,4 +1,4 @@
-"""What all parts of dispatch read: the jobs and machines of a term, and the settings."""
+"""State and settings that all modules of dispatch read."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True)
 class DispatchContext:
-    """The state of one term of leadership that planning rests on."""
+    """State of one term of leadership that plans are made from, and the settings."""
 
     jobs: dict[str, Job]
     registry: MachineRegistry
@@ -26,10 +26,10 @@
 
 
 class StartRecorder(Protocol):
-    """Writes the records of placements, after which their starts may be sent."""
+    """Writes the records of placements; workers get a start only once its record is stored."""
 
     def mark_dirty(self, page: Page) -> None:
-        """Store a changed page soon."""
+        """Queue a changed page to be stored."""
 
     def unstored_start_count(self) -> int:
         """Number of starts whose records are not stored yet."""
--- a/dappledrum/dispatch/job_deadlines.py
+++ b/dappledrum/dispatch/job_deadlines.py
@@ -1,4 +1,4 @@
-"""Run time estimates and deadlines of jobs, counted from now."""
+"""Run time estimates and deadlines of jobs, relative to now."""
 
 from collections.abc import Mapping
 from datetime import timedelta
@@ -11,13 +11,13 @@
 from dappledrum.settings import Params, Tuning
 from dappledrum.timing.clock import ZERO, Clock
 
-SERVICE_INTERVALS = 10  # billed intervals for which a service is expected to run
-SERVICE_START_LIMIT = timedelta(seconds=30)  # for services without any objective
-UNBOUNDED_RUN_TIMES = 4  # run times after which a job without any deadline should have finished
+SERVICE_INTERVALS = 10  # expected run time of a service, in billed intervals
+SERVICE_START_LIMIT = timedelta(seconds=30)  # for services without an objective
+DEFAULT_DEADLINE_RUN_TIMES = 4  # deadline of a job that has none, in run times
 
 
 class JobDeadlines:
-    """Deadlines of jobs by their owners, their objectives and the workflow they belong to."""
+    """Deadlines of jobs, from their owners, the objectives and their workflows."""
 
     def __init__(self, estimates: Estimates, params: Params, clock: Clock, tuning: Tuning) -> None:
         self.estimates = estimates
@@ -26,21 +26,26 @@
         self.tuning = tuning
 
     def task_time(self, job: Job) -> timedelta:
-        """The estimate Q of a task without the fetch of its image."""
+        """The estimate Q of a task, without the fetch of its image."""
         if job.spec.form is Form.SERVICE:
             return self.tuning.interval * SERVICE_INTERVALS
         return self.estimates.task_time(job.id, job.spec.job_class, job.spec.estimate)
 
     def of_owner(self, job: Job) -> list[timedelta]:
-        """The owner's deadlines. For the last job of a workflow also the later ones that the
-        objectives name; single jobs did no better with those (docs/limits.md)."""
-        own = None if job.spec.deadline_s is None else timedelta(seconds=job.spec.deadline_s)
+        """The owner's deadlines; for jobs that wait for others, also the later ones that the
+        objectives name. Single jobs did no better with those (docs/limits.md)."""
+        own_deadline = (
+            None if job.spec.deadline_s is None else timedelta(seconds=job.spec.deadline_s)
+        )
         objectives = self.params.objectives if job.spec.needs else ()
         age = (
             max(self.clock.utc_now() - job.accepted_at, ZERO)
             + self.params.workers.heartbeat_interval
         )
-        return [limit - age for limit in owner_deadlines(objectives, job.spec.job_class, own)]
+        return [
+            deadline - age
+            for deadline in owner_deadlines(objectives, job.spec.job_class, own_deadline)
+        ]
 
     def of_job(
         self, job: Job, stage: Stage | None, run: timedelta, waited: timedelta
@@ -50,18 +55,19 @@
         `run` is the estimate of a task, `waited` the time since the job could start.
         """
         age = waited + self.params.workers.heartbeat_interval
-        expected = stage_deadlines(self.params.objectives, job.spec.job_class, run)
-        limits = [limit - age for limit in expected] + self.of_owner(job)
+        from_objectives = stage_deadlines(self.params.objectives, job.spec.job_class, run)
+        deadlines = [deadline - age for deadline in from_objectives] + self.of_owner(job)
         if stage is not None and stage.due is not None:
-            limits.append(stage.due)
-        if limits:
-            return sorted(limits)
+            deadlines.append(stage.due)
+        if deadlines:
+            return sorted(deadlines)
         if job.spec.form is Form.SERVICE:
             return [run + SERVICE_START_LIMIT - age]
-        return [run * UNBOUNDED_RUN_TIMES + self.tuning.interval - age]
+        return [run * DEFAULT_DEADLINE_RUN_TIMES + self.tuning.interval - age]
 
     def is_best_effort(self, job: Job, stages: Mapping[str, Stage]) -> bool:
-        """Whether a job has no deadline of any sort: low priority, no deadline, no objective."""
+        """Whether a job is an array of low priority without a deadline of any sort: neither its
+        own, nor from its workflow or an objective."""
         spec = job.spec
         return (
             job.effective_rank == PRIORITY_RANKS[Priority.LOW]
--- a/dappledrum/dispatch/pending_work.py
+++ b/dappledrum/dispatch/pending_work.py
@@ -1,4 +1,4 @@
-"""Ready tasks as input of the planner: which bags there are, and in which order they count."""
+"""Input of the planner: the bags of ready tasks, and the values that decide their order."""
 
 import logging
 from collections.abc import Hashable
@@ -22,7 +22,7 @@
 
 
 class PendingWork:
-    """The tasks that wait to be placed, and their order."""
+    """The tasks that wait to be placed."""
 
     def __init__(self, context: DispatchContext) -> None:
         self.jobs = context.jobs
@@ -32,16 +32,16 @@
         self.deadlines = JobDeadlines(
             context.estimates, context.params, context.clock, context.tuning
         )
-        self.stages: dict[str, Stage] = {}  # of jobs in workflows
-        self.cycle: set[str] = set()  # jobs that wait for each other in a cycle
-        self.combined_jobs: dict[str, list[Job]] = {}  # jobs of bags that combine several
+        self.stages: dict[str, Stage] = {}  # by job, for jobs in workflows
+        self.cycle: set[str] = set()  # jobs that a cycle of dependencies blocks
+        self.combined_jobs: dict[str, list[Job]] = {}  # by bag, for bags that combine several jobs
         self.guaranteed: set[str] = set()  # jobs within their teams' guarantees
         self._bag_builder = BagBuilder(self.deadlines, context.clock)
 
     def refresh(self) -> None:
-        """Compute what all bags of one plan have in common."""
+        """Compute the values that all bags of one plan share."""
         self._compute_stages()
-        self.guaranteed = guaranteed_jobs(self._in_order(), self.params.teams)
+        self.guaranteed = guaranteed_jobs(self._by_acceptance(), self.params.teams)
 
     def preemptible(self) -> set[str]:
         """Jobs that lose no work when they are stopped."""
@@ -52,9 +52,9 @@
         }
 
     def bags(self, now: timedelta, best_effort_cpus: float) -> list[Bag]:
-        """The ready tasks, those of very small similar jobs in one bag.
+        """The bags of ready tasks; very small similar jobs share a bag.
 
-        `best_effort_cpus` is what best-effort jobs may take altogether in this plan.
+        `best_effort_cpus` limits the CPUs of all best-effort jobs together in this plan.
         """
         self.combined_jobs = {}
         self._bag_builder.begin(
@@ -62,7 +62,7 @@
         )
         result: list[Bag] = []
         groups: dict[Hashable, Bag] = {}
-        for job in self._in_order():
+        for job in self._by_acceptance():
             bag = self._bag_builder.build(job, now)
             if bag is None:
                 continue
@@ -78,11 +78,11 @@
         return result
 
     def team_capacity(self) -> dict[str, Size | None]:
-        """What the limit of each team leaves; None: it has no limit."""
+        """What the limit of each team leaves; None: no limit."""
         return team_capacity(self.jobs.values(), self.params.teams)
 
     def demands(self) -> list[Demand]:
-        """What waits for capacity, for the accounts; similar jobs are listed once."""
+        """Work that waits for capacity, for the accounting; similar jobs are listed once."""
         capacity = self.team_capacity()
         now = self.clock.now()
         result: dict[Hashable, Demand] = {}
@@ -100,28 +100,30 @@
             size = Size(spec.cpus, spec.gpus, spec.memory_gb)
             key = (size, types, spec.zone, spec.spot, spec.team)
             if key not in result:
-                left = capacity.get(spec.team)
-                within = left is None or left.times(Size(spec.cpus, spec.gpus, 0.0)) >= 1
+                remaining = capacity.get(spec.team)
+                within_limit = (
+                    remaining is None or remaining.times(Size(spec.cpus, spec.gpus, 0.0)) >= 1
+                )
                 result[key] = Demand(
-                    size, allowed_kinds(job, self.autoscaler.types, set()), within
+                    size, allowed_kinds(job, self.autoscaler.types, set()), within_limit
                 )
         return list(result.values())
 
-    def _in_order(self) -> list[Job]:
+    def _by_acceptance(self) -> list[Job]:
         return sorted(self.jobs.values(), key=lambda job: (job.accepted_at, job.id))
 
     def _compute_stages(self) -> None:
-        """Compute what follows for each job from the jobs that wait for it, directly or not."""
+        """Compute the stage and rank of each job, given the jobs that depend on it."""
         self.stages, cycle = stages(self._workflow_jobs(), OPTIMISTIC_RUN_TIME_SHARE)
         if cycle - self.cycle:
-            log.error("these wait for each other, and stay pending: %s", ", ".join(sorted(cycle)))
+            log.error("dependency cycle; these jobs stay pending: %s", ", ".join(sorted(cycle)))
         self.cycle = cycle
         for job in self.jobs.values():
             stage = self.stages.get(job.id)
             job.effective_rank = PRIORITY_RANKS[job.spec.priority] if stage is None else stage.rank
 
     def _workflow_jobs(self) -> dict[str, WorkflowJob]:
-        """Live jobs that wait for others or that others wait for."""
+        """Live jobs that wait for others, or that others wait for."""
         waiting = [job for job in self.jobs.values() if job.unmet_dependencies]
         result: dict[str, WorkflowJob] = {}
         for name in dict.fromkeys(
@@ -142,10 +144,10 @@
         return result
 
     def _fetch_time(self, job: Job) -> timedelta:
-        """How long the fetch of a missing image takes on the machines with the highest rate."""
+        """Time to fetch a job's image on the machine type with the highest transfer rate."""
         rates = [
-            m.fetch_gb_per_s
-            for m in self.autoscaler.types.values()
-            if fits_machine_type(job.spec, m)
+            machine_type.fetch_gb_per_s
+            for machine_type in self.autoscaler.types.values()
+            if fits_machine_type(job.spec, machine_type)
         ]
         return fetch_time(job.spec.image_gb, max(rates, default=1.0))
--- a/dappledrum/dispatch/placement.py
+++ b/dappledrum/dispatch/placement.py
@@ -1,4 +1,4 @@
-"""Places the tasks that a plan starts; a placement counts before its worker is told."""
+"""Places the tasks that a plan starts; a placement counts before its worker is informed."""
 
 import logging
 
@@ -11,11 +11,11 @@
 
 log = logging.getLogger(__name__)
 
-MAX_RECORD_BACKLOG_S = 1.0  # seconds of writing that starts of low urgency may queue up
+MAX_RECORD_BACKLOG_S = 1.0  # seconds of queued record writes; low-priority starts wait above it
 
 
 class Placer:
-    """Places tasks; their records are written afterwards, and only then workers are told."""
+    """Places tasks. Their records are written afterwards, and only then are workers informed."""
 
     def __init__(
         self,
@@ -33,78 +33,86 @@
         self.page_bytes = page_bytes
 
     def start(self, starts: list[tuple[str, str, int]]) -> None:
-        """Place what one step of the plan starts."""
+        """Place the tasks that one step of the plan starts: bag, machine, number of tasks."""
         gangs: dict[str, list[tuple[str, int]]] = {}
-        for bag, name, count in starts:
+        for bag, machine_name, count in starts:
             job = self.jobs.get(bag)
             if job is not None and is_gang(job):
-                gangs.setdefault(bag, []).append((name, count))
+                gangs.setdefault(bag, []).append((machine_name, count))
             else:
-                self._place_bag(bag, name, count)
+                self._place_bag(bag, machine_name, count)
         for bag, shares in gangs.items():
             self._place_gang(self.jobs[bag], shares)
 
     def _place_gang(self, job: Job, shares: list[tuple[str, int]]) -> None:
-        """Place all tasks of a gang, or none. Nothing of it is written in between, because the
-        event loop runs nothing else meanwhile."""
+        """Place all tasks of a gang, or none. The event loop runs nothing else meanwhile, so a
+        partial placement is never written."""
         if job.placement_count() or sum(count for _, count in shares) < job.waiting():
             return
-        # Workers run a gang once all of one attempt are there, so its members share the number.
+        # Workers run a gang once all tasks of one attempt are there, so they share its number.
         attempt = job.next_attempt()
-        placed = sum(self._place(job.id, name, count, attempt) for name, count in shares)
+        placed = sum(
+            self._place_on_machine(job.id, machine_name, count, attempt)
+            for machine_name, count in shares
+        )
         if job.waiting() == 0 or placed == 0:
             return
-        log.info("%s is not placed: room for %d of %d tasks", job.id, placed, job.spec.tasks)
+        log.info("gang %s not placed: capacity for %d of %d tasks", job.id, placed, job.spec.tasks)
         for placement in list(job.placements()):
             machine = self.registry.get(placement.machine)
             if machine is not None:
                 machine.placements.pop((job.id, placement.task), None)
             placement.page.remove(placement.task)
 
-    def _place_bag(self, bag: str, name: str, count: int) -> None:
-        """Place tasks of a bag, which may belong to several jobs."""
+    def _place_bag(self, bag: str, machine_name: str, count: int) -> None:
+        """Place tasks of a bag, which may combine several jobs."""
         members = self.work.combined_jobs.get(bag)
         if members is None:
-            self._place(bag, name, count)
+            self._place_on_machine(bag, machine_name, count)
             return
         while members and count > 0:
-            count -= self._place(members[0].id, name, count)
+            count -= self._place_on_machine(members[0].id, machine_name, count)
             if count > 0 or members[0].waiting() <= 0:
                 members.pop(0)
 
-    def _place(self, job_id: str, name: str, count: int, attempt: int | None = None) -> int:
-        """Place tasks of a job on a machine, if both are still as they were when the plan began;
-        returns how many were placed."""
+    def _place_on_machine(
+        self, job_id: str, machine_name: str, count: int, attempt: int | None = None
+    ) -> int:
+        """Place tasks of a job on a machine, if both can still take part; either may have changed
+        since the plan began. Returns how many were placed."""
         job = self.jobs.get(job_id)
-        machine = self.registry.get(name)
+        machine = self.registry.get(machine_name)
         if machine is None or machine.kind is None or not machine.usable:
             return 0
         if job is None or job.cancelled or job.finished or job.unmet_dependencies:
             return 0
         if job.effective_rank >= PRIORITY_RANKS[Priority.LOW] and self._record_backlog_too_long():
-            return 0  # capacity held for a start that can't be recorded yet is wasted
-        asked = count
+            return 0  # a start that can't be recorded soon would only hold capacity
+        requested = count
         utc_now = self.clock.utc_now()
-        limit = self.page_bytes
+        max_page_bytes = self.page_bytes
         for page in job.pages_with_free_tasks():
-            bound, row = max_value_bytes(page, name, utc_now), max_row_bytes(page, utc_now)
+            page_bytes_bound, row_bytes_bound = (
+                max_value_bytes(page, machine_name, utc_now),
+                max_row_bytes(page, utc_now),
+            )
             for task in page.free_tasks():
-                if count <= 0 or bound > limit:
+                if count <= 0 or page_bytes_bound > max_page_bytes:
                     break
                 placement = page.place(
-                    task, name, machine.session, machine.kind.zone, utc_now, attempt
+                    task, machine_name, machine.session, machine.kind.zone, utc_now, attempt
                 )
                 machine.placements[(job.id, task)] = placement
                 machine.given.set()
                 count -= 1
-                bound += row
+                page_bytes_bound += row_bytes_bound
             self.start_recorder.mark_dirty(page)
             if count <= 0:
                 break
-        return asked - count
+        return requested - count
 
     def _record_backlog_too_long(self) -> bool:
-        """Whether more starts wait to be recorded than can be written in a short time."""
+        """Whether more starts wait to be recorded than `MAX_RECORD_BACKLOG_S` allows."""
         return self.start_recorder.unstored_start_count() > max(
             8.0, self.params.state.write_rps * MAX_RECORD_BACKLOG_S
         )
--- a/dappledrum/dispatch/placement_constraints.py
+++ b/dappledrum/dispatch/placement_constraints.py
@@ -1,4 +1,4 @@
-"""Where the tasks of a job may be placed: machine types, zones, spot or ordinary machines."""
+"""Where the tasks of a job may be placed: machine types, zones, spot or on-demand machines."""
 
 from collections.abc import Callable, Mapping
 
@@ -13,25 +13,25 @@
 ) -> Callable[[InstanceKind], bool]:
     """Test of the instance kinds that tasks of a job may use.
 
-    `zones`, unless empty, are the only zones that are left for the job.
+    `zones`, unless empty, holds the only zone that the job may still use.
     """
     spec = job.spec
-    fits = {name for name, model in types.items() if fits_machine_type(spec, model)}
+    fits = {name for name, machine_type in types.items() if fits_machine_type(spec, machine_type)}
 
-    def check(kind: InstanceKind) -> bool:
+    def is_allowed(kind: InstanceKind) -> bool:
         if kind.type not in fits or (not kind.spot if spot_only else kind.spot > spec.spot):
             return False
         if spec.zone is not None and kind.zone != spec.zone:
             return False
         return not zones or zones == {kind.zone}
 
-    return check
+    return is_allowed
 
 
 def spread_capacity(job: Job, types: Mapping[str, MachineType]) -> dict[str, int]:
-    """How many more tasks of a `spread` job each zone may take: at most half of all in one."""
+    """How many more tasks of a `spread` job each zone may take: at most half of all tasks."""
     half = -(-job.spec.tasks // 2)
-    capacity = {zone: half for model in types.values() for zone in model.zones}
+    capacity = {zone: half for machine_type in types.values() for zone in machine_type.zones}
     for placement in job.placements():
         capacity[placement.zone] = capacity.get(placement.zone, half) - 1
     return capacity
--- a/dappledrum/dispatch/scale_in.py
+++ b/dappledrum/dispatch/scale_in.py
@@ -1,4 +1,4 @@
-"""Replaces ordinary machines by spot machines, and returns those that only idle jobs use."""
+"""Replaces on-demand machines by spot machines, and retires those with only best-effort work."""
 
 import logging
 import math
@@ -16,12 +16,12 @@
 
 log = logging.getLogger(__name__)
 
-SPOT_HEADROOM = 0.1  # share of the spot machines that stays free when ordinary ones are retired
-REPLACEMENT_SHARE = 0.1  # share of the fleet for which cheaper machines are rented at a time
+SPOT_HEADROOM = 0.1  # share of the spot CPUs to keep free when machines retire
+REPLACEMENT_SHARE = 0.1  # share of the fleet to replace in one plan
 
 
 class ScaleIn:
-    """Decides which ordinary machines are no longer needed."""
+    """Decides which on-demand machines are no longer needed."""
 
     def __init__(self, context: DispatchContext, machines: CandidateMachines) -> None:
         self.jobs = context.jobs
@@ -30,61 +30,63 @@
         self.autoscaler = context.autoscaler
         self.params = context.params
 
-    def retire_ordinary_machines(
+    def retire_on_demand_machines(
         self, plan: Plan, timelines: list[MachineTimeline], bags: list[Bag]
     ) -> None:
-        """Retire ordinary machines whose work fits on spot machines.
+        """Retire on-demand machines whose work fits on spot machines.
 
         While small tasks come and go, a large machine is never idle at the end of its interval,
-        and tasks whose image it holds finish first there. So ordinary machines that were rented in
-        one bad moment stayed for the day, while spot machines fell idle and were returned. An
-        ordinary machine therefore gets no new work once the spot machines have as much free
-        capacity, beyond what the plan uses, what is late, and a reserve. While nothing is late,
-        spot machines are also rented as replacements. Without spare capacity all machines are
-        used.
+        and tasks whose image it holds finish first there. So on-demand machines rented during a
+        short peak stayed for the day, while spot machines fell idle and were returned. An
+        on-demand machine therefore gets no new work once the spot machines have enough free
+        capacity for its tasks, beyond what the plan uses, what is late, and a reserve. While
+        nothing is late, spot machines are also rented as replacements. All machines are used while
+        work is late and there is no spare capacity, or while any job may not use spot machines.
         """
         retiring = [machine for machine in self.registry if machine.retiring]
-        spare = self._spare_spot_cpus(timelines) - sum(
+        spare_cpus = self._spare_spot_cpus(timelines) - sum(
             self._used_cpus(machine) for machine in retiring
         )
-        spare -= sum(bag.size.cpus * plan.late.get(bag.id, 0) for bag in bags)
-        bound = any(not job.spec.spot for job in self.jobs.values())
-        if bound or (plan.late and spare <= 0):
+        spare_cpus -= sum(bag.size.cpus * plan.late.get(bag.id, 0) for bag in bags)
+        has_on_demand_only_job = any(not job.spec.spot for job in self.jobs.values())
+        if has_on_demand_only_job or (plan.late and spare_cpus <= 0):
             for machine in retiring:
                 machine.retiring = False
             return
         self._keep_machines_in_demand(plan, timelines, bags, retiring)
-        ordinary = self._replaceable(timelines)
-        ordinary.sort(key=lambda pair: (-pair[0].hourly_cpu, len(pair[1].placements)))
-        left = 0.0
-        for _, candidate in ordinary:
-            used = self._used_cpus(candidate)
-            if used < spare:
-                log.info("%s gets no new work: spot machines have room for it", candidate.name)
+        replaceable = self._replaceable(timelines)
+        replaceable.sort(key=lambda pair: (-pair[0].hourly_price_per_cpu, len(pair[1].placements)))
+        remaining_cpus = 0.0
+        for _, candidate in replaceable:
+            used_cpus = self._used_cpus(candidate)
+            if used_cpus < spare_cpus:
+                log.info(
+                    "%s is retiring: spot machines have capacity for its work", candidate.name
+                )
                 candidate.retiring = True
-                spare -= used
+                spare_cpus -= used_cpus
             else:
-                left += used
-        # What would go back is worth more as room for what ordinary machines still do.
-        self.autoscaler.keep_spot = bool(ordinary)
-        if left > 0 and not plan.late and not plan.rentals:
-            plan.rentals.update(self._spot_replacements(left - spare, timelines))
+                remaining_cpus += used_cpus
+        # Spot machines that would be returned are kept as capacity for the work of on-demand ones.
+        self.autoscaler.keep_spot = bool(replaceable)
+        if remaining_cpus > 0 and not plan.late and not plan.rentals:
+            plan.rentals.update(self._spot_replacements(remaining_cpus - spare_cpus, timelines))
 
     def _replaceable(
         self, timelines: list[MachineTimeline]
     ) -> list[tuple[MachineTimeline, Machine]]:
-        """Ordinary machines that are up, whose work could run on cheaper spot machines."""
+        """Running on-demand machines whose work could move to cheaper spot machines."""
         result = []
-        for view in timelines:
-            machine = self.registry.get(view.machine)
-            if view.kind.spot or view.booting or machine is None:
+        for timeline in timelines:
+            machine = self.registry.get(timeline.machine)
+            if timeline.kind.spot or timeline.booting or machine is None:
                 continue
-            model = self.autoscaler.types.get(view.kind.type)
+            machine_type = self.autoscaler.types.get(timeline.kind.type)
             jobs = [placement.page.job for placement in machine.placements.values()]
-            if self._has_cheaper_spot(model) and all(
+            if self._has_cheaper_spot(machine_type) and all(
                 job.spec.form is not Form.SERVICE for job in jobs
             ):
-                result.append((view, machine))
+                result.append((timeline, machine))
         return result
 
     def _keep_machines_in_demand(
@@ -94,35 +96,35 @@
         bags: list[Bag],
         retiring: list[Machine],
     ) -> None:
-        """Use a retiring machine after all for what waits and fits nowhere else.
+        """Stop retiring machines that waiting work needs because it can start nowhere else.
 
-        A job that is bound to its type or zone once waited until the last task there was over, as
-        spot machines of other types had capacity to spare.
+        A job bound to a type or zone waited until the last task on the retiring machine had ended,
+        since spot machines of other types had spare capacity.
         """
         if not retiring:
             return
         started = {bag_id for bag_id, _, _ in plan.starts}
         for bag in bags:
-            waits = bag.id not in started and (bag.id in plan.late or bag.uses_free_capacity)
-            if not waits or any(self._can_start(bag, view) for view in timelines):
+            is_waiting = bag.id not in started and (bag.id in plan.late or bag.uses_free_capacity)
+            if not is_waiting or any(self._can_start(bag, timeline) for timeline in timelines):
                 continue
             for machine in retiring:
-                if self._fits_beside(bag, machine):
+                if self._has_capacity(bag, machine):
                     machine.retiring = False
 
     @staticmethod
-    def _can_start(bag: Bag, view: MachineTimeline) -> bool:
-        """Whether a task could start on a machine now."""
-        fits = not view.booting and bag.allowed(view.kind)
-        return fits and view.free[0].times(bag.size) >= 1
+    def _can_start(bag: Bag, timeline: MachineTimeline) -> bool:
+        """Whether a task of the bag could start on a machine now."""
+        fits = not timeline.booting and bag.allowed(timeline.kind)
+        return fits and timeline.free[0].times(bag.size) >= 1
 
-    def _fits_beside(self, bag: Bag, machine: Machine) -> bool:
-        """Whether a machine has capacity for a task beside what is there."""
+    def _has_capacity(self, bag: Bag, machine: Machine) -> bool:
+        """Whether a machine has capacity for a task of the bag besides those placed on it."""
         kind = machine.kind
-        model = None if kind is None else self.autoscaler.types.get(kind.type)
-        if kind is None or model is None or not bag.allowed(kind):
+        machine_type = None if kind is None else self.autoscaler.types.get(kind.type)
+        if kind is None or machine_type is None or not bag.allowed(kind):
             return False
-        free = Size(model.cpus, model.gpus, model.memory_gb)
+        free = Size(machine_type.cpus, machine_type.gpus, machine_type.memory_gb)
         for placement in machine.placements.values():
             free = free.minus(placement.page.job.size)
         return free.times(bag.size) >= 1
@@ -130,62 +132,69 @@
     def _spot_replacements(
         self, cpus: float, timelines: list[MachineTimeline]
     ) -> dict[InstanceKind, int]:
-        """Spot machines to rent for work that now runs on ordinary ones: the cheapest type on
-        which all live tasks fit, a tenth of the fleet at a time."""
-        coming = sum(view.capacity for view in timelines if view.booting and view.kind.spot)
-        cpus = min(cpus, REPLACEMENT_SHARE * sum(view.capacity for view in timelines)) - coming
+        """Spot machines to rent for work that now runs on on-demand ones: the cheapest types
+        on which all live tasks fit, up to `REPLACEMENT_SHARE` of the fleet at a time."""
+        booting_cpus = sum(
+            timeline.capacity for timeline in timelines if timeline.booting and timeline.kind.spot
+        )
+        cpus = (
+            min(cpus, REPLACEMENT_SHARE * sum(timeline.capacity for timeline in timelines))
+            - booting_cpus
+        )
         result: dict[InstanceKind, int] = {}
-        models = [
+        machine_types = [
             m for m in self.autoscaler.types.values() if m.cpus > 0 and self._has_cheaper_spot(m)
         ]
-        for model in sorted(models, key=lambda m: m.hourly(True) / m.cpus):
-            whole = Size(model.cpus, model.gpus, model.memory_gb)
-            if any(whole.times(size) < 1 for size in self.machines.sizes):
+        for machine_type in sorted(machine_types, key=lambda m: m.hourly(True) / m.cpus):
+            machine_size = Size(machine_type.cpus, machine_type.gpus, machine_type.memory_gb)
+            if any(machine_size.times(size) < 1 for size in self.machines.sizes):
                 continue
-            for zone in model.zones:
-                kind = InstanceKind(model.name, zone, True)
-                count = min(math.ceil(cpus / model.cpus), MAX_RENTALS)
+            for zone in machine_type.zones:
+                kind = InstanceKind(machine_type.name, zone, True)
+                count = min(math.ceil(cpus / machine_type.cpus), MAX_RENTALS)
                 if count > 0 and self.autoscaler.offered(kind):
                     result[kind] = count
-                    cpus -= count * model.cpus
+                    cpus -= count * machine_type.cpus
         return result
 
     @staticmethod
     def _used_cpus(machine: Machine) -> float:
-        """CPUs used by tasks on a machine."""
+        """CPUs that the tasks on a machine use."""
         return sum(p.page.job.spec.cpus for p in machine.placements.values())
 
     @staticmethod
-    def _has_cheaper_spot(model: MachineType | None) -> bool:
-        """Whether a spot machine of this type costs less than an ordinary one."""
+    def _has_cheaper_spot(machine_type: MachineType | None) -> bool:
+        """Whether a spot machine of this type costs less than an on-demand one."""
         return (
-            model is not None and model.spot_price is not None and model.spot_price < model.price
+            machine_type is not None
+            and machine_type.spot_price is not None
+            and machine_type.spot_price < machine_type.price
         )
 
     def _spare_spot_cpus(self, timelines: list[MachineTimeline]) -> float:
-        """CPUs on running spot machines that the plan does not use, counted in units of the
-        largest tasks, less the reserve. Machines that the cloud is about to take do not count."""
+        """CPUs on running spot machines that the plan does not use, in units of the largest tasks
+        that fit, less the reserve. Machines that the cloud is about to reclaim do not count."""
         spot = [
-            view
-            for view in timelines
-            if view.kind.spot and not view.booting and view.until is None
+            timeline
+            for timeline in timelines
+            if timeline.kind.spot and not timeline.booting and timeline.available_until is None
         ]
-        free = 0.0
-        for view in spot:
-            model = self.autoscaler.types[view.kind.type]
-            whole = Size(model.cpus, model.gpus, model.memory_gb)
-            fitting = [size for size in self.machines.sizes if whole.times(size) >= 1]
-            size = max(fitting, key=lambda one: one.cpus, default=whole)
-            free += view.free[0].times(size) * size.cpus
-        return free - SPOT_HEADROOM * sum(view.capacity for view in spot)
+        free_cpus = 0.0
+        for timeline in spot:
+            machine_type = self.autoscaler.types[timeline.kind.type]
+            machine_size = Size(machine_type.cpus, machine_type.gpus, machine_type.memory_gb)
+            fitting = [size for size in self.machines.sizes if machine_size.times(size) >= 1]
+            size = max(fitting, key=lambda fit: fit.cpus, default=machine_size)
+            free_cpus += timeline.free[0].times(size) * size.cpus
+        return free_cpus - SPOT_HEADROOM * sum(timeline.capacity for timeline in spot)
 
     def retire_best_effort_machines(
         self, plan: Plan, now: timedelta, preemptible: set[str]
     ) -> None:
-        """Return an ordinary machine that only idle jobs use, as if it were idle.
+        """Retire on-demand machines that only best-effort jobs use, as if they were idle.
 
-        Only jobs that save their progress are placed there, and they are stopped early enough to
-        save.
+        This applies only to jobs that save their progress; they are stopped early enough before
+        the end of the billed interval to save it.
         """
         heartbeat_interval = self.params.workers.heartbeat_interval
         for machine in self.registry:
@@ -195,11 +204,11 @@
             if not jobs or machine.retiring or any(j.id not in preemptible for j in jobs):
                 continue
             interval = self.autoscaler.interval(machine.kind)
-            left = interval - (now - machine.rented_at) % interval
-            if left <= heartbeat_interval * 3 + max(j.spec.save for j in jobs) * 1.5 + timedelta(
-                seconds=1
-            ):
-                log.info("%s gets no new work: only idle work is left on it", machine.name)
+            remaining = interval - (now - machine.rented_at) % interval
+            if remaining <= heartbeat_interval * 3 + max(
+                j.spec.save for j in jobs
+            ) * 1.5 + timedelta(seconds=1):
+                log.info("%s is retiring: it runs only best-effort work", machine.name)
                 machine.retiring = True
                 for placement in machine.placements.values():
                     placement.lost = True
--- a/dappledrum/dispatch/team_quotas.py
+++ b/dappledrum/dispatch/team_quotas.py
@@ -1,4 +1,4 @@
-"""What the quotas of teams allow: capacity left below their limits, and jobs within guarantees."""
+"""Team quotas: remaining capacity below the limits, and the jobs within the guarantees."""
 
 from collections.abc import Iterable, Sequence
 
@@ -6,12 +6,12 @@
 from dappledrum.scheduling.timeline import Size
 from dappledrum.settings import Team
 
-UNLIMITED = 1e18
+UNLIMITED = 1e18  # CPUs, GPUs or GB
 ROUNDING = 1e-9  # CPUs or GPUs by which sums of fractions may exceed a guarantee
 
 
 def team_capacity(jobs: Iterable[Job], teams: Sequence[Team]) -> dict[str, Size | None]:
-    """What the limit of each team leaves beside all attempts on machines; None: no limit."""
+    """What the limit of each team leaves after all its placed tasks; None: no limit."""
     used: dict[str, list[float]] = {}
     for job in jobs:
         count = job.placement_count()
@@ -50,9 +50,9 @@
                 or job.unmet_dependencies
             ):
                 continue
-            left = job.spec.tasks - job.done
-            cpus += job.spec.cpus * left
-            gpus += job.spec.gpus * left
+            unfinished = job.spec.tasks - job.done
+            cpus += job.spec.cpus * unfinished
+            gpus += job.spec.gpus * unfinished
             if cpus <= team.cpus + ROUNDING and gpus <= team.gpus + ROUNDING:
                 result.add(job.id)
     return result
--- a/dappledrum/dispatch/test_scale_in.py
+++ b/dappledrum/dispatch/test_scale_in.py
@@ -1,4 +1,4 @@
-"""Room on spot machines, for which ordinary machines are retired."""
+"""Tests the spare capacity of spot machines that lets on-demand machines retire."""
 
 from types import SimpleNamespace
 
@@ -12,12 +12,12 @@
 NOW = seconds(1_000)
 
 
-def spare(until, booting=False):
-    """Spare CPUs of one empty spot machine."""
-    model = SimpleNamespace(cpus=CPUS, gpus=0.0, memory_gb=64.0)
-    autoscaler = SimpleNamespace(types={"large": model})
+def spare_cpus(available_until, booting=False):
+    """Spare CPUs of one empty spot machine that is available until the given moment."""
+    machine_type = SimpleNamespace(cpus=CPUS, gpus=0.0, memory_gb=64.0)
+    autoscaler = SimpleNamespace(types={"large": machine_type})
     machines = SimpleNamespace(sizes={Size(2.0, 0.0, 2.0)})
-    view = MachineTimeline(
+    timeline = MachineTimeline(
         *(
             "m",
             InstanceKind("large", "a", True),
@@ -28,15 +28,15 @@
             1.0,
             seconds(60),
         ),
-        until=until,
+        available_until=available_until,
         booting=booting,
     )
     context = SimpleNamespace(jobs={}, registry=None, autoscaler=autoscaler, params=None)
-    return ScaleIn(context, machines)._spare_spot_cpus([view])
+    return ScaleIn(context, machines)._spare_spot_cpus([timeline])
 
 
 @pytest.mark.parametrize(
-    ("until", "booting", "expected"),
+    ("available_until", "booting", "expected"),
     [
         (None, False, CPUS * (1 - SPOT_HEADROOM)),
         (NOW + seconds(20), False, 0.0),
@@ -44,5 +44,7 @@
     ],
     ids=["up", "about to be taken", "booting"],
 )
-def test_only_machines_that_are_up_and_stay_have_room(until, booting, expected):
-    assert spare(until, booting) == pytest.approx(expected)
+def test_only_running_spot_machines_that_are_not_being_reclaimed_have_spare_cpus(
+    available_until, booting, expected
+):
+    assert spare_cpus(available_until, booting) == pytest.approx(expected)
--- a/dappledrum/scheduling/gang_search.py
+++ b/dappledrum/scheduling/gang_search.py
@@ -3,7 +3,7 @@
 The bags of the paper consist of independent tasks, so Algorithms 1 and 2 place one task after the
 other, each as early or as cheaply as possible by itself. A gang needs capacity for all its tasks
 at one moment. The search takes the earliest moment at which the rented machines have it; or, as in
-Algorithm 2, rents machines of one kind beside them, with the least overrun and then the least
+Algorithm 2, it rents machines of one kind in addition, with the least overrun and then the least
 added cost. Capacity found at a later moment is reserved in the plan: bags that come later in the
 order can use it only until then, and two gangs never each hold half of what the other needs.
 """
@@ -22,12 +22,12 @@
 )
 from dappledrum.timing.clock import ZERO
 
-MAX_PROBED_MOMENTS = 24  # moments tried at first; in a fleet there are thousands
+MAX_PROBED_MOMENTS = 24  # in the first pass; a fleet has thousands of moments
 MAX_REFINEMENT_STEPS = 5
 
 
 class Gang(NamedTuple):
-    """What has to run together."""
+    """Tasks that have to run together."""
 
     size: Size
     tasks: int
@@ -36,31 +36,33 @@
     image: str
     image_gb: float
     allowed: Callable[[InstanceKind], bool]
-    zone_capacity: dict[str, int] | None = None  # spread: how many tasks each zone may take
+    zone_capacity: dict[str, int] | None = None  # number of tasks that each zone may take
 
 
 class GangSlot(NamedTuple):
-    """A moment, the tasks on each rented machine, and the machines to rent."""
+    """A time span, the tasks on each rented machine, and the machines to rent."""
 
     start: timedelta
     finish: timedelta
-    shares: list[tuple[int, int]]  # index of the machine, tasks
-    rented: dict[InstanceKind, tuple[int, int]]  # machines, tasks on them
+    shares: list[tuple[int, int]]  # index of the machine, number of tasks
+    rented: dict[InstanceKind, tuple[int, int]]  # number of machines, tasks on them
     cost: float
 
 
 def capacity_at(timeline: MachineTimeline, size: Size, start: timedelta, finish: timedelta) -> int:
     """How many tasks a machine can run from one moment to another."""
     times, free = timeline.times, timeline.free
-    if start < times[0] or (timeline.until is not None and finish > timeline.until):
+    if start < times[0] or (
+        timeline.available_until is not None and finish > timeline.available_until
+    ):
         return 0
     count = 0
-    for at in range(len(times) - 1, -1, -1):
-        if times[at] >= finish:
+    for step in range(len(times) - 1, -1, -1):
+        if times[step] >= finish:
             continue
-        fit = free[at].times(size)
+        fit = free[step].times(size)
         count = fit if count == 0 else min(count, fit)
-        if fit == 0 or times[at] <= start:
+        if fit == 0 or times[step] <= start:
             return min(count, fit)
     return count
 
@@ -77,104 +79,130 @@
     ) -> None:
         self.gang = gang
         self.now = now
-        self.timelines = [one for one in timelines if gang.allowed(one.kind)]
-        # The cheapest first, then those that are committed for longest: the others fall idle.
-        self.timelines.sort(key=lambda one: (one.hourly_cpu, -one.committed, one.index))
-        self.offers = [one for one in offers if gang.allowed(one.kind)]
-        rates = [one.fetch_gb_per_s for one in self.timelines if gang.image not in one.images]
-        rates += [one.fetch_gb_per_s for one in self.offers]
-        # The last image decides when the gang begins, so all are held for that long.
+        self.timelines = [timeline for timeline in timelines if gang.allowed(timeline.kind)]
+        # The cheapest first, then those that are committed for longest, so that the others fall
+        # idle.
+        self.timelines.sort(
+            key=lambda timeline: (
+                timeline.hourly_price_per_cpu,
+                -timeline.committed,
+                timeline.index,
+            )
+        )
+        self.offers = [offer for offer in offers if gang.allowed(offer.kind)]
+        rates = [
+            timeline.fetch_gb_per_s
+            for timeline in self.timelines
+            if gang.image not in timeline.images
+        ]
+        rates += [offer.fetch_gb_per_s for offer in self.offers]
+        # The gang begins once the slowest fetch is done, so all machines are held until then.
         fetch = fetch_time(gang.image_gb, min(rates)) if rates else ZERO
         self.span = gang.run + fetch
 
     def shares(self, start: timedelta) -> tuple[list[tuple[int, int]], dict[str, int] | None, int]:
-        """Tasks on the rented machines at one moment, what each zone may still take, and how many
-        tasks are left over."""
-        left = self.gang.tasks
+        """Tasks on the rented machines at one moment, what each zone may still take, and the
+        number of tasks without a place."""
+        unplaced = self.gang.tasks
         zones = None if self.gang.zone_capacity is None else dict(self.gang.zone_capacity)
         result = []
-        for one in self.timelines:
-            if left <= 0:
+        for timeline in self.timelines:
+            if unplaced <= 0:
                 break
-            most = left if zones is None else min(left, zones.get(one.kind.zone, 0))
-            take = min(most, capacity_at(one, self.gang.size, start, start + self.span))
-            if take > 0:
-                result.append((one.index, take))
-                left -= take
+            max_tasks = (
+                unplaced if zones is None else min(unplaced, zones.get(timeline.kind.zone, 0))
+            )
+            tasks_here = min(
+                max_tasks, capacity_at(timeline, self.gang.size, start, start + self.span)
+            )
+            if tasks_here > 0:
+                result.append((timeline.index, tasks_here))
+                unplaced -= tasks_here
                 if zones is not None:
-                    zones[one.kind.zone] -= take
-        return result, zones, left
+                    zones[timeline.kind.zone] -= tasks_here
+        return result, zones, unplaced
 
     def starting_now(self) -> GangSlot | None:
         """Capacity for all tasks now, on the rented machines."""
-        shares, _, left = self.shares(self.now)
-        return self._slot(self.now, shares) if left <= 0 else None
+        shares, _, unplaced = self.shares(self.now)
+        return self._slot(self.now, shares) if unplaced <= 0 else None
 
     def without_renting(self) -> GangSlot | None:
         """The earliest moment found with capacity on the rented machines. At first only some of
         the moments are probed; the one found is then refined."""
         if (slot := self.starting_now()) is not None:
             return slot
-        moments = sorted({t for one in self.timelines for t in one.times if t > self.now})
+        moments = sorted(
+            {time for timeline in self.timelines for time in timeline.times if time > self.now}
+        )
         step = max(1, -(-len(moments) // MAX_PROBED_MOMENTS))
         probes = [*range(0, len(moments), step)]
         if moments and probes[-1] != len(moments) - 1:
             probes.append(len(moments) - 1)
-        before, found = -1, None
-        for at in probes:
-            shares, _, left = self.shares(moments[at])
-            if left <= 0:
-                found = at, shares
+        last_without, found = -1, None
+        for index in probes:
+            shares, _, unplaced = self.shares(moments[index])
+            if unplaced <= 0:
+                found = index, shares
                 break
-            before = at
+            last_without = index
         if found is None:
             return None
-        at, shares = found
+        index, shares = found
         for _ in range(MAX_REFINEMENT_STEPS):
-            middle = (before + at) // 2
-            if middle in (before, at):
+            middle = (last_without + index) // 2
+            if middle in (last_without, index):
                 break
-            tried, _, left = self.shares(moments[middle])
-            if left <= 0:
-                at, shares = middle, tried
+            middle_shares, _, unplaced = self.shares(moments[middle])
+            if unplaced <= 0:
+                index, shares = middle, middle_shares
             else:
-                before = middle
-        return self._slot(moments[at], shares)
+                last_without = middle
+        return self._slot(moments[index], shares)
 
     def with_renting(self, offers: Sequence[Offer]) -> GangSlot | None:
-        """Capacity for all tasks once the slowest of some kinds of machines has booted. Machines
-        are rented as far as needed, of the first kinds first."""
-        start = self.now + max(one.boot for one in offers)
-        shares, zones, left = self.shares(start)
+        """Capacity for all tasks once the slowest of the offered kinds has booted. As few machines
+        as needed are rented, from the first offers first."""
+        start = self.now + max(offer.boot for offer in offers)
+        shares, zones, unplaced = self.shares(start)
         rented: dict[InstanceKind, tuple[int, int]] = {}
         cost = 0.0
-        for one in offers:
-            each = one.capacity.times(self.gang.size)
-            most = left if zones is None else min(left, zones.get(one.kind.zone, 0))
-            number = min(one.max_count, -(-most // each)) if each else 0
-            if number <= 0:
+        for offer in offers:
+            tasks_per_machine = offer.capacity.times(self.gang.size)
+            max_tasks = unplaced if zones is None else min(unplaced, zones.get(offer.kind.zone, 0))
+            machines = (
+                min(offer.max_count, -(-max_tasks // tasks_per_machine))
+                if tasks_per_machine
+                else 0
+            )
+            if machines <= 0:
                 continue
-            tasks = min(most, number * each)
-            rented[one.kind] = number, tasks
-            left -= tasks
+            tasks = min(max_tasks, machines * tasks_per_machine)
+            rented[offer.kind] = machines, tasks
+            unplaced -= tasks
             if zones is not None:
-                zones[one.kind.zone] -= tasks
-            paid = -(-(start + self.span - self.now) // one.interval) * one.interval
-            cost += number * one.hourly * (paid / timedelta(hours=1))
-        return self._slot(start, shares, rented, cost) if left <= 0 else None
+                zones[offer.kind.zone] -= tasks
+            billed = -(-(start + self.span - self.now) // offer.interval) * offer.interval
+            cost += machines * offer.hourly_price * (billed / timedelta(hours=1))
+        return self._slot(start, shares, rented, cost) if unplaced <= 0 else None
 
     def best(self, rent: bool) -> GangSlot | None:
-        """The option with the least overrun, then the least added cost, then the earliest."""
+        """The slot with the least overrun, then the least added cost, then the earliest start.
+
+        With `rent`, machines may be rented, of several kinds only if no single kind suffices.
+        """
         options = [self.without_renting()]
         if rent and (options[0] is None or options[0].start > self.now):
-            by_price = sorted(self.offers, key=lambda one: one.hourly / max(one.capacity.cpus, 1))
-            options += [self.with_renting([one]) for one in by_price]
+            by_price = sorted(
+                self.offers, key=lambda offer: offer.hourly_price / max(offer.capacity.cpus, 1)
+            )
+            options += [self.with_renting([offer]) for offer in by_price]
             if not any(options) and by_price:
                 options.append(self.with_renting(by_price))
-        found = [one for one in options if one is not None]
-        return min(found, key=self._worth, default=None)
+        slots = [slot for slot in options if slot is not None]
+        return min(slots, key=self._preference, default=None)
 
-    def _worth(self, slot: GangSlot) -> tuple[int, float, timedelta]:
+    def _preference(self, slot: GangSlot) -> tuple[int, float, timedelta]:
         return (
             round(max(slot.finish - self.gang.due, ZERO) / SIGNIFICANT_OVERRUN),
             slot.cost,
@@ -189,6 +217,6 @@
         cost: float = 0.0,
     ) -> GangSlot:
         finish = start + self.span
-        by_index = {one.index: one for one in self.timelines}
-        cost += sum(by_index[index].added_cost(finish, fresh=False) for index, _ in shares)
+        by_index = {timeline.index: timeline for timeline in self.timelines}
+        cost += sum(by_index[index].added_cost(finish, newly_rented=False) for index, _ in shares)
         return GangSlot(start, finish, shares, rented or {}, cost)
--- a/dappledrum/scheduling/plan.py
+++ b/dappledrum/scheduling/plan.py
@@ -1,9 +1,9 @@
 """DDS (paper, Algorithm 3) over the rented machines and those that could be rented.
 
-Each planning round makes a new plan from the present state. Algorithm 1 (BDS) places tasks in time
-that is paid for anyway; Algorithm 2 (SIR) distributes the rest over machines of a single kind,
-rented anew where that is best. Tasks that the plan starts now are started; later starts only show
-which machines are needed.
+Each planning round makes a new plan from the present state. Algorithm 1 (BDS) places tasks in
+machine time that is paid for already; Algorithm 2 (SIR) distributes the rest over machines of a
+single kind, some of them newly rented where that is best. Only the starts that the plan sets for
+now are carried out; later ones only show which machines are needed.
 """
 
 from collections.abc import Collection, Iterator, Sequence
@@ -32,14 +32,14 @@
         self.plan = self.builder.plan
         self.ready_share = ready_share
         self.team_capacity = team_capacity
-        self.left: list[tuple[Bag, int]] = []  # bags for which nothing was found yet, how many
+        self.unplaced: list[tuple[Bag, int]] = []  # bags with tasks still to place, and how many
         self._gangs = GangPlacement(self.builder)
         self._backfill = Backfill(self.builder)
         self._scale_out = ScaleOut(self.builder)
 
     @property
     def examined_machines(self) -> int:
-        """Machines looked at closely: what a plan costs."""
+        """Number of times a machine's gaps were searched, the main cost of a plan."""
         return self.builder.examined_machines
 
     def run(self, bags: Sequence[Bag]) -> Plan:
@@ -54,22 +54,22 @@
         yield from self.rent()
 
     def fill(self, bags: Sequence[Bag]) -> Iterator[None]:
-        """First half: place tasks in time that is paid for anyway; bags with tasks that remain go
-        to `left`."""
+        """First half: place tasks in machine time that is paid for already; bags with remaining
+        tasks go to `unplaced`."""
         for bag in sorted(bags, key=lambda b: (b.rank, -b.run, b.id)):
-            count = self.team_capacity.count(bag)
+            count = self.team_capacity.max_startable(bag)
             if count <= 0:
                 continue
-            # Tasks that only wait are counted, too, so that no other bag uses their share.
+            # Tasks that can't start yet count too, so that no other bag uses up the team's limit.
             self.team_capacity.take(bag, count)
             zones = self._zones(bag, count)
             if bag.gang:
                 self._gangs.place(bag, count)
                 yield
                 continue
-            # Spot machines first, as long as they meet the deadline: work that an ordinary machine
-            # does not get lets it go idle, so that it can be returned.
-            placed = self._backfill.fill(bag, count, zones, cheap=True)
+            # Spot machines first, as long as they meet the deadline: an on-demand machine without
+            # new work falls idle and can be returned.
+            placed = self._backfill.fill(bag, count, zones, spot_only=True)
             if placed < count:
                 placed += self._backfill.fill(bag, count - placed, zones)
             if (
@@ -77,30 +77,34 @@
                 and self._delay_rule_allows_renting(bag)
                 and not bag.free_capacity_only
             ):
-                self.left.append((bag, count - placed))
+                self.unplaced.append((bag, count - placed))
             yield
 
-    def rent(self, first: Collection[str] = ()) -> Iterator[None]:
-        """Second half: rent machines for the bags in `left`, those in `first` before all others.
-        The caller may stop after any step."""
-        self.left.sort(
-            key=lambda item: (item[0].id not in first, item[0].rank, -(item[0].run * item[1]))
+    def rent(self, priority_bags: Collection[str] = ()) -> Iterator[None]:
+        """Second half: rent machines for the bags in `unplaced`, those in `priority_bags` before
+        all others. The caller may stop after any step."""
+        self.unplaced.sort(
+            key=lambda item: (
+                item[0].id not in priority_bags,
+                item[0].rank,
+                -(item[0].run * item[1]),
+            )
         )
-        while self.left:
-            self._scale_out.rent(*self.left.pop(0))
+        while self.unplaced:
+            self._scale_out.rent(*self.unplaced.pop(0))
             yield
 
     def _delay_rule_allows_renting(self, bag: Bag) -> bool:
-        """The delay rule: rent once enough of the stage is ready, or all that remains of it."""
+        """The delay rule: rent once enough of the stage is ready, or all that is left of it."""
         ready = bag.ready + bag.ready_siblings
         return bag.unready == 0 or ready / max(1, bag.total) > self.ready_share
 
     def _zones(self, bag: Bag, count: int) -> set[str] | None:
-        """Zones that the bag may use; None: any."""
+        """Zones that the bag may use; None: any. Restricts a `one_zone` bag to one zone."""
         if not bag.one_zone:
             return None
-        # Nothing of the job is on a machine yet (else `allowed` fixes the zone): take the zone
-        # with the most room.
+        # No task of the job is placed yet, else `allowed` would fix the zone: take the zone with
+        # the most capacity.
         capacity = self._capacity_by_zone(bag)
         if not capacity:
             return set()
@@ -110,7 +114,7 @@
         return {best}
 
     def _capacity_by_zone(self, bag: Bag) -> dict[str, int]:
-        """How many tasks of a bag each zone could run, on machines at hand and rented ones."""
+        """How many tasks of a bag each zone could run, on rented machines and on new ones."""
         capacity: dict[str, int] = {}
         for timeline in self.builder.timelines:
             if bag.allowed(timeline.kind):
@@ -118,6 +122,6 @@
                 capacity[timeline.kind.zone] = capacity.get(timeline.kind.zone, 0) + free
         for offer in self.builder.offers:
             if bag.allowed(offer.kind):
-                more = offer.capacity.times(bag.size) * offer.max_count
-                capacity[offer.kind.zone] = capacity.get(offer.kind.zone, 0) + more
+                rentable = offer.capacity.times(bag.size) * offer.max_count
+                capacity[offer.kind.zone] = capacity.get(offer.kind.zone, 0) + rentable
         return capacity
--- a/dappledrum/scheduling/timeline.py
+++ b/dappledrum/scheduling/timeline.py
@@ -12,9 +12,9 @@
 from datetime import timedelta
 from typing import NamedTuple
 
-EPSILON = 1e-6
+EPSILON = 1e-6  # CPUs, GPUs or GB by which rounded sums may exceed the free resources
 SIGNIFICANT_OVERRUN = timedelta(milliseconds=500)  # overruns that differ by less count as equal
-MAX_FIT = 1_000  # limit for tasks that need no resources
+MAX_TASKS_PER_MACHINE = 1_000  # bounds the count of tasks that need no resources
 
 
 class Size(NamedTuple):
@@ -25,27 +25,27 @@
     memory_gb: float
 
     def times(self, other: "Size") -> int:
-        """How many tasks of the other size fit in here. Inlined by hand, since a plan calls it
-        thousands of times."""
-        have_cpus, have_gpus, have_gb = self
+        """How many tasks of the other size fit. Inlined by hand, since a plan calls it thousands
+        of times."""
+        free_cpus, free_gpus, free_gb = self
         cpus, gpus, gb = other
-        result = MAX_FIT
+        count = MAX_TASKS_PER_MACHINE
         if cpus > EPSILON:
-            if (fit := (have_cpus + EPSILON) / cpus) < 1.0:
+            if (fit := (free_cpus + EPSILON) / cpus) < 1.0:
                 return 0
-            result = min(result, int(fit))
+            count = min(count, int(fit))
         if gb > EPSILON:
-            if (fit := (have_gb + EPSILON) / gb) < 1.0:
+            if (fit := (free_gb + EPSILON) / gb) < 1.0:
                 return 0
-            result = min(result, int(fit))
+            count = min(count, int(fit))
         if gpus > EPSILON:
-            if (fit := (have_gpus + EPSILON) / gpus) < 1.0:
+            if (fit := (free_gpus + EPSILON) / gpus) < 1.0:
                 return 0
-            result = min(result, int(fit))
-        return result
+            count = min(count, int(fit))
+        return count
 
     def minus(self, other: "Size", count: int = 1) -> "Size":
-        """What is left after taking away `count` times the other size."""
+        """What remains after subtracting `count` times the other size."""
         return Size(
             self.cpus - other.cpus * count,
             self.gpus - other.gpus * count,
@@ -58,7 +58,7 @@
 
 
 class InstanceKind(NamedTuple):
-    """What can be rented: a machine type in a zone, as a spot or an ordinary machine."""
+    """What can be rented: a machine type in a zone, as a spot or an on-demand machine."""
 
     type: str
     zone: str
@@ -71,7 +71,7 @@
 
     kind: InstanceKind
     capacity: Size
-    hourly: float
+    hourly_price: float
     boot: timedelta
     fetch_gb_per_s: float
     interval: timedelta
@@ -100,10 +100,10 @@
 
     def time(self, gb_per_s: float) -> timedelta:
         """The fetch time at one transfer rate."""
-        found = self._times.get(gb_per_s)
-        if found is None:
-            found = self._times[gb_per_s] = fetch_time(self.image_gb, gb_per_s)
-        return found
+        cached = self._times.get(gb_per_s)
+        if cached is None:
+            cached = self._times[gb_per_s] = fetch_time(self.image_gb, gb_per_s)
+        return cached
 
 
 class MachineTimeline:
@@ -116,10 +116,10 @@
         free: Size,
         ready_at: timedelta,
         rented_at: timedelta,
-        hourly: float,
+        hourly_price: float,
         fetch_gb_per_s: float,
         interval: timedelta,
-        until: timedelta | None = None,
+        available_until: timedelta | None = None,
         booting: bool = False,
     ) -> None:
         self.machine = machine
@@ -129,68 +129,68 @@
         self.ready_at = ready_at
         self.rented_at = rented_at
         self.rented_s = rented_at.total_seconds()
-        self.hourly = hourly
+        self.hourly_price = hourly_price
         self.capacity = free.cpus
-        self.hourly_cpu = hourly / max(free.cpus, 1e-3)
+        self.hourly_price_per_cpu = hourly_price / max(free.cpus, 1e-3)
         self.fetch_gb_per_s = fetch_gb_per_s
         self.interval = interval
-        self.until = until
+        self.available_until = available_until
         self.booting = booting
-        self.committed = ready_at
-        self.images: dict[str, timedelta] = {}  # when each image will be on the machine
-        self.planned = 0
+        self.committed = ready_at  # end of the last reservation
+        self.images: dict[str, timedelta] = {}  # moment at which each image is on the machine
+        self.planned = 0  # tasks that the plan places on the machine
         self.index = 0  # among the machines of a plan
         self.interval_s = interval.total_seconds()
-        self._first: dict[Size, int] = {}  # index of the first step in which a size fits
-        self._billed: timedelta | None = None
-        self._paid = 0  # number of billed intervals until `_billed`
+        self._first_steps: dict[Size, int] = {}  # index of the first step at which a size fits
+        self._billed_until: timedelta | None = None
+        self._billed_intervals = 0  # their number until `_billed_until`
 
     def copy(self) -> "MachineTimeline":
-        """An independent copy to try things on."""
+        """An independent copy for a trial placement."""
         other = MachineTimeline.__new__(MachineTimeline)
         other.__dict__.update(self.__dict__)
         other.times = self.times.copy()
         other.free = self.free.copy()
         other.images = self.images.copy()
-        other._first = {}  # noqa: SLF001 - of the same class
+        other._first_steps = {}  # noqa: SLF001 - of the same class
         return other
 
-    def first(self, size: Size) -> timedelta:
-        """The first moment at which a task of this size fits, for however short a time."""
+    def first_free(self, size: Size) -> timedelta:
+        """The first moment at which a task of this size fits, even for a short time only."""
         return self.times[self._first_step(size)]
 
     def _first_step(self, size: Size) -> int:
-        index = self._first.get(size)
+        index = self._first_steps.get(size)
         if index is None:
             index = len(self.free) - 1
             cpus, gpus, gb = size.cpus - EPSILON, size.gpus - EPSILON, size.memory_gb - EPSILON
-            for at, (have_cpus, have_gpus, have_gb) in enumerate(self.free):
-                if have_cpus >= cpus and have_gb >= gb and have_gpus >= gpus:
+            for at, (free_cpus, free_gpus, free_gb) in enumerate(self.free):
+                if free_cpus >= cpus and free_gb >= gb and free_gpus >= gpus:
                     index = at
                     break
-            self._first[size] = index
+            self._first_steps[size] = index
         return index
 
     def duration(self, run: timedelta, image: str, image_gb: float, start: timedelta) -> timedelta:
-        """The estimate Q of a task that starts at this moment: its run time and what is left of
-        the fetch of its image."""
-        at = self.images.get(image)
-        if at is None:
+        """The estimate Q of a task that starts at this moment: its run time and the remaining time
+        of the fetch of its image."""
+        image_at = self.images.get(image)
+        if image_at is None:
             return run + fetch_time(image_gb, self.fetch_gb_per_s)
-        return run + max(at - start, timedelta(0))
+        return run + max(image_at - start, timedelta(0))
 
     def earliest(self, size: Size, run: timedelta, image: str, image_gb: float) -> Gap | None:
         """The earliest gap in which a task can run to its end; None if there is none."""
         times, free = self.times, self.free
         last = len(times) - 1
         cpus, gpus, gb = size.cpus - EPSILON, size.gpus - EPSILON, size.memory_gb - EPSILON
-        for index, (have_cpus, have_gpus, have_gb) in enumerate(free):
-            if have_cpus < cpus or have_gb < gb or have_gpus < gpus:
+        for index, (free_cpus, free_gpus, free_gb) in enumerate(free):
+            if free_cpus < cpus or free_gb < gb or free_gpus < gpus:
                 continue
             count = free[index].times(size)
             start = times[index]
             finish = start + self.duration(run, image, image_gb, start)
-            if self.until is not None and finish > self.until:
+            if self.available_until is not None and finish > self.available_until:
                 return None
             at = index + 1
             while at <= last and count and times[at] < finish:
@@ -202,7 +202,7 @@
                 return Gap(start, count, finish)
         return None
 
-    def _cut(self, at: timedelta) -> int:
+    def _split_step(self, at: timedelta) -> int:
         """Index of the step that begins at this time; the step is created if necessary."""
         index = bisect_left(self.times, at)
         if index == len(self.times) or self.times[index] != at:
@@ -212,23 +212,24 @@
 
     def reserve(self, start: timedelta, finish: timedelta, size: Size, count: int = 1) -> None:
         """Reserve resources for some tasks of the same size."""
-        first = self._cut(start)
-        last = self._cut(finish)
+        first = self._split_step(start)
+        last = self._split_step(finish)
         for index in range(first, last):
             self.free[index] = self.free[index].minus(size, count)
-        self._first.clear()
+        self._first_steps.clear()
         if finish > self.committed:
             self.committed = finish
-            self._billed = None
+            self._billed_until = None
 
     def occupy(self, tasks: Iterable[tuple[timedelta, Size]]) -> None:
-        """Reserve resources from the beginning on for tasks that are there already, each until its
-        end; for a timeline on which nothing is reserved yet.
+        """Reserve resources for tasks that run already, each from the beginning to its end; only
+        for a timeline on which nothing is reserved yet.
 
-        The same as `reserve` for one after the other, in a single pass from the last end back:
-        that cost a fifth of a leader's processor time with 29 tasks on each of 400 machines.
+        Has the same result as `reserve` for each task, but in a single pass from the last end
+        back: separate calls cost a fifth of a leader's processor time with 29 tasks on each of 400
+        machines.
         """
-        left = self.free[0]
+        free_now = self.free[0]
         times: list[timedelta] = []
         free: list[Size] = []
         for finish, size in sorted(tasks, reverse=True):
@@ -236,17 +237,17 @@
                 break
             if not times or times[-1] != finish:
                 times.append(finish)
-                free.append(left)
-            left = left.minus(size)
+                free.append(free_now)
+            free_now = free_now.minus(size)
         if times:
             self.committed = times[0]
-            self._billed = None
+            self._billed_until = None
         self.times = [self.ready_at, *reversed(times)]
-        self.free = [left, *reversed(free)]
-        self._first.clear()
+        self.free = [free_now, *reversed(free)]
+        self._first_steps.clear()
 
     def expect_image(self, image: str, image_gb: float, start: timedelta) -> None:
-        """Note that an image will be fetched for a task that starts at this moment."""
+        """Record that an image will be fetched for a task that starts at this moment."""
         if image not in self.images:
             self.images[image] = start + fetch_time(image_gb, self.fetch_gb_per_s)
 
@@ -256,16 +257,18 @@
 
     def billed_until(self) -> timedelta:
         """End of the last billed interval that the committed work needs."""
-        if self._billed is None:
-            self._paid = self.intervals(self.committed)
-            self._billed = self.rented_at + self._paid * self.interval
-        return self._billed
+        if self._billed_until is None:
+            self._billed_intervals = self.intervals(self.committed)
+            self._billed_until = self.rented_at + self._billed_intervals * self.interval
+        return self._billed_until
 
-    def added_cost(self, finish: timedelta, fresh: bool) -> float:
+    def added_cost(self, finish: timedelta, newly_rented: bool) -> float:
         """Price of the billed intervals that a task which ends at `finish` would add; for a
-        machine that is not rented yet (`fresh`), of all its intervals."""
+        machine that is not rented yet (`newly_rented`), of all its intervals."""
         if finish <= self.billed_until():
-            more = self._paid if fresh else 0
+            added_intervals = self._billed_intervals if newly_rented else 0
         else:
-            more = self.intervals(finish) - (0 if fresh else self._paid)
-        return more * self.interval_s / 3600 * self.hourly
+            added_intervals = self.intervals(finish) - (
+                0 if newly_rented else self._billed_intervals
+            )
+        return added_intervals * self.interval_s / 3600 * self.hourly_price
--- a/dappledrum/scheduling/victim_selection.py
+++ b/dappledrum/scheduling/victim_selection.py
@@ -1,7 +1,7 @@
 """Chooses running tasks to stop so that more urgent tasks can start in time.
 
-The paper never preempts (3.3, assumption 3); the guarantees and priorities of the protocol require
-it.
+The paper never preempts (section 3.3, assumption 3), but the guarantees and priorities of the
+protocol require it.
 """
 
 from collections.abc import Hashable, Sequence
@@ -28,34 +28,36 @@
 
 
 def choose_victims(
-    need: Size, count: int, hosts: Sequence[Host], whole: bool = False
+    needed: Size, count: int, hosts: Sequence[Host], all_or_none: bool = False
 ) -> list[Hashable]:
-    """Victims to stop so that `count` tasks of size `need` fit, each time on the machine where the
-    least work is lost.
+    """Victims to stop so that `count` tasks of size `needed` fit, each on the machine where the
+    least work is lost for it.
 
     Resources that a stopped task frees beyond what one task needs are used for the next ones. With
-    `whole`, room is made for all `count` tasks or nothing is stopped.
+    `all_or_none`, nothing is stopped unless all `count` tasks fit.
     """
     result: list[Hashable] = []
     state = {host.name: (host.free, sorted(host.victims, key=lambda v: v.lost)) for host in hosts}
     for _ in range(count):
         best: tuple[float, int, str] | None = None
         for name, (free, victims) in state.items():
-            cost, taken = 0.0, 0
-            while free.times(need) < 1 and taken < len(victims):
-                free = free.plus(victims[taken].size)
-                cost += victims[taken].lost.total_seconds() * max(victims[taken].size.cpus, 0.1)
-                taken += 1
-            if free.times(need) >= 1 and (best is None or (cost, taken) < best[:2]):
-                best = (cost, taken, name)
+            cost, victim_count = 0.0, 0
+            while free.times(needed) < 1 and victim_count < len(victims):
+                free = free.plus(victims[victim_count].size)
+                cost += victims[victim_count].lost.total_seconds() * max(
+                    victims[victim_count].size.cpus, 0.1
+                )
+                victim_count += 1
+            if free.times(needed) >= 1 and (best is None or (cost, victim_count) < best[:2]):
+                best = (cost, victim_count, name)
         if best is None:
-            if whole:
+            if all_or_none:
                 return []
             break
-        _, taken, name = best
+        _, victim_count, name = best
         free, victims = state[name]
-        for victim in victims[:taken]:
+        for victim in victims[:victim_count]:
             free = free.plus(victim.size)
             result.append(victim.key)
-        state[name] = (free.minus(need), victims[taken:])
+        state[name] = (free.minus(needed), victims[victim_count:])
     return result
