--- a/dappledrum/gangs/test_gangs.py
+++ b/dappledrum/gangs/test_gangs.py
@@ -1,4 +1,4 @@
-"""Gangs: room found against a search of every moment, and whole controllers in virtual time."""
+"""Tests gangs: the capacity search against a search of every moment, and simulated clusters."""
 
 import asyncio
 from datetime import UTC, datetime
@@ -20,10 +20,10 @@
 from dappledrum.timing.clock import seconds
 
 NOW = 100
-rows = st.lists(
+drawn_machines = st.lists(
     st.tuples(
         st.integers(1, 8),  # CPUs
-        st.sampled_from([0, 0, 7, 20]),  # ready after now
+        st.sampled_from([0, 0, 7, 20]),  # seconds until it is ready
         st.lists(st.tuples(st.integers(0, 30), st.integers(1, 40), st.integers(1, 4)), max_size=3),
     ),
     max_size=4,
@@ -49,33 +49,34 @@
 
 
 def plain_capacity(drawn, timeline, cpus, start, span):
-    """Tasks that fit on one machine, looked at second by second."""
+    """Number of tasks that fit on one machine, checked second by second."""
     _, ready, _ = drawn
     if start < NOW + ready:
         return 0
-    least = 99
-    for at in range(start, start + span):
-        step = max(i for i, t in enumerate(timeline.times) if t <= seconds(at))
-        least = min(least, int(timeline.free[step].cpus) // cpus)
-    return least
+    capacity = 99
+    for moment in range(start, start + span):
+        step = max(i for i, t in enumerate(timeline.times) if t <= seconds(moment))
+        capacity = min(capacity, int(timeline.free[step].cpus) // cpus)
+    return capacity
 
 
-def test_a_gang_is_incomplete_although_one_of_its_attempts_repeats_a_completed_task():
-    """By the number of attempts on machines it looked complete, and waited for nobody."""
+def test_a_gang_is_incomplete_even_if_an_attempt_repeats_a_completed_task():
+    """The number of attempts on machines made such a gang look complete, so it was not restarted,
+    and its members waited forever for the missing one."""
     spec = msgspec.convert(job(1, beats=3, form="ensemble"), Spec)
     gang = Job(JobRecord(spec, 0, 256, PageRecord()), 1)
     page = gang.page(0)
     for task in range(3):
         page.place(task, f"host-{task}", 1, "a", datetime.now(UTC))
     assert not is_incomplete(gang)
-    page.finish(0)  # in an earlier attempt, as a late heartbeat shows
+    page.finish(0)  # a late heartbeat reports that an earlier attempt finished it
     assert not is_incomplete(gang)
     page.remove(2)
     assert is_incomplete(gang)
 
 
 @settings(max_examples=200, derandomize=True, deadline=None)
-@given(rows, st.integers(1, 4), st.integers(1, 8), st.integers(1, 25))
+@given(drawn_machines, st.integers(1, 4), st.integers(1, 8), st.integers(1, 25))
 def test_the_earliest_moment_with_room_for_all(drawn, cpus, count, span):
     timelines = build(drawn)
     gang = Gang(
@@ -100,11 +101,11 @@
         assert sum(number for _, number in found.shares) == count
 
 
-def plan(timelines, bags, offers=()):
+def make_plan(timelines, bags, offers=()):
     return Planner(seconds(NOW), timelines, offers, 0.3, TeamCapacity({})).run(bags)
 
 
-def bag(name, count, rank=(), **changes):
+def make_bag(name, count, rank=(), **changes):
     base = {
         "id": name,
         "size": Size(4, 0, 1),
@@ -122,33 +123,42 @@
     return Bag(**(base | changes))
 
 
-def test_two_gangs_never_take_half_of_the_room_each():
+def test_two_gangs_never_hold_half_of_the_capacity_each():
     timelines = build([(8, 0, []), (8, 0, [(0, 30, 4)])])
-    made = plan(timelines, [bag("a", 3, (0,)), bag("b", 3, (1,))])
-    assert sum(n for name, _, n in made.starts if name == "a") == 3
-    assert not any(name == "b" for name, _, _ in made.starts)
-    made = plan(build([(8, 0, [(0, 9, 4)])]), [bag("a", 2, (0,)), bag("c", 1, (1,), gang=False)])
-    # Room is kept for the whole from the moment on when it is all there, not before.
-    assert not made.starts
-    assert made.needed == {"m0"}
-    late = plan(build([(8, 0, [(0, 30, 4)])]), [bag("a", 2, (0,)), bag("c", 1, (1,), gang=False)])
+    plan = make_plan(timelines, [make_bag("a", 3, (0,)), make_bag("b", 3, (1,))])
+    assert sum(n for name, _, n in plan.starts if name == "a") == 3
+    assert not any(name == "b" for name, _, _ in plan.starts)
+    plan = make_plan(
+        build([(8, 0, [(0, 9, 4)])]),
+        [make_bag("a", 2, (0,)), make_bag("c", 1, (1,), gang=False)],
+    )
+    # Capacity is reserved only from the moment at which there is enough for the whole gang.
+    assert not plan.starts
+    assert plan.needed == {"m0"}
+    late = make_plan(
+        build([(8, 0, [(0, 30, 4)])]),
+        [make_bag("a", 2, (0,)), make_bag("c", 1, (1,), gang=False)],
+    )
     assert [name for name, _, _ in late.starts] == ["c"]
 
 
-def test_renting_counts_the_whole_of_one_kind_and_several_only_if_one_does_not_do():
+def test_a_gang_rents_one_kind_and_several_only_if_one_is_not_enough():
     offers = [
         Offer(InstanceKind("p", "z", True), Size(8, 0, 9), 0.1, seconds(20), 1.0, seconds(60), 2),
         Offer(InstanceKind("q", "z", True), Size(16, 0, 9), 1.0, seconds(5), 1.0, seconds(60), 2),
     ]
-    assert plan([], [bag("a", 4)], [*offers]).rentals == {InstanceKind("p", "z", True): 2}
+    assert make_plan([], [make_bag("a", 4)], [*offers]).rentals == {
+        InstanceKind("p", "z", True): 2
+    }
     offers[0].max_count = offers[1].max_count = 2
-    both = plan([], [bag("a", 11)], offers)
+    both = make_plan([], [make_bag("a", 11)], offers)
     assert both.rentals == {InstanceKind("p", "z", True): 2, InstanceKind("q", "z", True): 2}
     offers[0].max_count = offers[1].max_count = 2
-    assert not plan([], [bag("a", 13)], offers).rentals  # nothing is rented for a part
+    # Nothing is rented for part of a gang.
+    assert not make_plan([], [make_bag("a", 13)], offers).rentals
 
 
-def test_versions():
+def test_old_and_unreadable_versions_do_not_support_gangs():
     assert at_least("0.4.0", MIN_VERSION_WITH_GANGS)
     assert at_least("1.0.0", MIN_VERSION_WITH_GANGS)
     assert at_least("0.10.0rc", MIN_VERSION_WITH_GANGS[:2])
@@ -156,21 +166,21 @@
         assert not at_least(version, MIN_VERSION_WITH_GANGS)
 
 
-def gang(number, **changes):
+def gang_job(number, **changes):
     return job(number, form="ensemble", **changes)
 
 
-async def started(cluster, seed_job):
+async def submit_and_start(cluster, spec):
     await cluster.until(lambda: cluster.leader() is not None)
-    assert await cluster.submit(seed_job) == 201
-    tasks = seed_job["beats"]
+    assert await cluster.submit(spec) == 201
+    tasks = spec["beats"]
     await cluster.until(lambda: len(cluster.rules.running) == tasks)
 
 
-def test_a_gang_runs_whole_and_a_lost_member_restarts_it():
+def test_a_gang_restarts_as_a_whole_when_a_member_is_lost():
     async def main():
         cluster = SimulatedCluster(seed=61)
-        await started(cluster, gang(1, beats=8, vcpus=3.0, runS=20.0, expectedS=20.0))
+        await submit_and_start(cluster, gang_job(1, beats=8, vcpus=3.0, runS=20.0, expectedS=20.0))
         await cluster.wait(6)
         taken = next(iter(cluster.rules.running.values()))
         cluster.cloud.take(next(iter(taken)))
@@ -180,11 +190,14 @@
     run(main())
 
 
-def test_a_gang_outlives_takeovers_also_while_it_is_being_placed():
+def test_a_gang_survives_takeovers_even_while_it_is_being_placed():
     async def main():
         cluster = SimulatedCluster(seed=62)
         await cluster.until(lambda: cluster.leader() is not None)
-        assert await cluster.submit(gang(1, beats=12, vcpus=2.0, runS=15.0, expectedS=15.0)) == 201
+        assert (
+            await cluster.submit(gang_job(1, beats=12, vcpus=2.0, runS=15.0, expectedS=15.0))
+            == 201
+        )
         await cluster.until(lambda: cluster.rules.starts >= 1)
         await cluster.restart(cluster.leader())
         await cluster.until(lambda: len(cluster.rules.running) == 12)
@@ -201,7 +214,7 @@
         await cluster.until(lambda: cluster.leader() is not None)
         names = []
         for number in range(4):
-            spec = gang(number, beats=3, vcpus=4.0, builds=["small"], dueS=60.0)
+            spec = gang_job(number, beats=3, vcpus=4.0, builds=["small"], dueS=60.0)
             assert await cluster.submit(spec) == 201
             names.append(spec["id"])
         await cluster.finish(names)
@@ -209,15 +222,17 @@
     run(main())
 
 
-def test_the_limit_of_a_team_counts_the_whole_gang_and_prod_takes_it_whole():
+def test_team_limits_count_whole_gangs_and_prod_preempts_whole_gangs():
     async def main():
         cluster = SimulatedCluster(seed=64, teams=(Team("blue"), Team("red", cpus_max=8.0)))
         cluster.cloud.most = 2
         await cluster.until(lambda: cluster.leader() is not None)
-        assert await cluster.submit(gang(1, crew="red", beats=5)) == 422
-        await started(
+        assert await cluster.submit(gang_job(1, crew="red", beats=5)) == 422
+        await submit_and_start(
             cluster,
-            gang(2, beats=4, builds=["small"], runS=60.0, expectedS=60.0, urgency="best_effort"),
+            gang_job(
+                2, beats=4, builds=["small"], runS=60.0, expectedS=60.0, urgency="best_effort"
+            ),
         )
         urgent = job(3, beats=1, vcpus=4.0, builds=["small"], urgency="prod", runS=25.0)
         urgent["dueS"] = 20.0
@@ -232,19 +247,19 @@
     run(main())
 
 
-def test_gangs_are_taken_when_all_controllers_know_them():
+def test_gangs_are_accepted_once_all_controllers_support_them():
     async def main():
         members = tuple(f"drummer-{n}" for n in range(3))
         cluster = SimulatedCluster(seed=65, members=members, old={"drummer-2"})
         await cluster.until(lambda: cluster.leader() is not None)
-        reply = await cluster.submit(gang(1), tries=3, member="drummer-0")
-        assert reply is None  # 503, and never a record that an older leader can't read
+        reply = await cluster.submit(gang_job(1), tries=3, member="drummer-0")
+        assert reply is None  # 503: an older leader could not read the record
         await cluster.upgrade("drummer-2")
-        assert await cluster.submit(gang(1), member="drummer-0") == 201
+        assert await cluster.submit(gang_job(1), member="drummer-0") == 201
         cluster.kill("drummer-1")
         await cluster.restart("drummer-0")
-        # Known from the store, though one does not answer.
-        assert await cluster.submit(gang(2), member="drummer-0") == 201
+        # The store shows the versions, although one controller does not answer.
+        assert await cluster.submit(gang_job(2), member="drummer-0") == 201
         await cluster.finish(["j-000001", "j-000002"])
         assert asyncio.get_running_loop().time() < 200
 
--- a/dappledrum/scheduling/test_plan.py
+++ b/dappledrum/scheduling/test_plan.py
@@ -1,4 +1,4 @@
-"""The planner against the plain model, on generated machines and bags."""
+"""Tests the planner against the plain model, on generated machines and bags."""
 
 import random
 import statistics
@@ -21,40 +21,49 @@
 machines = st.lists(
     st.tuples(
         st.sampled_from(["p", "q"]),
-        st.integers(0, 200),  # rented before now
-        st.integers(0, 30),  # ready after now; 0: up
+        st.integers(0, 200),  # seconds since the rental
+        st.integers(0, 30),  # seconds until it is ready; 0: running
         st.booleans(),  # has the image
         st.lists(
             st.tuples(st.integers(1, 4), st.integers(1, 150)), max_size=2
-        ),  # running: CPUs, seconds left
+        ),  # running tasks: CPUs, seconds left
     ),
     max_size=7,
 )
 bags = st.tuples(
     st.integers(1, 4),  # CPUs
-    st.integers(1, 130),  # run
+    st.integers(1, 130),  # run time
     st.integers(1, 9),  # tasks
-    st.integers(5, 300),  # due
-    st.sampled_from([0, 20, 100]),  # waited
+    st.integers(5, 300),  # deadline, in seconds from now
+    st.sampled_from([0, 20, 100]),  # seconds waited
 )
 SPOT = {"p": True, "q": False}
 SHAPES = {"p": (4.0, 0.4, 20), "q": (8.0, 1.0, 35)}  # CPUs, hourly, boot
 
 
-def build(rows):
-    plain, real = [], []
-    for index, (kind, age, ready, image, running) in enumerate(rows):
+def build(drawn):
+    plain, timelines = [], []
+    for index, (kind, age, ready, image, running) in enumerate(drawn):
         cpus, hourly, _ = SHAPES[kind]
-        at = NOW + ready
+        ready_at = NOW + ready
         machine = PlainMachine(
-            *(f"m{index}", kind, cpus, at, NOW - age, hourly, 10.0, at if image else None),
+            *(
+                f"m{index}",
+                kind,
+                cpus,
+                ready_at,
+                NOW - age,
+                hourly,
+                10.0,
+                ready_at if image else None,
+            ),
             spot=SPOT[kind],
         )
         timeline = MachineTimeline(
             f"m{index}",
             InstanceKind(kind, "z", SPOT[kind]),
             Size(cpus, 0, 100),
-            seconds(at),
+            seconds(ready_at),
             seconds(NOW - age),
             hourly,
             0.5,
@@ -62,15 +71,17 @@
             booting=ready > 0,
         )
         if image:
-            timeline.images["i"] = seconds(at)
+            timeline.images["i"] = seconds(ready_at)
         if ready == 0:
-            for taken, left in running:
-                if machine.used(NOW) + taken <= cpus:
-                    machine.reserved.append((NOW, NOW + left, taken))
-                    timeline.reserve(seconds(NOW), seconds(NOW + left), Size(taken, 0, 1))
+            for busy_cpus, seconds_left in running:
+                if machine.used(NOW) + busy_cpus <= cpus:
+                    machine.reserved.append((NOW, NOW + seconds_left, busy_cpus))
+                    timeline.reserve(
+                        seconds(NOW), seconds(NOW + seconds_left), Size(busy_cpus, 0, 1)
+                    )
         plain.append(machine)
-        real.append(timeline)
-    return plain, real
+        timelines.append(timeline)
+    return plain, timelines
 
 
 def bag_of(cpus, run, count, due, **changes):
@@ -89,8 +100,8 @@
     return Bag(**(base | changes))
 
 
-def offers_of(most):
-    blanks = [
+def offers_of(max_count):
+    new_machines = [
         PlainMachine("new", kind, cpus, NOW + boot, NOW, hourly, 10.0, fresh=True)
         for kind, (cpus, hourly, boot) in SHAPES.items()
     ]
@@ -102,11 +113,11 @@
             seconds(boot),
             0.5,
             seconds(LENGTH),
-            most,
+            max_count,
         )
         for kind, (cpus, hourly, boot) in SHAPES.items()
     ]
-    return [(new_machine, most) for new_machine in blanks], offers
+    return [(new_machine, max_count) for new_machine in new_machines], offers
 
 
 def planner(timelines, offers=(), share=0.3, capacity=None):
@@ -166,8 +177,8 @@
         assert ("b" in plan.late) == (worst > 0)
 
 
-def large(machines, jobs, seed=3):
-    """A busy fleet with a backlog, as a plain number of machines and of bags."""
+def busy_fleet(machines, jobs, seed=3):
+    """Timelines of busy machines and a backlog of bags; each bag has 60 tasks."""
     rng = random.Random(seed)
     rows = []
     for _ in range(machines):
@@ -178,44 +189,45 @@
         (rng.choice([1, 2, 4]), rng.randint(5, 90), 60, rng.randint(0, 100)) for _ in range(jobs)
     ]
     return build(rows)[1], [
-        bag_of(*one, id=str(n), rank=(rng.random(),)) for n, one in enumerate(drawn)
+        bag_of(*drawn_bag, id=str(number), rank=(rng.random(),))
+        for number, drawn_bag in enumerate(drawn)
     ]
 
 
-def test_the_work_of_a_plan_grows_with_what_it_places_not_with_the_fleet():
-    """Guards against comparing every machine for every placement: with 700 machines and 40 jobs a
-    plan took ten seconds, in which no worker was answered and no lease renewed."""
-    looked = {}
+def test_planning_work_grows_with_placements_not_with_fleet_size():
+    """Guards against examining every machine for every placement: with 700 machines and 40 jobs a
+    plan took ten seconds, during which no worker got an answer and no lease was renewed."""
+    examined = {}
     for machines in (175, 700):
-        timelines, drawn = large(machines, 40)
+        timelines, drawn = busy_fleet(machines, 40)
         made = planner(timelines, offers_of(50)[1])
         made.run(drawn)
-        looked[machines] = made.examined_machines
-    assert looked[700] < 2 * looked[175]
-    assert looked[700] < 5 * 40 * 60
+        examined[machines] = made.examined_machines
+    assert examined[700] < 2 * examined[175]
+    assert examined[700] < 5 * 40 * 60
 
 
-def test_a_plan_is_made_in_steps():
-    timelines, drawn = large(50, 10)
+def test_a_plan_takes_at_least_one_step_per_bag():
+    timelines, drawn = busy_fleet(50, 10)
     assert sum(1 for _ in planner(timelines, offers_of(50)[1]).steps(drawn)) >= 10
 
 
-def test_a_stage_waits_until_enough_of_it_is_ready():
+def test_nothing_is_rented_until_enough_of_a_stage_is_ready():
     _, offers = offers_of(5)
     assert not planner([], offers).run([bag_of(2, 30, 3, 100, unready=7, total=10)]).rentals
     assert planner([], offers).run([bag_of(2, 30, 4, 100, unready=6, total=10)]).rentals
     assert planner([], offers).run([bag_of(2, 30, 1, 100, unready=0, total=10)]).rentals
 
 
-def test_urgency_goes_before_the_papers_order():
+def test_rank_precedes_the_order_of_the_paper():
     _, timelines = build([("p", 5, 0, True, [])])
     low = bag_of(4, 50, 1, 300, id="low", rank=(1, 3), free_capacity_only=True)
     high = bag_of(4, 20, 1, 300, id="high", rank=(1, 1), free_capacity_only=True)
     assert [start[0] for start in planner(timelines).run([low, high]).starts] == ["high"]
 
 
-def test_team_limit_spread_and_one_zone():
-    def four(capacity=None, **changes):
+def test_plans_respect_team_limit_spread_and_one_zone():
+    def zones_of_four_tasks(capacity=None, **changes):
         timelines = [
             MachineTimeline(
                 f"m{i}",
@@ -234,10 +246,10 @@
         )
         return [timelines[int(name[1:])].kind.zone for _, name, _ in plan.starts]
 
-    assert len(four()) == 4
-    assert len(four(capacity={"t": Size(8, 1e9, 1e9)})) == 2
-    assert sorted(four(zone_capacity={"a": 2, "b": 1})) == ["a", "a", "b"]
-    assert len(set(four(one_zone=True))) == 1
+    assert len(zones_of_four_tasks()) == 4
+    assert len(zones_of_four_tasks(capacity={"t": Size(8, 1e9, 1e9)})) == 2
+    assert sorted(zones_of_four_tasks(zone_capacity={"a": 2, "b": 1})) == ["a", "a", "b"]
+    assert len(set(zones_of_four_tasks(one_zone=True))) == 1
 
 
 @settings(max_examples=60, derandomize=True, deadline=None)
@@ -259,7 +271,7 @@
     )
 
 
-def test_a_class_that_takes_twice_as_long_as_said_is_learned():
+def test_estimates_learn_that_a_class_takes_twice_the_owners_estimate():
     estimates = Estimates()
     assert estimates.task_time("new", "slow", seconds(10)) == seconds(12.5)
     for _ in range(30):
@@ -267,7 +279,7 @@
     assert seconds(22) < estimates.task_time("new", "slow", seconds(10)) < seconds(26)
 
 
-def test_deadlines_come_from_the_owner_or_the_objectives():
+def test_deadlines_come_from_the_owner_and_the_objectives():
     objectives = [
         Objective("finished", job_class="x", within_s=100),
         Objective("wait", job_class="x", within_s=20),
--- a/dappledrum/scheduling/test_stages.py
+++ b/dappledrum/scheduling/test_stages.py
@@ -1,4 +1,4 @@
-"""Stages of a workflow against the plain model, on drawn workflows; and their size."""
+"""Tests the stages of workflows against the plain model, and on very large workflows."""
 
 from datetime import timedelta
 
@@ -14,9 +14,9 @@
 
 drawn_jobs = st.lists(
     st.tuples(
-        st.sets(st.integers(1, 4), max_size=3),  # needs: so many places before
-        st.integers(1, 60),  # run
-        st.lists(st.integers(1, 300), max_size=2),  # dues
+        st.sets(st.integers(1, 4), max_size=3),  # needs: distance back to each job it waits for
+        st.integers(1, 60),  # run time
+        st.lists(st.integers(1, 300), max_size=2),  # deadlines
         st.integers(0, 3),  # rank
         st.integers(1, 9),  # tasks
     ),
@@ -65,30 +65,31 @@
 
 
 def test_a_chain_divides_the_time_left_by_estimated_work():
-    links = {
+    workflow = {
         "a": WorkflowJob((), 0, seconds(10), (), 3, 6, 6),
         "b": WorkflowJob(("a",), 1, seconds(30), (), 3, 6, 0),
         "c": WorkflowJob(("b",), 2, seconds(10), [seconds(100)], 1, 2, 0),
     }
-    found, _ = stages(links, OPTIMISTIC_RUN_TIME_SHARE)
+    found, _ = stages(workflow, OPTIMISTIC_RUN_TIME_SHARE)
     assert [found[name].due for name in "abc"] == [seconds(20), seconds(80), seconds(100)]
     assert {stage.rank for stage in found.values()} == {1}
 
 
-def test_a_ring_is_told_apart_and_what_waits_for_it():
-    links = {
+def test_cycles_and_the_jobs_that_wait_for_them_are_reported():
+    workflow = {
         "a": WorkflowJob(("b",), 0, seconds(1), (), 3, 1, 0),
         "b": WorkflowJob(("a",), 0, seconds(1), (), 3, 1, 0),
         "c": WorkflowJob(("b",), 0, seconds(1), [seconds(9)], 3, 1, 0),
         "d": WorkflowJob((), 0, seconds(1), [seconds(9)], 3, 1, 1),
     }
-    found, cycle = stages(links, OPTIMISTIC_RUN_TIME_SHARE)
+    found, cycle = stages(workflow, OPTIMISTIC_RUN_TIME_SHARE)
     assert cycle == {"a", "b", "c"}
     assert set(found) == {"d"}
 
 
-def test_long_chains_and_wide_ones_need_no_recursion():
-    """A chain of thousands, and a job that thousands need, which a last job needs all of."""
+def test_long_chains_and_wide_dependencies_need_no_recursion():
+    """Tries a chain of thousands of jobs, and thousands of jobs between one that they all wait for
+    and one that waits for all of them."""
     size = 3000
     deep = {
         f"{n}": WorkflowJob((f"{n - 1}",) if n else (), n, seconds(1), [seconds(9e6)], 3, 1, 0)
@@ -100,7 +101,7 @@
     }
     others = tuple(name for name in wide if name != "0")
     wide["last"] = WorkflowJob(others, 2, seconds(1), (seconds(90),), 1, 1, 0)
-    for links in (deep, wide):
-        found, _ = stages(links, OPTIMISTIC_RUN_TIME_SHARE)
-        assert len(found) == len(links)
+    for workflow in (deep, wide):
+        found, _ = stages(workflow, OPTIMISTIC_RUN_TIME_SHARE)
+        assert len(found) == len(workflow)
     assert found["1"].due == timedelta(seconds=60)
--- a/dappledrum/scheduling/test_timeline.py
+++ b/dappledrum/scheduling/test_timeline.py
@@ -1,4 +1,4 @@
-"""Free resources of a machine on which tasks run already."""
+"""Tests the free resources of a machine on which tasks already run."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -9,7 +9,7 @@
 READY = 1_000
 CAPACITY = Size(64.0, 8.0, 128.0)
 
-tasks_there = st.lists(
+running_tasks = st.lists(
     st.tuples(
         st.integers(READY - 20, READY + 40),  # finish
         st.builds(
@@ -30,7 +30,7 @@
     )
 
 
-@given(tasks_there)
+@given(running_tasks)
 @settings(max_examples=300, derandomize=True, deadline=None)
 def test_tasks_reserved_at_once_are_as_those_reserved_one_by_one(tasks):
     starting_now, singly = timeline(), timeline()
--- a/dappledrum/scheduling/test_victim_selection.py
+++ b/dappledrum/scheduling/test_victim_selection.py
@@ -1,4 +1,4 @@
-"""Victims against a search over all subsets."""
+"""Tests the choice of victims against a search over all subsets of running tasks."""
 
 from itertools import combinations
 
