--- a/dappledrum/accounting/idle_categories.py
+++ b/dappledrum/accounting/idle_categories.py
@@ -38,7 +38,7 @@
         if not demand.team_has_capacity:
             if category is CostCategory.IDLE_WRONG_KIND:
                 category = CostCategory.IDLE_TEAM_LIMIT
-        elif free.times(demand.size) >= 1:
+        elif free.fit_count(demand.size) >= 1:
             return CostCategory.IDLE_KEPT_FREE
         else:
             category = CostCategory.IDLE_TOO_SMALL
--- a/dappledrum/dispatch/candidate_machines.py
+++ b/dappledrum/dispatch/candidate_machines.py
@@ -70,7 +70,7 @@
             ):
                 return False
             free = free.minus(job.size)
-        return any(free.times(size) for size in self.sizes)
+        return any(free.fit_count(size) for size in self.sizes)
 
     def available(self) -> list[str]:
         """Names of the machines that new work may use now, for the accounting."""
--- a/dappledrum/dispatch/pending_work.py
+++ b/dappledrum/dispatch/pending_work.py
@@ -102,7 +102,7 @@
             if key not in result:
                 remaining = capacity.get(spec.team)
                 within_limit = (
-                    remaining is None or remaining.times(Size(spec.cpus, spec.gpus, 0.0)) >= 1
+                    remaining is None or remaining.fit_count(Size(spec.cpus, spec.gpus, 0.0)) >= 1
                 )
                 result[key] = Demand(
                     size, allowed_kinds(job, self.autoscaler.types, set()), within_limit
--- a/dappledrum/dispatch/scale_in.py
+++ b/dappledrum/dispatch/scale_in.py
@@ -116,7 +116,7 @@
     def _can_start(bag: Bag, timeline: MachineTimeline) -> bool:
         """Whether a task of the bag could start on a machine now."""
         fits = not timeline.booting and bag.allowed(timeline.kind)
-        return fits and timeline.free[0].times(bag.size) >= 1
+        return fits and timeline.free[0].fit_count(bag.size) >= 1
 
     def _has_capacity(self, bag: Bag, machine: Machine) -> bool:
         """Whether a machine has capacity for a task of the bag besides those placed on it."""
@@ -127,7 +127,7 @@
         free = Size(machine_type.cpus, machine_type.gpus, machine_type.memory_gb)
         for placement in machine.placements.values():
             free = free.minus(placement.page.job.size)
-        return free.times(bag.size) >= 1
+        return free.fit_count(bag.size) >= 1
 
     def _spot_replacements(
         self, cpus: float, timelines: list[MachineTimeline]
@@ -147,7 +147,7 @@
         ]
         for machine_type in sorted(machine_types, key=lambda m: m.hourly(True) / m.cpus):
             machine_size = Size(machine_type.cpus, machine_type.gpus, machine_type.memory_gb)
-            if any(machine_size.times(size) < 1 for size in self.machines.sizes):
+            if any(machine_size.fit_count(size) < 1 for size in self.machines.sizes):
                 continue
             for zone in machine_type.zones:
                 kind = InstanceKind(machine_type.name, zone, True)
@@ -183,9 +183,9 @@
         for timeline in spot:
             machine_type = self.autoscaler.types[timeline.kind.type]
             machine_size = Size(machine_type.cpus, machine_type.gpus, machine_type.memory_gb)
-            fitting = [size for size in self.machines.sizes if machine_size.times(size) >= 1]
+            fitting = [size for size in self.machines.sizes if machine_size.fit_count(size) >= 1]
             size = max(fitting, key=lambda fit: fit.cpus, default=machine_size)
-            free_cpus += timeline.free[0].times(size) * size.cpus
+            free_cpus += timeline.free[0].fit_count(size) * size.cpus
         return free_cpus - SPOT_HEADROOM * sum(timeline.capacity for timeline in spot)
 
     def retire_best_effort_machines(
--- a/dappledrum/scheduling/bags.py
+++ b/dappledrum/scheduling/bags.py
@@ -50,7 +50,7 @@
         return (
             bag.ready
             if remaining is None
-            else min(bag.ready, remaining.times(Size(bag.size.cpus, bag.size.gpus, 0.0)))
+            else min(bag.ready, remaining.fit_count(Size(bag.size.cpus, bag.size.gpus, 0.0)))
         )
 
     def take(self, bag: Bag, count: int) -> None:
--- a/dappledrum/scheduling/gang_placement.py
+++ b/dappledrum/scheduling/gang_placement.py
@@ -52,7 +52,7 @@
         offer.max_count -= machines
         rentals = self.builder.plan.rentals
         rentals[kind] = rentals.get(kind, 0) + machines
-        tasks_per_machine = offer.capacity.times(bag.size)
+        tasks_per_machine = offer.capacity.fit_count(bag.size)
         for _ in range(machines):
             timeline = self.builder.new_machine(offer)
             self.builder.add_rented(timeline)
--- a/dappledrum/scheduling/gang_search.py
+++ b/dappledrum/scheduling/gang_search.py
@@ -60,7 +60,7 @@
     for step in range(len(times) - 1, -1, -1):
         if times[step] >= finish:
             continue
-        fit = free[step].times(size)
+        fit = free[step].fit_count(size)
         count = fit if count == 0 else min(count, fit)
         if fit == 0 or times[step] <= start:
             return min(count, fit)
@@ -168,7 +168,7 @@
         rented: dict[InstanceKind, tuple[int, int]] = {}
         cost = 0.0
         for offer in offers:
-            tasks_per_machine = offer.capacity.times(self.gang.size)
+            tasks_per_machine = offer.capacity.fit_count(self.gang.size)
             max_tasks = unplaced if zones is None else min(unplaced, zones.get(offer.kind.zone, 0))
             machines = (
                 min(offer.max_count, -(-max_tasks // tasks_per_machine))
--- a/dappledrum/scheduling/plan.py
+++ b/dappledrum/scheduling/plan.py
@@ -118,10 +118,10 @@
         capacity: dict[str, int] = {}
         for timeline in self.builder.timelines:
             if bag.allowed(timeline.kind):
-                free = timeline.free[-1].times(bag.size)
+                free = timeline.free[-1].fit_count(bag.size)
                 capacity[timeline.kind.zone] = capacity.get(timeline.kind.zone, 0) + free
         for offer in self.builder.offers:
             if bag.allowed(offer.kind):
-                rentable = offer.capacity.times(bag.size) * offer.max_count
+                rentable = offer.capacity.fit_count(bag.size) * offer.max_count
                 capacity[offer.kind.zone] = capacity.get(offer.kind.zone, 0) + rentable
         return capacity
--- a/dappledrum/scheduling/timeline.py
+++ b/dappledrum/scheduling/timeline.py
@@ -24,7 +24,7 @@
     gpus: float
     memory_gb: float
 
-    def times(self, other: "Size") -> int:
+    def fit_count(self, other: "Size") -> int:
         """How many tasks of the other size fit. Inlined by hand, since a plan calls it thousands
         of times."""
         free_cpus, free_gpus, free_gb = self
@@ -187,14 +187,14 @@
         for index, (free_cpus, free_gpus, free_gb) in enumerate(free):
             if free_cpus < cpus or free_gb < gb or free_gpus < gpus:
                 continue
-            count = free[index].times(size)
+            count = free[index].fit_count(size)
             start = times[index]
             finish = start + self.duration(run, image, image_gb, start)
             if self.available_until is not None and finish > self.available_until:
                 return None
             at = index + 1
             while at <= last and count and times[at] < finish:
-                fit = free[at].times(size)
+                fit = free[at].fit_count(size)
                 if fit < count:
                     count = fit
                 at += 1
--- a/dappledrum/scheduling/victim_selection.py
+++ b/dappledrum/scheduling/victim_selection.py
@@ -42,13 +42,13 @@
         best: tuple[float, int, str] | None = None
         for name, (free, victims) in state.items():
             cost, victim_count = 0.0, 0
-            while free.times(needed) < 1 and victim_count < len(victims):
+            while free.fit_count(needed) < 1 and victim_count < len(victims):
                 free = free.plus(victims[victim_count].size)
                 cost += victims[victim_count].lost.total_seconds() * max(
                     victims[victim_count].size.cpus, 0.1
                 )
                 victim_count += 1
-            if free.times(needed) >= 1 and (best is None or (cost, victim_count) < best[:2]):
+            if free.fit_count(needed) >= 1 and (best is None or (cost, victim_count) < best[:2]):
                 best = (cost, victim_count, name)
         if best is None:
             if all_or_none:
