--- a/dappledrum/store/__init__.py
+++ b/dappledrum/store/__init__.py
@@ -1,2 +1,2 @@
-"""Client of the store: keys, transactions, holds and watches, within this controller's
-share of its limits."""
+"""Client of the key-value store: keys, transactions, leases and watches, within this controller's
+share of the store's rate limits."""
--- a/dappledrum/store/advisory_record.py
+++ b/dappledrum/store/advisory_record.py
@@ -1,5 +1,7 @@
-"""Advisory records that only help a successor: no decision relies on them, and a failed write is
-not repeated."""
+"""Advisory records, which let the next leader start with what this one has learned.
+
+No decision relies on them, so a failed write is not retried.
+"""
 
 import asyncio
 import logging
@@ -20,21 +22,21 @@
 
 
 class AdvisoryRecord(Generic[T]):
-    """One key, written by the leader under its guard when the value has changed."""
+    """One key that the leader writes, under its guard, when the value has changed."""
 
     def __init__(
         self,
         store: StoreClient,
         guard: Guard,
         key: str,
-        kind: type[T],
+        schema: type[T],
         max_bytes: int,
         priority: RequestPriority,
     ) -> None:
         self.store = store
         self.guard = guard
         self.key = key
-        self.kind = kind
+        self.schema = schema
         self.max_bytes = max_bytes  # larger values are not written
         self.priority = priority
         self.last_written: T | None = None
@@ -46,25 +48,27 @@
         value = encode_value(record)
         size = len(bytes(value))
         if size > self.max_bytes:
-            log.warning("%s not written, too large: %d bytes", self.key, size)
+            log.warning(
+                "advisory record %s not written: size=%d max=%d", self.key, size, self.max_bytes
+            )
             return
         try:
             await self.store.commit([self.guard], [Put(self.key, value)], self.priority)
             self.last_written = record
         except StoreError as error:
-            log.debug("%s not written: %s", self.key, error)
+            log.debug("advisory record %s not written: %s", self.key, error)
 
-    async def write_periodically(self, make: Callable[[], T], interval: timedelta) -> None:
-        """Write what `make` returns, at this interval, for ever."""
+    async def write_periodically(self, make_record: Callable[[], T], interval: timedelta) -> None:
+        """Write the result of `make_record` at this interval, if it has changed; never returns."""
         while True:
             await asyncio.sleep(interval.total_seconds())
-            await self.write_if_changed(make())
+            await self.write_if_changed(make_record())
 
     async def read(self) -> T | None:
-        """The record of a predecessor; None if there is none, or none that can be used."""
+        """Read the record of an earlier leader; None if it is missing, unreadable or malformed."""
         try:
             entry = await self.store.get(self.key, RequestPriority.RECORD)
-            return None if entry is None else msgspec.json.decode(entry.value, type=self.kind)
+            return None if entry is None else msgspec.json.decode(entry.value, type=self.schema)
         except (StoreError, msgspec.DecodeError, UnicodeDecodeError) as error:
-            log.info("%s not read: %s", self.key, error)
+            log.info("advisory record %s not read: %s", self.key, error)
             return None
--- a/dappledrum/store/availability.py
+++ b/dappledrum/store/availability.py
@@ -1,4 +1,4 @@
-"""Whether the store serves this controller, judged by the outcome of its requests."""
+"""Whether the store serves this controller, derived from the outcomes of its requests."""
 
 import logging
 from datetime import timedelta
@@ -13,36 +13,36 @@
 
 
 class StoreAvailability:
-    """Outcomes of the newest requests of one controller, watches excepted.
+    """Outcomes of one controller's most recent requests to the store, without its watches.
 
-    A watch is open for long, also in an outage, so neither its delay nor its end shows whether the
-    store serves this controller.
+    A watch stays open for long, even during an outage, so neither its duration nor its end shows
+    whether the store serves this controller.
     """
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
         self.link = LinkHealth(clock)
         self.fault_log = FaultLog(log, clock, "the store does not serve this controller")
-        self.was_served = False  # at least once since the start
+        self.was_served = False  # at least once since this process started
         self.failing_since: timedelta | None = None
         self._last_request_hung = False
 
     def is_failing(self) -> bool:
-        """Whether requests have failed for a while, and none was served since."""
+        """Whether requests have been failing for longer than FAILING_AFTER."""
         failing_for = self.failing_for()
         return failing_for is not None and failing_for > FAILING_AFTER
 
     def failing_for(self) -> timedelta | None:
-        """How long no request has been served, although some were sent; None: the newest was."""
+        """Time since the first failure that no success has followed; None if there is none."""
         return None if self.failing_since is None else self.clock.now() - self.failing_since
 
     def last_request_hung(self) -> bool:
-        """Whether the newest failure was a request without an answer, so that the next one would
-        wait in vain, too."""
+        """Whether the most recent failure was a request without a response, in which case the next
+        request is likely to time out as well."""
         return self._last_request_hung
 
     def record_answer(self, sent: timedelta) -> None:
-        """Record any answer but 503 to a request that was sent at this time."""
+        """Record a response other than 503 to a request that was sent at this time."""
         self.link.response_received(sent)
 
     def record_success(self) -> None:
@@ -52,7 +52,7 @@
         self.fault_log.recovered()
 
     def record_failure(self, reason: str, hung: bool = False) -> None:
-        """Record a request that was not served; `hung` if no answer came at all."""
+        """Record a request that was not served; `hung` if there was no response at all."""
         self._last_request_hung = hung
         self.fault_log.failed(reason)
         if self.failing_since is None:
--- a/dappledrum/store/client.py
+++ b/dappledrum/store/client.py
@@ -1,7 +1,7 @@
 """Typed operations on the store: keys, transactions, leases and watches.
 
-Every operation raises RefusedError if it was certainly not executed and UnknownOutcomeError if
-nobody can tell (see `dappledrum.store.errors`).
+Every operation raises RefusedError if it was certainly not executed, and UnknownOutcomeError if it
+may or may not have been (see `dappledrum.store.errors`).
 """
 
 import logging
@@ -45,12 +45,12 @@
 
 MAX_TRANSACTION_BYTES = 60 * 1024
 SCAN_PAGE_SIZE = 500  # keys
-SCAN_TIMEOUT = timedelta(seconds=4)  # for each page
-MAX_LOGGED_BYTES = 100  # of the body of a refusal
+SCAN_PAGE_TIMEOUT = timedelta(seconds=4)
+MAX_REASON_BYTES = 100  # of the body of a 400 response, in the reason of the error
 
 
 class StoreClient:
-    """Client of the store; one for each controller."""
+    """A controller's client of the store."""
 
     def __init__(
         self, http_client: HttpClient, limits: StoreLimits, clock: Clock, rng: random.Random
@@ -66,7 +66,7 @@
         request = StoreRequest("GET", f"/keys/{key}", None, priority, timeout)
         reply = await self.transport.send(request)
         if reply.status == HTTPStatus.NOT_FOUND:
-            # A 404 from anything but the store proves nothing: its own has a revision.
+            # Only the store's own 404, which contains a revision, proves that the key is missing.
             decode_reply(request, reply, Revision)
             return None
         if reply.status != HTTPStatus.OK:
@@ -74,7 +74,10 @@
         return decode_reply(request, reply, Entry)
 
     async def scan(self, prefix: str, priority: RequestPriority) -> tuple[list[Entry], int]:
-        """Read all keys with a prefix, and the revision from which a watch must start."""
+        """Read all keys with a prefix, page by page.
+
+        Returns the entries and the revision from which a watch must start.
+        """
         entries: list[Entry] = []
         watch_from: int | None = None
         after = ""
@@ -89,7 +92,7 @@
     async def _scan_page(self, prefix: str, after: str, priority: RequestPriority) -> Listing:
         start = f"&from={after}" if after else ""
         path = f"/keys?prefix={prefix}{start}&page={SCAN_PAGE_SIZE}"
-        request = StoreRequest("GET", path, None, priority, SCAN_TIMEOUT)
+        request = StoreRequest("GET", path, None, priority, SCAN_PAGE_TIMEOUT)
         reply = await self.transport.send(request)
         if reply.status != HTTPStatus.OK:
             raise unexpected_status(request, reply)
@@ -102,7 +105,7 @@
         priority: RequestPriority,
         timeout: timedelta = REQUEST_TIMEOUT,
     ) -> int:
-        """Run a transaction and return its revision.
+        """Execute a transaction and return its revision.
 
         Raises ConflictError if a guard fails, LeaseLostError if a change names a lease that has
         ended, and TooLargeError if the store refuses the size of a value.
@@ -117,14 +120,14 @@
         if reply.status == HTTPStatus.BAD_REQUEST and b"no such lease" in reply.body:
             raise LeaseLostError("lease ended", str(request))
         if reply.status == HTTPStatus.BAD_REQUEST:
-            log.error("transaction refused: %.200r", reply.body)
-            reason = f"the store refused a value: {reply.body[:MAX_LOGGED_BYTES]!r}"
+            log.error("store refused a transaction: %.200r", reply.body)
+            reason = f"the store refused a value: {reply.body[:MAX_REASON_BYTES]!r}"
             raise TooLargeError(reason, str(request))
-        log.error("transaction refused with %d: %.200r", reply.status, reply.body)
+        log.error("store refused a transaction: status=%d body=%.200r", reply.status, reply.body)
         raise unexpected_status(request, reply)
 
     async def open_lease(self, time_to_live: timedelta) -> int:
-        """Open a lease that ends by itself unless it is renewed, and return its number."""
+        """Create a lease that expires unless it is renewed, and return its number."""
         body = msgspec.json.encode(TimeToLive(int(time_to_live.total_seconds() * 1000)))
         request = StoreRequest("POST", "/holds", body, RequestPriority.LEASE)
         reply = await self.transport.send(request)
@@ -133,7 +136,7 @@
         return decode_reply(request, reply, Lease).lease
 
     async def renew_lease(self, lease: int, timeout: timedelta) -> None:
-        """Renew a lease, or raise LeaseLostError."""
+        """Renew a lease; raises LeaseLostError if it has ended."""
         path = f"/holds/{lease}/touch"
         request = StoreRequest("POST", path, b"{}", RequestPriority.LEASE, timeout)
         reply = await self.transport.send(request)
@@ -143,7 +146,7 @@
             raise unexpected_status(request, reply)
 
     async def close_lease(self, lease: int) -> None:
-        """End a lease at once, with the keys attached to it."""
+        """End a lease at once, which deletes the keys attached to it."""
         await self.transport.send(
             StoreRequest("DELETE", f"/holds/{lease}", None, RequestPriority.LEASE)
         )
@@ -151,10 +154,10 @@
     async def watch(
         self, prefix: str, after: int, wait: timedelta, priority: RequestPriority
     ) -> tuple[list[Event], int]:
-        """Wait for changes after a revision.
+        """Wait up to `wait` for changes after the revision `after`.
 
-        Returns the changes, none if nothing changed in time, and the revision from which the next
-        watch must start. Raises CompactedError if the store no longer keeps these changes.
+        Returns the changes, which may be none, and the revision from which the next watch must
+        start. Raises CompactedError if the store has discarded some of these changes.
         """
         wait_ms = int(wait.total_seconds() * 1000)
         path = f"/watch?prefix={prefix}&from={after}&waitMs={wait_ms}"
--- a/dappledrum/store/errors.py
+++ b/dappledrum/store/errors.py
@@ -1,8 +1,8 @@
 """Errors of requests to the store.
 
-Three kinds of failure are kept apart, since the rules of elections and records rest on the
-difference: refused (certainly not executed), conflict (a guard failed, nothing was changed) and
-unknown outcome (it may have been executed, or may be at any later time).
+Elections and record writes depend on the difference between three kinds of failure: refused
+(certainly not executed), conflict (a guard failed, nothing was changed) and unknown outcome (the
+request may have been executed, or may still be at any later time).
 """
 
 from collections.abc import Sequence
@@ -11,8 +11,7 @@
 class StoreError(Exception):
     """The store did not serve a request.
 
-    `reason` says what came instead of a usable answer, `request` what was asked (method and path),
-    or is empty if nothing was sent.
+    `reason` describes the failure; `request` is the method and path of the request, or empty.
     """
 
     def __init__(self, reason: str, request: str = "") -> None:
@@ -25,11 +24,11 @@
 
 
 class RefusedError(StoreError):
-    """Certainly not executed: no connection, 429 or 503."""
+    """The request was certainly not executed: no connection, 429 or 503."""
 
 
 class RateLimitedError(RefusedError):
-    """Not sent, since it would have to wait too long for this controller's share of the rates."""
+    """Not sent: the wait for this controller's share of the store's rates would be too long."""
 
     def __init__(
         self, reason: str = "over this controller's share of requests", request: str = ""
@@ -38,11 +37,11 @@
 
 
 class TooLargeError(RefusedError):
-    """Certainly not executed: a value or the transaction is larger than the store accepts."""
+    """Certainly not executed: the store refused the size of a value or of the transaction."""
 
 
 class UnknownOutcomeError(StoreError):
-    """No usable answer: executed or not, now or later."""
+    """No usable response: the request may have been executed, or may still be later."""
 
 
 class ConflictError(StoreError):
@@ -57,8 +56,8 @@
 
 
 class LeaseLostError(StoreError):
-    """The lease does not exist any more."""
+    """The lease has expired or was closed."""
 
 
 class CompactedError(StoreError):
-    """A watch asked for changes that the store no longer keeps."""
+    """A watch asked for changes that the store has discarded."""
--- a/dappledrum/store/hedged_commit.py
+++ b/dappledrum/store/hedged_commit.py
@@ -1,9 +1,9 @@
-"""Hedged reads for transactions whose answer is late.
+"""Hedged reads for transactions whose response is late.
 
-A transaction without an answer has an unknown outcome, and waiting for the timeout costs whoever
-asked more than a second. A read that shows what only the transaction, or one with the same effect,
-can have written settles it earlier. A read that does not show it proves nothing, since the
-transaction may still be executed: then the commit waits for its answer as before.
+A transaction without a response has an unknown outcome, and the caller would wait for more than a
+second until the timeout. A read that returns what only this transaction, or one with the same
+effect, can have written proves earlier that it was executed. Any other result proves nothing,
+since the transaction may still be executed, so the commit keeps waiting for the response.
 """
 
 import asyncio
@@ -26,21 +26,21 @@
 T = TypeVar("T")
 
 MIN_READ_DELAY = timedelta(milliseconds=50)
-READ_DELAY_ROUND_TRIPS = 4  # after which an answer counts as late
-MAX_READS = 3  # for one transaction
-READ_BACKOFF_FACTOR = 3  # by which the delay grows from one read to the next
+READ_DELAY_ROUND_TRIPS = 4  # round trips after which a response counts as late
+MAX_READS = 3  # per transaction
+READ_BACKOFF_FACTOR = 3  # growth of the delay from one read to the next
 
 
 class Evidence(NamedTuple):
-    """A value that one transaction alone can have put in the place of an earlier version."""
+    """A value that only one transaction can have written over a certain version of a key."""
 
     key: str
-    replaced: int  # version of the key before; 0: absent
+    replaced_version: int  # 0: the key did not exist
     value: msgspec.Raw
 
     def shown_by(self, entry: Entry | None) -> bool:
-        """Whether the key has just this value, written after the version that it replaces."""
-        if entry is None or entry.version == self.replaced:
+        """Whether the entry has exactly this value and is not the replaced version."""
+        if entry is None or entry.version == self.replaced_version:
             return False
         stored, written = msgspec.json.decode(entry.value), msgspec.json.decode(self.value)
         return bool(stored == written)
@@ -54,11 +54,11 @@
     find: Callable[[], Awaitable[T | None]],
     timeout: timedelta = REQUEST_TIMEOUT,
 ) -> int | T:
-    """Run a transaction and return its revision, or what `find` has read of its outcome.
+    """Execute a transaction and return its revision, or what `find` returns if that is earlier.
 
-    `find` returns None as long as nothing is proven. It is called only while the answer is late,
-    the store serves this controller, and the budget allows a request at once. Raises what
-    `StoreClient.commit` raises.
+    `find` reads the outcome and returns None if the read proves nothing. It is called only while
+    the response is late, the store serves this controller, and the budget allows a request now.
+    Raises what `StoreClient.commit` raises.
     """
     queueing_delay = store.budget.queueing_delay(priority, len(changes))
     outcome: list[T] = []
@@ -79,7 +79,7 @@
     except TimeoutError:
         if not outcome:
             raise
-        log.debug("a read has shown the outcome of a transaction whose answer is late")
+        log.debug("transaction outcome found by a read before its response")
         return outcome[0]
 
 
@@ -90,9 +90,11 @@
     priority: RequestPriority,
     timeout: timedelta = REQUEST_TIMEOUT,
 ) -> int:
-    """Run a transaction that may be executed twice, and once more while its answer is late: one
-    that only compares, or only deletes. Returns the revision of whichever answers first, and
-    raises what `StoreClient.commit` raises."""
+    """Execute a transaction that only compares or only deletes, and repeat it while its response
+    is late, since executing it twice does no harm.
+
+    Returns the revision in the first response. Raises what `StoreClient.commit` raises.
+    """
 
     async def commit_again() -> int | ConflictError:
         try:
@@ -115,18 +117,18 @@
     queueing_delay: timedelta,
     timeout: timedelta,
 ) -> T | None:
-    """Read until something is proven; None when it is not worthwhile any more."""
+    """Read until a read proves the outcome; returns None when no further read is worthwhile."""
     delay = max(MIN_READ_DELAY, store.availability.link.smoothed_delay * READ_DELAY_ROUND_TRIPS)
     await asyncio.sleep(queueing_delay.total_seconds())
     for _ in range(MAX_READS):
         if delay > timeout / 2:
-            return None  # the answer would not be back sooner than that of the transaction
+            return None  # the transaction's response or timeout would come first
         await asyncio.sleep(delay.total_seconds())
         if not store.availability.is_failing() and store.budget.queueing_delay(priority) == ZERO:
             try:
                 found = await find()
             except StoreError as error:
-                log.debug("outcome of a transaction not read: %s", error)
+                log.debug("transaction outcome not read: %s", error)
             else:
                 if found is not None:
                     return found
--- a/dappledrum/store/messages.py
+++ b/dappledrum/store/messages.py
@@ -1,4 +1,5 @@
-"""Messages of the store, under the field's usual names; `rename=` has the names on the wire."""
+"""Messages of the store's protocol. Where the names on the wire differ from the usual terms,
+`rename=` maps the attributes to them."""
 
 from typing import Any
 
@@ -6,7 +7,7 @@
 
 
 class Entry(msgspec.Struct, rename={"version": "stamp", "lease": "hold"}):
-    """A key as it was read; the value is left undecoded."""
+    """A key, its undecoded value and its version."""
 
     value: msgspec.Raw
     version: int
@@ -15,7 +16,7 @@
 
 
 class Listing(msgspec.Struct, rename={"entries": "pairs", "revision": "tally"}):
-    """A page of keys with one prefix."""
+    """One page of the keys with a prefix, at a revision of the store."""
 
     entries: list[Entry]
     revision: int
@@ -23,25 +24,25 @@
 
 
 class Revision(msgspec.Struct, rename={"revision": "tally"}):
-    """Revision of a change, or of the store when a key is missing."""
+    """Revision of a committed transaction, or of the store when a key is missing."""
 
     revision: int
 
 
 class Conflict(msgspec.Struct):
-    """Keys whose versions were not the ones expected."""
+    """Keys whose guards failed."""
 
     failed: list[str] = []
 
 
 class Lease(msgspec.Struct, rename={"lease": "hold"}):
-    """A new lease."""
+    """Number of a new lease."""
 
     lease: int
 
 
 class Event(msgspec.Struct, rename={"put": "write", "delete": "remove", "version": "stamp"}):
-    """One change seen by a watch."""
+    """One change reported by a watch: `put` or `delete` is the key."""
 
     version: int
     put: str | None = None
@@ -50,7 +51,7 @@
 
 
 class Events(msgspec.Struct, rename={"revision": "tally"}):
-    """What a watch returned."""
+    """Response to a watch."""
 
     revision: int
     events: list[Event] = []
@@ -64,7 +65,7 @@
 
 
 class Put(msgspec.Struct, rename={"key": "write", "lease": "hold"}, omit_defaults=True):
-    """Write a key."""
+    """Write a key, attached to a lease if one is given."""
 
     key: str
     value: msgspec.Raw
@@ -72,24 +73,24 @@
 
 
 class Delete(msgspec.Struct, rename={"key": "remove"}):
-    """Remove a key."""
+    """Delete a key."""
 
     key: str
 
 
 class Transaction(msgspec.Struct, rename={"changes": "then"}):
-    """Atomic change under conditions; each change is a Put or a Delete."""
+    """Changes (Put or Delete) that are made atomically if all guards hold."""
 
     guards: list[Guard]
     changes: list[Any]
 
 
 class TimeToLive(msgspec.Struct, rename={"milliseconds": "lifeMs"}):
-    """Request for a lease."""
+    """Request for a new lease."""
 
     milliseconds: int
 
 
 def encode_value(value: Any) -> msgspec.Raw:  # noqa: ANN401 - anything that msgspec encodes
-    """A value as it is stored."""
+    """Encode a value for storage."""
     return msgspec.Raw(msgspec.json.encode(value))
--- a/dappledrum/store/rate_limiter.py
+++ b/dappledrum/store/rate_limiter.py
@@ -1,7 +1,7 @@
-"""Token buckets that keep this controller within its share of the store's rates.
+"""Token buckets that keep this controller within its share of the store's rate limits.
 
-Requests go out in the order of their priority: each leaves a reserve that only higher priorities
-may use, so polls can starve neither submissions nor the renewal of the leader's lease.
+Each priority leaves a reserve in the bucket that only higher priorities may use, so polls can
+starve neither submissions nor the renewal of the leader's lease.
 """
 
 from datetime import timedelta
@@ -13,13 +13,13 @@
 class RequestPriority(IntEnum):
     """Priority of a request; lower values go first."""
 
-    LEASE = 0  # the leader's lease, and elections
-    SUBMISSION = 1  # submissions and cancellations of users, with the reads that they need
+    LEASE = 0  # renewal of the leader's lease, and elections
+    SUBMISSION = 1  # users' submissions and cancellations, and the reads for them
     RECORD = 2  # the leader's records of jobs and machines
-    POLL = 3  # users' questions, and whatever can wait
+    POLL = 3  # status queries of users, and background work
 
 
-#: Part of the bucket that requests of a priority leave to higher priorities.
+#: Share of the bucket that requests of a priority leave to higher priorities.
 RESERVED_SHARE = {
     RequestPriority.LEASE: 0.0,
     RequestPriority.SUBMISSION: 0.08,
@@ -30,10 +30,10 @@
 
 
 class RateLimiter:
-    """One token bucket, whose capacity is a second's worth of tokens, or that of some seconds."""
+    """Token bucket; its capacity is the rate times the burst, which is 1 s by default."""
 
     def __init__(self, rate: float, now: timedelta) -> None:
-        self.rate = rate  # tokens a second
+        self.rate = rate  # tokens per second
         self.size = max(rate, 1.0)
         self.level = self.size
         self._filled_at = now
@@ -45,17 +45,17 @@
         self._filled_at = now
 
     def resize(self, rate: float, now: timedelta, burst: float = 1.0) -> None:
-        """Change the rate, and the seconds' worth of it that the bucket contains when full."""
+        """Change the rate (tokens per second) and the capacity: `burst` seconds at this rate."""
         self._refill(now)
         self.rate = rate
         self.size = max(rate * burst, 1.0)
         self.level = min(self.level, self.size)
 
     def delay(self, amount: float, priority: RequestPriority, now: timedelta) -> timedelta:
-        """How long until this many tokens may be consumed; zero means now."""
+        """Time until this many tokens may be consumed; zero if they may be now."""
         self._refill(now)
         if priority is RequestPriority.LEASE:
-            return ZERO  # a lease renewal goes out even when the bucket is empty
+            return ZERO  # lease renewals are sent even when the bucket is empty
         required = min(amount, self.size) + RESERVED_SHARE[priority] * self.size
         missing = required - self.level
         return timedelta(seconds=missing / self.rate) if missing > ROUNDING_TOLERANCE else ZERO
--- a/dappledrum/store/test_client.py
+++ b/dappledrum/store/test_client.py
@@ -1,4 +1,4 @@
-"""Rate limiting, and the classification of failures."""
+"""Rate limiting, classification of failures, and detection of an unavailable store."""
 
 import asyncio
 import random
@@ -23,7 +23,7 @@
 from dappledrum.timing.clock import ZERO, Clock, seconds
 
 
-def test_rate_limiter_keeps_the_rate_and_its_reserves():
+def test_the_rate_limiter_enforces_the_rate_and_reserves_tokens_for_higher_priorities():
     limiter = RateLimiter(10, ZERO)
     consumed = 0
     now = ZERO
@@ -38,21 +38,21 @@
     assert limiter.delay(1, RequestPriority.POLL, now) > ZERO
 
 
-class CannedClient:
-    """Answers each request with the same reply, or raises the same error."""
+class StubHttpClient:
+    """Returns the same reply for each request, or raises the same error."""
 
-    def __init__(self, answer):
-        self.answer = answer
+    def __init__(self, outcome):
+        self.outcome = outcome
         self.paths = []
 
     async def request(self, _method, path, _body, _timeout):
         self.paths.append(path)
-        if isinstance(self.answer, Exception):
-            raise self.answer
-        return self.answer
+        if isinstance(self.outcome, Exception):
+            raise self.outcome
+        return self.outcome
 
 
-ANSWERS = [
+OUTCOMES = [
     (Reply(503, b"{}"), RefusedError),
     (Reply(429, b"{}"), RefusedError),
     (NotSentError("refused"), RefusedError),
@@ -68,11 +68,11 @@
 ]
 
 
-@pytest.mark.parametrize(("answer", "error"), ANSWERS)
-def test_each_failure_of_a_transaction_has_its_error(answer, error):
+@pytest.mark.parametrize(("outcome", "error"), OUTCOMES)
+def test_each_failure_of_a_transaction_raises_its_error(outcome, error):
     async def main():
         store = StoreClient(
-            CannedClient(answer), StoreLimits(100, 100, 8, 24), Clock(), random.Random(1)
+            StubHttpClient(outcome), StoreLimits(100, 100, 8, 24), Clock(), random.Random(1)
         )
         with pytest.raises(error):
             await store.commit(
@@ -82,38 +82,38 @@
     run(main())
 
 
-def test_a_404_from_anything_but_the_store_proves_nothing():
+def test_only_a_404_of_the_store_itself_proves_that_a_key_is_missing():
     async def main():
         store = StoreClient(
-            CannedClient(Reply(404, b"<html>")),
+            StubHttpClient(Reply(404, b"<html>")),
             StoreLimits(100, 100, 8, 24),
             Clock(),
             random.Random(1),
         )
         with pytest.raises(UnknownOutcomeError):
             await store.get("job/j-1", RequestPriority.POLL)
-        store.transport.http_client = CannedClient(Reply(404, b'{"tally":3}'))
+        store.transport.http_client = StubHttpClient(Reply(404, b'{"tally":3}'))
         assert await store.get("job/j-1", RequestPriority.POLL) is None
-        store.transport.http_client = CannedClient(Reply(410, b"{}"))
+        store.transport.http_client = StubHttpClient(Reply(410, b"{}"))
         with pytest.raises(CompactedError):
             await store.watch("job/", 1, ZERO, RequestPriority.POLL)
 
     run(main())
 
 
-def test_the_store_is_failing_after_failures_until_a_request_is_served():
+def test_the_store_counts_as_failing_until_a_request_is_served():
     async def main():
-        caller = CannedClient(Reply(503, b"{}"))
-        store = StoreClient(caller, StoreLimits(100, 100, 8, 24), Clock(), random.Random(1))
+        http_client = StubHttpClient(Reply(503, b"{}"))
+        store = StoreClient(http_client, StoreLimits(100, 100, 8, 24), Clock(), random.Random(1))
         for _ in range(3):
             with pytest.raises(RefusedError):
                 await store.get("x", RequestPriority.RECORD)
             await asyncio.sleep(0.4)
         assert store.availability.is_failing()
-        caller.answer = Reply(200, b'{"tally":1,"events":[]}')
+        http_client.outcome = Reply(200, b'{"tally":1,"events":[]}')
         await store.watch("x", 1, timedelta(seconds=1), RequestPriority.RECORD)
-        assert store.availability.is_failing()  # an open watch may end in an outage, too
-        caller.answer = Reply(404, b'{"tally":1}')
+        assert store.availability.is_failing()  # a watch may return during an outage
+        http_client.outcome = Reply(404, b'{"tally":1}')
         await store.get("x", RequestPriority.RECORD)
         assert not store.availability.is_failing()
 
--- a/dappledrum/store/test_hedged_commit.py
+++ b/dappledrum/store/test_hedged_commit.py
@@ -1,4 +1,4 @@
-"""Transactions whose answer is late: which reads prove their outcome, and which do not."""
+"""Transactions whose response is late: which reads prove their outcome, and which do not."""
 
 import asyncio
 import json
@@ -33,15 +33,16 @@
 from dappledrum.user_api.job_api import JobApi
 
 LIMITS = StoreLimits(200.0, 100.0, 8.0, 24)
-LOST = LateWrites(1.0, 0.0, 0.0, at_once=True)
+#: Every transaction is executed at once, but its response is lost.
+LOST_RESPONSES = LateWrites(1.0, 0.0, 0.0, at_once=True)
 
 
 def now():
     return asyncio.get_running_loop().time()
 
 
-class Store:
-    """A store behind a network, and one client of it."""
+class StoreFixture:
+    """A simulated store, and a client that reaches it over a simulated network."""
 
     def __init__(self, seed=1):
         self.rng = random.Random(seed)
@@ -54,25 +55,27 @@
         )
 
     def write(self, key, value):
-        """As another controller would."""
+        """Write a key as another controller would; returns the revision."""
         body = {"guards": [], "then": [{"write": key, "value": value}]}
         assert self.service._multi(body).status == 200
         return self.service.tally
 
-    def delay(self, *seconds):
-        """The next transactions get no answer, and are executed after these delays, in seconds."""
-        left = list(seconds)
-        self.network.watcher = lambda sent: (
-            left.pop(0) if left and sent.path == "/multi" and b'"write"' in sent.body else None
+    def delay_next(self, *seconds):
+        """The next transactions get no response and are executed after these delays."""
+        delays = list(seconds)
+        self.network.watcher = lambda request: (
+            delays.pop(0)
+            if delays and request.path == "/multi" and b'"write"' in request.body
+            else None
         )
 
-    def lose_first(self, seconds):
-        """Answers of transactions are lost for so long."""
-        self.network.late_writes = LOST
+    def lose_responses_for(self, seconds):
+        """Lose the responses to transactions for this time."""
+        self.network.late_writes = LOST_RESPONSES
         asyncio.get_running_loop().call_later(seconds, setattr, self.network, "late_writes", None)
 
     async def put(self, value="mine"):
-        """Write a key with a hedge; what came of it."""
+        """Write a key with hedged reads; returns the revision, or "found" if a read was first."""
 
         async def find():
             entry = await self.client.get("key", RequestPriority.SUBMISSION)
@@ -84,9 +87,9 @@
         )
 
 
-def test_an_answer_in_time_causes_no_read():
+def test_a_response_in_time_causes_no_read():
     async def main():
-        store = Store()
+        store = StoreFixture()
         assert await store.put() == 1
         await asyncio.sleep(5)
         assert store.service.requests == 1
@@ -95,10 +98,10 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_a_lost_answer_is_replaced_by_a_read(seed):
+def test_a_read_replaces_a_lost_response(seed):
     async def main():
-        store = Store(seed)
-        store.network.late_writes = LOST
+        store = StoreFixture(seed)
+        store.network.late_writes = LOST_RESPONSES
         assert await store.put() == "found"
         assert now() < 0.1
         assert store.service.requests == 2
@@ -107,43 +110,44 @@
     run(main())
 
 
-def test_an_absent_value_proves_nothing():
-    """Executed after the reads: unknown, as without them. Between them: the next one shows it."""
+def test_a_missing_value_proves_nothing():
+    """If the transaction is executed after all reads, its outcome is unknown, as without reads;
+    if it is executed between two reads, the second one shows it."""
 
     async def main():
-        store = Store()
-        store.delay(3.0)
+        store = StoreFixture()
+        store.delay_next(3.0)
         with pytest.raises(UnknownOutcomeError):
             await store.put()
         assert now() == pytest.approx(1.5, abs=0.05)
         assert store.service.requests == MAX_READS
         await asyncio.sleep(3)
-        store = Store()
-        store.delay(0.3)
+        store = StoreFixture()
+        store.delay_next(0.3)
         assert await store.put() == "found"
 
     run(main())
 
 
 def exhaust(limiter):
-    """Other requests consume so much that a read would have to wait for about a second."""
+    """Consume so many tokens that a read would have to wait for about a second."""
     limiter.consume(75, seconds(now()))
 
 
-@pytest.mark.parametrize("why", ["budget", "slow", "hanging"])
-def test_no_read_is_sent_when_it_would_not_help(why):
+@pytest.mark.parametrize("reason", ["budget", "slow", "hanging"])
+def test_no_read_is_sent_when_it_would_not_help(reason):
     async def main():
-        store = Store()
+        store = StoreFixture()
         await store.client.get("key", RequestPriority.POLL)
-        if why == "budget":
+        if reason == "budget":
             asyncio.get_running_loop().call_later(
                 0.01, lambda: exhaust(store.client.budget.request_limiter)
             )
-        elif why == "slow":
+        elif reason == "slow":
             store.client.availability.link.smoothed_delay = timedelta(seconds=0.25)
         else:
             store.client.availability.failing_since = store.clock.now() - timedelta(seconds=1)
-        store.network.late_writes = LOST
+        store.network.late_writes = LOST_RESPONSES
         before = store.service.requests
         with pytest.raises(UnknownOutcomeError):
             await store.put()
@@ -153,12 +157,12 @@
 
 
 @pytest.mark.parametrize("version", [0, 1])
-def test_a_comparison_is_repeated(version):
-    """It changes nothing, so either answer will do, also that something differs."""
+def test_a_transaction_that_only_compares_is_repeated(version):
+    """It changes nothing, so the response to either request will do, even a conflict."""
 
     async def main():
-        store = Store()
-        store.lose_first(0.02)
+        store = StoreFixture()
+        store.lose_responses_for(0.02)
         guards = [Guard("key", version)]
         if version:
             with pytest.raises(ConflictError) as error:
@@ -172,13 +176,13 @@
 
 
 def stored_job(number):
-    """What is stored of a new job."""
+    """The stored record of a new job."""
     fields = {key: value for key, value in job(number).items() if key != "runS"}
     return JobRecord(msgspec.convert(fields, Spec), 1_700_000_000_000, 256, PageRecord())
 
 
-class Leader(Store):
-    """A leader's record writer with two jobs, whose heads are stored."""
+class LeaderFixture(StoreFixture):
+    """A leader's record writer, with two jobs whose heads are stored."""
 
     def __init__(self, lease_s=100.0):
         super().__init__()
@@ -188,8 +192,8 @@
             self.client, self.term, LIMITS, ValueLimit(LIMITS), self.clock
         )
         self.record_writer.on_stored = self.check
-        self.saved = 0
-        self.wrong = []
+        self.stored_count = 0
+        self.mismatches = []
         self.jobs = []
         for number in range(2):
             record = stored_job(number)
@@ -197,38 +201,38 @@
             self.jobs.append(Job(record, version))
 
     def check(self):
-        """Nothing counts as stored that is not."""
-        for one in self.jobs:
-            page = one.page(0)
-            if not page.dirty and page.revision and not one.finished:
+        """Check that each page that counts as stored is stored."""
+        for one_job in self.jobs:
+            page = one_job.page(0)
+            if not page.dirty and page.revision and not one_job.finished:
                 stored = json.dumps(self.service.keys[page.key][0])
-                expected = one.head_record(page_record(page))
+                expected = one_job.head_record(page_record(page))
                 if json.loads(stored) != json.loads(msgspec.json.encode(expected)):
-                    self.wrong.append((now(), one.id))
-                self.saved += 1
+                    self.mismatches.append((now(), one_job.id))
+                self.stored_count += 1
 
     def finish(self, number, task):
         page = self.jobs[number].page(0)
         page.finish(task)
         self.record_writer.mark_dirty(page)
 
-    async def write_for(self, seconds):
-        """Let the record writer run, and check all that it considers stored."""
+    async def run_writer(self, seconds):
+        """Run the record writer for this time, and check all that it considers stored."""
         writing = asyncio.ensure_future(self.record_writer.run())
         await asyncio.sleep(seconds)
         writing.cancel()
         self.check()
-        assert not self.wrong
+        assert not self.mismatches
 
 
-def test_lost_answers_of_a_leader_are_replaced_by_reads():
+def test_reads_replace_lost_responses_to_a_leader():
     async def main():
-        leader = Leader()
-        leader.network.late_writes = LOST
+        leader = LeaderFixture()
+        leader.network.late_writes = LOST_RESPONSES
         leader.finish(0, 0)
         leader.finish(1, 0)
-        await leader.write_for(0.2)
-        assert leader.saved >= 2
+        await leader.run_writer(0.2)
+        assert leader.stored_count >= 2
         assert not leader.record_writer.dirty
 
     run(main())
@@ -236,86 +240,87 @@
 
 @pytest.mark.parametrize("tasks", [1, 4])
 def test_an_earlier_write_with_the_same_content_is_no_proof(tasks):
-    """The first transaction, of one job, is executed while the second, of two, waits: the first
-    job is then as the second transaction would have left it, and the other one does not. With
-    all its tasks done, that is the move to the ended ones."""
+    """The first transaction, with one job, is executed late, while the second, with both jobs, has
+    no response: the record of the first job is then as the second transaction would write it, but
+    that of the other job is not. With 4 tasks, the first job has ended and is moved to the ended
+    ones."""
 
     async def main():
-        leader = Leader()
-        leader.delay(1.75, 0.6)
+        leader = LeaderFixture()
+        leader.delay_next(1.75, 0.6)
         for task in range(tasks):
             leader.finish(0, task)
         asyncio.get_running_loop().call_later(1.0, leader.finish, 1, 0)
-        await leader.write_for(8)
-        assert leader.saved >= 1
+        await leader.run_writer(8)
+        assert leader.stored_count >= 1
 
     run(main())
 
 
 def test_a_value_that_was_there_before_is_no_proof():
-    """A page that is written again without a difference."""
+    """A page is written again without a change."""
 
     async def main():
-        leader = Leader()
-        leader.delay(1.2)
+        leader = LeaderFixture()
+        leader.delay_next(1.2)
         leader.jobs[0].page(0).bump_revision()
         leader.record_writer.mark_dirty(leader.jobs[0].page(0))
         leader.finish(1, 0)
-        await leader.write_for(8)
-        assert leader.saved >= 2
+        await leader.run_writer(8)
+        assert leader.stored_count >= 2
 
     run(main())
 
 
 @pytest.mark.parametrize("known", [True, False])
 def test_a_cancellation_by_a_user_is_no_proof(known):
-    """It is stored by the user's controller while the leader's transaction is on its way, which
-    therefore fails. If the leader has read it already, it is just what the leader writes."""
+    """Another controller stores a cancellation while the leader's transaction is delayed, which
+    therefore fails. If the leader knows of the cancellation, both write the same record."""
 
     async def main():
-        leader = Leader()
-        one = leader.jobs[0]
-        one.page(0).place(0, "host-1", 1, "a", leader.clock.utc_now())
-        leader.record_writer.mark_dirty(one.page(0))
-        await leader.write_for(0.1)
-        one.cancelled = True
-        record = json.loads(msgspec.json.encode(one.head_record(page_record(one.page(0)))))
-        one.cancelled = known
-        one.page(0).bump_revision()
-        leader.record_writer.mark_dirty(one.page(0))
+        leader = LeaderFixture()
+        one_job = leader.jobs[0]
+        one_job.page(0).place(0, "host-1", 1, "a", leader.clock.utc_now())
+        leader.record_writer.mark_dirty(one_job.page(0))
+        await leader.run_writer(0.1)
+        one_job.cancelled = True
+        record = json.loads(msgspec.json.encode(one_job.head_record(page_record(one_job.page(0)))))
+        one_job.cancelled = known
+        one_job.page(0).bump_revision()
+        leader.record_writer.mark_dirty(one_job.page(0))
         leader.finish(1, 0)
-        leader.delay(0.5)
-        asyncio.get_running_loop().call_later(0.03, leader.write, head_key(one.id), record)
-        await leader.write_for(8)
-        assert leader.saved >= 3
+        leader.delay_next(0.5)
+        asyncio.get_running_loop().call_later(0.03, leader.write, head_key(one_job.id), record)
+        await leader.run_writer(8)
+        assert leader.stored_count >= 3
 
     run(main())
 
 
-@pytest.mark.parametrize("why", ["lease", "transfer"])
-def test_a_value_written_by_the_next_leader_is_no_proof(why):
-    """The lease may have expired, or leadership been transferred, and the next leader have
+@pytest.mark.parametrize("reason", ["lease", "transfer"])
+def test_a_value_written_by_the_next_leader_is_no_proof(reason):
+    """After the lease has expired or leadership has been transferred, the next leader may have
     recorded the same end of a task."""
 
     async def main():
-        leader = Leader(lease_s=0.05 if why == "lease" else 100.0)
-        leader.delay(60.0)
+        leader = LeaderFixture(lease_s=0.05 if reason == "lease" else 100.0)
+        leader.delay_next(60.0)
         leader.finish(0, 0)
         leader.finish(1, 0)
         loop = asyncio.get_running_loop()
-        if why == "transfer":
+        if reason == "transfer":
             loop.call_later(0.05, leader.term.ended.set)
         record = leader.jobs[0].head_record(page_record(leader.jobs[0].page(0)))
         stored = json.loads(msgspec.json.encode(record))
         loop.call_later(0.06, leader.write, leader.jobs[0].page(0).key, stored)
-        await leader.write_for(1.4)
-        assert leader.saved == 0
+        await leader.run_writer(1.4)
+        assert leader.stored_count == 0
 
     run(main())
 
 
-class Controller(Store):
-    """What users reach of a controller."""
+class ControllerFixture(StoreFixture):
+    """A controller's interface for users."""
 
     def __init__(self):
         super().__init__()
@@ -324,7 +329,7 @@
         self.job_api = JobApi(self.client, params, self.clock)
 
     async def admit(self, *numbers):
-        """Jobs that come together; what became of each."""
+        """Submit jobs together; returns the outcome of each."""
         puts = {
             f"j-{n:06d}": [Put(head_key(f"j-{n:06d}"), encode_value(stored_job(n)))]
             for n in numbers
@@ -335,10 +340,10 @@
         )
 
 
-def test_each_job_of_a_transaction_is_read():
+def test_each_job_of_a_transaction_without_a_response_is_read():
     async def main():
-        controller = Controller()
-        controller.network.late_writes = LOST
+        controller = ControllerFixture()
+        controller.network.late_writes = LOST_RESPONSES
         found = await controller.admit(1, 2)
         assert [record.spec.id for record, _ in found] == ["j-000001", "j-000002"]
         assert now() < 0.2
@@ -347,11 +352,11 @@
 
 
 def test_a_job_stored_by_another_controller_proves_nothing_about_the_others():
-    """Both are in one transaction, which then fails without an answer."""
+    """Both jobs are in one transaction, which therefore fails; its response is lost."""
 
     async def main():
-        controller = Controller()
-        controller.delay(0.5)
+        controller = ControllerFixture()
+        controller.delay_next(0.5)
         asyncio.get_running_loop().call_later(
             0.03, controller.write, head_key("j-000001"), msgspec.to_builtins(stored_job(1))
         )
@@ -363,33 +368,33 @@
     run(main())
 
 
-@pytest.mark.parametrize("what", ["lost", "cancelled elsewhere", "written by the leader"])
-def test_a_cancellation_is_acknowledged_once_it_is_stored(what):
+@pytest.mark.parametrize("case", ["lost", "cancelled elsewhere", "written by the leader"])
+def test_a_cancellation_is_acknowledged_only_once_it_is_stored(case):
     async def main():
-        controller = Controller()
+        controller = ControllerFixture()
         record = stored_job(1)
         controller.write(head_key("j-000001"), msgspec.to_builtins(record))
-        if what == "lost":
-            controller.network.late_writes = LOST
+        if case == "lost":
+            controller.network.late_writes = LOST_RESPONSES
         else:
-            controller.delay(0.5)
-            record.cancelled = what == "cancelled elsewhere"
+            controller.delay_next(0.5)
+            record.cancelled = case == "cancelled elsewhere"
             asyncio.get_running_loop().call_later(
                 0.03, controller.write, head_key("j-000001"), msgspec.to_builtins(record)
             )
         reply = await controller.job_api.cancel("j-000001")
         stored = controller.service.keys["job/j-000001"][0].get("cancelled", False)
-        assert stored == (what != "written by the leader")
+        assert stored == (case != "written by the leader")
         assert reply.status == (200 if stored else 503)
         assert not stored or now() < 0.2
 
     run(main())
 
 
-@pytest.mark.parametrize("who", ["polls", "lookup"])
-def test_users_do_not_wait_for_comparisons_whose_answer_is_lost(who):
+@pytest.mark.parametrize("request_kind", ["polls", "lookup"])
+def test_users_do_not_wait_for_comparisons_whose_response_is_lost(request_kind):
     async def main():
-        controller = Controller()
+        controller = ControllerFixture()
         names = ["j-000001", "j-000002"]
         for number, name in enumerate(names):
             controller.write(head_key(name), msgspec.to_builtins(stored_job(number + 1)))
@@ -397,9 +402,9 @@
         for name in names:
             await polls.ask(name)
         await asyncio.sleep(1)
-        controller.lose_first(0.03)
+        controller.lose_responses_for(0.03)
         began = now()
-        if who == "polls":
+        if request_kind == "polls":
             await asyncio.gather(*(polls.ask(name) for name in names))
         else:
             assert await lookup.fault(names, "j-000009") is None
@@ -408,41 +413,40 @@
     run(main())
 
 
-def test_removals_whose_answer_is_lost_are_repeated():
+def test_deletions_whose_response_is_lost_are_repeated():
     async def main():
-        leader = Leader()
-        leader.lose_first(0.04)
+        leader = LeaderFixture()
+        leader.lose_responses_for(0.04)
         leader.write("page/j-000009/1", {})
         leader.record_writer.garbage["page/j-000009/1"] = None
         leader.record_writer.wake.set()
-        await leader.write_for(0.2)
+        await leader.run_writer(0.2)
         assert not leader.record_writer.garbage
         assert "page/j-000009/1" not in leader.service.keys
 
     run(main())
 
 
-class FreePeer:
-    """One peer, which is free of lease grants."""
+class ConsentingPeer:
+    """The only peer; it has no lease grant outstanding, so it supports a campaign."""
 
     async def pre_vote(self, _question, _timeout):
         return PeerAnswers(1, 1)
 
 
-class SilentHost:
-    """A controller that does nothing when leadership changes."""
+class NullHost:
+    """A host of the elector that ignores changes of leadership."""
 
     def leadership_changed(self):
         pass
 
 
-@pytest.mark.parametrize("own", [True, False])
-def test_only_the_own_lease_proves_an_election(own):
-    """A transaction of an earlier process of the same member puts the same key there."""
+@pytest.mark.parametrize("own_lease", [True, False])
+def test_only_the_own_lease_proves_an_election(own_lease):
+    """A transaction of an earlier process of the same member may have written the same value."""
 
     async def main():
-        store = Store()
-
+        store = StoreFixture()
         span = timedelta(seconds=20)
         elector = Elector(
             ElectionContext(
@@ -451,19 +455,19 @@
                 store.clock,
                 store.rng,
                 LeaseLimits(timedelta(seconds=3), span, span),
-                FreePeer(),
-                SilentHost(),
+                ConsentingPeer(),
+                NullHost(),
                 ConfirmedCancellations(ZERO),
             )
         )
         elector.voter.restart_wait_until = ZERO
         campaign = asyncio.ensure_future(elector._campaign())
-        if own:
-            store.delay(0.0)
+        if own_lease:
+            store.delay_next(0.0)
             await asyncio.sleep(0.2)
             assert elector.leading_term() is not None
         else:
-            store.delay(60.0)
+            store.delay_next(60.0)
             asyncio.get_running_loop().call_later(
                 0.02, store.write, "leader", {"member": "node", "epoch": 1}
             )
--- a/dappledrum/store/transport.py
+++ b/dappledrum/store/transport.py
@@ -1,4 +1,4 @@
-"""Sends single requests to the store, within the budget, and classifies their failures."""
+"""Sends requests to the store within the request budget and classifies their failures."""
 
 import asyncio
 from datetime import timedelta
@@ -17,13 +17,13 @@
 T = TypeVar("T")
 
 REQUEST_TIMEOUT = timedelta(seconds=1.5)
-#: Users' requests that would have to wait longer fail at once, so that users can try elsewhere.
+#: Users' requests that would have to wait longer fail at once, so that users can retry elsewhere.
 MAX_USER_QUEUEING_DELAY = timedelta(seconds=0.5)
 USER_PRIORITIES = (RequestPriority.POLL, RequestPriority.SUBMISSION)
 
 
 class StoreRequest(NamedTuple):
-    """One request; `writes` is the number of its changes, for the budget."""
+    """One request; `writes` is the number of its changes, charged to the budget."""
 
     method: str
     path: str
@@ -37,12 +37,13 @@
 
     @property
     def is_watch(self) -> bool:
-        """Whether it waits for changes, so that its delay says nothing about the store."""
+        """Whether the request waits for changes, so that its duration says nothing about the
+        store."""
         return self.path.startswith("/watch")
 
 
 class StoreTransport:
-    """Requests over one HTTP client, in the order that the budget allows."""
+    """Sends requests over one HTTP client and records their outcomes."""
 
     def __init__(
         self, http_client: HttpClient, budget: RequestBudget, availability: StoreAvailability
@@ -52,7 +53,7 @@
         self.availability = availability
 
     async def send(self, request: StoreRequest) -> Reply:
-        """Send a request once the budget allows it, and return any answer below 500 but 429.
+        """Send a request once the budget allows it; returns any response below 500 except 429.
 
         Raises RateLimitedError, RefusedError or UnknownOutcomeError.
         """
@@ -89,7 +90,7 @@
             raise UnknownOutcomeError(str(error), str(request)) from error
 
     def _check_status(self, request: StoreRequest, reply: Reply, sent: timedelta) -> None:
-        """Raise an error for a status that shows that the store did not serve the request."""
+        """Raise an error if the status shows that the store did not serve the request."""
         if reply.status in (HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE):
             self.budget.back_off(HTTPStatus(reply.status))
             if reply.status == HTTPStatus.SERVICE_UNAVAILABLE:
@@ -102,13 +103,13 @@
 
 
 def unexpected_status(request: StoreRequest, reply: Reply) -> UnknownOutcomeError:
-    """The error for an answer whose status means nothing for this request."""
+    """Error for a response with a status that is not defined for this request."""
     return UnknownOutcomeError(f"status {reply.status}", str(request))
 
 
-def decode_reply(request: StoreRequest, reply: Reply, kind: type[T]) -> T:
-    """Body of an answer; raises UnknownOutcomeError if it can't be decoded."""
+def decode_reply(request: StoreRequest, reply: Reply, body_type: type[T]) -> T:
+    """Decode the body of a response; raises UnknownOutcomeError if it is malformed."""
     try:
-        return msgspec.json.decode(reply.body, type=kind)
+        return msgspec.json.decode(reply.body, type=body_type)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise UnknownOutcomeError(f"unusable answer: {error}", str(request)) from error
+        raise UnknownOutcomeError(f"malformed response: {error}", str(request)) from error
--- a/dappledrum/store/value_limit.py
+++ b/dappledrum/store/value_limit.py
@@ -1,10 +1,10 @@
-"""How large a value may be written at this moment.
+"""Limits the size of values written to the store.
 
-The settings may announce limits that the store will have after some upgrade, without notice.
-Versions before this one can't read values that are split into parts. So values are written whole,
-up to the current limit, as long as such a controller may still become leader; the limits do not
-drop before all controllers are upgraded. Once all are, or the store has refused a value, nothing
-larger than the reduced limit is written, and larger values are split.
+The settings may announce smaller limits that the store will apply from some moment on, without
+notice, but not before all controllers are upgraded. Controllers of earlier versions can't read
+values that are split into parts, so values up to the current limit are written whole as long as
+such a controller may become leader. Once all are upgraded, or the store has refused a value,
+values larger than the reduced limit are split.
 """
 
 import logging
@@ -15,7 +15,7 @@
 
 
 class ValueLimit:
-    """Size limits of one controller's values, in bytes."""
+    """The size limit that this controller applies to values, in bytes."""
 
     def __init__(self, limits: StoreLimits) -> None:
         self.current_bytes = limits.value_bytes
@@ -24,23 +24,30 @@
 
     @property
     def max_whole_bytes(self) -> int:
-        """The largest value that is written in one piece."""
+        """Size of the largest value that is written whole."""
         return self.reduced_bytes if self.is_reduced else self.current_bytes
 
     def record_refusal(self, largest_bytes: int, reason: str) -> bool:
-        """Record that the store refused values, the largest of this size; returns whether that
-        shows that its limits have dropped. Smaller values must have been refused for another
-        reason, and show nothing about what other controllers can read."""
+        """Handle a refusal by the store of values of which the largest has this size; returns
+        whether it shows that the store's limit has dropped.
+
+        Values within the reduced limit must have been refused for another reason, which shows
+        nothing about the limit or about what other controllers can read.
+        """
         dropped = not self.is_reduced and largest_bytes > self.reduced_bytes
         if dropped:
-            log.warning("the limits of the store have dropped")
+            log.warning(
+                "store refused a value, its limit has dropped: largest_bytes=%d", largest_bytes
+            )
             self.reduce(reason)
         return dropped
 
     def reduce(self, reason: str) -> None:
-        """Use the reduced limit from now on."""
+        """Apply the reduced limit from now on."""
         if not self.is_reduced:
             self.is_reduced = True
             log.info(
-                "records larger than %d bytes are written in parts: %s", self.reduced_bytes, reason
+                "records larger than %d bytes are split into parts from now on: %s",
+                self.reduced_bytes,
+                reason,
             )
