--- a/dappledrum/http/__init__.py
+++ b/dappledrum/http/__init__.py
@@ -1,2 +1,1 @@
-"""HTTP/1.1 over asyncio protocols, parsed by httptools: a server with limits, and a pooled
-client."""
+"""HTTP/1.1 server with connection limits and pooled client, on asyncio and httptools."""
--- a/dappledrum/http/client.py
+++ b/dappledrum/http/client.py
@@ -1,7 +1,6 @@
 """Pooled HTTP client for one destination.
 
-A failure is reported as one of two things: the request was never sent, or nobody can tell whether
-it was executed.
+Failures are of two kinds: the request was certainly not sent, or it may have been executed.
 """
 
 import asyncio
@@ -16,14 +15,14 @@
 
 
 class Reply(NamedTuple):
-    """A complete answer."""
+    """A complete response."""
 
     status: int
     body: bytes
 
 
 class NoResponseError(Exception):
-    """No answer came: the request may have been executed, or may still be."""
+    """There was no response: the request may have been executed, or may still be."""
 
 
 class NotSentError(NoResponseError):
@@ -36,7 +35,7 @@
     async def request(
         self, method: str, path: str, body: bytes | None, timeout: timedelta
     ) -> Reply:
-        """Send one request and wait for the answer.
+        """Send one request and wait for the response.
 
         Raises NotSentError if it was certainly not executed, else NoResponseError.
         """
@@ -44,21 +43,21 @@
 
 
 class _ClientConnection(asyncio.Protocol):
-    """One connection with at most one request on it."""
+    """Connection with at most one request at a time."""
 
     def __init__(self) -> None:
         self.transport: asyncio.Transport | None = None
         self.parser = httptools.HttpResponseParser(self)
         self.reply: asyncio.Future[Reply] | None = None
         self.body = bytearray()
-        self.usable = True  # for another request
+        self.reusable = True  # for another request
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
 
     def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - asyncio's signature
-        self.usable = False
+        self.reusable = False
         self._fail("connection lost")
 
     def data_received(self, data: bytes) -> None:
@@ -78,12 +77,12 @@
         if self.reply is not None and not self.reply.done():
             self.reply.set_result(Reply(self.parser.get_status_code(), bytes(self.body)))
         else:
-            self.usable = False
+            self.reusable = False
         if not self.parser.should_keep_alive():
-            self.usable = False
+            self.reusable = False
 
     def send(self, data: bytes) -> asyncio.Future[Reply]:
-        """Send the bytes of a request; the future gets the answer, or NoResponseError."""
+        """Send an encoded request; the future gets the response, or NoResponseError."""
         self.body = bytearray()
         self.reply = asyncio.get_running_loop().create_future()
         assert self.transport is not None
@@ -91,8 +90,8 @@
         return self.reply
 
     def close(self) -> None:
-        """Drop the connection at once."""
-        self.usable = False
+        """Close the connection at once."""
+        self.reusable = False
         if self.transport is not None:
             self.transport.abort()
 
@@ -102,22 +101,23 @@
 
 
 class PooledClient:
-    """Requests to one address over a few idle connections that are kept open."""
+    """HTTP client for one address; keeps a few idle connections open for reuse."""
 
     def __init__(self, host: str, port: int, max_idle: int = 4, max_open: int = 64) -> None:
         self.host = host
         self.port = port
-        self.max_idle = max_idle  # connections that are kept without a request
-        self.max_open = max_open  # connections being made or with a request
-        self._open_count = 0
+        self.max_idle = max_idle  # connections kept open without a request
+        self.max_open = max_open  # connections being opened or with a request
+        self._active_count = 0
         self._idle: list[_ClientConnection] = []
 
     async def request(
         self, method: str, path: str, body: bytes | None, timeout: timedelta
     ) -> Reply:
-        """Send one request and wait for the answer, as `HttpClient.request`.
+        """Send one request and wait for the response, as `HttpClient.request`.
 
-        If a kept connection turns out to be closed, only a read is sent again on a new one.
+        If a reused connection fails, the request is retried on a new one, but only if it is a GET:
+        any other request may have been executed.
         """
         head = f"{method} {path} HTTP/1.1\r\nHost: {self.host}:{self.port}\r\n"
         if body is not None:
@@ -130,7 +130,7 @@
             raise NoResponseError(f"no answer within {timeout.total_seconds():g} s") from error
 
     def close_idle(self) -> None:
-        """Close the connections that have no request."""
+        """Close the idle connections."""
         for connection in self._idle:
             connection.close()
 
@@ -147,33 +147,33 @@
     def _pop_idle(self) -> _ClientConnection | None:
         while self._idle:
             connection = self._idle.pop()
-            if connection.usable:
+            if connection.reusable:
                 return connection
         return None
 
     async def _connect(self) -> _ClientConnection:
-        if self._open_count >= self.max_open:
+        if self._active_count >= self.max_open:
             raise NotSentError("too many connections")
-        self._open_count += 1
+        self._active_count += 1
         try:
             loop = asyncio.get_running_loop()
             _, connection = await loop.create_connection(_ClientConnection, self.host, self.port)
         except OSError as error:
             raise NotSentError(str(error)) from error
         finally:
-            self._open_count -= 1
+            self._active_count -= 1
         return connection
 
     async def _exchange(self, connection: _ClientConnection, data: bytes) -> Reply:
-        self._open_count += 1
+        self._active_count += 1
         try:
             reply = await connection.send(data)
         except BaseException:
             connection.close()
             raise
         finally:
-            self._open_count -= 1
-        if connection.usable and len(self._idle) < self.max_idle:
+            self._active_count -= 1
+        if connection.reusable and len(self._idle) < self.max_idle:
             self._idle.append(connection)
         else:
             connection.close()
--- a/dappledrum/http/connection.py
+++ b/dappledrum/http/connection.py
@@ -1,7 +1,7 @@
 """One connection of the server, as an asyncio protocol.
 
-Everything that a client can do wrong is bounded: the size of head and body, the time to send a
-request, and the time without one. A failure on one connection never affects another.
+Bounds what a faulty client can use: the size of head and body, the time to send a request, and the
+time without one. A failure on one connection never affects another.
 """
 
 import asyncio
@@ -20,18 +20,18 @@
 MAX_BODY_BYTES = 64 * 1024
 MAX_HEAD_BYTES = 16 * 1024
 REQUEST_READ_TIMEOUT = timedelta(seconds=10)
-#: How long a connection may be idle: one without any request so far, a worker's (it sends a
-#: heartbeat every few seconds, or has ended), and any other.
+#: How long a connection may be idle. A worker sends a heartbeat every few seconds, so one that is
+#: silent for longer has ended.
 IDLE_TIMEOUTS = {
     Role.NEW: timedelta(seconds=10),
     Role.WORKER: timedelta(seconds=30),
     Role.USER: timedelta(seconds=120),
 }
-HEARTBEAT_PATH = "/hello"  # only workers send requests there
+HEARTBEAT_PATH = "/hello"  # only workers use it
 
 
 class Connection(asyncio.Protocol):
-    """One client connection; requests are served one after the other."""
+    """Connection of one client; its requests are served one at a time."""
 
     def __init__(self, handler: Handler, table: ConnectionTable) -> None:
         self.handler = handler
@@ -50,7 +50,7 @@
         self.task: asyncio.Task[None] | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Enter the table, or drop the connection if it is full."""
+        """Register the connection, or drop it if there are too many."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         self._become_idle()
@@ -58,12 +58,12 @@
             transport.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - asyncio's signature
-        """Leave the table."""
+        """Remove the connection from the table."""
         self.table.remove(self)
         self.transport = None
 
     def data_received(self, data: bytes) -> None:
-        """Parse data, within limits also while a request is being served."""
+        """Parse received data, whose size is bounded also while a request is being served."""
         if self.task is not None:
             self.head_bytes += len(data)
             if self.head_bytes > MAX_HEAD_BYTES + MAX_BODY_BYTES:
@@ -72,13 +72,13 @@
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            # The request is served as it is, and the connection ends with it.
+            # The request is served without an upgrade, then the connection is closed.
             self.upgrade_requested = True
         except httptools.HttpParserError:
             self._refuse(HTTPStatus.BAD_REQUEST)
 
     def on_message_begin(self) -> None:
-        """Prepare for a new request."""
+        """Reset the state for a new request, and start its timeout."""
         self.idle = False
         self.since = asyncio.get_running_loop().time()
         self.deadline = self.since + REQUEST_READ_TIMEOUT.total_seconds()
@@ -88,23 +88,23 @@
         self.refusal = None
 
     def on_url(self, url: bytes) -> None:
-        """Collect a part of the URL."""
+        """Append a part of the URL."""
         self.url += url
         self._count_head(len(url))
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Count a header, whose content does not matter."""
+        """Count the size of a header; its content is not used."""
         self._count_head(len(name) + len(value))
 
     def on_body(self, body: bytes) -> None:
-        """Collect a part of the body."""
+        """Append a part of the body."""
         if self.refusal is None and len(self.body) + len(body) > MAX_BODY_BYTES:
             self._refuse(HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
         elif self.refusal is None:
             self.body += body
 
     def on_message_complete(self) -> None:
-        """Serve a complete request."""
+        """Start to serve a complete request."""
         if self.refusal is not None:
             return
         if self.task is not None:
@@ -128,7 +128,7 @@
     async def _answer(self, request: Request, keep_alive: bool) -> None:
         try:
             response = await self.handler(request)
-        except Exception:  # a bad request must not end the process, whatever it was
+        except Exception:  # a fault in one handler must not end the process
             log.exception("%s %s failed", request.method, request.path)
             response = Response(HTTPStatus.INTERNAL_SERVER_ERROR)
         self.task = None
@@ -158,15 +158,15 @@
         self.deadline = self.since + IDLE_TIMEOUTS[self.role].total_seconds()
 
     def expire(self) -> None:
-        """End the connection, since its deadline has passed: an incomplete request is refused, an
-        idle connection is dropped."""
+        """Close the connection, since its deadline has passed: drop it if it is idle, else refuse
+        the incomplete request with 408."""
         if self.idle:
             self.abort()
         else:
             self._refuse(HTTPStatus.REQUEST_TIMEOUT)
 
     def abort(self) -> None:
-        """Drop the connection at once, and remove it from the table."""
+        """Drop the connection at once and remove it from the table."""
         self.table.remove(self)
         if self.transport is not None:
             self.transport.abort()
--- a/dappledrum/http/connection_limits.py
+++ b/dappledrum/http/connection_limits.py
@@ -1,14 +1,14 @@
-"""Decides which connections are dropped when the limit of open connections is reached.
+"""Decides which connection is dropped when the limit of open connections is reached.
 
-Users, health checks and workers share one address. Workers are by far the most; hundreds of them
-connect at once when another controller has ended, and the protocol makes them reconnect by
-themselves. So workers, and connections without any request so far, may use all but a reserved
-share of the connections. When the limit is reached, the first to be dropped is a connection that
-has sent no request for a while, then the worker that has been idle for longest, then a new
-connection, then any other that has been idle for longest. A connection with a request in progress
-is never dropped for another.
+Users, health checks and workers share one address. Workers are by far the most numerous: hundreds
+of them connect at once when another controller has ended, and the protocol makes them reconnect by
+themselves. So a share of the connections is reserved that workers may not use. When the limit is
+reached, an idle connection is dropped, in this order and in each group the one that has been idle
+for longest: those that have sent no request for NEW_CONNECTION_GRACE since they were opened,
+workers, newer ones without a request, all others. A connection with a request in progress is never
+dropped for another.
 
-This module does no I/O: `ConnectionTable` asks it, and drops what it chooses.
+This module does no I/O; `ConnectionTable` drops the connections that it chooses.
 """
 
 from collections.abc import Iterable
@@ -16,14 +16,15 @@
 from enum import IntEnum
 from typing import Protocol, TypeVar
 
-#: A connection that has sent no request for so long since it was made goes before idle workers.
+#: A connection that has sent no request for this long since it was opened is dropped before idle
+#: workers.
 NEW_CONNECTION_GRACE = timedelta(seconds=2)
-RESERVED_SHARE = 8  # a share of 1/8 is kept from workers
+RESERVED_DIVISOR = 8  # 1/8 of the connections is reserved for others than workers
 MIN_RESERVED = 2  # connections
 
 
 class Role(IntEnum):
-    """What a connection was used for; lower values are dropped first."""
+    """Use of a connection; those with a lower value are dropped first."""
 
     NEW = 0
     WORKER = 1
@@ -31,23 +32,23 @@
 
 
 class ConnectionInfo(Protocol):
-    """What the choice rests on."""
+    """Properties of a connection that decide the order."""
 
     role: Role
     idle: bool
-    since: float  # event loop's time: when it became idle, or its request began
+    since: float  # event loop time when it became idle, or its request began
 
 
 C = TypeVar("C", bound=ConnectionInfo)
 
 
 def max_worker_connections(max_connections: int) -> int:
-    """How many of these connections workers may use."""
-    return max(1, max_connections - max(max_connections // RESERVED_SHARE, MIN_RESERVED))
+    """Number of the connections that workers may use."""
+    return max(1, max_connections - max(max_connections // RESERVED_DIVISOR, MIN_RESERVED))
 
 
 def idle_connection_to_drop(connections: Iterable[C], now: float) -> C | None:
-    """The connection to drop for a new one; None: all have a request in progress."""
+    """Choose a connection to drop for a new one; None if all have a request in progress."""
     grace = NEW_CONNECTION_GRACE.total_seconds()
 
     def drop_order(connection: C) -> tuple[float, float]:
@@ -59,7 +60,7 @@
 
 
 def idle_worker_to_drop(connections: Iterable[C]) -> C | None:
-    """The worker's connection to drop for another worker; None: all have a request in progress."""
+    """Choose a worker's connection to drop for another worker's; None if none is idle."""
     idle_workers = (
         connection
         for connection in connections
--- a/dappledrum/http/connection_table.py
+++ b/dappledrum/http/connection_table.py
@@ -1,4 +1,4 @@
-"""The open connections of a server, within its limits."""
+"""The open connections of a server; keeps their number within its limits."""
 
 import asyncio
 import logging
@@ -16,32 +16,32 @@
 
 log = logging.getLogger(__name__)
 
-USAGE_WARNING_SHARE = 0.9  # of the connections there may be, above which their use is logged
-USAGE_WARNING_STEPS = 8  # it is logged again after each further 1/8 of them
+USAGE_WARNING_SHARE = 0.9  # share of max_connections in use from which the usage is logged
+USAGE_WARNING_STEPS = 8  # it is logged again after each further 1/8 of max_connections
 
 
 class TrackedConnection(ConnectionInfo, Protocol):
-    """A connection that the table may end."""
+    """A connection that the table can close."""
 
-    deadline: float  # event loop's time
+    deadline: float  # event loop time
 
     def expire(self) -> None:
-        """End the connection, since its deadline has passed."""
+        """Close the connection, since its deadline has passed."""
         ...
 
     def abort(self) -> None:
-        """Drop the connection at once, and remove it from the table."""
+        """Drop the connection at once and remove it from the table."""
         ...
 
 
 class ConnectionTable:
-    """Admits connections and drops others for them, as `connection_limits` decides."""
+    """Admits connections, and drops others for them as `connection_limits` decides."""
 
     def __init__(self, max_connections: int) -> None:
         self.max_connections = max_connections
         self.worker_count = 0
         self._connections: dict[TrackedConnection, None] = {}
-        self._logged_count = 0  # how many connections there were when their use was last logged
+        self._logged_count = 0  # connections in use when the usage was last logged
 
     def __len__(self) -> int:
         return len(self._connections)
@@ -50,8 +50,8 @@
         return iter(self._connections)
 
     def admit(self, connection: TrackedConnection) -> bool:
-        """Accept a new connection. When the limit is reached another one is dropped, or this one
-        is refused."""
+        """Add a new connection, for which an idle one is dropped if the limit is reached. Returns
+        False if there is none to drop."""
         if len(self._connections) >= self.max_connections:
             now = asyncio.get_running_loop().time()
             dropped = idle_connection_to_drop(self._connections, now)
@@ -62,8 +62,8 @@
         return True
 
     def admit_worker(self, connection: TrackedConnection) -> bool:
-        """Record that a connection is a worker's; workers may use only a part of all. Returns
-        False if there are too many, and none that could be dropped."""
+        """Mark a connection as a worker's, for which an idle worker is dropped if workers use all
+        that they may. Returns False if there is none to drop."""
         if connection.role is Role.WORKER:
             return True
         connection.role = Role.WORKER
@@ -77,13 +77,13 @@
         return True
 
     def remove(self, connection: TrackedConnection) -> None:
-        """Remove a connection that is closed; it may have been removed before."""
+        """Remove a closed connection; no effect if it has been removed before."""
         present = connection in self._connections
         self._connections.pop(connection, None)
         self.worker_count -= present and connection.role is Role.WORKER
 
     def expire_overdue(self) -> None:
-        """End the connections whose deadlines have passed."""
+        """Close the connections whose deadlines have passed."""
         now = asyncio.get_running_loop().time()
         for connection in [c for c in self._connections if c.deadline < now]:
             connection.expire()
@@ -94,8 +94,8 @@
             connection.abort()
 
     def log_usage(self) -> None:
-        """Log who uses the connections when they become scarce, and again with each further
-        eighth."""
+        """Log the usage of connections by role when they become scarce, and again after each
+        further eighth."""
         count = len(self._connections)
         warning_count = self.max_connections * USAGE_WARNING_SHARE
         if count < warning_count / 2:
--- a/dappledrum/http/messages.py
+++ b/dappledrum/http/messages.py
@@ -1,4 +1,4 @@
-"""Requests and responses of the server, and a response's bytes."""
+"""Requests and responses of the server, and the encoding of responses."""
 
 from collections.abc import Awaitable, Callable
 from http import HTTPStatus
@@ -14,20 +14,20 @@
 
 
 class Response(NamedTuple):
-    """An answer; the body is JSON unless said otherwise."""
+    """A response; the body is JSON unless `content_type` says otherwise."""
 
     status: int
     body: bytes = b"{}"
     retry_after: int | None = None  # seconds
     content_type: str = "application/json"
-    close: bool = False  # the connection ends with it
+    close: bool = False  # the connection is closed after it
 
 
 Handler = Callable[[Request], Awaitable[Response]]
 
 
 def encode_response(response: Response, keep_alive: bool) -> bytes:
-    """The response as it goes over the wire."""
+    """Encode a response for the wire."""
     try:
         phrase = HTTPStatus(response.status).phrase
     except ValueError:
--- a/dappledrum/http/server.py
+++ b/dappledrum/http/server.py
@@ -1,4 +1,4 @@
-"""HTTP server: listens on one address, with a limit of connections."""
+"""HTTP server for one address, with a limit on connections."""
 
 import asyncio
 import errno
@@ -13,13 +13,14 @@
 
 log = logging.getLogger(__name__)
 
-MAX_ACCEPT_QUEUE = 256  # connections that the system keeps until they are accepted, by default
-#: Connections accepted at a time, before data and ends of others are processed: a process that was
-#: paused once accepted hundreds at once on top of those that had ended, and had no socket left.
+MAX_ACCEPT_QUEUE = 256  # default limit of the connections that the kernel queues
+#: Connections accepted in a row before the data and the closing of others are processed. Without
+#: this limit, a process that resumed after a pause accepted hundreds of connections before it
+#: noticed that earlier ones had been closed, and ran out of sockets.
 ACCEPT_BATCH = 16
-ADDRESS_RETRY_PAUSE = timedelta(milliseconds=50)  # until an address in use is tried again
+ADDRESS_RETRY_INTERVAL = timedelta(milliseconds=50)  # while the address is in use
 MAX_ADDRESS_WAIT = timedelta(seconds=10)
-SWEEP_INTERVAL = timedelta(seconds=1)  # of the check for connections whose deadline has passed
+SWEEP_INTERVAL = timedelta(seconds=1)  # between checks of the connections' deadlines
 
 
 class Server:
@@ -36,7 +37,7 @@
         self._sweeper: asyncio.Task[None] | None = None
 
     async def start(self, host: str, port: int) -> int:
-        """Begin to serve, on any free port if it is 0; returns the port.
+        """Start to serve and return the port; with port 0, any free one is used.
 
         Raises OSError if the address can't be bound.
         """
@@ -50,16 +51,16 @@
             sock=listening,
             backlog=ACCEPT_BATCH,
         )
-        # asyncio has one argument for both, so the queue's length is set again.
+        # `backlog` sets both the accept batch and the kernel's queue, so the latter is set again.
         listening.listen(self.accept_queue)
         self._sweeper = loop.create_task(self._sweep())
         return int(self._server.sockets[0].getsockname()[1])
 
     async def bind(self, host: str, port: int) -> None:
-        """Bind the address, if that has not been done, without serving yet.
+        """Bind the address without serving yet; no effect if it is already bound.
 
-        Waits for a former process that still has it: one that is restarted at once may find that
-        its predecessor has not ended yet, and must not fail because of that. Raises OSError.
+        While the address is in use, retries for up to MAX_ADDRESS_WAIT: when a controller is
+        restarted at once, its previous process may not have ended yet. Raises OSError.
         """
         waited = ZERO
         while self._listening is None:
@@ -70,9 +71,9 @@
                 if error.errno != errno.EADDRINUSE or waited >= MAX_ADDRESS_WAIT:
                     raise
                 if not waited:
-                    log.warning("%s:%d is still in use, waiting for it", host, port)
-            await asyncio.sleep(ADDRESS_RETRY_PAUSE.total_seconds())
-            waited += ADDRESS_RETRY_PAUSE
+                    log.warning("address %s:%d is in use, waiting until it is free", host, port)
+            await asyncio.sleep(ADDRESS_RETRY_INTERVAL.total_seconds())
+            waited += ADDRESS_RETRY_INTERVAL
 
     async def stop(self) -> None:
         """Stop listening and drop every connection."""
--- a/dappledrum/http/test_connection_limits.py
+++ b/dappledrum/http/test_connection_limits.py
@@ -1,5 +1,5 @@
-"""Which connection is dropped, compared with a plain reimplementation, and real sockets after a
-pause."""
+"""Which connection is dropped, compared with a plain reimplementation, and the limits of a server
+with real sockets."""
 
 import asyncio
 import select
@@ -12,7 +12,7 @@
 from dappledrum.controller.sockets import share_sockets
 from dappledrum.http.client import PooledClient
 from dappledrum.http.connection_limits import (
-    RESERVED_SHARE,
+    RESERVED_DIVISOR,
     Role,
     idle_connection_to_drop,
     idle_worker_to_drop,
@@ -25,7 +25,7 @@
 
 @dataclass
 class FakeConnection:
-    """What the choice rests on."""
+    """Properties of a connection that decide the order."""
 
     role: Role
     idle: bool
@@ -62,7 +62,7 @@
 
 
 def test_workers_never_use_the_connections_reserved_for_users():
-    limit = 2 * RESERVED_SHARE
+    limit = 2 * RESERVED_DIVISOR
     release_workers = asyncio.Event()
 
     async def handler(request):
@@ -96,24 +96,24 @@
 
 
 def test_connections_made_during_a_pause_are_accepted_in_batches():
-    """A process that was paused once accepted all that waited before it saw that earlier ones had
-    ended, and had no socket left."""
+    """A process that resumes after a pause must not accept all waiting connections before it
+    notices that earlier ones have been closed: it would run out of sockets."""
 
     async def main():
         server = Server(echo, 40)
         port = await server.start("127.0.0.1", 0)
-        most_at_once = 0
+        max_open = 0
         for _ in range(5):
-            # The event loop does not run here, as in a pause: when it runs again, these have
-            # connected and closed.
+            # The event loop does not run meanwhile, as in a pause: when it runs again, these
+            # have been opened and closed.
             abandoned = [socket.create_connection(("127.0.0.1", port)) for _ in range(30)]
             for connection in abandoned:
                 connection.close()
         for _ in range(200):
-            most_at_once = max(most_at_once, len(server.connections))
+            max_open = max(max_open, len(server.connections))
             await asyncio.sleep(0)
         await asyncio.sleep(0.1)
-        assert most_at_once <= 2 * ACCEPT_BATCH
+        assert max_open <= 2 * ACCEPT_BATCH
         assert not server.connections
         assert (
             await PooledClient("127.0.0.1", port).request("GET", "/x", None, TIMEOUT)
@@ -123,7 +123,7 @@
     asyncio.run(main())
 
 
-def test_a_redirected_worker_leaves_no_connection():
+def test_the_connection_of_a_redirected_worker_is_closed():
     async def main():
         async def redirect(_request):
             return Response(421, b"{}", close=True)
@@ -141,19 +141,20 @@
 
 
 def test_the_accept_queue_is_bounded():
-    """A paused process accepts nothing, and what waits counts among its sockets."""
+    """While a process is paused, connections wait in the accept queue, and each of them counts
+    towards the limit of sockets."""
 
     async def main():
         server = Server(echo, 40, accept_queue=4)
         port = await server.start("127.0.0.1", 0)
         clients = []
-        for _ in range(30):  # the event loop does not run here, as in a pause
+        for _ in range(30):  # the event loop does not run meanwhile, as in a pause
             client = socket.socket()
             client.setblocking(False)
             client.connect_ex(("127.0.0.1", port))
             clients.append(client)
         _, connected, _ = select.select([], clients, [], 0.2)
-        assert 0 < len(connected) <= 4 + 1  # the system accepts one more
+        assert 0 < len(connected) <= 4 + 1  # the kernel queues one more than the limit
         for client in clients:
             client.close()
         await server.stop()
--- a/dappledrum/http/test_http.py
+++ b/dappledrum/http/test_http.py
@@ -1,5 +1,4 @@
-"""Server and client over real sockets on loopback: limits, invalid requests, and lost
-connections."""
+"""Server and client over loopback sockets: limits, invalid requests and lost connections."""
 
 import asyncio
 from datetime import timedelta
@@ -24,7 +23,7 @@
     )
 
 
-async def serving(check, max_connections=50):
+async def with_server(check, max_connections=50):
     server = Server(echo, max_connections)
     port = await server.start("127.0.0.1", 0)
     try:
@@ -33,15 +32,15 @@
         await server.stop()
 
 
-async def raw(port, data):
+async def send_raw(port, data):
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(data)
-    answer = await asyncio.wait_for(reader.read(), 5)
+    response = await asyncio.wait_for(reader.read(), 5)
     writer.close()
-    return answer
+    return response
 
 
-def test_requests_share_a_connection():
+def test_requests_of_a_client_share_a_connection():
     async def check(server, port):
         client = PooledClient("127.0.0.1", port)
         for body in (b"one", b"two", None):
@@ -49,7 +48,7 @@
             assert (reply.status, reply.body) == (200, b"POST /x?y=1 " + (body or b""))
         assert len(server.connections) == 1
 
-    asyncio.run(serving(check))
+    asyncio.run(with_server(check))
 
 
 @pytest.mark.logs_failure("GET /bad failed")
@@ -61,7 +60,7 @@
             connection.abort()
         assert (await client.request("GET", "/x", None, TIMEOUT)).status == 200
 
-    asyncio.run(serving(check))
+    asyncio.run(with_server(check))
 
 
 @pytest.mark.parametrize(
@@ -79,12 +78,12 @@
 )
 def test_invalid_and_unusual_requests_are_answered(data, status):
     async def check(_server, port):
-        assert status in (await raw(port, data))[:20]
+        assert status in (await send_raw(port, data))[:20]
         assert (
             await PooledClient("127.0.0.1", port).request("GET", "/x", None, TIMEOUT)
         ).status == 200
 
-    asyncio.run(serving(check))
+    asyncio.run(with_server(check))
 
 
 def test_an_incomplete_request_expires_and_others_are_served():
@@ -93,13 +92,13 @@
         writer.write(b"POST /x HTTP/1.1\r\nContent-Length: 10\r\n\r\nhalf")
         client = PooledClient("127.0.0.1", port)
         assert (await client.request("GET", "/x", None, TIMEOUT)).status == 200
-        half = next(c for c in server.connections if not c.idle)
-        half.deadline = 0.0
+        incomplete = next(c for c in server.connections if not c.idle)
+        incomplete.deadline = 0.0
         await asyncio.sleep(1.3)
-        assert half not in server.connections
+        assert incomplete not in server.connections
         writer.close()
 
-    asyncio.run(serving(check))
+    asyncio.run(with_server(check))
 
 
 def test_at_the_limit_the_longest_idle_connection_is_dropped():
@@ -112,7 +111,7 @@
         for _, writer in idle:
             writer.close()
 
-    asyncio.run(serving(check, max_connections=3))
+    asyncio.run(with_server(check, max_connections=3))
 
 
 def test_no_response_and_not_sent_are_different_errors():
@@ -125,11 +124,11 @@
         with pytest.raises(NotSentError):
             await PooledClient("127.0.0.1", port).request("POST", "/x", b"", TIMEOUT)
 
-    asyncio.run(serving(check))
+    asyncio.run(with_server(check))
 
 
-def test_an_address_that_is_still_in_use_is_waited_for():
-    """A process that is restarted at once may find that its predecessor has not ended yet."""
+def test_binding_waits_until_an_address_in_use_is_free():
+    """When a controller is restarted at once, its previous process may not have ended yet."""
 
     async def check(predecessor, port):
         successor = Server(echo, 5)
@@ -143,10 +142,10 @@
         ).status == 200
         await successor.stop()
 
-    asyncio.run(serving(check))
+    asyncio.run(with_server(check))
 
 
-def test_the_use_of_connections_is_logged_when_they_become_scarce(caplog):
+def test_the_usage_of_connections_is_logged_when_they_become_scarce(caplog):
     async def check(server, port):
         opened = [await asyncio.open_connection("127.0.0.1", port) for _ in range(4)]
         assert (
@@ -157,7 +156,7 @@
         for _, writer in opened:
             writer.close()
 
-    asyncio.run(serving(check, max_connections=5))
+    asyncio.run(with_server(check, max_connections=5))
     assert [message for message in caplog.messages if "connections in use" in message] == [
         "5 of 5 connections in use: new active=0 idle=4, worker active=0 idle=0,"
         " user active=0 idle=1"
