--- a/dappledrum/timing/__init__.py
+++ b/dappledrum/timing/__init__.py
@@ -1,1 +1,1 @@
-"""Clocks, timeouts that tolerate pauses of the process, and logging of faults that last."""
+"""Clocks, timeouts that tolerate pauses of the process, and supervision and logging of faults."""
--- a/dappledrum/timing/clock.py
+++ b/dappledrum/timing/clock.py
@@ -1,8 +1,8 @@
-"""The steady clock and the time of day of a controller, as the standard library's time types.
+"""A controller's monotonic clock and its wall clock, as `timedelta` and `datetime`.
 
-The steady clock starts at an arbitrary point; leases and waits are measured with it. The time of
-day is used only for what must remain meaningful after a restart (times of acceptance, and how long
-a task has been running).
+The monotonic clock starts at an arbitrary point; leases and waits are measured with it. The wall
+clock is used only for what must remain meaningful after a restart: when a job was accepted, and
+how long a task has been running.
 """
 
 import asyncio
@@ -10,33 +10,32 @@
 
 ZERO = timedelta(0)
 
-#: Relative; the steady clocks of two machines drift apart by at most 0.05 %, and twice that is
-#: allowed for everywhere.
+#: Relative drift of the monotonic clocks of two machines: at most 0.05 %, doubled for safety.
 MAX_CLOCK_DRIFT = 0.001
 
 
 class Clock:
-    """Steady time of the running event loop, and the time of day."""
+    """Monotonic time of the running event loop, and wall-clock time."""
 
     def now(self) -> timedelta:
-        """Steady time; only differences are meaningful."""
+        """Monotonic time; only differences are meaningful."""
         return timedelta(seconds=asyncio.get_running_loop().time())
 
     def utc_now(self) -> datetime:
-        """Time of day, in UTC."""
+        """Wall-clock time in UTC."""
         return datetime.now(UTC)
 
 
 def seconds(value: float) -> timedelta:
-    """A number of seconds from a message as a duration."""
+    """Convert a number of seconds from a message to a duration."""
     return timedelta(seconds=value)
 
 
 def longest_local_span(remote_span: timedelta) -> timedelta:
-    """The longest that a span on another machine's clock can be on this one's."""
+    """Upper bound, on this machine's clock, of a span measured on another machine's."""
     return remote_span * (1 + MAX_CLOCK_DRIFT)
 
 
 def shortest_local_span(remote_span: timedelta) -> timedelta:
-    """The shortest that a span on another machine's clock can be on this one's."""
+    """Lower bound, on this machine's clock, of a span measured on another machine's."""
     return remote_span * (1 - MAX_CLOCK_DRIFT)
--- a/dappledrum/timing/fault_log.py
+++ b/dappledrum/timing/fault_log.py
@@ -1,4 +1,4 @@
-"""Logs a lasting fault when it begins and when it has ended, not with each failure."""
+"""Logs a lasting fault when it begins and when it ends, instead of each failure."""
 
 import logging
 from datetime import timedelta
@@ -7,18 +7,18 @@
 
 
 class FaultLog:
-    """The state of one service or condition that may fail for a while."""
+    """Tracks one service or condition that may fail for a while."""
 
     def __init__(self, log: logging.Logger, clock: Clock, condition: str) -> None:
         self.log = log
         self.clock = clock
-        self.condition = condition  # the fault in words, with which its log lines begin
+        self.condition = condition  # description of the fault, at the start of its log lines
         self.since: timedelta | None = None
         self.failures = 0
-        self.why = ""  # of the newest failure
+        self.why = ""  # reason of the most recent failure
 
     def failed(self, why: str) -> None:
-        """Record one more failure; the first one is logged."""
+        """Record a failure; the first one of a fault is logged."""
         self.failures += 1
         self.why = why
         if self.since is None:
@@ -26,7 +26,7 @@
             self.log.warning("%s: %s", self.condition, why)
 
     def recovered(self) -> None:
-        """Record that it works again; the end of a fault is logged."""
+        """Record a success; the end of a fault is logged."""
         if self.since is None:
             return
         duration = (self.clock.now() - self.since).total_seconds()
--- a/dappledrum/timing/test_supervisor.py
+++ b/dappledrum/timing/test_supervisor.py
@@ -1,4 +1,4 @@
-"""Loops that fail are logged and started again; the pauses and log levels are as configured."""
+"""Failing loops are logged and restarted with the configured pauses and log levels."""
 
 import asyncio
 import logging
@@ -15,11 +15,11 @@
 
 
 class UnreachableError(Exception):
-    """A service is not reached."""
+    """A service is unreachable."""
 
 
-class Scripted:
-    """A step that raises the given errors one by one, then completes, and records its calls."""
+class FakeStep:
+    """A step that raises the given errors in turn, then completes, and records its call times."""
 
     def __init__(self, *errors):
         self.errors = list(errors)
@@ -41,7 +41,7 @@
 
 def test_an_attempt_reports_whether_the_step_completed(supervisor, caplog):
     async def main():
-        assert await supervisor.attempt("planning", Scripted())
+        assert await supervisor.attempt("planning", FakeStep())
 
     run(main())
     assert not caplog.records
@@ -49,20 +49,20 @@
 
 def test_a_transient_error_is_logged_without_traceback_at_its_own_level(supervisor, caplog):
     async def main():
-        assert not await supervisor.attempt("planning", Scripted(UnreachableError("no answer")))
+        assert not await supervisor.attempt("planning", FakeStep(UnreachableError("no answer")))
         assert asyncio.get_running_loop().time() == pytest.approx(TRANSIENT_PAUSE_S)
 
     run(main())
     (record,) = caplog.records
     assert record.levelno == logging.INFO
     assert record.exc_info is None
-    assert record.getMessage() == "planning: trying again after: no answer"
+    assert record.getMessage() == "planning: retrying after error: no answer"
 
 
 @pytest.mark.logs_failure("failed, going on")
 def test_an_unexpected_exception_is_logged_with_its_traceback(supervisor, caplog):
     async def main():
-        assert not await supervisor.attempt("planning", Scripted(ValueError("wrong")))
+        assert not await supervisor.attempt("planning", FakeStep(ValueError("wrong")))
         assert asyncio.get_running_loop().time() == pytest.approx(FAULT_PAUSE_S)
 
     run(main())
@@ -75,8 +75,8 @@
 @pytest.mark.logs_failure("failed, going on")
 def test_without_transient_errors_every_exception_is_a_fault(caplog):
     async def main():
-        plain = Supervisor(log, FAULT_PAUSE_S)
-        assert not await plain.attempt("planning", Scripted(UnreachableError()))
+        supervisor = Supervisor(log, FAULT_PAUSE_S)
+        assert not await supervisor.attempt("planning", FakeStep(UnreachableError()))
         assert asyncio.get_running_loop().time() == pytest.approx(FAULT_PAUSE_S)
 
     run(main())
@@ -85,7 +85,7 @@
 
 @pytest.mark.logs_failure("failed, going on")
 def test_a_loop_runs_until_it_completes_once(supervisor):
-    loop = Scripted(UnreachableError(), ValueError())
+    loop = FakeStep(UnreachableError(), ValueError())
 
     async def main():
         await supervisor.run_to_completion("planning", loop, asyncio.Event())
@@ -95,8 +95,8 @@
 
 
 @pytest.mark.logs_failure("failed, going on")
-def test_a_loop_that_fails_is_not_started_again_once_stopped(supervisor):
-    loop = Scripted(ValueError(), ValueError())
+def test_a_loop_that_fails_is_not_restarted_once_stopped(supervisor):
+    loop = FakeStep(ValueError(), ValueError())
 
     async def main():
         stopped = asyncio.Event()
@@ -124,4 +124,4 @@
                 await supervisor.repeat("planning", step)
 
     run(main())
-    assert calls == 4  # at 0 s, 1 s, 3 s after the fault's pause, and 4 s
+    assert calls == 4  # at 0 s, 1 s, 3 s (after the pause of FAULT_PAUSE_S) and 4 s
