--- a/dappledrum/main.py
+++ b/dappledrum/main.py
@@ -1,4 +1,4 @@
-"""Command line of a controller: checks its settings, then runs until it is killed."""
+"""Command line of a controller: checks the settings, then runs until it is killed."""
 
 import argparse
 import asyncio
@@ -15,8 +15,8 @@
 
 
 def build_parser() -> argparse.ArgumentParser:
-    """The command line; operators' own settings are flags, each with a variable for its
-    default."""
+    """Parser of the command line. The operator's settings are flags; the default of each can be
+    set by an environment variable."""
     parser = argparse.ArgumentParser(
         prog="dappledrum", description="Run one controller of a dappledrum cluster."
     )
@@ -26,7 +26,7 @@
         metavar="FILE",
         help="settings file of the platform (JSON)",
     )
-    parser.add_argument("--check", action="store_true", help="check the settings and end")
+    parser.add_argument("--check", action="store_true", help="check the settings and exit")
     parser.add_argument("--version", action="version", version=f"dappledrum {__version__}")
     parser.add_argument(
         "--interval-s",
--- a/dappledrum/settings.py
+++ b/dappledrum/settings.py
@@ -1,4 +1,4 @@
-"""The settings file of the platform, checked field by field, and the operator's own settings."""
+"""Schema of the platform's settings file, and the settings that each operator chooses."""
 
 from dataclasses import dataclass
 from datetime import timedelta
@@ -17,11 +17,11 @@
 
 
 class SettingsError(Exception):
-    """The settings can't be used; the text names the file, and the field if one is wrong."""
+    """The settings are invalid; the text names the file, and the field if one is invalid."""
 
 
 class Peer(msgspec.Struct, frozen=True, rename={"zone": "location", "address": "endpoint"}):
-    """Another controller and where it listens for its peers."""
+    """Another controller and the address at which it listens for peers."""
 
     member: Name
     zone: Name
@@ -36,7 +36,7 @@
 
 
 class Team(msgspec.Struct, frozen=True):
-    """A team's guarantee and limit; a limit of 0 means none."""
+    """A team's guaranteed resources and their limits; a limit of 0 means no limit."""
 
     name: Name
     cpus: Amount = 0.0
@@ -46,7 +46,7 @@
 
 
 class Objective(msgspec.Struct, frozen=True, rename={"job_class": "class"}):
-    """What is expected for a class of jobs: a time to start, a time to finish, or keeping
+    """Service-level objective of a class of jobs: time to start, time to finish, or keeping
     deadlines."""
 
     kind: str
@@ -57,7 +57,7 @@
 
 
 class WorkerLimits(msgspec.Struct, frozen=True):
-    """Intervals and leases of the workers."""
+    """Heartbeat interval, lease and cancellation time of workers."""
 
     report_s: Positive
     lease_s: Positive
@@ -70,7 +70,7 @@
 
     @property
     def lease_duration(self) -> timedelta:
-        """How long a worker keeps its tasks without an answer."""
+        """How long a worker keeps its tasks without a response to its heartbeats."""
         return seconds(self.lease_s)
 
     @property
@@ -83,8 +83,8 @@
 
 
 class NextLimits(msgspec.Struct, frozen=True):
-    """Limits that the store will have from some moment on, without notice; a limit that is
-    left out does not change."""
+    """Limits that the store will apply from some moment on, without notice; an omitted limit
+    does not change."""
 
     rps: Positive | None = None
     write_rps: Positive | None = None
@@ -93,7 +93,7 @@
 
 
 class StoreLimits(msgspec.Struct, frozen=True):
-    """Rates and sizes that the store allows."""
+    """Limits of the store: request and write rates, value size, operations per transaction."""
 
     rps: Positive
     write_rps: Positive
@@ -103,12 +103,12 @@
 
     @property
     def value_bytes(self) -> int:
-        """The largest value that may be written."""
+        """Size of the largest value that may be written."""
         return int(self.value_kb * 1024)
 
     def strictest(self) -> "StoreLimits":
-        """The smaller of the current and the next limits. This controller observes them from its
-        start, since the change comes without notice."""
+        """The smaller of the current and the next limits. They apply from the start of this
+        controller, since the change comes without notice."""
         if self.next is None:
             return self
         return StoreLimits(
@@ -120,19 +120,19 @@
 
 
 class CloudLimits(msgspec.Struct, frozen=True):
-    """Call rate of the cloud, and lag of its list."""
+    """Rate limit of calls to the cloud, and the lag of its machine list."""
 
     rps: Positive
     list_lag_s: Amount
 
     @property
     def list_lag(self) -> timedelta:
-        """Usual age of a machine list."""
+        """Usual age of a machine list when it is received."""
         return seconds(self.list_lag_s)
 
 
 class MachineLimits(msgspec.Struct, frozen=True):
-    """What this controller itself may use."""
+    """Resources of the machine that this controller may use."""
 
     cpu: Positive = 1.0
     memory_mb: Positive = 256.0
@@ -153,7 +153,7 @@
 
 
 class Settings(msgspec.Struct, frozen=True, rename={"zone": "location"}):
-    """One controller's settings."""
+    """Settings of one controller."""
 
     member: Name
     zone: Name
@@ -165,7 +165,7 @@
 
 
 def load(path: Path) -> Settings:
-    """Read and check the settings file; raises SettingsError."""
+    """Read and validate the settings file; raises SettingsError."""
     try:
         return msgspec.json.decode(path.read_bytes(), type=Settings)
     except OSError as error:
@@ -177,15 +177,14 @@
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Host and port of an address that the settings check has passed."""
+    """Host and port of an address that has been validated."""
     host, _, port = address.rpartition(":")
     return host, int(port)
 
 
 @dataclass(frozen=True)
 class Tuning:
-    """The operator's own settings: the open parameters of the paper, and which features are
-    enabled.
+    """Settings that the operator chooses: parameters that the paper leaves open, and features.
 
     `interval` is the length of a billed interval, `ready_share` the share of a stage that must be
     ready before machines are rented for it.
@@ -193,4 +192,4 @@
 
     interval: timedelta = timedelta(seconds=60)
     ready_share: float = 0.3
-    peer_heartbeats_enabled: bool = True  # `--reach`: link health is exchanged and decided upon
+    peer_heartbeats_enabled: bool = True  # `--reach`: exchange and use the health of links
--- a/dappledrum/test_main.py
+++ b/dappledrum/test_main.py
@@ -1,4 +1,4 @@
-"""Settings and command line: wrong fields are named, unknown ones are ignored."""
+"""Settings file and command line: errors name the wrong field, unknown fields are ignored."""
 
 import json
 import os
@@ -30,19 +30,19 @@
     }
 
 
-def check(tmp_path, settings):
+def check_settings(tmp_path, settings):
     file = tmp_path / "settings.json"
     file.write_text(settings if isinstance(settings, str) else json.dumps(settings))
     return main(["--config", str(file), "--check"])
 
 
 def test_valid_settings_with_unknown_fields_are_accepted(tmp_path, capsys):
-    assert check(tmp_path, valid_settings()) == 0
+    assert check_settings(tmp_path, valid_settings()) == 0
     assert "n-0" in capsys.readouterr().out
 
 
 @pytest.mark.parametrize(
-    ("path", "value", "named"),
+    ("path", "value", "named_field"),
     [
         (("member",), None, "member"),
         (("params", "workers", "lease_s"), "long", "lease_s"),
@@ -52,23 +52,23 @@
         (("external", "state"), "nowhere", "state"),
     ],
 )
-def test_a_wrong_or_missing_field_is_named(tmp_path, capsys, path, value, named):
+def test_a_wrong_or_missing_field_is_named(tmp_path, capsys, path, value, named_field):
     settings = valid_settings()
-    inner = settings
+    parent = settings
     for key in path[:-1]:
-        inner = inner[key]
+        parent = parent[key]
     if value is None:
-        del inner[path[-1]]
+        del parent[path[-1]]
     else:
-        inner[path[-1]] = value
-    assert check(tmp_path, settings) == 2
+        parent[path[-1]] = value
+    assert check_settings(tmp_path, settings) == 2
     error = capsys.readouterr().err
-    assert named in error
+    assert named_field in error
     assert error.count("\n") == 1
 
 
 def test_a_malformed_or_missing_file_is_refused(tmp_path):
-    assert check(tmp_path, "{") == 2
+    assert check_settings(tmp_path, "{") == 2
     assert main(["--config", str(tmp_path / "none"), "--check"]) == 2
 
 
@@ -86,7 +86,7 @@
 
 @pytest.mark.parametrize(("mode", "output"), [("checked-hash", "new"), ("unchecked-hash", "old")])
 def test_a_start_uses_the_bytecode_unless_the_source_differs(tmp_path, mode, output):
-    """Compiling all sources took half of the time of a start. The second mode, which the build
+    """Compiling all sources took half of the time of a start. `unchecked-hash`, which the build
     does not use, shows that the bytecode is read."""
     package = tmp_path / "dappledrum"
     package.mkdir()
--- a/run.py
+++ b/run.py
@@ -1,5 +1,5 @@
-"""Start a controller from a checkout, with the libraries that the build put under target/deps and
-the bytecode that it put under target/pycache."""
+"""Start a controller from a checkout, with the libraries and the bytecode that the build has put
+under target/deps and target/pycache."""
 
 import sys
 from importlib.machinery import SOURCE_SUFFIXES, FileFinder, SourceFileLoader
@@ -11,14 +11,14 @@
 
 
 class PrecompiledLoader(SourceFileLoader):
-    """Reads bytecode of this project's modules, and of no others, from target/pycache.
+    """Loads the bytecode of this project's modules, and of no others, from target/pycache.
 
-    A controller's machine has no disk to keep bytecode on: compiling the sources took half of
-    the processor time of each start, which on a third of a core is most of a second.
+    A controller's machine has no disk to cache bytecode on. Compiling the sources took half of the
+    CPU time of each start: most of a second on a third of a core.
     """
 
     def get_code(self, fullname: str) -> CodeType | None:
-        """Code of a module; bytecode that was compiled from another source is not used."""
+        """Code of a module; bytecode that does not match the source is not used."""
         previous_prefix, sys.pycache_prefix = sys.pycache_prefix, str(ROOT / "target" / "pycache")
         try:
             return super().get_code(fullname)
@@ -27,7 +27,7 @@
 
 
 def project_finder(path: str) -> FileFinder:
-    """Finder of modules in the project's directories; raises ImportError for any other path."""
+    """Finder of modules in the project's directories; raises ImportError for other paths."""
     if path != str(ROOT) and path != PACKAGE and not path.startswith(PACKAGE + "/"):
         raise ImportError(path)
     return FileFinder(path, (PrecompiledLoader, SOURCE_SUFFIXES))
