--- a/dappledrum/election/__init__.py
+++ b/dappledrum/election/__init__.py
@@ -1,1 +1,1 @@
-"""Election of the one controller that may give commands, and keeping its term valid."""
+"""Leader election: chooses the one controller that may give commands, and keeps its term valid."""
--- a/dappledrum/election/campaign.py
+++ b/dappledrum/election/campaign.py
@@ -1,4 +1,4 @@
-"""Campaigns: replaces the key `leader` in one transaction that also raises the epoch."""
+"""Campaigns for leadership: writes the key `leader` and raises the epoch in one transaction."""
 
 import logging
 from datetime import timedelta
@@ -26,11 +26,11 @@
     try:
         await store.close_lease(lease)
     except StoreError as error:
-        log.info("lease not closed, it will expire: %s", error)
+        log.info("closing a lease failed, it will expire by itself: %s", error)
 
 
 class Campaign:
-    """Wins terms for one controller."""
+    """Campaigns of one controller for new terms."""
 
     def __init__(
         self,
@@ -48,29 +48,30 @@
         self.former_leaders = former_leaders
 
     async def win(self, transfer: PendingTransfer | None) -> Term | None:
-        """Campaign, in the place of the leader that offers this transfer or when there is none.
+        """Campaign once: as the successor of the leader that offers `transfer`, or, if `transfer`
+        is None, because there is no leader.
 
-        Returns the term, or None when another controller leads or may do so.
+        Returns the new term, or None when another controller leads or may do so.
 
         Raises:
-            StoreError: the store has not answered, and the outcome is unknown. Nobody leads by it,
-                since the lease is closed or expires.
+            StoreError: the store has not answered, so the outcome is unknown. No controller leads
+                by this campaign, since its lease is closed or expires.
         """
         epoch_entry = await self.store.get(EPOCH_KEY, RequestPriority.LEASE)
         epoch = _epoch_of(epoch_entry)
         if not await self._is_vacant(transfer, epoch):
             return None
         lease = await self.store.open_lease(self.lease_ttl)
-        # A leader that transfers its place, and was aware that it alone could answer, is the only
-        # one that can have answered anybody. Its key exists, so lease grants of this controller to
-        # others have expired.
+        # With `others_stopped`, only the leader that transfers leadership can have been answering
+        # workers, and it has stopped. Its key exists, so lease grants of this controller to other
+        # leaders have expired.
         others_stopped_at: timedelta | None
         if transfer is not None and transfer.request.others_stopped:
             others_stopped_at = self.clock.now()
         else:
             others_stopped_at = await self.former_leaders.ask_peers(epoch + 1)
             if self.voter.campaign_allowed_at() > self.clock.now():
-                await close_lease(self.store, lease)  # a lease was granted in the meantime
+                await close_lease(self.store, lease)  # granted a lease to a peer in the meantime
                 return None
         self.voter.campaigned_against_epoch = epoch
         sent = self.clock.now()
@@ -83,7 +84,7 @@
             return None
         term = Term(epoch + 1, version, lease, self.clock.now())
         term.others_stopped_at = others_stopped_at
-        await self._renew_first(term)
+        await self._renew_new_term(term)
         took = (self.clock.now() - sent).total_seconds() * 1e3
         log.warning("leading with epoch %d after %.0f ms", term.epoch, took)
         return term
@@ -91,12 +92,15 @@
     async def _is_vacant(self, transfer: PendingTransfer | None, epoch: int) -> bool:
         if transfer is not None:
             return transfer.request.epoch == epoch
-        # Somebody may have won between the scan and the read of the epoch: then no peer may be
-        # asked for a pre-vote.
+        # Another controller may have won between the scan and the read of the epoch; then no peer
+        # may be asked for a pre-vote.
         return await self.store.get(LEADER_KEY, RequestPriority.LEASE) is None
 
     async def _commit(self, guards: list[Guard], epoch: int, lease: int) -> int | None:
-        """Run the transaction; returns the version of the key, or None if a guard fails."""
+        """Run the transaction.
+
+        Returns the version of the key `leader`, or None if a guard fails or the lease is lost.
+        """
         changes = [
             Put(LEADER_KEY, encode_value(LeaderRecord(self.member, epoch)), lease),
             Put(EPOCH_KEY, encode_value(EpochRecord(epoch))),
@@ -114,19 +118,22 @@
             await close_lease(self.store, lease)
             return None
         except StoreError:
-            # The outcome is unknown, but without its lease the key can't stay.
+            # The outcome is unknown, but the key is removed together with its lease.
             await close_lease(self.store, lease)
             raise
 
     async def _find_won_version(self, lease: int) -> int | None:
-        """The version of the leader's key if it is attached to this lease, which only one
-        transaction of this process names; the value alone may be that of an earlier process."""
+        """Return the version of the key `leader` if it is attached to `lease`, else None.
+
+        Only one transaction of this process uses the lease, so this shows that it was executed.
+        The key's value doesn't: an earlier process may have written it.
+        """
         entry = await self.store.get(LEADER_KEY, RequestPriority.LEASE)
         return entry.version if entry is not None and entry.lease == lease else None
 
-    async def _renew_first(self, term: Term) -> None:
-        """Renew a new term: its lease was opened before the transaction, so only a renewal shows
-        how long it lasts."""
+    async def _renew_new_term(self, term: Term) -> None:
+        """Renew the lease of a new term: it was opened before the transaction, so only a renewal
+        shows until when it is valid."""
         try:
             await self.lease_keeper.renew(term)
         except StoreError:
--- a/dappledrum/election/confirmed_cancellations.py
+++ b/dappledrum/election/confirmed_cancellations.py
@@ -1,11 +1,11 @@
-"""Which cancellations this process has told users of.
+"""Remembers which cancellations this process has confirmed to users.
 
-A leader that the store does not serve can't read them. It asks all controllers instead,
-and may rely on their words only where those cover, without a gap, the time since it last knew all
-(docs/design.md, "Known cancellations"). So an answer says for how long back it is
-complete: not beyond the beginning of this process, nor beyond what has been dropped.
+A leader that the store does not serve can't read cancellations there, so it asks all controllers.
+It may rely on their answers only if those cover, without a gap, the time since it last knew all
+cancellations (docs/design.md, "Known cancellations"). So an answer states how far back it is
+complete: at most to the start of this process, and not past a cancellation that was dropped.
 
-No I/O and no clock of its own: the model in `model/election.py` runs this very code.
+This module does no I/O and reads no clock; the model in `model/election.py` runs the same code.
 """
 
 from collections import OrderedDict
@@ -14,54 +14,56 @@
 
 from dappledrum.timing.clock import shortest_local_span
 
-KEPT = 1_000  # names; whoever tells more at once attests a shorter time
+#: Jobs that are remembered; a process that confirms more of them covers a shorter time.
+MAX_REMEMBERED_JOBS = 1_000
 
 
 class CancellationWindow(NamedTuple):
-    """What one controller has told, or several together have, and for how long back that is all
-    that they have told."""
+    """Jobs whose cancellation one or several controllers have confirmed to users, complete for the
+    time `span` before the answer."""
 
     cancelled: frozenset[str]
     span: timedelta
 
     def covers(self, since: timedelta, now: timedelta) -> bool:
-        """Whether it is complete since then, heard at this moment or before it.
+        """Whether the window, received by `now`, is complete since the moment `since`.
 
-        Its span ends when it was said, which was no later than now, so this errs on the safe side
-        by the time that the answer took.
+        The span ends when the answer was given. Counting it from `now` instead errs on the safe
+        side, by the time that the answer took.
         """
         return now - shortest_local_span(self.span) <= since
 
 
 class ConfirmedCancellations:
-    """The memory of one process, lost with it."""
+    """The cancellations that one process has confirmed; they are lost when it exits."""
 
     def __init__(self, now: timedelta) -> None:
         self.complete_since = now
-        self._first: OrderedDict[str, timedelta] = OrderedDict()  # when each was told first
+        #: When each cancellation was first confirmed, by job, the oldest first.
+        self._first_confirmed_at: OrderedDict[str, timedelta] = OrderedDict()
 
     def note(self, job: str, now: timedelta) -> None:
-        """A user is told now that this job is cancelled; before the answer is given."""
-        if job in self._first:
+        """Record that a cancellation is confirmed; to be called before the user is answered."""
+        if job in self._first_confirmed_at:
             return
-        self._first[job] = now
-        while len(self._first) > KEPT:
-            _, self.complete_since = self._first.popitem(last=False)
+        self._first_confirmed_at[job] = now
+        while len(self._first_confirmed_at) > MAX_REMEMBERED_JOBS:
+            _, self.complete_since = self._first_confirmed_at.popitem(last=False)
 
     def within(self, span: timedelta, now: timedelta) -> CancellationWindow:
-        """All that was told first within this span, as far back as it is known."""
-        names: set[str] = set()
-        for job, at in reversed(self._first.items()):
+        """Return what was first confirmed within `span` before `now`, as far back as known."""
+        job_ids: set[str] = set()
+        for job, at in reversed(self._first_confirmed_at.items()):
             if at < now - span:
                 break
-            names.add(job)
-        # What was dropped was told at `complete_since` or before it.
+            job_ids.add(job)
+        # Whatever was dropped was confirmed at `complete_since` or before it.
         return CancellationWindow(
-            frozenset(names), min(span, max(now - self.complete_since, timedelta(0)))
+            frozenset(job_ids), min(span, max(now - self.complete_since, timedelta(0)))
         )
 
 
 def merge_windows(windows: list[CancellationWindow]) -> CancellationWindow:
-    """What all of them have told; complete for as long back as the least of them is."""
-    names = frozenset[str]().union(*(one.cancelled for one in windows))
-    return CancellationWindow(names, min(one.span for one in windows))
+    """Return the cancellations of all windows, complete for the shortest of their spans."""
+    job_ids = frozenset[str]().union(*(window.cancelled for window in windows))
+    return CancellationWindow(job_ids, min(window.span for window in windows))
--- a/dappledrum/election/context.py
+++ b/dappledrum/election/context.py
@@ -13,14 +13,14 @@
 
 
 class ElectionPeers(Protocol):
-    """Requests to the other controllers; one that does not answer in time has not agreed."""
+    """Requests to the other controllers; a peer that does not answer in time has not agreed."""
 
     async def request_lease_grants(
         self, request: LeaseGrantRequest, timeout: timedelta
     ) -> PeerAnswers:
         """Ask all peers for lease grants."""
 
-    async def pre_vote(self, question: PreVote, timeout: timedelta) -> PeerAnswers:
+    async def pre_vote(self, request: PreVote, timeout: timedelta) -> PeerAnswers:
         """Ask all peers whether they are free of lease grants."""
 
     async def transfer_leadership(
@@ -33,37 +33,38 @@
     """The controller that takes part in the election."""
 
     def leadership_changed(self) -> None:
-        """Called whenever the term of this controller or the leader it is aware of changes."""
+        """Called whenever this controller's own term, or the leader that it knows of, changes."""
 
     def apply_confirmed_cancellations(self, cancelled: frozenset[str]) -> bool:
-        """Apply cancellations that users were confirmed; returns whether it could."""
+        """Apply cancellations that were confirmed to users; returns whether that was possible."""
 
     def candidacy_delay(self) -> timedelta:
-        """How long to let a better candidate campaign first; called once for each vacancy."""
+        """How long to wait, so that a better candidate campaigns first; called once for each
+        vacancy."""
 
     def all_peers_pre_vote(self) -> bool:
-        """Whether all peers are known to ask for pre-votes before they campaign.
+        """Whether all peers are known to request pre-votes before they campaign.
 
-        Otherwise lease grants of a majority prove nothing, and all peers have to grant.
+        If not, lease grants of a majority don't suffice, and all peers have to grant.
         """
 
 
 @dataclass(frozen=True)
 class LeaseLimits:
-    """Durations that bound a leader."""
+    """Limits on how long a leader goes on without a renewal or without reading cancellations."""
 
     #: Time to live of the leader's lease in the store.
     ttl: timedelta
-    #: How long a leader goes on, from its newest renewal, on lease grants of a majority that is
-    #: not all: a peer that does not answer may be served, and confirm a cancellation to a user.
+    #: How long after its last renewal a leader may go on by lease grants of a majority only: the
+    #: store may serve a peer that does not answer, which then confirms cancellations to users.
     max_time_on_majority_grants: timedelta
-    #: How long after it has read all confirmed cancellations a leader may answer workers.
+    #: How long after reading all confirmed cancellations a leader may answer workers.
     max_cancellations_age: timedelta
 
 
 @dataclass(frozen=True)
 class ElectionContext:
-    """All that the parts of one controller's election share."""
+    """What the parts of one controller's election share."""
 
     member: str
     store: StoreClient
@@ -72,5 +73,5 @@
     limits: LeaseLimits
     peers: ElectionPeers
     host: LeadershipHost
-    #: The cancellations that this process has confirmed to users itself.
+    #: The cancellations that this process itself has confirmed to users.
     confirmed: ConfirmedCancellations
--- a/dappledrum/election/elector.py
+++ b/dappledrum/election/elector.py
@@ -1,15 +1,14 @@
-"""Becoming, staying and ceasing to be leader.
-
-The key `leader` is attached to a lease. Winning it is one transaction that also raises `epoch`.
-The epoch is the fencing token under which commands are given, and the version of `leader` guards
-every write of the leader. By its own clock the leader stops answering before its lease can end:
-the lease is counted from the moment the renewal was *sent*, and shortened by the drift that the
-protocol allows.
-
-Whether a term is valid by its lease or by lease grants of peers, it answers workers only up to a
-bound from the last moment at which the leader had read every cancellation that any controller had
-confirmed to a user (`Term.cancellations_known_at`): an answer renews a worker's lease, and
-cancelled tasks must have ended in time.
+"""Leader election of one controller: campaigning, leading and resigning.
+
+The key `leader` is attached to a lease. One transaction writes it and raises `epoch`. The epoch is
+the fencing token of the leader's commands, and the version of `leader` guards every write of the
+leader. The leader stops answering before its lease can end: by its own clock it counts the lease
+from the moment the renewal was *sent*, and shortens it by the drift that the protocol allows.
+
+Whether its term is valid by its lease or by lease grants of peers, a leader answers workers only
+for a limited time after it had read every cancellation that any controller had confirmed to a user
+(`Term.cancellations_known_at`): an answer renews a worker's lease, and cancelled tasks must have
+ended in time.
 """
 
 import asyncio
@@ -44,13 +43,13 @@
 
 log = logging.getLogger(__name__)
 
-#: Longest wait before it is checked again whether a campaign is allowed.
+#: The longest wait between two checks of whether a campaign is allowed.
 MAX_CAMPAIGN_WAIT = timedelta(seconds=0.5)
 
 
 class Elector:
-    """One controller's part in the election: follows the leader, campaigns when there is none, and
-    keeps its own term valid while it leads."""
+    """Follows the leader, campaigns when there is none, and keeps the term of this controller
+    valid while it leads."""
 
     def __init__(self, context: ElectionContext) -> None:
         self.context = context
@@ -62,61 +61,63 @@
         self.lease_ttl = context.limits.ttl
         self.term: Term | None = None
         self.leader: LeaderRecord | None = None
-        self.epoch = 0  # the highest that this controller is aware of
+        self.epoch = 0  # the highest that this controller knows
         self.voter = Voter(self.clock.now())
         self.lease_keeper = LeaseKeeper(context)
         self.transfer_limit = TransferLimit(self.clock)
         self.no_campaign_before = ZERO
-        #: The last moment at which this process, or one before it, may have answered a worker.
+        #: The last moment at which this process, or an earlier one of this controller, may have
+        #: answered a worker.
         self.last_possible_answer_at = self.clock.now()
-        self._candidacy_delayed = False  # in this vacancy
+        self._candidacy_delayed = False  # whether the delay of this vacancy was waited for
         self._transfer_inbox = TransferInbox()
         self._leader_watch = LeaderWatch(self.store, self.lease_ttl * 2)
         self._former_leaders = FormerLeaderCheck(context, self.voter)
         self._campaigns = Campaign(context, self.voter, self.lease_keeper, self._former_leaders)
 
-    # the running term
+    # The current term.
 
     def leading_term(self) -> Term | None:
-        """The running term, if this controller may give commands at this moment."""
+        """The current term, if this controller may give commands at this moment."""
         term = self.term
         if term is None or term.ended.is_set() or self.clock.now() >= term.lease_valid_until:
             return None
         return term
 
     def valid_term(self) -> Term | None:
-        """The running term, if it is valid by its lease or by lease grants of peers, so that
+        """The current term, if it is valid by its lease or by lease grants of peers, so that
         workers' leases may at least be renewed."""
         term = self.term
         return term if term is not None and self.lease_keeper.is_valid(term) else None
 
     def answering_term(self) -> Term | None:
-        """The running term, if a worker may be answered at this moment, which renews its lease.
+        """The current term, if a worker may be answered at this moment, which renews its lease.
 
-        Invariant: nobody answers later than `max_cancellations_age` after a moment up to which it
-        has read every confirmed cancellation. Tasks of later ones end with the worker's lease.
+        Invariant: no controller answers later than `max_cancellations_age` after a moment up to
+        which it has read every confirmed cancellation. Tasks that are cancelled later end with the
+        worker's lease.
         """
         term = self.valid_term()
         return None if term is None or term.cancellations_known_at is None else term
 
     def no_answers_for(self) -> timedelta:
-        """For how long nobody can have been answered by a term of this controller."""
+        """For how long no worker can have been answered under a term of this controller."""
         if self.term is not None:
             return ZERO
         return self.clock.now() - self.last_possible_answer_at
 
-    # giving leadership up
+    # Giving up leadership.
 
-    def resign(self, why: str, campaign_pause: timedelta) -> None:
-        """Give leadership up, and don't campaign again for this long."""
+    def resign(self, reason: str, campaign_pause: timedelta) -> None:
+        """Give up leadership, and don't campaign again for `campaign_pause`."""
         self.no_campaign_before = self.clock.now() + campaign_pause
         self.transfer_limit.record()
         if self.term is not None:
-            log.warning("resigning: %s", why)
+            log.warning("resigning: %s", reason)
             self.term.ended.set()
 
     def may_transfer(self) -> bool:
-        """Whether leadership may be transferred now, by the limit on how often it moves."""
+        """Whether the limit on the rate of transfers allows a transfer of leadership now."""
         term = self.term
         return (
             term is not None
@@ -124,18 +125,19 @@
             and self.transfer_limit.allows(term.started_at)
         )
 
-    def transfer_leadership(self, member: str, why: str) -> None:
-        """Stop answering for good, then name a successor, which need not wait for the lease.
+    def transfer_leadership(self, member: str, reason: str) -> None:
+        """Stop answering for good, then offer leadership to `member`, which need not wait until
+        the lease expires.
 
-        The order matters: nothing may be answered once the successor can lead.
+        The order matters: this controller may answer nothing once its successor can lead.
         """
         term = self.valid_term()
         if term is not None:
-            log.warning("transferring leadership to %s: %s", member, why)
+            log.warning("transferring leadership to %s: %s", member, reason)
             term.successor = member
             term.ended.set()
 
-    # requests of peers
+    # Requests of peers.
 
     async def accept_leadership(self, request: TransferLeadership) -> bool:
         """Handle the offer of a leader that has stopped; returns whether this controller leads."""
@@ -144,7 +146,8 @@
         return await self._transfer_inbox.accept(request)
 
     def grant_lease(self, request: LeaseGrantRequest) -> LeaseGrantReply:
-        """Answer a leader that can't reach the store, which this controller can't reach either."""
+        """Answer a leader that asks for a lease grant; neither it nor this controller reaches the
+        store."""
         leads, now = self.term is not None, self.clock.now()
         reply = self.voter.grant_lease(request, now, leads, self.epoch)
         span = timedelta(milliseconds=request.confirmed_span_ms)
@@ -153,36 +156,36 @@
         reply.confirmed_span_ms = int(confirmed.span.total_seconds() * 1000)
         return reply
 
-    def pre_vote(self, question: PreVote) -> PreVoteReply:
-        """Answer a candidate."""
-        leads = self.term is not None and self.term.epoch != question.epoch
-        return self.voter.pre_vote(question.epoch, self.clock.now(), leads)
+    def pre_vote(self, request: PreVote) -> PreVoteReply:
+        """Answer the pre-vote of a candidate."""
+        leads = self.term is not None and self.term.epoch != request.epoch
+        return self.voter.pre_vote(request.epoch, self.clock.now(), leads)
 
     def skip_restart_wait(self) -> None:
-        """Allow a campaign at once: every other controller, asked after this process began, has
-        answered that it has no term.
+        """Allow a campaign at once. To be called when every other controller, asked after this
+        process started, has answered that it holds no term.
 
-        A lease grant of a former process can only serve a term that has been valid without a break
-        since before that, so no leader relies on one, and there is nothing to wait for.
+        Only a term that has been valid without a break since before that could rely on a lease
+        grant of a former process, so there is nothing to wait for.
         """
         if self.voter.restart_wait_until > self.clock.now():
-            log.info("no leader relies on lease grants of a former process, campaigning at once")
+            log.info("campaigns are allowed at once: no controller holds a term")
             self.voter.restart_wait_until = self.clock.now()
 
-    # following and leading
+    # Following and leading.
 
     async def run(self) -> None:
-        """Follow or lead, for ever."""
+        """Follow or lead until cancelled."""
         supervisor = Supervisor(
             log,
             fault_pause_s=1.0,
             transient_errors=(StoreError,),
             transient_pause_s=lambda: self.rng.uniform(0.2, 0.5),
         )
-        await supervisor.repeat("leadership loop", self._round)
+        await supervisor.repeat("leadership loop", self._campaign_or_follow)
 
-    async def _round(self) -> None:
-        """Campaign if nobody leads, else follow the leader."""
+    async def _campaign_or_follow(self) -> None:
+        """Campaign if there is no leader, else follow it."""
         key, revision = await self._leader_watch.read()
         if key is None:
             self._set_leader(None)
@@ -193,7 +196,7 @@
         await self._follow(key, revision)
 
     async def _follow(self, key: LeaderKey, revision: int) -> None:
-        """Follow the leader until its key is removed, or leadership is offered to us."""
+        """Follow the leader until its key is removed or it transfers leadership to us."""
         await self._leader_key_changed(key)
         while True:
             try:
@@ -207,7 +210,7 @@
             for changed in keys:
                 if changed is None:
                     return
-                key = changed  # a key that is transferred is replaced, not removed
+                key = changed  # a transfer of leadership replaces the key, and does not remove it
                 await self._leader_key_changed(key)
 
     async def _leader_key_changed(self, key: LeaderKey) -> None:
@@ -215,25 +218,25 @@
         await self._close_former_lease(key.version)
 
     async def _close_former_lease(self, version: int) -> None:
-        """Close the lease of a key with this controller's own name, under which it does not lead.
+        """Close the lease of a key that names this controller although it does not lead.
 
-        A process begins when the one before it under its name has ended, so that one answers
-        nobody any more, and its key only keeps others from campaigning until its lease expires.
-        The same goes for a campaign whose outcome is unknown to this process. What was sent under
-        the key before is guarded by its version, a renewal finds no lease, and an answer on its
-        way is older than whatever its successor assumes (docs/design.md, "Immediate restarts").
+        The key is of a former process of this controller, which has exited and answers no worker,
+        or of a campaign whose outcome this process does not know. It would only keep others from
+        campaigning until its lease expires. Closing the lease is safe: writes sent under the key
+        are guarded by its version, a renewal finds no lease, and an answer on its way is older
+        than what the next leader assumes (docs/design.md, "Immediate restarts").
         """
         if self.leader is None or self.leader.member != self.member or self.term is not None:
             return
         entry = await self.store.get(LEADER_KEY, RequestPriority.LEASE)
         if entry is not None and entry.version == version and entry.lease is not None:
             epoch = self.leader.epoch
-            log.warning("closing the lease of epoch %d, under which nobody leads any more", epoch)
+            log.warning("closing the lease of epoch %d: no controller leads under it", epoch)
             await close_lease(self.store, entry.lease)
 
     async def _accept_transfer(self, version: int) -> None:
-        """Campaign in the place of a leader that has stopped, if its key still has the version
-        that it has sent."""
+        """Campaign as the successor of a leader that has stopped, if its key still has the version
+        that its request names."""
         transfer = self._transfer_inbox.pending
         if transfer is None:
             return
@@ -259,8 +262,8 @@
         return True
 
     async def _campaign(self, transfer: PendingTransfer | None = None) -> None:
-        """Campaign when there is no leader, or in the place of the one that offers this transfer;
-        if won, lead until the term ends."""
+        """Campaign as the successor of the leader that offers `transfer`, or, if that is None,
+        because there is no leader; if the campaign is won, lead until the term ends."""
         term = await self._campaigns.win(transfer)
         if term is None:
             return
--- a/dappledrum/election/leader_watch.py
+++ b/dappledrum/election/leader_watch.py
@@ -33,7 +33,7 @@
         self.timeout = timeout
 
     async def read(self) -> tuple[LeaderKey | None, int]:
-        """The key, None if nobody leads, and the revision from which a watch must start."""
+        """Return the key, None if there is no leader, and the revision to start a watch from."""
         entries, revision = await self.store.scan(LEADER_KEY, RequestPriority.LEASE)
         entry = next((e for e in entries if e.key == LEADER_KEY), None)
         if entry is None:
@@ -43,11 +43,13 @@
     async def changes(
         self, revision: int, interrupt: asyncio.Event
     ) -> tuple[list[LeaderKey | None], int] | None:
-        """The next changes of the key after a revision, None for a removal, and the revision to go
-        on from; None if `interrupt` is set first.
+        """Wait for the next changes of the key after `revision`.
+
+        Returns the changes, with None for a removal, and the revision to go on from; None if
+        `interrupt` is set first.
 
         Raises:
-            CompactedError: the store does not keep that revision any more.
+            CompactedError: the store no longer keeps that revision.
         """
         watch = asyncio.ensure_future(
             self.store.watch(LEADER_KEY, revision, self.timeout, RequestPriority.LEASE)
--- a/dappledrum/election/lease_keeper.py
+++ b/dappledrum/election/lease_keeper.py
@@ -1,9 +1,8 @@
-"""Keeps a term valid: renews its lease, and requests lease grants of peers while the store is out.
+"""Keeps a term valid: renews its lease, or requests lease grants of peers during a store outage.
 
-In both cases the term answers workers only up to a bound from the last moment at which the leader
-had read every cancellation that any controller had confirmed to a user
-(`Term.cancellations_known_at`): an answer renews a worker's lease, and cancelled tasks must have
-ended in time.
+In both cases a leader answers workers only for a limited time after it had read every cancellation
+that any controller had confirmed to a user (`Term.cancellations_known_at`): an answer renews a
+worker's lease, and cancelled tasks must have ended in time.
 """
 
 import asyncio
@@ -38,8 +37,8 @@
     async def renew(self, term: Term) -> None:
         """Renew the lease of a term in the store once.
 
-        The lease is counted from the moment the request was sent, and shortened by the drift of
-        clocks that the protocol allows.
+        The lease is counted from the moment the request was sent, and shortened by the clock drift
+        that the protocol allows.
 
         Raises:
             LeaseLostError: the lease has expired.
@@ -55,7 +54,7 @@
     async def keep(self, term: Term) -> None:
         """Renew until the term ends or is no longer valid.
 
-        While the store is out, request lease grants of all peers instead.
+        While the store does not answer, request lease grants of all peers instead.
         """
         while not term.ended.is_set():
             try:
@@ -91,10 +90,10 @@
 
     @staticmethod
     async def _run_unless_ended(term: Term, coroutine: Coroutine[Any, Any, None]) -> bool:
-        """Run a coroutine to its end unless the term ends first; returns whether it has finished.
+        """Run a coroutine unless the term ends first; returns whether it has finished.
 
-        Without this, a renewal that hangs would keep a leader that transfers leadership waiting
-        until its lease has expired.
+        Without this, a renewal that hangs would delay a transfer of leadership until the lease has
+        expired.
         """
         task = asyncio.ensure_future(coroutine)
         ended = asyncio.ensure_future(term.ended.wait())
--- a/dappledrum/election/messages.py
+++ b/dappledrum/election/messages.py
@@ -25,7 +25,7 @@
 class LeaseGrantRequest(
     msgspec.Struct, rename={"grant_ms": "for_ms", "confirmed_span_ms": "told_ms"}
 ):
-    """A leader that does not reach the store asks a peer not to campaign for a limited time."""
+    """A leader that does not reach the store asks a peer not to campaign for `grant_ms`."""
 
     member: str
     epoch: int
@@ -38,10 +38,10 @@
 class LeaseGrantReply(msgspec.Struct, omit_defaults=True, rename={"confirmed_span_ms": "told_ms"}):
     """The peer's answer.
 
-    A weak grant counts only if all peers grant, since a candidate may have been answered that this
-    controller is free of lease grants. `cancelled` names the jobs whose cancellation this process
-    has confirmed to users, all of the last `confirmed_span_ms`; versions before 0.7.0 leave both
-    out.
+    A weak grant counts only if all peers grant, since this controller may have answered the
+    pre-vote of a candidate that it is free of lease grants. `cancelled` lists all jobs whose
+    cancellation this process has confirmed to users in the last `confirmed_span_ms`; versions
+    before 0.7.0 leave both out.
     """
 
     granted: bool
@@ -55,8 +55,7 @@
     """Pre-vote: a candidate for this epoch asks whether a peer is free of lease grants; see
     `voter.py`.
 
-    Supported from 0.5.0 on. A peer of an older version refuses it, and then a leader needs the
-    lease grants of all peers.
+    Versions before 0.5.0 refuse it; with such a peer a leader needs the lease grants of all peers.
     """
 
     member: str
@@ -64,7 +63,8 @@
 
 
 class PreVoteReply(msgspec.Struct):
-    """Whether the peer is free of lease grants, and will give no strong one to a lower epoch."""
+    """Whether the peer is free of lease grants; if so, it gives no strong one to a lower epoch
+    from now on."""
 
     free: bool
 
@@ -75,12 +75,12 @@
     tag_field="kind",
     rename={"transfer_ages_ms": "moves_ms", "others_stopped": "clear"},
 ):
-    """Leadership transfer: a leader that has stopped for good names its successor, which may
-    replace the key `leader` of this version and raise the epoch from this one.
+    """Leadership transfer: a leader that has stopped for good offers leadership to the receiver,
+    which may replace version `version` of the key `leader` and raise the epoch from `epoch`.
 
-    `transfer_ages_ms` are the ages of earlier transfers, since their rate is limited.
-    `others_stopped` is whether the leader was aware that no former leader could still be answering
-    workers on lease grants.
+    `transfer_ages_ms` are the ages of earlier transfers, whose rate is limited. `others_stopped`
+    is whether the leader knew that no former leader could still be answering workers on lease
+    grants.
     """
 
     member: str
--- a/dappledrum/election/peer_lease_grants.py
+++ b/dappledrum/election/peer_lease_grants.py
@@ -1,7 +1,7 @@
-"""Lease grants of peers, by which a leader keeps its term valid while the store is out.
+"""Lease grants of peers, by which a leader keeps its term valid while the store does not answer.
 
-With their grants the peers attest which cancellations they have confirmed to users. Where that is
-complete, the leader has read all of them without the store.
+With their grants the peers report which cancellations they have confirmed to users. If their
+reports are complete, the leader knows all cancellations without the store.
 """
 
 import logging
@@ -20,8 +20,8 @@
 
 #: A leader stops this long before its lease, or a lease grant, can end.
 LEASE_SAFETY_MARGIN = timedelta(milliseconds=100)
-#: Peers are asked for confirmed cancellations of this much more than the time since all were
-#: known, which covers the time that their answers take.
+#: Added to the time for which peers are asked for confirmed cancellations, which begins when all
+#: were last known; it covers the time that the answers take.
 CONFIRMED_WINDOW_MARGIN = timedelta(seconds=2)
 
 
@@ -47,20 +47,20 @@
         return self.clock.now() < valid_until
 
     async def request(self, term: Term) -> None:
-        """Ask all peers for lease grants, and extend the term by what they answer."""
+        """Ask all peers for lease grants, and extend the term by those that they give."""
         sent = self.clock.now()
         answers = await self.context.peers.request_lease_grants(
             self._request(term, sent), self.limits.ttl / 4
         )
-        # The term has to be valid both when asking and when answered: one that has lapsed is never
-        # resumed on a lease grant.
+        # The term must have been valid without a break: one that has lapsed is never resumed by a
+        # lease grant.
         if not self.is_valid(term):
             return
         if self._apply_confirmed(term, sent, answers.confirmed):
             self.incomplete_confirmations.recovered()
         elif majority(answers.agreed, answers.asked):
             self.incomplete_confirmations.failed(
-                f"complete for {answers.confirmed.span.total_seconds():.0f} s"
+                f"complete for the last {answers.confirmed.span.total_seconds():.0f} s"
             )
         self._extend(term, sent, answers)
 
@@ -84,11 +84,11 @@
             term.grants_valid_until = max(term.grants_valid_until, min(until, limit))
 
     def _apply_confirmed(self, term: Term, asked: timedelta, by_peers: CancellationWindow) -> bool:
-        """Apply what all controllers have confirmed to users, if that is complete since all of it
-        was known the last time.
+        """Apply the cancellations that all controllers have confirmed to users, if the answers are
+        complete since the moment until which all are known; returns whether they were applied.
 
-        Only then: a peer that does not answer, has been restarted since, or is of an older version
-        may have confirmed anything.
+        A peer that does not answer, has restarted since then or is of an older version may have
+        confirmed any cancellation.
         """
         now = self.clock.now()
         known_at = term.cancellations_known_at
--- a/dappledrum/election/terms.py
+++ b/dappledrum/election/terms.py
@@ -11,7 +11,7 @@
 
 
 class Term:
-    """One term of leadership, as its leader sees it. Moments are those of its steady clock."""
+    """One term of leadership, as its leader sees it. Moments are in its steady time."""
 
     def __init__(self, epoch: int, version: int, lease: int, started_at: timedelta = ZERO) -> None:
         """Create a term.
@@ -26,21 +26,20 @@
         self.lease_valid_until = ZERO  # by the lease in the store
         self.grants_valid_until = ZERO  # by lease grants of peers
         self.renewed_at = started_at  # when the newest successful renewal was sent
-        #: All cancellations confirmed to users until then are known; None: not read yet.
+        #: Until when all cancellations confirmed to users are known; None: not read yet.
         self.cancellations_known_at: timedelta | None = None
-        #: From then on no other controller can have answered a worker; None: not known yet.
+        #: From when on no other controller can have answered a worker; None: not known yet.
         self.others_stopped_at: timedelta | None = None
         self.ended = asyncio.Event()
         self.successor: str | None = None  # the controller that leadership is transferred to
 
     def record_cancellations_known(self, moment: timedelta) -> None:
         """Record that the leader has read every cancellation that any controller had confirmed to
-        a user by this moment, and applies it with its next answer.
+        a user by `moment`, and applies it from its next answer on.
 
-        This rests on reading all records or all their changes (the moment is that of *sending* the
-        request), or on the answers of all controllers (the moment of asking). A renewal of the
-        lease shows nothing of the kind, nor does the end of a watch, which may have waited in an
-        outage.
+        `moment` is when a request for all records or all their changes, or to all controllers, was
+        *sent*. The moment at which a watch ends does not count, since the watch may have waited
+        during an outage, nor does a renewal of the lease.
         """
         if self.cancellations_known_at is None:
             self.cancellations_known_at = moment
@@ -48,9 +47,10 @@
             self.cancellations_known_at = max(self.cancellations_known_at, moment)
 
     def answers_allowed_until(self, max_cancellations_age: timedelta) -> timedelta:
-        """The moment until which workers may be answered, by what is known of cancellations.
+        """Return until when workers may be answered, by the age of the known cancellations.
 
-        A leader that has not read them by then answers nobody, so that another one can try.
+        A leader that can't read cancellations for longer answers no worker, so that another
+        controller can try.
         """
         known_at = self.cancellations_known_at
         return (self.started_at if known_at is None else known_at) + shortest_local_span(
--- a/dappledrum/election/test_confirmed_cancellations.py
+++ b/dappledrum/election/test_confirmed_cancellations.py
@@ -1,5 +1,8 @@
-"""The cancellations that all controllers have confirmed to users, and when a leader may rely on
-what peers attest: the real elector, with answers of peers as they may arrive."""
+"""When a leader without the store may rely on the cancellations that its peers report.
+
+The real elector runs with scripted answers of peers. If it relied on incomplete answers, it would
+renew the leases of workers whose tasks were cancelled, so that those tasks ran on.
+"""
 
 import asyncio
 import random
@@ -8,7 +11,7 @@
 import pytest
 
 from dappledrum.election.confirmed_cancellations import (
-    KEPT,
+    MAX_REMEMBERED_JOBS,
     CancellationWindow,
     ConfirmedCancellations,
     merge_windows,
@@ -26,15 +29,16 @@
 from dappledrum.timing.clock import ZERO, Clock
 
 LEASE_TTL = timedelta(seconds=3)
-NOTHING_ATTESTED = CancellationWindow(frozenset(), ZERO)
+NOTHING_CONFIRMED = CancellationWindow(frozenset(), ZERO)
 
 
-def s(value):
+def secs(value):
     return timedelta(seconds=value)
 
 
-class PeersByScript:
-    """Peers that all grant; each attests what its function returns for a span, at a moment."""
+class ScriptedPeers:
+    """Peers that all grant a lease; each is a function that returns the cancellations it reports
+    for a span before a moment."""
 
     def __init__(self, peers, clock, delay):
         self.peers = peers
@@ -43,7 +47,7 @@
 
     async def request_lease_grants(self, request, _timeout):
         span = timedelta(milliseconds=request.confirmed_span_ms)
-        windows = [peer(span, self.clock.now()) for peer in self.peers]
+        windows = [confirmed_by(span, self.clock.now()) for confirmed_by in self.peers]
         await asyncio.sleep(self.delay)
         windows.append(CancellationWindow(frozenset(), UNLIMITED_SPAN))
         count = len(self.peers)
@@ -65,30 +69,30 @@
 
 
 class LeaderWithoutStore:
-    """A leader without the store, at 100 s, that knew of all cancellations at 95 s."""
+    """A leader that does not reach the store, and knew all cancellations until `known_at`."""
 
     def __init__(self, peers, known_at=95.0, delay=0.0, own_since=0.0):
         self.clock = Clock()
         self.host = RecordingHost()
-        self.own = ConfirmedCancellations(s(own_since))
+        self.own = ConfirmedCancellations(secs(own_since))
         self.elector = Elector(
             ElectionContext(
                 "controller-0",
                 None,
                 self.clock,
                 random.Random(1),
-                LeaseLimits(LEASE_TTL, s(20), s(20)),
-                PeersByScript(peers, self.clock, delay),
+                LeaseLimits(LEASE_TTL, secs(20), secs(20)),
+                ScriptedPeers(peers, self.clock, delay),
                 self.host,
                 self.own,
             )
         )
-        self.term = self.elector.term = Term(1, 1, 1, s(90))
-        self.term.lease_valid_until = s(101)
-        self.term.cancellations_known_at = None if known_at is None else s(known_at)
+        self.term = self.elector.term = Term(1, 1, 1, secs(90))
+        self.term.lease_valid_until = secs(101)
+        self.term.cancellations_known_at = None if known_at is None else secs(known_at)
 
     async def request_grants(self):
-        """Request lease grants now; returns since when all cancellations are known."""
+        """Request lease grants now; returns until when all cancellations are known."""
         await self.elector.lease_keeper.grants.request(self.term)
         return self.term.cancellations_known_at
 
@@ -98,18 +102,19 @@
 
 
 def peer(started_at=0.0, *confirmed):
-    memory = ConfirmedCancellations(s(started_at))
+    cancellations = ConfirmedCancellations(secs(started_at))
     for job, at in confirmed:
-        memory.note(job, s(at))
-    return memory.within
+        cancellations.note(job, secs(at))
+    return cancellations.within
 
 
-def silent(_span, _now):
-    return NOTHING_ATTESTED
+def unreachable_peer(_span, _now):
+    return NOTHING_CONFIRMED
 
 
 def request_grants(peers, **options):
-    """Since when all cancellations are known after one request, and the leader."""
+    """Request lease grants once, at 100 s; returns until when all cancellations are known then,
+    and the leader."""
 
     async def main():
         leader = LeaderWithoutStore(peers, **options)
@@ -118,48 +123,48 @@
     return run(main())
 
 
-def test_all_attest_from_what_was_known_to_the_request():
+def test_cancellations_are_known_until_the_request_if_all_peers_cover_the_gap():
     known_at, leader = request_grants(
         [peer(0, ("j-1", 96)), peer(94.9, ("j-2", 99)), peer(0, ("j-3", 80))]
     )
-    assert known_at == s(100)
+    assert known_at == secs(100)
     assert leader.host.applied == [frozenset({"j-1", "j-2"})]
 
 
-@pytest.mark.parametrize("one", [silent, peer(95.1), peer(99), peer(100)])
-def test_a_peer_that_does_not_cover_the_time_attests_nothing(one):
-    known_at, leader = request_grants([peer(), one, peer()])
-    assert known_at == s(95)
+@pytest.mark.parametrize("incomplete_peer", [unreachable_peer, peer(95.1), peer(99), peer(100)])
+def test_nothing_is_applied_if_one_peer_does_not_cover_the_gap(incomplete_peer):
+    known_at, leader = request_grants([peer(), incomplete_peer, peer()])
+    assert known_at == secs(95)
     assert leader.host.applied == []
 
 
-def test_the_moment_is_that_of_the_request_not_of_the_answers():
-    """What a peer confirms after it has answered is not in its answer."""
+def test_cancellations_are_known_until_the_request_not_until_the_answers():
+    """What a peer confirms after it has answered is missing from its answer."""
     known_at, _ = request_grants([peer()], delay=0.7)
-    assert known_at == s(100)
+    assert known_at == secs(100)
 
 
-def test_an_answer_that_took_longer_than_the_margin_of_the_window_is_void():
-    """When the time that it covers begins is not known, only that it ended before now."""
-    too_long = (CONFIRMED_WINDOW_MARGIN + s(0.1)).total_seconds()
-    assert request_grants([peer()], delay=too_long)[0] == s(95)
+def test_an_answer_that_took_longer_than_the_window_margin_is_ignored():
+    """The leader knows only that the covered time ended before now, not when it began."""
+    too_long = (CONFIRMED_WINDOW_MARGIN + secs(0.1)).total_seconds()
+    assert request_grants([peer()], delay=too_long)[0] == secs(95)
 
 
-def test_a_leader_counts_its_own_confirmed_cancellations():
+def test_a_leader_includes_its_own_confirmed_cancellations():
     async def main():
         leader = LeaderWithoutStore([peer()])
-        leader.own.note("j-9", s(97))
-        assert await leader.request_grants_at_100_s() == s(100)
+        leader.own.note("j-9", secs(97))
+        assert await leader.request_grants_at_100_s() == secs(100)
         assert leader.host.applied == [frozenset({"j-9"})]
         restarted = LeaderWithoutStore([peer()], own_since=98)
-        assert await restarted.request_grants() == s(95)
+        assert await restarted.request_grants() == secs(95)
         assert restarted.host.applied == []
 
     run(main())
 
 
 def test_a_leader_that_has_read_nothing_yet_does_not_rely_on_peers():
-    """It has not read the records, so names of jobs mean nothing to it."""
+    """Without the records it can't apply cancellations, since it has no jobs."""
 
     async def main():
         leader = LeaderWithoutStore([peer()], known_at=None)
@@ -171,22 +176,22 @@
     run(main())
 
 
-def test_a_term_that_has_lapsed_is_not_resumed_by_attestations():
-    """It may no longer be valid, and other controllers rely on that."""
-    # known for 20 s: lapsed when they answer
+def test_a_term_that_has_lapsed_is_not_resumed_by_answers_of_peers():
+    """Other controllers rely on a lapsed term staying invalid."""
+    # Cancellations may be 20 s old at most: the term lapses at 100.5 s, the answers take 0.7 s.
     known_at, leader = request_grants([peer()], known_at=80.5, delay=0.7)
-    assert known_at == s(80.5)
+    assert known_at == secs(80.5)
     assert leader.host.applied == []
     assert leader.term.grants_valid_until == ZERO
 
 
 @pytest.mark.parametrize("valid_by", ["lease_valid_until", "grants_valid_until"])
-def test_nobody_answers_longer_than_the_bound_however_the_term_is_valid(valid_by):
+def test_a_leader_answers_no_worker_past_the_maximum_age_of_its_cancellations(valid_by):
     async def main():
         leader = LeaderWithoutStore([])
         term, elector = leader.term, leader.elector
         term.lease_valid_until = term.grants_valid_until = ZERO
-        setattr(term, valid_by, s(1000))
+        setattr(term, valid_by, secs(1000))
         term.cancellations_known_at = leader.clock.now()
         await asyncio.sleep(19.9)
         assert elector.answering_term() is term
@@ -199,26 +204,26 @@
     run(main())
 
 
-def test_what_was_dropped_is_not_covered():
-    confirmed = ConfirmedCancellations(s(0))
-    for number in range(KEPT + 10):
-        confirmed.note(f"j-{number}", s(10 + number / 1000))
-    now = s(12)
-    names, span = confirmed.within(s(5), now)
-    assert len(names) == KEPT
-    assert now - span > s(10)
-    assert confirmed.within(s(0.5), now) == CancellationWindow(frozenset(), s(0.5))
+def test_the_window_does_not_cover_dropped_cancellations():
+    confirmed = ConfirmedCancellations(secs(0))
+    for number in range(MAX_REMEMBERED_JOBS + 10):
+        confirmed.note(f"j-{number}", secs(10 + number / 1000))
+    now = secs(12)
+    job_ids, span = confirmed.within(secs(5), now)
+    assert len(job_ids) == MAX_REMEMBERED_JOBS
+    assert now - span > secs(10)
+    assert confirmed.within(secs(0.5), now) == CancellationWindow(frozenset(), secs(0.5))
 
 
 def test_only_the_first_confirmation_of_a_job_counts():
-    confirmed = ConfirmedCancellations(s(0))
-    confirmed.note("j-1", s(1))
-    confirmed.note("j-1", s(9))
-    assert confirmed.within(s(5), s(10)).cancelled == frozenset()
+    confirmed = ConfirmedCancellations(secs(0))
+    confirmed.note("j-1", secs(1))
+    confirmed.note("j-1", secs(9))
+    assert confirmed.within(secs(5), secs(10)).cancelled == frozenset()
 
 
 class PeerWithReply:
-    """Client of a peer that answers with this reply, or not at all."""
+    """Client of a peer that answers with `reply`, or does not answer if it is None."""
 
     def __init__(self, reply):
         self.reply = reply
@@ -230,7 +235,7 @@
 
 
 @pytest.mark.parametrize(
-    ("replies", "span", "names"),
+    ("replies", "span_s", "job_count"),
     [
         (
             [
@@ -246,13 +251,13 @@
     ],
     ids=["all", "one does not answer", "one is of an older version", "there is no other"],
 )
-def test_peers_attest_together_or_not_at_all(replies, span, names):
+def test_the_answers_of_peers_cover_no_time_unless_all_cover_it(replies, span_s, job_count):
     async def main():
         peers = Peers({f"p-{n}": PeerWithReply(reply) for n, reply in enumerate(replies)})
         answers = await peers.request_lease_grants(
-            LeaseGrantRequest("controller-0", 1, 2000, 7000), s(1)
+            LeaseGrantRequest("controller-0", 1, 2000, 7000), secs(1)
         )
-        assert answers.confirmed.span == s(span)
-        assert len(answers.confirmed.cancelled) == names
+        assert answers.confirmed.span == secs(span_s)
+        assert len(answers.confirmed.cancelled) == job_count
 
     run(main())
--- a/dappledrum/election/voter.py
+++ b/dappledrum/election/voter.py
@@ -1,13 +1,13 @@
-"""What one controller has granted to leaders, and what it has answered to candidates.
+"""Votes of one controller: lease grants to leaders, and answers to pre-votes of candidates.
 
-There are two kinds of voting. A leader that does not reach the store requests lease grants: its
-peers undertake not to campaign, and it goes on answering workers while a majority (itself
-included) or all of them grant. A candidate asks its peers in a pre-vote whether they are free of
-lease grants; until a majority says so, it does not take a leader's silence as proof that it has
-stopped. Any two majorities share a controller, which the one vote leaves with a valid lease grant
-or the other with the lowest epoch that may still get one.
+A leader that does not reach the store requests lease grants: its peers undertake not to campaign,
+and it goes on answering workers while a majority (itself included) or all of them grant. A
+candidate asks its peers in a pre-vote whether they are free of lease grants; until a majority is,
+it does not assume that a silent leader has stopped. Any two majorities share a controller, and
+that one can't do both: while it has granted a lease it is not free, and once it has answered a
+pre-vote that it is free, it gives no strong grant to lower epochs.
 
-This module does no I/O and reads no clock; the model in `model/election.py` runs this very code.
+This module does no I/O and reads no clock; the model in `model/election.py` runs the same code.
 """
 
 from datetime import timedelta
@@ -20,36 +20,36 @@
 
 
 class Voter:
-    """The lease grants and pre-votes of one process; they are lost with it.
+    """The lease grants and pre-votes of one process; they are lost when it exits.
 
-    Moments are those of the controller's steady clock.
+    Moments are in the controller's steady time.
     """
 
     def __init__(self, now: timedelta) -> None:
-        #: A former process of this member may have answered a pre-vote that this one is not aware
-        #: of, so until then its lease grants are weak.
+        #: Until then lease grants are weak: a former process of this controller may have answered a
+        #: pre-vote that this one does not know of.
         self.weak_grants_until = now + longest_local_span(LEASE_GRANT_DURATION)
-        #: A former process may have granted a lease, so this one does not campaign until then.
-        #: Shortened when no leader can rely on such a grant any more.
+        #: Until then this process does not campaign, since a former one may have granted a lease.
+        #: Set to an earlier moment once no leader can rely on such a grant.
         self.restart_wait_until = self.weak_grants_until
-        self.own_grants_until = now  # the end of the lease grants of this process
+        self.own_grants_until = now  # when the last lease grant of this process ends
+        #: The current epoch when this process last campaigned; None: it has not campaigned.
         self.campaigned_against_epoch: int | None = None
         self.min_grant_epoch = 0  # leaders of lower epochs get no strong lease grant
 
     def campaign_allowed_at(self) -> timedelta:
-        """The moment from which no lease grant keeps this controller from campaigning."""
+        """The moment from which on no lease grant keeps this controller from campaigning."""
         return max(self.own_grants_until, self.restart_wait_until)
 
     def grant_lease(
         self, request: LeaseGrantRequest, now: timedelta, leads: bool, epoch: int
     ) -> LeaseGrantReply:
-        """Answer a leader that does not reach the store, which this controller does not reach
-        either.
+        """Answer a leader that does not reach the store; this controller does not reach it either.
 
-        `epoch` is the highest that this controller is aware of. The grant is refused if this
-        controller leads itself, or has campaigned against this epoch (its transaction may still be
-        executed). It is weak if the controller has answered a pre-vote of a higher epoch that it
-        was free, or may have done so in a former process.
+        `epoch` is the highest that this controller knows. The grant is refused if this controller
+        leads, knows a newer leader, or has campaigned against this epoch, since its transaction may
+        still be executed. It is weak if this controller, or a former process of it, may have
+        answered a pre-vote of a higher epoch that it is free of lease grants.
         """
         if leads:
             return LeaseGrantReply(False, "leading")
@@ -68,8 +68,8 @@
     def pre_vote(self, epoch: int, now: timedelta, leads: bool) -> PreVoteReply:
         """Answer the pre-vote of a candidate for this epoch.
 
-        The answer is free only if no leader can rely on a lease grant of this controller. From
-        then on it gives no strong grant to a lower epoch.
+        The controller is free only if no leader can rely on a lease grant of it. After this answer
+        it gives no strong grant to a lower epoch.
         """
         if leads or now < self.campaign_allowed_at():
             return PreVoteReply(False)
