--- a/dappledrum/election/voter.py
+++ b/dappledrum/election/voter.py
@@ -20,14 +20,14 @@
 
 
 class Voter:
-    """The lease grants and pre-votes of one process; they are lost when it exits.
+    """The lease grants and pre-votes of one process, lost when it exits.
 
     Moments are in the controller's steady time.
     """
 
     def __init__(self, now: timedelta) -> None:
-        #: Until then lease grants are weak: a former process of this controller may have answered a
-        #: pre-vote that this one does not know of.
+        #: Until then lease grants are weak: a former process of this controller may have answered
+        #: a pre-vote that this one does not know of.
         self.weak_grants_until = now + longest_local_span(LEASE_GRANT_DURATION)
         #: Until then this process does not campaign, since a former one may have granted a lease.
         #: Set to an earlier moment once no leader can rely on such a grant.
@@ -47,9 +47,9 @@
         """Answer a leader that does not reach the store; this controller does not reach it either.
 
         `epoch` is the highest that this controller knows. The grant is refused if this controller
-        leads, knows a newer leader, or has campaigned against this epoch, since its transaction may
-        still be executed. It is weak if this controller, or a former process of it, may have
-        answered a pre-vote of a higher epoch that it is free of lease grants.
+        leads, knows a newer leader, or has campaigned against this epoch (its transaction may
+        still be executed). It is weak if this controller has answered a pre-vote of a higher epoch
+        that it is free of lease grants, or may have done so in a former process.
         """
         if leads:
             return LeaseGrantReply(False, "leading")
--- a/dappledrum/leader/__init__.py
+++ b/dappledrum/leader/__init__.py
@@ -1,1 +1,1 @@
-"""One term of leadership: reading the records, and the loops that act on them."""
+"""The leader during one term: reads the stored records, and runs the loops that act on them."""
--- a/dappledrum/leader/accounting_loop.py
+++ b/dappledrum/leader/accounting_loop.py
@@ -1,4 +1,4 @@
-"""Books what machines cost, and logs the cost and the served jobs of a term once a minute."""
+"""Books the cost of machines, and logs the costs and served jobs of a term once a minute."""
 
 import asyncio
 import logging
@@ -19,7 +19,7 @@
         self.dispatcher = dispatcher
 
     async def run(self) -> None:
-        """Book for ever; what is not logged yet is logged when the term ends."""
+        """Book until cancelled at the end of the term, then log what has not been logged yet."""
         try:
             while True:
                 await asyncio.sleep(BOOKING_INTERVAL.total_seconds())
--- a/dappledrum/leader/advisory_records.py
+++ b/dappledrum/leader/advisory_records.py
@@ -1,4 +1,5 @@
-"""The advisory records of a leader: booting machines and learned estimates, for its successor."""
+"""The advisory records that a leader leaves to its successor: booting machines and learned
+estimates."""
 
 from collections.abc import Mapping
 from datetime import timedelta
@@ -12,12 +13,12 @@
 from dappledrum.store.advisory_record import AdvisoryRecord
 from dappledrum.store.rate_limiter import RequestPriority
 
-#: Key of the learned estimates.
+#: Key of the record of learned estimates.
 LEARNED = "learned"
 
 
 class AdvisoryRecords:
-    """Reads what a predecessor has left, and keeps this term's own records up to date."""
+    """Reads the predecessor's advisory records, and keeps those of this term up to date."""
 
     def __init__(self, context: TermContext, state: TermState, boot_times: BootTimes) -> None:
         store, guard, clock = context.store, context.term.guard(), context.clock
@@ -35,6 +36,6 @@
         )
 
     async def recall(self, catalog_boot_times: Mapping[str, timedelta]) -> None:
-        """Read the predecessor's records; `catalog_boot_times` are by machine type."""
+        """Read the predecessor's records; `catalog_boot_times` is by name of the machine type."""
         await self.fleet.recall()
         await self.estimates.recall(catalog_boot_times)
--- a/dappledrum/leader/context.py
+++ b/dappledrum/leader/context.py
@@ -1,4 +1,4 @@
-"""What all parts of a leader share during one term: its limits and services, and its memory."""
+"""What the parts of a leader share during one term: limits, services, and state in memory."""
 
 import asyncio
 from collections.abc import Callable
@@ -23,9 +23,9 @@
 class TermContext:
     """The term, the services that its leader uses, and the limits that it keeps to.
 
-    `may_command`: whether this controller may give commands at this moment; false while it only
-        keeps its workers' leases renewed by lease grants of its peers.
-    `running_since`: since when this process has been running without a pause.
+    `may_command`: whether this controller may give commands at this moment; false while its term
+        rests on lease grants of peers, by which it only renews its workers' leases.
+    `running_since`: since when this process has been running without a pause (steady time).
     """
 
     term: Term
@@ -40,15 +40,15 @@
 
 
 class TermState:
-    """What a leader has in memory. A successor derives all of it from the records, the cloud's
+    """The leader's state in memory. A successor derives all of it from the records, the cloud's
     list of machines and the workers' heartbeats."""
 
     def __init__(self, clock: Clock) -> None:
-        self.jobs: dict[str, Job] = {}  # live ones by their ids
+        self.jobs: dict[str, Job] = {}  # live jobs by id
         self.registry = MachineRegistry()
         self.estimates = Estimates()
         self.ledger = Ledger(self.registry, clock)
         self.served = ServedCounts()
         self.plan_trigger = PlanTrigger()
         self.loaded = asyncio.Event()  # set when the records are read
-        self.watch_revision = 0  # of the store: changes up to it are contained in `jobs`
+        self.watch_revision = 0  # store revision up to which changes are contained in `jobs`
--- a/dappledrum/leader/expected_heartbeats.py
+++ b/dappledrum/leader/expected_heartbeats.py
@@ -10,9 +10,10 @@
 def expected_heartbeats(
     registry: MachineRegistry, now: timedelta, lease: timedelta
 ) -> Counter[str]:
-    """How many machines should send heartbeats, by zone.
+    """Return how many machines should send heartbeats, by zone.
 
-    `now`: steady time; `lease`: how long a worker keeps its tasks without an answer.
+    `now`: steady time.
+    `lease`: how long a worker keeps its tasks without an answer.
     """
     result: Counter[str] = Counter()
     for machine in registry:
@@ -20,6 +21,6 @@
             continue
         if machine.up and machine.kind is not None:
             result[machine.kind.zone] += 1
-        else:  # a machine that only records name: its placements show the zone
+        else:  # known only from records: the zone is that of its placements
             result.update(p.zone for p in islice(machine.placements.values(), 1))
     return result
--- a/dappledrum/leader/heartbeat_responder.py
+++ b/dappledrum/leader/heartbeat_responder.py
@@ -16,16 +16,16 @@
 
 log = logging.getLogger(__name__)
 
-#: The longest that an answer to a worker waits for a record that it could carry.
+#: The longest that an answer waits until placements are stored, so that it can carry their starts.
 MAX_RECORD_WAIT = timedelta(milliseconds=400)
-#: The longest that an answer to a worker waits for the plan that its heartbeat has triggered.
+#: The longest that an answer waits for the plan that its heartbeat has triggered.
 MAX_PLAN_WAIT = timedelta(milliseconds=250)
-#: Part of the time between two heartbeats for which the answer to an idle worker is delayed. The
-#: worker sends heartbeats at the same rate all the same, and nearly always gets new work at once.
+#: Share of the heartbeat interval for which the answer to an idle worker is delayed. This does not
+#: lower the rate of heartbeats, and an idle worker nearly always gets new work at once.
 IDLE_WAIT_SHARE = 0.85
-#: Well within the 4 s after which a worker turns to another controller.
+#: Well below the 4 s after which a worker turns to another controller.
 MAX_IDLE_WAIT = timedelta(seconds=2.6)
-#: The longest that a heartbeat waits for the records to be read.
+#: The longest that a heartbeat waits until the records are read at the start of a term.
 MAX_LOADING_WAIT = timedelta(seconds=1.5)
 
 
@@ -53,7 +53,7 @@
     async def respond(
         self, heartbeat: WorkerHeartbeat, may_answer: Callable[[], bool], max_wait: timedelta
     ) -> Commands | None:
-        """The answer to a worker; None when this controller is not entitled to answer.
+        """Return the answer to a heartbeat; None when this controller may not answer it.
 
         `may_answer`: whether a worker may be answered at the moment of the call.
         `max_wait`: the longest that the answer is delayed while there is no work for the worker.
@@ -76,20 +76,25 @@
         return loaded.is_set() or await self._completes(loaded.wait(), MAX_LOADING_WAIT)
 
     def _is_superseded(self, heartbeat: WorkerHeartbeat) -> bool:
-        """Whether the worker has been answered by a later leader; ends this term then."""
+        """Whether a later leader has answered the worker; if so, end this term."""
         if heartbeat.token <= self.term.epoch:
             return False
-        log.warning("%s has seen token %d, stepping down", heartbeat.machine, heartbeat.token)
+        log.warning(
+            "stepping down: a leader with epoch %d has answered %s, own epoch is %d",
+            heartbeat.token,
+            heartbeat.machine,
+            self.term.epoch,
+        )
         self.term.ended.set()
         return True
 
     def _answer_to_outdated(
         self, heartbeat: WorkerHeartbeat, may_answer: Callable[[], bool]
     ) -> Commands | None:
-        """The answer to a heartbeat that is older than one that was processed before.
+        """Return the answer to a heartbeat that is older than one already processed.
 
-        It is no sign of life, and gives no new lease either: what an answer renews counts from the
-        sending of its heartbeat, and this worker has sent a newer one since, which has arrived.
+        Such a heartbeat does not show that the worker is alive. The answer extends no lease: the
+        worker counts its lease from the sending of the heartbeat, and has sent a newer one since.
         """
         if self.registry.get(heartbeat.machine) is None or not may_answer():
             return None
@@ -113,10 +118,10 @@
 
         Starts are sent only in answers, and the next heartbeat may be seconds away. So an answer
         waits for the plan that the heartbeat itself has triggered, or, when the machine is idle,
-        for any plan that places something there; then for the record of what was placed.
+        for any plan that places a task there; then until the placement is stored.
         """
         if not machine.up:
-            return  # the next heartbeat shows whether answers reach it; until then it gets nothing
+            return  # nothing is started until its next heartbeat shows that answers reach it
         if not pending(machine) and not await self._placed_within(
             machine, self._placement_wait(machine, max_wait)
         ):
@@ -128,7 +133,7 @@
                 return
 
     def _placement_wait(self, machine: Machine, max_wait: timedelta) -> timedelta:
-        """How long to wait for a task to be placed on a machine that has nothing to start."""
+        """Return how long to wait for a task to be placed on a machine with nothing to start."""
         idle_wait = min(self.limits.heartbeat_interval * IDLE_WAIT_SHARE, max_wait)
         if not machine.placements or self.machines.may_wait(machine, idle_wait):
             return idle_wait
--- a/dappledrum/leader/job_loader.py
+++ b/dappledrum/leader/job_loader.py
@@ -1,4 +1,4 @@
-"""Reads the stored jobs at the beginning of a term."""
+"""Reads the stored jobs at the start of a term."""
 
 import asyncio
 import logging
@@ -19,22 +19,24 @@
 log = logging.getLogger(__name__)
 
 RecordType = TypeVar("RecordType")
-#: Errors of a record that can be decoded, but has impossible values, as numbers of zones or tasks.
-IMPOSSIBLE_VALUE_ERRORS = (ValueError, LookupError, TypeError)
+#: Raised for a record that can be decoded but has invalid values, such as an index of a zone or
+#: task that does not exist.
+INVALID_VALUE_ERRORS = (ValueError, LookupError, TypeError)
 
 
 class JobLoader:
     """Reads all records of live jobs."""
 
     def __init__(self, store: StoreClient, jobs: dict[str, Job], garbage: dict[str, None]) -> None:
-        """`jobs` is filled, by ids; `garbage` gets the keys of records without a job."""
+        """Create a loader that fills `jobs`, by id, and adds keys of records without a job to
+        `garbage`."""
         self.store = store
         self.jobs = jobs
         self.garbage = garbage
-        self.unreadable: set[str] = set()  # ids of jobs with a record that can't be used
+        self.unreadable: set[str] = set()  # ids of jobs with an invalid record
 
     async def read(self) -> int:
-        """Replace all jobs by those that are stored; returns the revision from which to watch."""
+        """Replace all jobs by those that are stored; returns the revision to watch from."""
         jobs, revision = await self.store.scan(JOB_PREFIX, RequestPriority.RECORD)
         pages, rows, specs = [
             entries
@@ -65,14 +67,16 @@
         return parts
 
     def _add_jobs(self, entries: Iterable[Entry], parts: dict[str, dict[int, SpecPart]]) -> None:
-        """Add the jobs; their parts of specifications are taken out of `parts`."""
+        """Add the jobs, and remove the parts of their specifications from `parts`."""
         for entry in entries:
             job_id = entry.key.removeprefix(JOB_PREFIX)
             record = self.decode(job_id, entry.value, JobRecord)
-            own = parts.pop(job_id, {})
+            spec_parts = parts.pop(job_id, {})
             if record is None or job_id in self.unreadable:
                 continue
-            job = self.make_job(record, entry.version, [own[number] for number in sorted(own)])
+            job = self.make_job(
+                record, entry.version, [spec_parts[number] for number in sorted(spec_parts)]
+            )
             if job is not None:
                 job.page(0).stored_bytes = len(bytes(entry.value))
                 self.jobs[job_id] = job
@@ -89,13 +93,13 @@
             elif page is not None:
                 try:
                     job.add_page(int(index), page, entry.version)
-                except IMPOSSIBLE_VALUE_ERRORS as error:
+                except INVALID_VALUE_ERRORS as error:
                     self._quarantine(job_id, error)
                     continue
                 job.page(int(index)).stored_bytes = len(bytes(entry.value))
 
     def _add_rows(self, entries: Iterable[Entry]) -> None:
-        outgrown: dict[Page, int] = {}
+        leftover_parts: dict[Page, int] = {}
         for entry in entries:
             _, job_id, index, number = entry.key.split("/")
             job = self.jobs.get(job_id)
@@ -105,23 +109,25 @@
             if job is None:
                 self.garbage[entry.key] = None
             elif int(number) >= job.page(int(index)).parts:
-                outgrown[job.page(int(index))] = int(number) + 1
+                leftover_parts[job.page(int(index))] = int(number) + 1
             elif record_rows is not None:
                 try:
                     load_rows(job.page(int(index)), record_rows)
-                except IMPOSSIBLE_VALUE_ERRORS as error:
+                except INVALID_VALUE_ERRORS as error:
                     self._quarantine(job_id, error)
-        for page, count in outgrown.items():  # those of quarantined jobs, too
-            page.parts = max(page.parts, count)  # removed with the page's next record
+        # Rows beyond the current parts of a page are left over from a larger version of it.
+        # Counted as parts, they are removed when the page is written the next time.
+        for page, count in leftover_parts.items():  # also those of quarantined jobs
+            page.parts = max(page.parts, count)
 
     def decode(
         self, job_id: str, value: msgspec.Raw, record_type: type[RecordType]
     ) -> RecordType | None:
-        """A record of a job; None: it can't be read.
+        """Decode a record of a job; None if that fails, and the job is quarantined.
 
-        Its job is left alone then, with all its records: nothing of it is removed or started, as
-        it is not known where it runs; what runs is stopped, since it is not counted. Without this
-        one such record would keep every leader from beginning its term.
+        A quarantined job keeps all its records, and nothing of it is started, since it is not
+        known where it runs. Its running tasks are stopped, since the leader does not count them.
+        If the error were raised instead, one such record would keep every leader from starting.
         """
         try:
             return msgspec.json.decode(value, type=record_type)
@@ -130,18 +136,23 @@
             return None
 
     def make_job(self, record: JobRecord, version: int, parts: list[SpecPart]) -> Job | None:
-        """A job from its record; None: the record can be decoded, but is impossible. A job without
-        a part of its specification might be placed where it must not be."""
+        """Create a job from its record; None if the record is invalid, and the job is quarantined.
+
+        That includes a missing part of the specification: without it the job might be placed where
+        it must not run.
+        """
         try:
             if len(parts) < record.spec_parts:
-                raise ValueError(f"{len(parts)} of {record.spec_parts} parts of its specification")
+                raise ValueError(
+                    f"only {len(parts)} of {record.spec_parts} parts of the specification exist"
+                )
             return Job(record, version, parts)
-        except IMPOSSIBLE_VALUE_ERRORS as error:
+        except INVALID_VALUE_ERRORS as error:
             self._quarantine(record.spec.id, error)
             return None
 
     def _quarantine(self, job_id: str, error: Exception) -> None:
         if job_id not in self.unreadable:
-            log.error("a record of %s can't be read, its job is left alone: %s", job_id, error)
+            log.error("job %s is quarantined, one of its records is invalid: %s", job_id, error)
         self.unreadable.add(job_id)
         self.jobs.pop(job_id, None)
--- a/dappledrum/leader/job_records.py
+++ b/dappledrum/leader/job_records.py
@@ -1,4 +1,4 @@
-"""The parts of a leader that read and write the records of jobs."""
+"""Groups the parts of a leader that read and write the records of jobs."""
 
 from dataclasses import dataclass
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True)
 class JobRecords:
-    """Reader, writer, and the dependencies that follow from the records."""
+    """Loader and writer of job records, and the graph of dependencies between the jobs."""
 
     loader: JobLoader
     writer: RecordWriter
--- a/dappledrum/leader/job_watch.py
+++ b/dappledrum/leader/job_watch.py
@@ -1,4 +1,4 @@
-"""Follows the submissions and cancellations that all controllers write to the store."""
+"""Watches the store for submissions and cancellations, which all controllers write."""
 
 import asyncio
 import logging
@@ -18,15 +18,15 @@
 
 log = logging.getLogger(__name__)
 
-#: Pause between two watches, so that changes that come together are read together.
+#: Pause between two watches, so that changes within it are read together.
 WATCH_PAUSE = timedelta(milliseconds=150)
-#: A watch shows nothing about the time in which it waits, so it is short: how long a leader may
-#: answer workers is counted from the moment at which the watch was sent.
+#: Short, because a watch shows nothing about the time in which it waits: cancellations count as
+#: known until the moment the watch was sent, which limits how long workers are answered.
 WATCH_TIMEOUT = timedelta(seconds=2)
 
 
 class JobWatch:
-    """Applies the changes of the jobs' heads during one term."""
+    """Applies changes of the jobs' head records during one term."""
 
     def __init__(
         self, context: TermContext, state: TermState, records: JobRecords, live_jobs: LiveJobs
@@ -37,12 +37,16 @@
         self.state = state
         self.records = records
         self.live_jobs = live_jobs
-        self._incomplete: dict[str, None] = {}  # new jobs whose specification is in parts
+        #: New jobs whose specification is stored in parts that have not been read yet.
+        self._with_unread_parts: dict[str, None] = {}
 
     async def run(self) -> None:
-        """Watch for ever, from the revision at which the records were read.
+        """Watch until cancelled, from the revision at which the records were read.
 
-        Raises `StoreError` while the store is not reached; it can then be started again.
+        Can be called again after an error.
+
+        Raises:
+            StoreError: the store has not answered.
         """
         while True:
             sent_at = self.clock.now()
@@ -59,12 +63,12 @@
                     self._apply(event.put, event.value, event.version)
             self.state.watch_revision = revision
             self.term.record_cancellations_known(sent_at)
-            for job_id in list(self._incomplete):
-                await self._read_incomplete(job_id)
+            for job_id in list(self._with_unread_parts):
+                await self._read_with_parts(job_id)
             await asyncio.sleep(WATCH_PAUSE.total_seconds())
 
     def _apply(self, key: str, value: msgspec.Raw, version: int) -> None:
-        """Apply one written head, unless it is this leader's own or was read before."""
+        """Apply a head record, unless this leader has written it or read it before."""
         job_id = key.removeprefix(JOB_PREFIX)
         job = self.state.jobs.get(job_id)
         if self.live_jobs.is_finished(job_id):
@@ -86,7 +90,7 @@
 
     def _add(self, job_id: str, record: JobRecord, version: int) -> None:
         if record.spec_parts:
-            self._incomplete[job_id] = None
+            self._with_unread_parts[job_id] = None
             return
         job = self.records.loader.make_job(record, version, [])
         if job is not None:
@@ -97,7 +101,7 @@
         self.records.writer.mark_dirty(job.page(0))
         self.state.plan_trigger.request("job changed")
 
-    async def _read_incomplete(self, job_id: str) -> None:
+    async def _read_with_parts(self, job_id: str) -> None:
         """Read a new job whose specification is stored in parts, and add it."""
         entry = await self.store.get(head_key(job_id), RequestPriority.RECORD)
         if entry is not None and job_id not in self.state.jobs:
@@ -106,11 +110,11 @@
             for number in range(record.spec_parts):
                 part = await self.store.get(spec_key(job_id, number), RequestPriority.RECORD)
                 if part is None:
-                    log.error("%s lacks a part of its specification", job_id)
+                    log.error("job %s: part %d of its specification is missing", job_id, number)
                     return
                 parts.append(msgspec.json.decode(part.value, type=SpecPart))
             job = self.records.loader.make_job(record, entry.version, parts)
             if job is not None:
                 self.live_jobs.add(job)
                 self._job_changed(job)
-        self._incomplete.pop(job_id, None)
+        self._with_unread_parts.pop(job_id, None)
--- a/dappledrum/leader/leader.py
+++ b/dappledrum/leader/leader.py
@@ -1,6 +1,6 @@
-"""One term of leadership: builds the parts of a leader, and runs their loops until the term ends.
+"""Builds the parts of a leader for one term, and runs their loops until the term ends.
 
-`Leader.__init__` shows all parts and who uses whom, from the term's memory up to the loops.
+`Leader.__init__` shows all parts and what each uses, from the state in memory up to the loops.
 """
 
 import asyncio
@@ -57,8 +57,11 @@
         machine_types: list[MachineType],
         on_job_finished: Callable[[Job], None],
     ) -> None:
-        """`machine_types` is empty while no catalog is known; `on_job_finished` is called with
-        each job whose end is stored."""
+        """Build the parts.
+
+        `machine_types` is empty while no catalog is known; `on_job_finished` is called with each
+        job whose end is stored.
+        """
         self.context = context
         self.term = context.term
         self.clock = context.clock
@@ -146,8 +149,9 @@
 
     def _make_dispatcher(self) -> Dispatcher:
         context = self.context
-        # Pages of the version before may be larger than new ones, and are stored in parts.
-        in_parts = context.value_limit.reduced_bytes * (context.params.state.txn_ops - 2)
+        # Pages written by an earlier version may be larger than new ones, and are stored in parts;
+        # `txn_ops` limits the number of parts.
+        max_bytes_in_parts = context.value_limit.reduced_bytes * (context.params.state.txn_ops - 2)
         dispatch_context = DispatchContext(
             self.jobs,
             self.registry,
@@ -158,7 +162,9 @@
             context.tuning,
         )
         return Dispatcher(
-            dispatch_context, self.record_writer, min(context.value_limit.current_bytes, in_parts)
+            dispatch_context,
+            self.record_writer,
+            min(context.value_limit.current_bytes, max_bytes_in_parts),
         )
 
     async def run(self) -> None:
@@ -206,7 +212,7 @@
         self.state.plan_trigger.request(reason)
 
     def page_changed(self, page: Page) -> None:
-        """Have a changed page stored."""
+        """Mark a changed page, so that it is stored."""
         self.record_writer.mark_dirty(page)
 
     def planning_needed(self, reason: str) -> None:
@@ -214,7 +220,7 @@
         self.request_plan(reason)
 
     def placement_lost(self, reason: str) -> None:
-        """Count a placement that was given up."""
+        """Count a lost placement, by the reason for which it was given up."""
         self.recovery.count_lost(reason)
 
     def no_answers_since(self, moment: timedelta) -> None:
@@ -235,12 +241,12 @@
         self.live_jobs.apply_confirmed_cancellations(job_ids)
 
     def expected_heartbeats(self) -> Counter[str]:
-        """How many machines should send heartbeats, by zone."""
+        """Return how many machines should send heartbeats, by zone."""
         lease = self.context.params.workers.lease_duration
         return expected_heartbeats(self.registry, self.clock.now(), lease)
 
     async def flush_records(self, timeout: timedelta) -> None:
-        """Wait up to `timeout` until all changes are stored, before another controller leads."""
+        """Wait up to `timeout` until all changes are stored; called before a transfer."""
         deadline = self.clock.now() + timeout
         while self.record_writer.dirty and self.clock.now() < deadline:
             await asyncio.sleep(FLUSH_CHECK_INTERVAL.total_seconds())
@@ -251,5 +257,5 @@
         may_answer: Callable[[], bool],
         max_wait: timedelta = MAX_IDLE_WAIT,
     ) -> Commands | None:
-        """The answer to a worker; see `HeartbeatResponder.respond`."""
+        """Return the answer to a heartbeat; see `HeartbeatResponder.respond`."""
         return await self.responder.respond(heartbeat, may_answer, max_wait)
--- a/dappledrum/leader/live_jobs.py
+++ b/dappledrum/leader/live_jobs.py
@@ -11,12 +11,13 @@
 
 log = logging.getLogger(__name__)
 
-#: Jobs that have finished in this term and are remembered, as a watch may still show their head.
+#: Finished jobs of this term that are remembered, since a watch may still show their head records.
 MAX_FINISHED_IDS = 10_000
 
 
 class LiveJobs:
-    """The only place at which jobs enter and leave `TermState.jobs` after the records are read."""
+    """Adds, cancels and removes live jobs; no other part changes `TermState.jobs` once the records
+    are read."""
 
     def __init__(
         self,
@@ -25,7 +26,7 @@
         records: JobRecords,
         on_finished: Callable[[Job], None],
     ) -> None:
-        """`on_finished` is called with each job whose end is stored."""
+        """Create it for one term; `on_finished` is called with each job whose end is stored."""
         self.objectives = context.params.objectives
         self.state = state
         self.records = records
@@ -33,20 +34,20 @@
         self._finished_ids: OrderedDict[str, None] = OrderedDict()
 
     def add(self, job: Job) -> None:
-        """Add a job that a user has submitted; it is planned and its record is written."""
+        """Add a new job that a user has submitted."""
         self.state.jobs[job.id] = job
         spec = job.spec
         log.info("new job %s: %s", job.id, describe_job(spec.tasks, spec.job_class, spec.team))
         self.records.graph.add(job)
 
     def is_finished(self, job_id: str) -> bool:
-        """Whether a job has finished lately in this term."""
+        """Whether a job has finished in this term, among the last `MAX_FINISHED_IDS`."""
         return job_id in self._finished_ids
 
     def cancel(self, job: Job, source: str) -> None:
         """Apply a stored or confirmed cancellation, also to the jobs that depend on this one.
 
-        `source` says in the log where the cancellation is known from.
+        `source` is logged; it says how the cancellation became known.
         """
         if not job.cancelled:
             job.cancelled = job.cancel_stored = True
@@ -56,9 +57,9 @@
     def apply_confirmed_cancellations(self, job_ids: Iterable[str]) -> None:
         """Cancel jobs whose cancellation other controllers have confirmed to users.
 
-        It is stored already, and final. The jobs' tasks are stopped from now on, also while this
-        leader only keeps its term by lease grants. A record that was written without awareness of
-        the cancellation fails by its version, and is read again.
+        The cancellations are already stored, and final. The jobs' tasks are stopped from now on,
+        also while the term rests on lease grants alone. A record that was written without the
+        cancellation is rejected because of its version, and read again.
         """
         for job_id in job_ids:
             job = self.state.jobs.get(job_id)
--- a/dappledrum/leader/maintenance_loop.py
+++ b/dappledrum/leader/maintenance_loop.py
@@ -1,5 +1,5 @@
-"""Checks twice a second what no message triggers: leases that have expired, the end of the
-recovery, and records that have become too large."""
+"""Checks twice a second what no message triggers: expired leases, the end of recovery, and records
+that have become too large."""
 
 import asyncio
 from datetime import timedelta
@@ -30,10 +30,11 @@
         self.record_writer = record_writer
 
     async def run(self) -> None:
-        """Check for ever."""
+        """Check until cancelled."""
         while True:
-            # A leader that was paused until its term had ended is not aware of what others have
-            # answered since: one counted hundreds of tasks as lost, though it could store nothing.
+            # A leader that was paused until its term ended does not know what other controllers
+            # have answered since. Without this condition one such leader counted hundreds of tasks
+            # as lost, although it could no longer store anything.
             if self.may_command():
                 self.reconciler.lose_expired()
             self.recovery.check()
--- a/dappledrum/leader/plan_trigger.py
+++ b/dappledrum/leader/plan_trigger.py
@@ -1,4 +1,4 @@
-"""Wakes the planning loop when something has changed that a plan depends on."""
+"""Wakes the planning loop after a change that a plan depends on."""
 
 import asyncio
 import contextlib
@@ -6,7 +6,7 @@
 
 
 class PlanTrigger:
-    """Requests for a planning round; those that come before the round begins are merged."""
+    """Requests for a planning round; those made before the round begins are merged."""
 
     def __init__(self) -> None:
         self._requested = asyncio.Event()
@@ -21,7 +21,7 @@
         self._requested.set()
 
     async def wait(self, timeout: timedelta) -> None:
-        """Wait for a request, but at most for `timeout`; earlier requests are then answered."""
+        """Wait up to `timeout` for a request, and clear all requests made so far."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(timeout.total_seconds()):
                 await self._requested.wait()
--- a/dappledrum/leader/planning_loop.py
+++ b/dappledrum/leader/planning_loop.py
@@ -1,4 +1,4 @@
-"""Makes plans one after the other, when something has changed and at least once a second."""
+"""Makes one plan after the other: after a change, and at least once a second."""
 
 import asyncio
 import logging
@@ -10,11 +10,11 @@
 
 log = logging.getLogger(__name__)
 
-#: Slow boots and overruns trigger no plan, so one is made after this time at the latest.
+#: Slow boots and tasks that overrun trigger no plan, so one is made after this time at the latest.
 MAX_PLAN_INTERVAL = timedelta(seconds=1)
 MIN_PLAN_PAUSE = timedelta(milliseconds=100)
-#: A plan is followed by a pause of this many times its own duration, so that heartbeats are
-#: answered in time however long planning takes; `MAX_PLAN_INTERVAL` at most.
+#: The pause after a plan is this many times its duration, but `MAX_PLAN_INTERVAL` at most, so that
+#: heartbeats are answered in time even if planning is slow.
 PAUSE_PER_PLAN_TIME = 4
 
 
@@ -30,7 +30,7 @@
         self.plan_trigger = plan_trigger
 
     async def run(self) -> None:
-        """Plan for ever."""
+        """Plan until cancelled."""
         while True:
             await self.plan_trigger.wait(MAX_PLAN_INTERVAL)
             pause = MIN_PLAN_PAUSE
--- a/dappledrum/leader/term_loader.py
+++ b/dappledrum/leader/term_loader.py
@@ -1,4 +1,4 @@
-"""Reads the records when a term begins, and restores the leader's memory from them."""
+"""Reads the stored records when a term begins, and restores the leader's state from them."""
 
 import logging
 
@@ -13,7 +13,7 @@
 
 
 class TermLoader:
-    """Loads what is stored, once in each term."""
+    """Loads the records, once in each term."""
 
     def __init__(
         self,
@@ -37,7 +37,10 @@
     async def load(self) -> None:
         """Read all records, and set `TermState.loaded`.
 
-        Raises `StoreError` while the store is not reached; it can then be called again.
+        Can be called again after an error.
+
+        Raises:
+            StoreError: the store has not answered.
         """
         started_at = self.clock.now()
         jobs, graph = self.state.jobs, self.records.graph
@@ -52,7 +55,7 @@
             graph.add(job)
             self.records.writer.mark_dirty(job.page(0))
         self.state.watch_revision = revision
-        # Cancellations that are confirmed later are seen by the watch.
+        # The watch shows cancellations that are confirmed later.
         self.term.record_cancellations_known(started_at)
         self.state.loaded.set()
         duration = (self.clock.now() - started_at).total_seconds() * 1e3
--- a/dappledrum/leader/test_job_loader.py
+++ b/dappledrum/leader/test_job_loader.py
@@ -1,6 +1,9 @@
-"""Records that can be decoded and make no sense: the trouble of their own job, whether a new
-leader finds them or the watch tells them; one that raised kept the leader from beginning, and from
-hearing of cancellations."""
+"""Reading of job records that fail to load.
+
+A record that can be decoded but has invalid values must affect only its own job, whether a new
+leader reads it or the watch shows it. When such a record raised an error instead, it kept the
+leader from starting and from learning of cancellations.
+"""
 
 import asyncio
 
@@ -9,7 +12,7 @@
 from dappledrum.simulation.cluster import SimulatedCluster, job
 from dappledrum.simulation.virtual_time import run
 
-BAD = {
+INVALID_RECORDS = {
     "bitmap": {"page": [1, "zz", [], "", [], []]},
     "zone": {"page": [1, "0", [], "", ["a"], [["host-1", 1, 7, [0, 1, 1]]]]},
     "row": {"page": [1, "0", [], "", ["a"], [["host-1", 1, 0, [0, 1]]]]},
@@ -21,23 +24,23 @@
     return {key: value for key, value in job(number).items() if key != "runS"}
 
 
-@pytest.mark.parametrize("new", [True, False])
-@pytest.mark.parametrize("what", BAD)
-def test_a_record_that_makes_no_sense(what, new):
+@pytest.mark.parametrize("new_leader", [True, False])
+@pytest.mark.parametrize("invalid_part", INVALID_RECORDS)
+def test_an_invalid_record_affects_only_its_own_job(invalid_part, new_leader):
     async def main():
         cluster = SimulatedCluster(seed=1)
         await cluster.until(lambda: cluster.leader() is not None)
         await cluster.wait(2)
         record = {"spec": spec_of(77), "at_ms": 0, "size": 256, "page": [1, "0", [], "", [], []]}
-        put = {"write": "job/j-000077", "value": record | BAD[what]}
-        if new:
+        put = {"write": "job/j-000077", "value": record | INVALID_RECORDS[invalid_part]}
+        if new_leader:
             cluster.kill(cluster.leader())
         cluster.store._multi({"guards": [], "then": [put]})
         await cluster.until(lambda: cluster.leader() is not None, most=10)
         await cluster.wait(1)
-        fine = job(1, dueS=None)
-        assert await cluster.submit(fine) == 201
-        await cluster.finish([fine["id"]], most=60)
+        valid_job = job(1, dueS=None)
+        assert await cluster.submit(valid_job) == 201
+        await cluster.finish([valid_job["id"]], most=60)
         leader = cluster.controllers[cluster.leader()]
         assert "j-000077" not in leader.leader.jobs
         known = leader.elector.term.cancellations_known_at
@@ -46,29 +49,30 @@
     run(main())
 
 
-def test_a_leader_that_can_not_read_gives_up():
-    """Its renewals are answered, its lists are not: it kept the key, and answered nobody."""
+def test_a_leader_that_cannot_read_the_records_gives_up_leadership():
+    """The store answers its lease renewals but not its scans. Such a leader used to keep the key
+    and answer no worker."""
 
     async def main():
         cluster = SimulatedCluster(seed=2)
         await cluster.until(lambda: cluster.leader() is not None)
         await cluster.wait(2)
-        stuck = cluster.leader()
+        former_leader = cluster.leader()
         for member in cluster.members:
-            if member != stuck:
+            if member != former_leader:
                 await cluster.restart(member, 0.1)
         await cluster.wait(3)
-        victim = next(m for m in cluster.members if m != stuck)
-        scan = cluster.controllers[victim].store.scan
+        successor = next(m for m in cluster.members if m != former_leader)
+        scan = cluster.controllers[successor].store.scan
 
-        async def nothing(prefix, priority):
+        async def scan_without_jobs(prefix, priority):
             if prefix == "job/":
                 await asyncio.sleep(3600)
             return await scan(prefix, priority)
 
-        cluster.controllers[victim].store.scan = nothing
-        cluster.controllers[stuck].elector.transfer_leadership(victim, "a test")
-        await cluster.until(lambda: cluster.leader() == victim, most=10)
-        await cluster.until(lambda: cluster.leader() not in (None, victim), most=120)
+        cluster.controllers[successor].store.scan = scan_without_jobs
+        cluster.controllers[former_leader].elector.transfer_leadership(successor, "a test")
+        await cluster.until(lambda: cluster.leader() == successor, most=10)
+        await cluster.until(lambda: cluster.leader() not in (None, successor), most=120)
 
     run(main())
--- a/dappledrum/peers/client.py
+++ b/dappledrum/peers/client.py
@@ -1,4 +1,4 @@
-"""Client for questions to the other controllers."""
+"""Client for requests to the other controllers."""
 
 import asyncio
 import logging
@@ -43,37 +43,38 @@
 
 
 class Peers:
-    """The other controllers, by member name."""
+    """Sends requests to the other controllers, each of which is identified by its member name."""
 
     def __init__(self, callers: dict[str, HttpClient]) -> None:
         self.callers = callers
-        #: Why each peer refused the newest request for a lease grant, as logged; empty: granted.
+        #: Why each peer has not granted the last lease request, as logged; empty if it has.
         self.refusals: dict[str, str] = {}
 
     async def _ask(
-        self, member: str, question: PeerRequest, kind: type, timeout: timedelta
+        self, member: str, message: PeerRequest, reply_type: type, timeout: timedelta
     ) -> Any:  # noqa: ANN401
+        """Send a message to a peer; returns its decoded reply, None if there is no valid one."""
         try:
-            reply = await self.callers[member].request("POST", "/peer", encode(question), timeout)
-            return decode(reply.body, kind) if reply.status == 200 else None
+            reply = await self.callers[member].request("POST", "/peer", encode(message), timeout)
+            return decode(reply.body, reply_type) if reply.status == 200 else None
         except (NoResponseError, MalformedError) as error:
-            log.debug("peer %s gave no usable answer: %s", member, error)
+            log.debug("peer %s gave no valid reply: %s", member, error)
             return None
 
     async def request_lease_grants(
         self, request: LeaseGrantRequest, timeout: timedelta
     ) -> PeerAnswers:
-        """Ask all other controllers for lease grants; one that does not answer has not granted."""
+        """Ask all peers for lease grants; a peer that does not answer has not granted."""
         asked = [
             self._ask(member, LeaseGrantCall(request), LeaseGrantReply, timeout)
             for member in self.callers
         ]
         replies = await asyncio.gather(*asked)
         for member, reply in zip(self.callers, replies, strict=True):
-            why = "no answer" if reply is None else "" if reply.granted else reply.reason
-            if why and self.refusals.get(member) != why:
-                log.info("no lease grant from %s: %s", member, why)
-            self.refusals[member] = why
+            refusal = "no answer" if reply is None else "" if reply.granted else reply.reason
+            if refusal and self.refusals.get(member) != refusal:
+                log.info("no lease grant from %s: %s", member, refusal)
+            self.refusals[member] = refusal
         granted = [reply for reply in replies if reply is not None and reply.granted]
         strong = sum(not reply.weak for reply in granted)
         confirmed = [
@@ -88,16 +89,19 @@
         return PeerAnswers(len(granted), len(replies), strong, confirmed=merge_windows(confirmed))
 
     async def is_served(self, member: str, request: LeaseGrantRequest, timeout: timedelta) -> bool:
-        """Whether the store serves a peer now: asked for a lease grant, a peer makes a request of
-        its own to the store, and refuses if that is answered."""
+        """Whether the store serves a peer now.
+
+        A peer that is asked for a lease grant sends a request to the store, and refuses the grant
+        if the store answers.
+        """
         reply = await self._ask(member, LeaseGrantCall(request), LeaseGrantReply, timeout)
         return reply is not None and not reply.granted
 
-    async def pre_vote(self, question: PreVote, timeout: timedelta) -> PeerAnswers:
-        """Ask all other controllers whether they are free of lease grants; returns as soon as a
-        majority has answered so."""
+    async def pre_vote(self, request: PreVote, timeout: timedelta) -> PeerAnswers:
+        """Ask all peers whether they are free of lease grants; returns as soon as a majority has
+        answered that it is."""
         asked = [
-            asyncio.ensure_future(self._pre_vote(member, question, timeout))
+            asyncio.ensure_future(self._pre_vote(member, request, timeout))
             for member in self.callers
         ]
         free, unsupported = 0, False
@@ -112,23 +116,23 @@
                 task.cancel()
         return PeerAnswers(free, len(asked), unsupported=unsupported)
 
-    async def _pre_vote(self, member: str, question: PreVote, timeout: timedelta) -> bool | None:
+    async def _pre_vote(self, member: str, message: PreVote, timeout: timedelta) -> bool | None:
         """Whether a peer is free of lease grants; None if it does not support the request."""
         try:
-            reply = await self.callers[member].request("POST", "/peer", encode(question), timeout)
+            reply = await self.callers[member].request("POST", "/peer", encode(message), timeout)
             if reply.status == 400:
                 return None
             return bool(reply.status == 200 and decode(reply.body, PreVoteReply).free)
         except (NoResponseError, MalformedError) as error:
-            log.debug("no pre-vote from %s: %s", member, error)
+            log.debug("peer %s gave no valid reply to a pre-vote: %s", member, error)
             return False
 
     async def heartbeat_attempts(self, within: timedelta, timeout: timedelta) -> dict[str, int]:
-        """Machines that have sent heartbeats to another controller, and how often each came to the
-        same one."""
-        question = HeartbeatAttemptsRequest(int(within.total_seconds() * 1000))
+        """Return how many heartbeats each machine has sent to other controllers in the last
+        `within`; of several controllers the largest number counts."""
+        request = HeartbeatAttemptsRequest(int(within.total_seconds() * 1000))
         replies = await asyncio.gather(
-            *(self._ask(m, question, HeartbeatAttemptsReply, timeout) for m in self.callers)
+            *(self._ask(m, request, HeartbeatAttemptsReply, timeout) for m in self.callers)
         )
         result: dict[str, int] = {}
         for reply in replies:
@@ -137,38 +141,39 @@
         return result
 
     async def no_term_held(self, timeout: timedelta) -> bool:
-        """Whether every other controller answers that it holds no term."""
-        return all(r is not None and not r.holds for r in await self._holders(timeout))
+        """Whether all peers answer that they hold no term."""
+        return all(r is not None and not r.holds for r in await self._holds_term_replies(timeout))
 
     async def no_answers_for(self, timeout: timedelta) -> timedelta | None:
-        """For how long none of the others has answered a worker in a term of its own; None if one
-        of them does not say."""
+        """For how long no peer has answered a worker in a term of its own; None if a peer does not
+        report it."""
         spans = []
-        for reply in await self._holders(timeout):
+        for reply in await self._holds_term_replies(timeout):
             if reply is None or reply.quiet_ms is None:
                 return None
             spans.append(shortest_local_span(timedelta(milliseconds=reply.quiet_ms)))
         return min(spans, default=None)
 
-    async def _holders(self, timeout: timedelta) -> list[HoldsTermReply | None]:
+    async def _holds_term_replies(self, timeout: timedelta) -> list[HoldsTermReply | None]:
+        """Ask all peers whether they hold a term; None for a peer that does not answer."""
         asked = [self._ask(m, HoldsTermRequest(), HoldsTermReply, timeout) for m in self.callers]
         replies: list[HoldsTermReply | None] = await asyncio.gather(*asked)
         return replies
 
     async def version(self, member: str, timeout: timedelta) -> str | None:
-        """The version that a peer runs; None if it does not answer."""
+        """Return the version that a peer runs; None if it does not answer."""
         reply = await self._ask(member, VersionRequest(), VersionReply, timeout)
         return None if reply is None else reply.version
 
     async def relay(self, member: str, request: Relay, timeout: timedelta) -> RelayReply | None:
-        """Let a peer serve a user's request."""
+        """Relay a user's request to a peer; None if it does not answer."""
         reply: RelayReply | None = await self._ask(member, request, RelayReply, timeout)
         return reply
 
     async def heartbeats(
         self, member: str, heartbeats: PeerHeartbeats, timeout: timedelta
     ) -> PeerHeartbeatsReply | None:
-        """Exchange heartbeats with a peer."""
+        """Exchange heartbeats with a peer; None if it does not answer."""
         reply: PeerHeartbeatsReply | None = await self._ask(
             member, heartbeats, PeerHeartbeatsReply, timeout
         )
@@ -177,7 +182,11 @@
     async def forward_heartbeats(
         self, member: str, heartbeats: list[bytes], timeout: timedelta
     ) -> list[bytes | None] | None:
-        """Let the leader answer heartbeats of workers that do not reach it."""
+        """Forward heartbeats of workers that do not reach the leader to it.
+
+        Returns the bodies of its answers, in the same order, None where it gives none; or None if
+        it does not reply at all.
+        """
         reply = await self._ask(
             member, ForwardedHeartbeats(heartbeats), ForwardedHeartbeatsReply, timeout
         )
--- a/dappledrum/peers/messages.py
+++ b/dappledrum/peers/messages.py
@@ -26,7 +26,7 @@
 
 
 class Relay(msgspec.Struct, tag="relay", tag_field="kind"):
-    """A user's request that the sender can't serve because it does not reach the store."""
+    """A user's request that the sender relays because it does not reach the store."""
 
     method: str
     path: str
@@ -42,25 +42,25 @@
 
 
 class HeartbeatAttemptsRequest(msgspec.Struct, tag="knocks", tag_field="kind"):
-    """Asked by a leader that gets no heartbeats: whether workers send them elsewhere."""
+    """A leader that receives no heartbeats asks whether workers send them to a peer."""
 
     within_ms: int
 
 
 class HeartbeatAttemptsReply(msgspec.Struct):
-    """How often each machine sent a heartbeat here within that time."""
+    """How many heartbeats each machine has sent to this controller within `within_ms`."""
 
     machines: dict[str, int]
 
 
 class LeaseGrantCall(msgspec.Struct, tag="promise", tag_field="kind"):
-    """A request not to stand for leader for a limited time; see `election/`."""
+    """Carries a `LeaseGrantRequest`, which asks the peer not to campaign for a limited time."""
 
     request: LeaseGrantRequest
 
 
 class VersionRequest(msgspec.Struct, tag="version", tag_field="kind"):
-    """Asked of every controller until it answers; versions up to 0.2.0 refuse it."""
+    """Sent to every controller until it answers; versions up to 0.2.0 refuse it."""
 
 
 class VersionReply(msgspec.Struct):
@@ -70,16 +70,19 @@
 
 
 class HoldsTermRequest(msgspec.Struct, tag="holding", tag_field="kind"):
-    """Asked by a controller that has just started: whether a leader may rely on a lease grant of
-    its former process. Versions before 0.4.0 refuse it."""
+    """Asks whether a controller holds a term.
+
+    A controller that has just started asks this, since a leader may still rely on a lease grant of
+    its former process. Versions before 0.4.0 refuse the request.
+    """
 
 
 class HoldsTermReply(msgspec.Struct):
     """Whether the controller holds a term, by its lease or by lease grants.
 
     `quiet_ms` is for how long it has certainly answered no worker in a term of its own: since its
-    last term ended, or since its process began, up to MAX_NO_ANSWERS. Versions before 0.6.0 leave
-    it out.
+    last term ended or its process started, but at most `MAX_NO_ANSWERS`. Versions before 0.6.0
+    leave it out.
     """
 
     holds: bool
@@ -111,7 +114,7 @@
 
 
 class MalformedError(Exception):
-    """The data are no valid message."""
+    """The data is not a valid message."""
 
 
 def encode(message: PeerRequest | PeerReply) -> bytes:
@@ -119,9 +122,13 @@
     return cbor2.dumps(msgspec.to_builtins(message, builtin_types=(bytes,)))
 
 
-def decode(data: bytes, kind: Any) -> Any:  # noqa: ANN401 - a union is no type to the checker
-    """Decode and check a message."""
+def decode(data: bytes, message_type: Any) -> Any:  # noqa: ANN401 - may be a union of types
+    """Decode a message of type `message_type`.
+
+    Raises:
+        MalformedError: the data is not a valid message of this type.
+    """
     try:
-        return msgspec.convert(cbor2.loads(data), kind, builtin_types=(bytes,))
+        return msgspec.convert(cbor2.loads(data), message_type, builtin_types=(bytes,))
     except (cbor2.CBORDecodeError, msgspec.ValidationError, ValueError, RecursionError) as error:
         raise MalformedError(str(error)) from error
--- a/dappledrum/recovery/__init__.py
+++ b/dappledrum/recovery/__init__.py
@@ -1,1 +1,1 @@
-"""The beginning of a term, when stored records are known but machines have not reported yet."""
+"""Recovery at the start of a term, while records are read but machines have sent no heartbeats."""
--- a/dappledrum/recovery/test_last_answers.py
+++ b/dappledrum/recovery/test_last_answers.py
@@ -1,5 +1,9 @@
-"""Since when nobody can have answered a worker: what ends with the controllers is proven
-terminated a lease after that, not a lease after the next leader's term has begun."""
+"""Tasks on silent machines are declared lost one lease after the last possible answer of any
+controller to a worker, not one lease after the next leader's term has begun.
+
+If that moment were taken too early, a task that still runs would be declared lost, and would be
+started a second time.
+"""
 
 import asyncio
 import random
@@ -12,33 +16,39 @@
 from dappledrum.simulation.virtual_time import run
 from dappledrum.workers.attempt_ends import AttemptEnds
 
-LEASE = 9.0
+LEASE_S = 9.0
 
 
 @pytest.fixture
-def proofs(monkeypatch):
-    """Each proof by silence is recorded with its time, and compared with what is on the machine: a
-    loop of the leader would only log a failure and go on."""
-    found, clusters, wrong = [], [], []
+def losses_by_silence(monkeypatch):
+    """Record each loss that is declared because of silence, with its time, and compare it with the
+    attempts on the machine.
+
+    The check comes at the end, since the leader's loops would only log a failed assertion. Yields
+    the losses, and the list to which a test adds its cluster.
+    """
+    losses, clusters, false_losses = [], [], []
     lose = AttemptEnds.lose
 
-    def checked(self, machine, placement, reason, entry):
+    def checked_lose(self, machine, placement, reason, entry):
         rented = clusters[-1].cloud.machines.get(machine.name)
         key = (f"{placement.page.job.id}/{placement.task}", placement.attempt)
         if "silent" in reason:
-            found.append((asyncio.get_running_loop().time(), machine.name))
-            on = rented.worker.attempts.get(key) if rented is not None and rented.worker else None
-            if on is not None and on.state != "ended":
-                wrong.append(f"{key} is on {machine.name}")
+            losses.append((asyncio.get_running_loop().time(), machine.name))
+            found = (
+                rented.worker.attempts.get(key) if rented is not None and rented.worker else None
+            )
+            if found is not None and found.state != "ended":
+                false_losses.append(f"{key} is on {machine.name}")
         lose(self, machine, placement, reason, entry)
 
-    monkeypatch.setattr(AttemptEnds, "lose", checked)
-    yield found, clusters
-    assert not wrong
+    monkeypatch.setattr(AttemptEnds, "lose", checked_lose)
+    yield losses, clusters
+    assert not false_losses
 
 
-async def busy(clusters, seed):
-    cluster = SimulatedCluster(seed=seed, members=FIVE, lease_s=LEASE)
+async def start_busy_cluster(clusters, seed):
+    cluster = SimulatedCluster(seed=seed, members=FIVE, lease_s=LEASE_S)
     clusters.append(cluster)
     await cluster.until(lambda: cluster.leader() is not None)
     for number in range(6):
@@ -48,32 +58,30 @@
     return cluster
 
 
-def hang(cluster, share):
-    for worker in cluster.cloud.workers()[::share]:
+def hang_every_nth_worker(cluster, n):
+    for worker in cluster.cloud.workers()[::n]:
         worker.hung = True
 
 
-def test_what_ends_with_all_controllers_is_proven_terminated_a_lease_later(
-    proofs,
-):
-    """They come back in an outage, so the next leader begins seconds later."""
-    found, clusters = proofs
+def test_tasks_are_declared_lost_one_lease_after_all_controllers_restarted(losses_by_silence):
+    """The controllers restart during a store outage, so the next term begins seconds later."""
+    losses, clusters = losses_by_silence
 
     async def main():
-        cluster = await busy(clusters, 1)
+        cluster = await start_busy_cluster(clusters, 1)
         cluster.store.out = True
         await cluster.wait(1)
-        hang(cluster, 2)
+        hang_every_nth_worker(cluster, 2)
         await cluster.restart_all(3.0)
-        back = asyncio.get_running_loop().time()
+        restarted_at = asyncio.get_running_loop().time()
         await cluster.wait(5)
         cluster.store.end_outage()
         await cluster.until(lambda: cluster.leader() is not None)
-        began = asyncio.get_running_loop().time()
-        assert began > back + 5
-        await cluster.wait(back + LEASE + 2.5 - began)
-        assert found
-        assert max(at for at, _ in found) < back + LEASE + 2.5
+        leader_since = asyncio.get_running_loop().time()
+        assert leader_since > restarted_at + 5
+        await cluster.wait(restarted_at + LEASE_S + 2.5 - leader_since)
+        assert losses
+        assert max(at for at, _ in losses) < restarted_at + LEASE_S + 2.5
         for worker in cluster.cloud.workers():
             worker.hung = False
         await cluster.finish([f"j-{n:06d}" for n in range(6)], most=400)
@@ -82,13 +90,13 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_no_running_task_is_proven_terminated(proofs, seed):
-    """Leaders that exit, are paused, go on by lease grants and are cut off, while machines are cut
-    off too, and go on at any moment: at each proof nothing is on the machine."""
-    _, clusters = proofs
+def test_no_running_task_is_declared_lost(losses_by_silence, seed):
+    """Leaders exit, are paused, and go on by lease grants, while machines are cut off from all
+    controllers and reconnected: a task that is declared lost no longer runs on its machine."""
+    _, clusters = losses_by_silence
 
     async def main():
-        cluster = await busy(clusters, seed)
+        cluster = await start_busy_cluster(clusters, seed)
         rng = random.Random(seed)
         for _ in range(5):
             for name in rng.sample(sorted(cluster.cloud.machines), 2):
@@ -96,12 +104,12 @@
                     cluster.network.cut(member, name)
             await cluster.wait(rng.uniform(0, 2))
             leader = cluster.leader()
-            what = rng.choice(("end", "end", "all", "outage", "freeze"))
-            if what == "end" and leader is not None:
+            fault = rng.choice(("end", "end", "all", "outage", "freeze"))
+            if fault == "end" and leader is not None:
                 await cluster.restart(leader, rng.choice((0.0, 0.3, 2.0)))
-            elif what == "all":
+            elif fault == "all":
                 await cluster.restart_all(rng.uniform(0, 4))
-            elif what == "freeze" and leader is not None:
+            elif fault == "freeze" and leader is not None:
                 cluster.freeze(leader)
                 await cluster.wait(rng.uniform(2, 8))
                 cluster.thaw(leader)
@@ -111,7 +119,7 @@
                 await cluster.restart(rng.choice(FIVE), 0.3)
                 await cluster.wait(rng.uniform(1, 6))
                 cluster.store.end_outage()
-            await cluster.wait(rng.uniform(1, LEASE + 2))
+            await cluster.wait(rng.uniform(1, LEASE_S + 2))
             cluster.network.heal()
             await cluster.wait(2)
         await cluster.finish([f"j-{n:06d}" for n in range(6)], most=600)
@@ -119,13 +127,16 @@
     run(main())
 
 
-def test_a_leader_that_others_are_not_aware_of_may_still_answer(proofs):
-    """Leader and two others are refused and go on by lease grants, two are served and lead, and
-    the two sides can't talk: what the two hear of each other says nothing of the three."""
-    _, clusters = proofs
+def test_a_new_leader_does_not_assume_that_an_unreachable_former_leader_is_silent(
+    losses_by_silence,
+):
+    """The store refuses the leader and two followers, which go on by lease grants, and serves the
+    two others, one of which becomes leader. The two sides can't reach each other, so the new
+    leader can't find out since when the former one has answered no worker."""
+    _, clusters = losses_by_silence
 
     async def main():
-        cluster = await busy(clusters, 3)
+        cluster = await start_busy_cluster(clusters, 3)
         leader, others = two_sides(cluster)
         for worker in cluster.cloud.workers()[::2]:  # these reach only the former leader
             for member in others:
@@ -141,11 +152,13 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_a_leader_answered_until_it_transferred_leadership(proofs, seed):
-    _, clusters = proofs
+def test_a_leader_that_transfers_leadership_has_answered_until_then(losses_by_silence, seed):
+    """If a moment before the transfer counted as its last answer, tasks of workers that it answered
+    since would be declared lost too early."""
+    _, clusters = losses_by_silence
 
     async def main():
-        cluster = await busy(clusters, seed)
+        cluster = await start_busy_cluster(clusters, seed)
         await cluster.wait(12)
         leader = cluster.leader()
         for worker in cluster.cloud.workers()[::2]:
@@ -153,7 +166,7 @@
                 cluster.network.cut(member, worker.name)
         cluster.store.refused.add(leader)
         await cluster.until(lambda: cluster.leader() not in (None, leader), most=10)
-        await cluster.wait(LEASE - 4)
+        await cluster.wait(LEASE_S - 4)
         cluster.network.heal()
         cluster.store.refused.clear()
         await cluster.finish([f"j-{n:06d}" for n in range(6)], most=400)
--- a/dappledrum/recovery/test_reconciliation.py
+++ b/dappledrum/recovery/test_reconciliation.py
@@ -1,5 +1,8 @@
-"""Heartbeat against record, at the start of a term: the table of docs/recovery.md as a plain
-model, and the real reconciler on everything that the two can say of one task on one machine."""
+"""Reconciliation of heartbeats with records at the start of a term.
+
+The table of docs/recovery.md, written as a plain function, is compared with the real reconciler
+for every combination of what a record and a heartbeat can show of one task on one machine.
+"""
 
 import itertools
 from datetime import UTC, datetime
@@ -32,62 +35,69 @@
     done: bool  # its end is stored
     cancelled: bool
     session: int  # of the heartbeat
-    held_back: bool  # the heartbeat was sent under a predecessor
-    shown: tuple[int, str, str | None] | None  # attempt, state, cause
+    from_former_term: bool  # the heartbeat has the token of a former leader
+    shown: tuple[int, str, str | None] | None  # attempt, state and cause in the heartbeat
 
 
 class Outcome(NamedTuple):
-    """What follows at the first heartbeat, and the commands in its answer."""
+    """The state of the task after the first heartbeat, and the commands in the answer."""
 
-    placed: bool  # it still counts as on the machine
+    placed: bool  # it still counts as placed on the machine
     done: bool
     instruction: str | None
 
 
 def expected_outcome(case: Case) -> Outcome:
-    """The table of docs/recovery.md."""
+    """Return the outcome by the table of docs/recovery.md."""
     placed, done = case.recorded is not None, case.done
     attempt, recorded_in = case.recorded or (0, 0)
-    mine = case.shown is not None and placed and case.shown[0] == attempt
+    recorded_shown = case.shown is not None and placed and case.shown[0] == attempt
     ended = case.shown is not None and case.shown[1] == "ended"
     unstored = False
     if ended and case.shown[2] == "done" and not done:
-        done = unstored = True  # the result is kept by the worker, whoever started it
-    if mine and ended:
+        done = unstored = True  # the worker has the result, whichever leader started the attempt
+    if recorded_shown and ended:
         placed = False
         unstored = True
     if placed and recorded_in < case.session:
-        placed = False  # the worker has killed all of that session
+        placed = False  # the worker has killed all tasks of the recorded session
         unstored = True
     unwanted = case.cancelled or done
-    if placed and unwanted and not mine and not case.held_back and recorded_in == case.session:
-        placed = False  # never begun there, or terminated
+    if (
+        placed
+        and unwanted
+        and not recorded_shown
+        and not case.from_former_term
+        and recorded_in == case.session
+    ):
+        placed = False  # never started there, or terminated
         unstored = True
     instruction = None
     if case.shown is not None and ended:
-        instruction = None if (placed and mine) or unstored else "forget"
+        instruction = None if (placed and recorded_shown) or unstored else "forget"
     elif case.shown is not None:
-        instruction = None if placed and mine and not unwanted else "stop"
+        instruction = None if placed and recorded_shown and not unwanted else "stop"
     if (
         instruction is None
         and placed
-        and not mine
+        and not recorded_shown
         and not unwanted
         and recorded_in == case.session
     ):
-        instruction = "start"  # as recorded; repeated, it changes nothing
+        instruction = "start"  # of the recorded attempt; repeating it changes nothing
     if (
         instruction == "stop"
         and placed
-        and not mine
+        and not recorded_shown
         and not unwanted
         and recorded_in == case.session
     ):
-        instruction = "stop, start"  # the other goes first; until then the worker refuses this one
+        # The worker refuses the recorded attempt until the other one has been stopped.
+        instruction = "stop, start"
     if (
         instruction == "forget"
         and placed
-        and not mine
+        and not recorded_shown
         and not unwanted
         and recorded_in == case.session
     ):
@@ -96,25 +106,27 @@
 
 
 def actual_outcome(case: Case) -> Outcome:
-    """What the reconciler makes of it, after it has restored a predecessor's record."""
+    """Return the outcome of the real reconciler, after it has restored a predecessor's record."""
 
     async def main() -> Outcome:
         spec = {key: value for key, value in job(1, beats=1).items() if key != "runS"}
-        own = Job(JobRecord(msgspec.convert(spec, Spec), 0, 256, PageRecord()), 1)
-        page = own.page(0)
+        restored_job = Job(JobRecord(msgspec.convert(spec, Spec), 0, 256, PageRecord()), 1)
+        page = restored_job.page(0)
         if case.done:
             page.finish(0)
         if case.recorded is not None:
             page.place(0, "m", case.recorded[1], "a", datetime.now(UTC), case.recorded[0])
         page.stored_revision = page.revision
-        own.cancelled = case.cancelled
+        restored_job.cancelled = case.cancelled
         limits = WorkerLimits(1.0, 9.0, 30.0)
-        context = ReconciliationContext({own.id: own}, MachineRegistry(), limits, Clock(), TOKEN)
+        context = ReconciliationContext(
+            {restored_job.id: restored_job}, MachineRegistry(), limits, Clock(), TOKEN
+        )
         ledger = Ledger(context.registry, context.clock)
         reconciler = Reconciler(context, Estimates(), ledger, Mock(spec=ReconciliationObserver))
-        reconciler.restore(own)
+        reconciler.restore(restored_job)
         tasks = [] if case.shown is None else [TaskStatus("j-000001/0", *case.shown)]
-        token = TOKEN - 1 if case.held_back else TOKEN
+        token = TOKEN - 1 if case.from_former_term else TOKEN
         heartbeat = WorkerHeartbeat(
             "m", "10.1.0.1:1", "small", "a", True, case.session, 7, token, None, tasks
         )
@@ -150,11 +162,12 @@
         [False, True],
         SHOWN,
     )
-    if not (values[0] is not None and values[1])  # one change stores the end and removes the place
+    # One change stores the end and removes the placement, so no task has both.
+    if not (values[0] is not None and values[1])
 ]
 
 
-def test_everything_that_a_heartbeat_and_a_record_can_say_of_a_task():
+def test_the_reconciler_follows_the_table_for_every_record_and_heartbeat():
     different = [case for case in CASES if actual_outcome(case) != expected_outcome(case)]
     assert len(CASES) > 500
     assert not different, (
@@ -164,9 +177,9 @@
 
 
 @pytest.mark.parametrize("case", CASES[::7])
-def test_nothing_is_started_that_may_be_elsewhere_or_has_ended(case):
-    """Whatever the table says: a start is for what is recorded here, in this session, and not
-    done or cancelled; a forget is for what is stored."""
+def test_only_recorded_tasks_of_this_session_that_have_not_ended_are_started(case):
+    """Independently of the table: a start is only for a task that is recorded on this machine in
+    this session, and is not done or cancelled; a forget is only for a stored end."""
     outcome = actual_outcome(case)
     if outcome.instruction is not None and "start" in outcome.instruction:
         assert outcome.placed
