--- a/dappledrum/recovery/test_last_answers.py
+++ b/dappledrum/recovery/test_last_answers.py
@@ -153,8 +153,8 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_a_leader_that_transfers_leadership_has_answered_until_then(losses_by_silence, seed):
-    """If a moment before the transfer counted as its last answer, tasks of workers that it answered
-    since would be declared lost too early."""
+    """If its last answer were assumed to be earlier than the transfer, tasks of workers that it
+    answered in between would be declared lost too early."""
     _, clusters = losses_by_silence
 
     async def main():
