--- a/dappledrum/controller/election_host.py
+++ b/dappledrum/controller/election_host.py
@@ -46,5 +46,5 @@
     def all_peers_pre_vote(self) -> bool:
         """Whether all peers are known to run a version that asks for pre-votes."""
         return self.peer_heartbeats and (
-            len(self.membership.heartbeat_peers) == len(self.peers.callers)
+            len(self.membership.heartbeat_peers) == len(self.peers.clients)
         )
--- a/dappledrum/controller/peer_versions.py
+++ b/dappledrum/controller/peer_versions.py
@@ -51,10 +51,10 @@
         stored = False
         pause = FIRST_PAUSE
         while True:
-            for member in self.peers.callers:
+            for member in self.peers.clients:
                 if not self._supports(member, MIN_VERSION_WITH_HEARTBEATS):
                     await self._ask(member)
-            if len(self.versions) == len(self.peers.callers):
+            if len(self.versions) == len(self.peers.clients):
                 self.value_limit.reduce("all controllers read them")
             if self._all_support(MIN_VERSION_WITH_GANGS):
                 self.job_api.gangs = True
@@ -68,7 +68,7 @@
         return at_least(self.versions.get(member, ""), version)
 
     def _all_support(self, version: tuple[int, ...]) -> bool:
-        return all(self._supports(member, version) for member in self.peers.callers)
+        return all(self._supports(member, version) for member in self.peers.clients)
 
     async def _ask(self, member: str) -> None:
         version = await self.peers.version(member, VERSION_TIMEOUT)
--- a/dappledrum/controller/previous_grants.py
+++ b/dappledrum/controller/previous_grants.py
@@ -17,7 +17,7 @@
     the time that a restart of all controllers takes.
     """
     while elector.voter.restart_wait_until > elector.clock.now():
-        if peers.callers and await peers.no_term_held(HOLDS_TERM_TIMEOUT):
+        if peers.clients and await peers.no_term_held(HOLDS_TERM_TIMEOUT):
             elector.skip_restart_wait()
             return
         await asyncio.sleep(HOLDS_TERM_TIMEOUT.total_seconds())
--- a/dappledrum/controller/user_endpoint.py
+++ b/dappledrum/controller/user_endpoint.py
@@ -102,7 +102,7 @@
         relay = Relay(request.method, request.path, request.body)
         asked = [
             asyncio.ensure_future(self.peers.relay(member, relay, RELAY_TIMEOUT))
-            for member in self.membership.served_peers()[:MAX_RELAY_PEERS] or self.peers.callers
+            for member in self.membership.served_peers()[:MAX_RELAY_PEERS] or self.peers.clients
         ]
         try:
             for done in asyncio.as_completed(asked):
--- a/dappledrum/membership/monitor.py
+++ b/dappledrum/membership/monitor.py
@@ -46,12 +46,12 @@
         self.silent_zones = silent_zones
         #: Peers whose version supports heartbeats.
         self.heartbeat_peers: set[str] = set()
-        self.table = PeerTable(context.member, context.peers.callers)
+        self.table = PeerTable(context.member, context.peers.clients)
         self.started_at = self.clock.now()
         self.incarnation = int(self.clock.utc_now().timestamp() * 1000)
         #: When the last heartbeat of any peer was received.
         self.received_at: timedelta | None = None
-        self._send_now = {peer: asyncio.Event() for peer in context.peers.callers}
+        self._send_now = {peer: asyncio.Event() for peer in context.peers.clients}
 
     def own_heartbeat(self) -> PeerHeartbeat:
         """This controller's own heartbeat, of this moment."""
--- a/dappledrum/membership/service.py
+++ b/dappledrum/membership/service.py
@@ -60,7 +60,7 @@
             context, self.monitor, self.zones, self.silent_zones, worker_probe
         )
         self._cloud_prober = CloudProber(context, self.monitor, cloud)
-        self._peers = list(context.peers.callers)
+        self._peers = list(context.peers.clients)
 
     async def run(self) -> None:
         """Run all background tasks, for ever."""
--- a/dappledrum/peers/client.py
+++ b/dappledrum/peers/client.py
@@ -45,8 +45,8 @@
 class Peers:
     """Sends requests to the other controllers, each of which is identified by its member name."""
 
-    def __init__(self, callers: dict[str, HttpClient]) -> None:
-        self.callers = callers
+    def __init__(self, clients: dict[str, HttpClient]) -> None:
+        self.clients = clients
         #: Why each peer has not granted the last lease request, as logged; empty if it has.
         self.refusals: dict[str, str] = {}
 
@@ -55,7 +55,7 @@
     ) -> Any:  # noqa: ANN401
         """Send a message to a peer; returns its decoded reply, None if there is no valid one."""
         try:
-            reply = await self.callers[member].request("POST", "/peer", encode(message), timeout)
+            reply = await self.clients[member].request("POST", "/peer", encode(message), timeout)
             return decode(reply.body, reply_type) if reply.status == 200 else None
         except (NoResponseError, MalformedError) as error:
             log.debug("peer %s gave no valid reply: %s", member, error)
@@ -67,10 +67,10 @@
         """Ask all peers for lease grants; a peer that does not answer has not granted."""
         asked = [
             self._ask(member, LeaseGrantCall(request), LeaseGrantReply, timeout)
-            for member in self.callers
+            for member in self.clients
         ]
         replies = await asyncio.gather(*asked)
-        for member, reply in zip(self.callers, replies, strict=True):
+        for member, reply in zip(self.clients, replies, strict=True):
             refusal = "no answer" if reply is None else "" if reply.granted else reply.reason
             if refusal and self.refusals.get(member) != refusal:
                 log.info("no lease grant from %s: %s", member, refusal)
@@ -102,7 +102,7 @@
         answered that it is."""
         asked = [
             asyncio.ensure_future(self._pre_vote(member, request, timeout))
-            for member in self.callers
+            for member in self.clients
         ]
         free, unsupported = 0, False
         try:
@@ -119,7 +119,7 @@
     async def _pre_vote(self, member: str, message: PreVote, timeout: timedelta) -> bool | None:
         """Whether a peer is free of lease grants; None if it does not support the request."""
         try:
-            reply = await self.callers[member].request("POST", "/peer", encode(message), timeout)
+            reply = await self.clients[member].request("POST", "/peer", encode(message), timeout)
             if reply.status == 400:
                 return None
             return bool(reply.status == 200 and decode(reply.body, PreVoteReply).free)
@@ -132,7 +132,7 @@
         `within`; of several controllers the largest number counts."""
         request = HeartbeatAttemptsRequest(int(within.total_seconds() * 1000))
         replies = await asyncio.gather(
-            *(self._ask(m, request, HeartbeatAttemptsReply, timeout) for m in self.callers)
+            *(self._ask(m, request, HeartbeatAttemptsReply, timeout) for m in self.clients)
         )
         result: dict[str, int] = {}
         for reply in replies:
@@ -156,7 +156,7 @@
 
     async def _holds_term_replies(self, timeout: timedelta) -> list[HoldsTermReply | None]:
         """Ask all peers whether they hold a term; None for a peer that does not answer."""
-        asked = [self._ask(m, HoldsTermRequest(), HoldsTermReply, timeout) for m in self.callers]
+        asked = [self._ask(m, HoldsTermRequest(), HoldsTermReply, timeout) for m in self.clients]
         replies: list[HoldsTermReply | None] = await asyncio.gather(*asked)
         return replies
 
