--- a/dappledrum/controller/peer_endpoint.py
+++ b/dappledrum/controller/peer_endpoint.py
@@ -124,7 +124,7 @@
         )
 
     def _holds_term(self) -> HoldsTermReply:
-        unanswered = min(self.elector.no_answers_for(), MAX_NO_ANSWERS)
+        unanswered = min(self.elector.time_without_answers(), MAX_NO_ANSWERS)
         # Also a term that may answer no worker just now, as its reading of cancellations is too
         # old: after the next reading it may again.
         holds = self.elector.term is not None
--- a/dappledrum/controller/term_runner.py
+++ b/dappledrum/controller/term_runner.py
@@ -101,7 +101,7 @@
         began = leader.term.started_at
         own = self.elector.last_possible_answer_at
         while clock.now() - began < MAX_NO_ANSWERS_QUERY:
-            unanswered = await self.clients.peers.no_answers_for(NO_ANSWERS_TIMEOUT)
+            unanswered = await self.clients.peers.time_without_answers(NO_ANSWERS_TIMEOUT)
             if unanswered is not None:
                 leader.no_answers_since(max(own, clock.now() - unanswered))
                 return
--- a/dappledrum/election/elector.py
+++ b/dappledrum/election/elector.py
@@ -100,7 +100,7 @@
         term = self.valid_term()
         return None if term is None or term.cancellations_known_at is None else term
 
-    def no_answers_for(self) -> timedelta:
+    def time_without_answers(self) -> timedelta:
         """For how long no worker can have been answered under a term of this controller."""
         if self.term is not None:
             return ZERO
--- a/dappledrum/peers/client.py
+++ b/dappledrum/peers/client.py
@@ -144,7 +144,7 @@
         """Whether all peers answer that they hold no term."""
         return all(r is not None and not r.holds for r in await self._holds_term_replies(timeout))
 
-    async def no_answers_for(self, timeout: timedelta) -> timedelta | None:
+    async def time_without_answers(self, timeout: timedelta) -> timedelta | None:
         """For how long no peer has answered a worker in a term of its own; None if a peer does not
         report it."""
         spans = []
