--- a/dappledrum/election/elector.py
+++ b/dappledrum/election/elector.py
@@ -69,7 +69,7 @@
         #: The last moment at which this process, or an earlier one of this controller, may have
         #: answered a worker.
         self.last_possible_answer_at = self.clock.now()
-        self._candidacy_delayed = False  # whether the delay of this vacancy was waited for
+        self._candidacy_delayed = False  # whether the delay was applied in this vacancy
         self._transfer_inbox = TransferInbox()
         self._leader_watch = LeaderWatch(self.store, self.lease_ttl * 2)
         self._former_leaders = FormerLeaderCheck(context, self.voter)
@@ -169,7 +169,7 @@
         grant of a former process, so there is nothing to wait for.
         """
         if self.voter.restart_wait_until > self.clock.now():
-            log.info("campaigns are allowed at once: no controller holds a term")
+            log.info("campaigns are allowed at once: no other controller holds a term")
             self.voter.restart_wait_until = self.clock.now()
 
     # Following and leading.
--- a/dappledrum/election/peer_lease_grants.py
+++ b/dappledrum/election/peer_lease_grants.py
@@ -52,8 +52,7 @@
         answers = await self.context.peers.request_lease_grants(
             self._request(term, sent), self.limits.ttl / 4
         )
-        # The term must have been valid without a break: one that has lapsed is never resumed by a
-        # lease grant.
+        # Checked again after the answers: a term that has lapsed is never resumed by a lease grant.
         if not self.is_valid(term):
             return
         if self._apply_confirmed(term, sent, answers.confirmed):
--- a/dappledrum/election/voter.py
+++ b/dappledrum/election/voter.py
@@ -2,10 +2,10 @@
 
 A leader that does not reach the store requests lease grants: its peers undertake not to campaign,
 and it goes on answering workers while a majority (itself included) or all of them grant. A
-candidate asks its peers in a pre-vote whether they are free of lease grants; until a majority is,
-it does not assume that a silent leader has stopped. Any two majorities share a controller, and
-that one can't do both: while it has granted a lease it is not free, and once it has answered a
-pre-vote that it is free, it gives no strong grant to lower epochs.
+candidate asks its peers in a pre-vote whether they are free of lease grants; until a majority says
+so, it does not assume that a silent leader has stopped. Any two majorities share a controller, and
+that one can't serve both: while its lease grant is valid it is not free, and once it has answered
+a pre-vote that it is free, it gives no strong grant to lower epochs.
 
 This module does no I/O and reads no clock; the model in `model/election.py` runs the same code.
 """
@@ -68,8 +68,8 @@
     def pre_vote(self, epoch: int, now: timedelta, leads: bool) -> PreVoteReply:
         """Answer the pre-vote of a candidate for this epoch.
 
-        The controller is free only if no leader can rely on a lease grant of it. After this answer
-        it gives no strong grant to a lower epoch.
+        The controller is free only if no leader can rely on a lease grant of it. Once it has
+        answered so, it gives no strong grant to a lower epoch.
         """
         if leads or now < self.campaign_allowed_at():
             return PreVoteReply(False)
