--- a/dappledrum/election/peer_lease_grants.py
+++ b/dappledrum/election/peer_lease_grants.py
@@ -52,7 +52,7 @@
         answers = await self.context.peers.request_lease_grants(
             self._request(term, sent), self.limits.ttl / 4
         )
-        # Checked again after the answers: a term that has lapsed is never resumed by a lease grant.
+        # Checked again after the answers: a lapsed term is never resumed by a lease grant.
         if not self.is_valid(term):
             return
         if self._apply_confirmed(term, sent, answers.confirmed):
--- a/dappledrum/leader/heartbeat_responder.py
+++ b/dappledrum/leader/heartbeat_responder.py
@@ -93,8 +93,8 @@
     ) -> Commands | None:
         """Return the answer to a heartbeat that is older than one already processed.
 
-        Such a heartbeat does not show that the worker is alive. The answer extends no lease: the
-        worker counts its lease from the sending of the heartbeat, and has sent a newer one since.
+        Such a heartbeat does not show that the worker is alive. The answer extends no lease: a
+        lease is counted from the sending of the heartbeat, and a newer one has already arrived.
         """
         if self.registry.get(heartbeat.machine) is None or not may_answer():
             return None
--- a/dappledrum/leader/job_loader.py
+++ b/dappledrum/leader/job_loader.py
@@ -33,7 +33,7 @@
         self.store = store
         self.jobs = jobs
         self.garbage = garbage
-        self.unreadable: set[str] = set()  # ids of jobs with an invalid record
+        self.quarantined: set[str] = set()  # ids of jobs with an invalid record
 
     async def read(self) -> int:
         """Replace all jobs by those that are stored; returns the revision to watch from."""
@@ -47,7 +47,7 @@
                 )
             )
         ]
-        self.unreadable.clear()
+        self.quarantined.clear()
         parts = self._spec_parts(specs)
         self.jobs.clear()
         self._add_jobs(jobs, parts)
@@ -72,7 +72,7 @@
             job_id = entry.key.removeprefix(JOB_PREFIX)
             record = self.decode(job_id, entry.value, JobRecord)
             spec_parts = parts.pop(job_id, {})
-            if record is None or job_id in self.unreadable:
+            if record is None or job_id in self.quarantined:
                 continue
             job = self.make_job(
                 record, entry.version, [spec_parts[number] for number in sorted(spec_parts)]
@@ -86,7 +86,7 @@
             _, job_id, index = entry.key.split("/")
             job = self.jobs.get(job_id)
             page = self.decode(job_id, entry.value, PageRecord)
-            if job_id in self.unreadable:
+            if job_id in self.quarantined:
                 continue
             if job is None:
                 self.garbage[entry.key] = None
@@ -104,7 +104,7 @@
             _, job_id, index, number = entry.key.split("/")
             job = self.jobs.get(job_id)
             record_rows = self.decode(job_id, entry.value, RowsRecord)
-            if job_id in self.unreadable:
+            if job_id in self.quarantined:
                 continue
             if job is None:
                 self.garbage[entry.key] = None
@@ -152,7 +152,7 @@
             return None
 
     def _quarantine(self, job_id: str, error: Exception) -> None:
-        if job_id not in self.unreadable:
+        if job_id not in self.quarantined:
             log.error("job %s is quarantined, one of its records is invalid: %s", job_id, error)
-        self.unreadable.add(job_id)
+        self.quarantined.add(job_id)
         self.jobs.pop(job_id, None)
--- a/dappledrum/leader/job_watch.py
+++ b/dappledrum/leader/job_watch.py
@@ -75,7 +75,7 @@
             return
         if job is not None and version <= job.page(0).version:
             return
-        if job_id in self.records.loader.unreadable:
+        if job_id in self.records.loader.quarantined:
             return
         record = self.records.loader.decode(job_id, value, JobRecord)
         if record is None:
--- a/dappledrum/leader/leader.py
+++ b/dappledrum/leader/leader.py
@@ -246,7 +246,7 @@
         return expected_heartbeats(self.registry, self.clock.now(), lease)
 
     async def flush_records(self, timeout: timedelta) -> None:
-        """Wait up to `timeout` until all changes are stored; called before a transfer."""
+        """Wait up to `timeout` until all changes are stored, before another controller leads."""
         deadline = self.clock.now() + timeout
         while self.record_writer.dirty and self.clock.now() < deadline:
             await asyncio.sleep(FLUSH_CHECK_INTERVAL.total_seconds())
--- a/dappledrum/leader/live_jobs.py
+++ b/dappledrum/leader/live_jobs.py
@@ -16,8 +16,8 @@
 
 
 class LiveJobs:
-    """Adds, cancels and removes live jobs; no other part changes `TermState.jobs` once the records
-    are read."""
+    """Adds, cancels and removes live jobs. Once the records are read, nothing else changes
+    `TermState.jobs`, except that `JobLoader` removes quarantined jobs."""
 
     def __init__(
         self,
