--- a/dappledrum/workers/__init__.py
+++ b/dappledrum/workers/__init__.py
@@ -1,1 +1,1 @@
-"""Machines as their heartbeats show them, and the commands they get."""
+"""Machine state as reported by worker heartbeats, and the commands sent to workers."""
--- a/dappledrum/workers/attempt_ends.py
+++ b/dappledrum/workers/attempt_ends.py
@@ -1,4 +1,4 @@
-"""What the end of an attempt means: success, failure, refusal or loss."""
+"""Processes the ends of attempts: success, failure, refusal or loss."""
 
 import logging
 from datetime import timedelta
@@ -10,9 +10,9 @@
 from dappledrum.scheduling.estimates import Estimates
 from dappledrum.workers.cost_recorder import CostRecorder
 from dappledrum.workers.failure_attribution import (
-    Verdict,
+    MachineHealth,
+    assess_machine,
     is_suspected,
-    judge,
     record_failure,
 )
 from dappledrum.workers.machine_registry import Machine
@@ -24,18 +24,18 @@
 
 log = logging.getLogger(__name__)
 
-#: How long a machine or job is left out after a refusal, and the first pause after failures.
-RETRY_PAUSE = timedelta(seconds=2)
-#: How long a machine is left out while the tasks that failed there are tried elsewhere.
-DOUBTFUL_PAUSE = timedelta(seconds=5)
+#: Pause of a machine or job after a refusal, and first pause of a job that fails everywhere.
+MIN_RETRY_PAUSE = timedelta(seconds=2)
+#: Pause of a machine while the tasks that failed there are tried elsewhere.
+SUSPECT_MACHINE_PAUSE = timedelta(seconds=5)
 MAX_RETRY_PAUSE = timedelta(seconds=60)
-#: The pause of a job that fails everywhere doubles after so many failures, so often at most.
+#: Failures after which the pause of a job that fails everywhere doubles.
 FAILURES_PER_DOUBLING = 3
 MAX_DOUBLINGS = 6
 
 
 class AttemptEnds:
-    """Carries the ends of attempts over to jobs, machines, estimates and accounts."""
+    """Records the ends of attempts in jobs, machines, estimates and accounts."""
 
     def __init__(
         self,
@@ -59,8 +59,7 @@
     ) -> None:
         """Process an attempt that a heartbeat shows as ended.
 
-        `placement` is None if the records don't name this attempt; its success counts all the
-        same.
+        `placement` is None if the records don't name this attempt; its success counts even then.
         """
         job = page.job
         now = self.context.clock.now()
@@ -68,9 +67,9 @@
             page.finish(task)
             self._record_success(machine, job, now)
             if placement is not None and placement.running_since is not None:
-                took = now - placement.running_since
+                run_time = now - placement.running_since
                 self.estimates.record_task_time(
-                    job.id, job.spec.job_class, job.spec.estimate, took
+                    job.id, job.spec.job_class, job.spec.estimate, run_time
                 )
             self.observer.planning_needed("task done")
         elif placement is not None:
@@ -84,12 +83,12 @@
     def lose(
         self, machine: Machine, placement: Placement, reason: str, category: CostCategory
     ) -> None:
-        """Give up a placement that is proven to be off its machine without an end.
+        """Remove a placement that is proven not to be on its machine any more, without an end.
 
-        `category` is the line of the accounts that its time is booked on.
+        `category` is the cost category that its time is assigned to.
         """
         log.info(
-            "%s/%d on %s is lost: %s", placement.page.job.id, placement.task, machine.name, reason
+            "%s/%d on %s was lost: %s", placement.page.job.id, placement.task, machine.name, reason
         )
         self.cost_recorder.settle(placement, category)
         self._remove(machine, placement)
@@ -110,58 +109,58 @@
             case Cause.ERROR:
                 self._record_failure(machine, job, now)
             case Cause.FULL | Cause.BUSY:
-                log.warning("%s refused %s: %s", machine.name, status.task, status.cause)
-                machine.blocked_until = now + RETRY_PAUSE
+                log.warning("%s refused %s: cause=%s", machine.name, status.task, status.cause)
+                machine.blocked_until = now + MIN_RETRY_PAUSE
             case Cause.UNKNOWN | Cause.PEERS | Cause.ALONE:
-                job.retry_at = now + RETRY_PAUSE
+                job.retry_at = now + MIN_RETRY_PAUSE
 
     def _record_success(self, machine: Machine, job: Job, now: timedelta) -> None:
-        """A task has completed, which clears both, and puts the blame on the machines where only
-        its job had failed so far."""
+        """Clear the failures of the job and of the machine after a success, and check the machines
+        where the job had failed: those failures now count against them."""
         machine.errors.clear()
         if not job.failures_by_machine:
             return
         if is_suspected(job):
-            log.warning("%s no longer fails everywhere", job.id)
+            log.warning("%s succeeded: no longer suspected of failing on all machines", job.id)
         registry = self.context.registry
-        elsewhere = [
+        failed_on = [
             m for name in job.failures_by_machine if (m := registry.get(name)) is not None
         ]
         job.failures_by_machine.clear()
-        for other in elsewhere:
+        for other in failed_on:
             if other is not machine:
                 self._check_machine(other, now)
 
     def _record_failure(self, machine: Machine, job: Job, now: timedelta) -> None:
-        """A task failed: either the machine is faulty, or the job fails everywhere."""
+        """Record that a task failed, and decide whether the machine or the job is at fault."""
         suspected_before = is_suspected(job)
         record_failure(job, machine)
         if not is_suspected(job):
             self._check_machine(machine, now)
             return
-        # Other jobs succeed on these machines, so it is the job. Try again, ever more rarely.
+        # The job fails on several machines, so the job is at fault: retry it less and less often.
         failures = sum(job.failures_by_machine.values())
         doublings = min(failures // FAILURES_PER_DOUBLING, MAX_DOUBLINGS)
-        job.retry_at = now + min(RETRY_PAUSE * 2**doublings, MAX_RETRY_PAUSE)
+        job.retry_at = now + min(MIN_RETRY_PAUSE * 2**doublings, MAX_RETRY_PAUSE)
         if not suspected_before:
             log.warning(
-                "%s fails on %d machines, tried rarely from now on",
+                "%s fails on all machines tried, retrying it less often: machines=%d",
                 job.id,
                 len(job.failures_by_machine),
             )
 
     def _check_machine(self, machine: Machine, now: timedelta) -> None:
-        verdict = judge(machine, self.context.jobs)
-        if verdict is Verdict.FAULTY and not machine.draining:
+        health = assess_machine(machine, self.context.jobs)
+        if health is MachineHealth.FAULTY and not machine.draining:
             machine.draining = True
-            log.warning("%s fails again and again, draining it", machine.name)
-        elif verdict is Verdict.DOUBTFUL:
-            # Elsewhere the same tasks will show whether it is the machine or the job.
-            machine.blocked_until = max(machine.blocked_until, now + DOUBTFUL_PAUSE)
+            log.warning("%s is draining: tasks fail on it repeatedly", machine.name)
+        elif health is MachineHealth.SUSPECT:
+            # Running the same tasks elsewhere shows whether the machine or the job is at fault.
+            machine.blocked_until = max(machine.blocked_until, now + SUSPECT_MACHINE_PAUSE)
 
 
 def _category_of_end(job: Job, status: TaskStatus) -> CostCategory:
-    """The line of the accounts for an attempt that has ended: whether its time was kept."""
+    """The cost category of an attempt that has ended."""
     if status.cause == Cause.DONE or status.saved:
         return CostCategory.KEPT
     if job.cancelled:
--- a/dappledrum/workers/commands.py
+++ b/dappledrum/workers/commands.py
@@ -1,7 +1,7 @@
 """The commands that a worker gets in the answer to a heartbeat.
 
-A start is sent only when the record that names the attempt is stored, and an end is forgotten only
-when it is stored.
+A start is sent only after the record that names the attempt is stored, and a worker is told to
+forget an ended attempt only after its end is stored.
 """
 
 from dappledrum.jobs.job import Job
@@ -16,14 +16,14 @@
     job_and_number,
 )
 
-#: No line of an answer may be longer than 64 KiB.
+#: Keeps each line of an answer below 64 KiB.
 MAX_COMMANDS = 400
-#: Saving may take this much longer than the owner has said.
-SAVE_MARGIN = 1.5
+#: Saving a checkpoint may take this many times as long as the owner stated.
+SAVE_TIME_FACTOR = 1.5
 
 
-def wanted(placement: Placement) -> bool:
-    """Whether an attempt should go on, or begin."""
+def should_run(placement: Placement) -> bool:
+    """Whether an attempt should start, or continue to run."""
     job = placement.page.job
     return not (
         job.finished or job.cancelled or placement.lost or placement.page.is_done(placement.task)
@@ -31,7 +31,7 @@
 
 
 def pending(machine: Machine) -> bool:
-    """Whether something is about to be stored that an answer to this machine could carry."""
+    """Whether a start that an answer to this machine could carry waits for its record."""
     return any(
         not placement.observed
         and placement.offered_sequence < 0
@@ -42,16 +42,16 @@
 
 
 class WorkerCommands:
-    """Works out commands from the records and a heartbeat."""
+    """Derives commands from the records and a heartbeat."""
 
     def __init__(self, jobs: dict[str, Job], clock: Clock) -> None:
         self.jobs = jobs
         self.clock = clock
 
     def of_cancellations(self, machine: Machine, heartbeat: WorkerHeartbeat) -> list[Command]:
-        """All that a leader commands whose term rests on lease grants alone: tasks of cancelled
-        jobs are stopped. Whoever leads next would do the same, as a cancellation is final; what an
-        end means for the records is left until they can be written."""
+        """Commands from a leader whose term depends on lease grants alone: stop the tasks of
+        cancelled jobs. A cancellation is final, so any later leader would do the same. Ended
+        attempts are not processed until the records can be written."""
         result: list[Command] = []
         for item in heartbeat.tasks:
             job = self.jobs.get(item.task.rpartition("/")[0])
@@ -63,7 +63,7 @@
         return result
 
     def of_records(self, machine: Machine, heartbeat: WorkerHeartbeat) -> list[Command]:
-        """Commands that follow from the records, for a leader whose lease is valid."""
+        """Commands that follow from the records, from a leader whose lease is valid."""
         result: list[Command] = []
         active: set[tuple[str, int]] = set()
         for item in heartbeat.tasks:
@@ -76,15 +76,16 @@
             if started or placement.session != heartbeat.session:
                 continue
             if len(result) >= MAX_COMMANDS:
-                break  # no line of an answer may be longer than 64 KiB; the rest comes next time
-            # Write ahead: the worker gets a start only when its record is stored.
-            if wanted(placement) and placement.page.stored_revision >= placement.revision:
+                break  # the rest is sent in the next answer
+            # Write ahead: a start is sent only after its record is stored.
+            if should_run(placement) and placement.page.stored_revision >= placement.revision:
                 placement.offered_sequence = max(placement.offered_sequence, heartbeat.sequence)
                 result.append(Command("start", placement.name, placement.attempt))
         return result
 
     def _for_item(self, machine: Machine, item: TaskStatus) -> Command | None:
-        """Stop what is not wanted, forget ends that are stored."""
+        """The command for one task in a heartbeat: stop it if it should not run, forget it if
+        its end is stored, or none."""
         name, number = job_and_number(item.task)
         job = self.jobs.get(name)
         placement = None if number is None else machine.placements.get((name, number))
@@ -94,7 +95,7 @@
             if placement is not None or self._unsaved(job, number):
                 return None  # the end is not stored yet
             return Command("forget", item.task, item.attempt)
-        if placement is not None and wanted(placement):
+        if placement is not None and should_run(placement):
             return None
         if placement is None or job is None or job.cancelled:
             return Command("stop", item.task, item.attempt, 0.0)
@@ -104,16 +105,16 @@
 
     @staticmethod
     def _unsaved(job: Job | None, number: int | None) -> bool:
-        """Whether something about this task, or one near it, is not stored yet."""
+        """Whether the page of this task has changes that are not stored yet."""
         if job is None or number is None or number >= job.spec.tasks:
             return False
         return job.page_of(number).dirty
 
     def _grace_s(self, machine: Machine, job: Job) -> float:
-        """Seconds that a task gets to save its progress before it is stopped."""
+        """Seconds that a task gets to save its progress when it is stopped."""
         if job.spec.checkpoint_s <= 0:
             return 0.0
-        grace = job.spec.save_s * SAVE_MARGIN + 1
+        grace = job.spec.save_s * SAVE_TIME_FACTOR + 1
         if machine.recall_at is None:
             return grace
         left = (machine.recall_at - self.clock.now()).total_seconds()
--- a/dappledrum/workers/cost_recorder.py
+++ b/dappledrum/workers/cost_recorder.py
@@ -1,4 +1,4 @@
-"""Where the run time of attempts is settled when they end."""
+"""Interface to the accounting of what attempts cost."""
 
 from typing import Protocol
 
@@ -7,7 +7,7 @@
 
 
 class CostRecorder(Protocol):
-    """Accounts for what attempts have cost, as `accounting.ledger.Ledger` does."""
+    """Accounts for the cost of attempts; implemented by `accounting.ledger.Ledger`."""
 
     def settle(self, placement: Placement, category: CostCategory) -> None:
-        """Assign all that an ended attempt has cost to a category."""
+        """Assign the whole cost of an ended attempt to a category."""
--- a/dappledrum/workers/failure_attribution.py
+++ b/dappledrum/workers/failure_attribution.py
@@ -1,10 +1,10 @@
-"""Whose fault a failed task is: the machine's, or the job's.
+"""Attributes the failure of a task to its machine or to its job.
 
-A job that was submitted with a mistake fails on every machine; a faulty machine fails every job.
-One heartbeat may bring the failures of many tasks of one job, so counting failures alone once
-drained sound machines for a broken job. What tells the two apart is on how many machines a job has
-failed since it last succeeded, and how many jobs that are not suspected themselves have failed on
-a machine since anything last succeeded there.
+A broken job fails on every machine, and on a faulty machine every job fails. One heartbeat may
+report failures of many tasks of one job, so counting failures alone once drained healthy machines
+because of a broken job. Two numbers distinguish the cases: on how many machines a job has failed
+since it last succeeded, and how many jobs that are not suspected themselves have failed on a
+machine since a task last succeeded there.
 """
 
 from collections.abc import Mapping
@@ -13,44 +13,45 @@
 from dappledrum.jobs.job import Job
 from dappledrum.workers.machine_registry import Machine
 
-MACHINE_ERRORS = 3
-FRESH_JOB_MACHINES = 2  # a job of which nothing has succeeded yet is suspected after so many
-PROVEN_JOB_MACHINES = 3
+MIN_FAILURES_ON_MACHINE = 3
+#: A job is suspected after failures on this many machines; a new one has had no success yet.
+MIN_FAILING_MACHINES_OF_NEW_JOB = 2
+MIN_FAILING_MACHINES_OF_PROVEN_JOB = 3
 
 
-class Verdict(Enum):
-    """What failures on a machine say about it."""
+class MachineHealth(Enum):
+    """What the failures on a machine say about it."""
 
-    SOUND = "sound"
-    DOUBTFUL = "doubtful"  # one job alone fails there, and has not been tried elsewhere
+    HEALTHY = "sound"
+    SUSPECT = "doubtful"  # one job alone fails there, and none of its tasks has succeeded
     FAULTY = "faulty"
 
 
 def is_suspected(job: Job) -> bool:
-    """Whether the job seems to fail wherever it is tried."""
+    """Whether the job seems to fail on every machine."""
     return len(job.failures_by_machine) >= (
-        PROVEN_JOB_MACHINES if job.done else FRESH_JOB_MACHINES
+        MIN_FAILING_MACHINES_OF_PROVEN_JOB if job.done else MIN_FAILING_MACHINES_OF_NEW_JOB
     )
 
 
 def record_failure(job: Job, machine: Machine) -> None:
-    """Count a failure of a task of the job on the machine."""
+    """Count the failure of one task of a job on a machine."""
     job.failures_by_machine[machine.name] = job.failures_by_machine.get(machine.name, 0) + 1
     machine.errors[job.id] = machine.errors.get(job.id, 0) + 1
 
 
-def judge(machine: Machine, jobs: Mapping[str, Job]) -> Verdict:
-    """What the failures since anything last succeeded on a machine say about it.
+def assess_machine(machine: Machine, jobs: Mapping[str, Job]) -> MachineHealth:
+    """Assess a machine by the failures since a task last succeeded on it.
 
-    `jobs` are the live jobs, by name.
+    `jobs` are the active jobs by name; failures of other or suspected jobs do not count.
     """
-    blamed = {
+    failures = {
         name: count
         for name, count in machine.errors.items()
         if (job := jobs.get(name)) is not None and not is_suspected(job)
     }
-    if sum(blamed.values()) < MACHINE_ERRORS:
-        return Verdict.SOUND
-    if len(blamed) > 1 or any(jobs[name].done for name in blamed):
-        return Verdict.FAULTY
-    return Verdict.DOUBTFUL
+    if sum(failures.values()) < MIN_FAILURES_ON_MACHINE:
+        return MachineHealth.HEALTHY
+    if len(failures) > 1 or any(jobs[name].done for name in failures):
+        return MachineHealth.FAULTY
+    return MachineHealth.SUSPECT
--- a/dappledrum/workers/heartbeat_attempts.py
+++ b/dappledrum/workers/heartbeat_attempts.py
@@ -1,7 +1,7 @@
-"""Which machines have sent heartbeats to this controller, whether it leads or not.
+"""Machines that have sent heartbeats to this controller, whether it leads or not.
 
-A leader that no worker reaches, while workers send heartbeats to other controllers, does harm: it
-keeps its lease while the leases of all tasks run out. It finds out by asking its peers which
+A leader that no worker reaches, while workers send heartbeats to other controllers, is harmful: it
+keeps leading while the leases of all workers expire. It detects this by asking its peers which
 machines have sent heartbeats to them.
 """
 
@@ -22,18 +22,18 @@
         self.recent: deque[tuple[timedelta, str]] = deque(maxlen=MAX_ATTEMPTS)
 
     def record(self, machine: str, now: timedelta) -> None:
-        """Record a heartbeat."""
+        """Record a heartbeat of a machine."""
         self.recent.append((now, machine))
         while self.recent[0][0] < now - ATTEMPT_RETENTION:
             self.recent.popleft()
 
     @property
     def last(self) -> timedelta | None:
-        """When the newest one came."""
+        """When the newest heartbeat arrived; None if there is none."""
         return self.recent[-1][0] if self.recent else None
 
     def within(self, span: timedelta, now: timedelta) -> dict[str, int]:
-        """Number of attempts within this time, by machine."""
+        """Number of heartbeats by machine in the last `span`."""
         result: dict[str, int] = {}
         for at, machine in reversed(self.recent):
             if at < now - span:
@@ -45,11 +45,13 @@
 def sending_heartbeats_elsewhere(
     elsewhere: dict[str, int], registry: MachineRegistry
 ) -> list[str]:
-    """Machines that the leader should have had heartbeats from by now.
+    """Machines that send heartbeats to peers although they should reach this leader.
 
-    These are machines that have sent a heartbeat to this leader before, or that came to the same
-    peer twice. The first heartbeat of a machine that has just come up is redirected to the leader,
-    and shows nothing.
+    These are machines that have sent a heartbeat to this leader before, or two to the same peer. A
+    single one proves nothing: the first heartbeat of a machine that has just come up is redirected
+    to the leader.
+
+    `elsewhere`: by machine, the most recent heartbeats that any one peer has received.
     """
     result = []
     for name, count in elsewhere.items():
--- a/dappledrum/workers/heartbeat_order.py
+++ b/dappledrum/workers/heartbeat_order.py
@@ -12,14 +12,16 @@
 def is_late_copy(
     machine: Machine, heartbeat: WorkerHeartbeat, context: ReconciliationContext, now: timedelta
 ) -> bool:
-    """Whether a heartbeat can only be a late copy, or one that was held back.
+    """Whether a heartbeat can only be a late copy, or one that was delayed.
 
-    It is if a newer one has come, which is so for all with an older token than one that was
-    shown. And it is if its session should have ended: in one that has never shown our token
-    nobody was answered since it began, or since the last moment at which a predecessor may have
-    answered, so it lasts a lease from then. A leader whose term has just begun is aware of
-    neither: to it a copy looks like a heartbeat, for a lease at the most. So the lease's clock may
-    run for longer than it must; a sign of life (`up`) it is not.
+    It is if a newer one has arrived, which is so for all with an older token than one that was
+    shown. It is also if its session must have ended: a session that has never shown this term's
+    token got no answer since it began, or since the last time at which a predecessor may have
+    answered, and lasts at most a lease from then.
+
+    A leader whose term has just begun can't apply either rule, so it accepts copies as heartbeats
+    for at most a lease. They may delay the expiry of the machine's lease, but don't make the
+    machine count as `up`.
     """
     if (heartbeat.session, heartbeat.sequence) <= (machine.session, machine.sequence):
         return True
--- a/dappledrum/workers/machine_registry.py
+++ b/dappledrum/workers/machine_registry.py
@@ -1,4 +1,4 @@
-"""Machines, as their heartbeats, the records and the cloud show them."""
+"""Machines, as reported by their heartbeats, the job records and the cloud."""
 
 import asyncio
 from collections import OrderedDict
@@ -18,19 +18,19 @@
 
     def __init__(self, name: str, kind: InstanceKind | None, now: timedelta) -> None:
         self.name = name
-        self.kind = (
-            kind  # None until somebody says: a placement by a predecessor names only the zone
-        )
+        # None until a heartbeat or the cloud reports it: a predecessor's placement names only the
+        # zone.
+        self.kind = kind
         self.rented_at = now
-        self.seen_at = now  # first time that this leader heard of it
-        self.asked_at: timedelta | None = None  # by this leader, until its boot is evaluated
+        self.seen_at = now  # when this leader first learned of it
+        #: When this leader rented it; reset when its boot time has been evaluated.
+        self.asked_at: timedelta | None = None
         self.up_at: timedelta | None = None
         self.session = 0
         self.sequence = -1
         self.token = 0
         self.last_heartbeat: timedelta | None = None
-        # The last moment at which the worker may have been answered, by this leader or by one
-        # before it.
+        # Latest time at which this leader or a predecessor may have answered the worker.
         self.last_answer = now
         self.recall_at: timedelta | None = None
         self.images: OrderedDict[str, float] = OrderedDict()
@@ -38,27 +38,27 @@
         self.returning = False
         self.draining = False
         self.failed = False
-        self.retiring = False  # a cheaper machine has taken its place; no new work
-        self.errors: dict[str, int] = {}  # failures by job, since the last success
+        self.retiring = False  # replaced by a cheaper machine; gets no new work
+        self.errors: dict[str, int] = {}  # number of failures by job, since the last success
         self.blocked_until = timedelta(0)
         self.listed_at: timedelta | None = None
-        self.listed_up = False  # the cloud's list has shown it as running
-        self.given = asyncio.Event()  # something was placed there
+        self.listed_up = False  # the cloud has listed it as running
+        self.given = asyncio.Event()  # set when a task is placed there
         self.reachability = Reachability()
-        #: Only a heartbeat that may be a late copy speaks of it: no capacity to plan on, and
-        #: nothing to remember. Records, the cloud's list, a rental or this term's token say more.
+        #: Known only from heartbeats that may be late copies: not used as capacity, and not
+        #: recorded. A record, the cloud's list, a rental or this term's token confirms a machine.
         self.unconfirmed = False
 
     @property
     def up(self) -> bool:
-        """Whether its worker has sent a heartbeat to this leader, and the heartbeat can't be a
-        late copy from a machine that has terminated: it carried this term's token, or the machine
-        was rented in this term, so that all its heartbeats came to this leader first."""
+        """Whether its worker has sent this leader a heartbeat that can't be a late copy from a
+        terminated machine: it carried this term's token, or the machine was rented in this term,
+        so that this leader was the first to receive its heartbeats."""
         return self.up_at is not None
 
     @property
     def awaiting_heartbeat(self) -> bool:
-        """It was up before this term, and has not sent a heartbeat in it yet."""
+        """Whether it was up before this term, and has not sent a heartbeat in it yet."""
         return self.listed_up and not self.up and self.asked_at is None
 
     @property
@@ -67,21 +67,21 @@
         return not (self.returning or self.draining or self.failed or self.retiring)
 
     def expired(self, now: timedelta, lease: timedelta) -> bool:
-        """Whether the worker has certainly ended its session: no answer can have reached it for
-        longer than a lease."""
-        # A machine that has just come up may not have been answered at all: what counts then is
-        # that it was heard.
-        heard = (
+        """Whether the worker has certainly ended its session, since no answer can have reached it
+        for longer than a lease."""
+        # A machine that has just come up may not have been answered yet; its last heartbeat counts
+        # then.
+        last_contact = (
             self.last_answer
             if self.last_heartbeat is None
             else max(self.last_answer, self.last_heartbeat)
         )
-        return now > heard + longest_local_span(lease) + LEASE_EXPIRY_MARGIN
+        return now > last_contact + longest_local_span(lease) + LEASE_EXPIRY_MARGIN
 
     def silent(
         self, now: timedelta, heartbeat_interval: timedelta, running_since: timedelta
     ) -> bool:
-        """Whether heartbeats are missing, so that no new work should be placed there. Time in
+        """Whether heartbeats are missing, so that no new work should be placed there. Time during
         which this controller was paused does not count."""
         if self.last_heartbeat is None:
             return True
@@ -90,8 +90,8 @@
         )
 
     def remember_image(self, image: str, size_gb: float, cache_gb: float) -> None:
-        """Record that the machine has fetched an image; it may have dropped the least recently
-        used ones."""
+        """Record that the machine has fetched an image; the least recently used ones that its
+        cache can't hold are forgotten."""
         self.images[image] = size_gb
         self.images.move_to_end(image)
         while len(self.images) > 1 and sum(self.images.values()) > cache_gb:
@@ -109,11 +109,11 @@
         return iter(list(self.machines.values()))
 
     def get(self, name: str) -> Machine | None:
-        """A machine that is known."""
+        """Return the machine, or None if it is not known."""
         return self.machines.get(name)
 
     def ensure(self, name: str, kind: InstanceKind | None, now: timedelta) -> Machine:
-        """A machine, created if necessary; its kind is set once it is known."""
+        """Return the machine, adding it if necessary; sets its kind if that was not known."""
         machine = self.machines.get(name)
         if machine is None:
             machine = self.machines[name] = Machine(name, kind, now)
@@ -122,13 +122,14 @@
         return machine
 
     def mostly_unreachable(self) -> bool:
-        """Whether most machines that are up seem to get no answers: then the fault is on this
-        side, and no machine is to blame."""
+        """Whether most machines that are up seem to get no answers, so that the fault is on this
+        controller's side."""
         up = [machine for machine in self.machines.values() if machine.up]
         return sum(machine.reachability.unreachable for machine in up) * 2 > len(up)
 
     def remove_terminated(self, name: str) -> None:
-        """Remove a machine that has terminated; late heartbeats of it must not bring it back."""
+        """Remove a machine that has terminated, and keep its name, so that its late heartbeats
+        don't add it again."""
         self.machines.pop(name, None)
         self.terminated[name] = None
         while len(self.terminated) > MAX_TERMINATED_NAMES:
--- a/dappledrum/workers/messages.py
+++ b/dappledrum/workers/messages.py
@@ -9,12 +9,12 @@
 
 from dappledrum.settings import Address
 
-Count = Annotated[int, Meta(ge=0)]  # msgspec bounds no integer by more than 63 bits
+Count = Annotated[int, Meta(ge=0)]  # no upper bound: msgspec supports none above 63 bits
 Text = Annotated[str, Meta(min_length=1, max_length=300)]
 
 
 class TaskState(StrEnum):
-    """State of a task on a machine."""
+    """State of a task attempt on a machine."""
 
     FETCHING = "fetching"
     WAITING = "gathering"
@@ -24,7 +24,7 @@
 
 
 class Cause(StrEnum):
-    """Why a task ended."""
+    """Why a task attempt ended."""
 
     DONE = "done"
     STOPPED = "stopped"
@@ -32,19 +32,19 @@
     FULL = "full"
     BUSY = "busy"
     UNKNOWN = "unknown"
-    PEERS = "peers"  # of a gang: another member was lost
-    ALONE = "alone"  # of a gang: the others did not come in time
+    PEERS = "peers"  # another member of the gang was lost
+    ALONE = "alone"  # the rest of the gang did not start in time
 
 
-#: Jobs have 100,000 tasks at the most; a longer number is not worth converting.
+#: A job has at most 100,000 tasks; a longer number is not converted.
 MAX_TASK_DIGITS = 7
-#: Names of tasks that are kept split up: some for each task that runs on a large fleet.
+#: Several entries for each task that runs on a large fleet.
 MAX_CACHED_TASK_NAMES = 8_000
 
 
 @lru_cache(maxsize=MAX_CACHED_TASK_NAMES)
 def job_and_number(task: str) -> tuple[str, int | None]:
-    """The name of a task's job, and the task's number: None if it is none that a job can have.
+    """Split a task name into the job name and the task number, which is None if not valid.
 
     Cached, since each heartbeat repeats the names of all tasks on its machine.
     """
@@ -60,7 +60,7 @@
 ):
     """One task in a heartbeat.
 
-    States and causes stay plain text: an unknown one must not spoil the heartbeat.
+    `state` and `cause` are plain text, so that an unknown value doesn't invalidate the heartbeat.
     """
 
     task: Text
@@ -85,7 +85,10 @@
         "tasks": "beats",
     },
 ):
-    """POST /hello."""
+    """Body of POST /hello: a worker's heartbeat.
+
+    `notice_s`: seconds until the cloud reclaims the machine, if it has announced that.
+    """
 
     machine: Text
     address: Address
@@ -104,7 +107,7 @@
     omit_defaults=True,
     rename={"op": "call", "task": "beat", "attempt": "take", "grace_s": "fadeS"},
 ):
-    """A command to a worker."""
+    """A command to a worker; `op` is `start`, `stop` or `forget`."""
 
     op: str
     task: str
@@ -120,7 +123,7 @@
 
 
 class Redirect(msgspec.Struct, omit_defaults=True, rename={"report_to": "conductor"}):
-    """Body of a 421: the controller to send heartbeats to; without one the worker tries the
-    next."""
+    """Body of a 421 response: the controller to send heartbeats to; if None, the worker tries the
+    next one."""
 
     report_to: str | None = None
--- a/dappledrum/workers/placement_comparison.py
+++ b/dappledrum/workers/placement_comparison.py
@@ -1,4 +1,4 @@
-"""Compares the tasks in a heartbeat with the placements in the records."""
+"""Compares the tasks in a heartbeat with the recorded placements of its machine."""
 
 import logging
 from datetime import timedelta
@@ -7,7 +7,7 @@
 from dappledrum.jobs.job import Job
 from dappledrum.jobs.placement import Placement
 from dappledrum.workers.attempt_ends import AttemptEnds
-from dappledrum.workers.commands import wanted
+from dappledrum.workers.commands import should_run
 from dappledrum.workers.machine_registry import Machine
 from dappledrum.workers.messages import TaskState, TaskStatus, WorkerHeartbeat, job_and_number
 from dappledrum.workers.reachability_updates import record_missed_answer, record_received_answer
@@ -15,7 +15,7 @@
 
 log = logging.getLogger(__name__)
 
-#: Image cache of a machine whose type the catalog does not name, in GB: never full.
+#: Image cache, in GB, of a machine type that is not in the catalog: never full.
 UNKNOWN_CACHE_GB = 1e9
 
 #: Job, task and attempt.
@@ -23,7 +23,7 @@
 
 
 class PlacementComparison:
-    """Brings the placements on a machine in step with its heartbeats."""
+    """Updates the placements on a machine from its heartbeats."""
 
     def __init__(self, context: ReconciliationContext, ends: AttemptEnds) -> None:
         self.context = context
@@ -47,14 +47,14 @@
             ):
                 self.ends.lose(machine, placement, "no longer there", CostCategory.LOST_STOPPED)
         if missed_start:
-            record_missed_answer(machine, "does not begin what it is given")
-        # Only once it has shown this term's token: before, old copies look like heartbeats that
-        # show neither the token nor what a predecessor has started since, and stopped what was
-        # running.
+            record_missed_answer(machine, "does not start its tasks")
+        # Only once the machine has shown this term's token. Until then old copies, which show
+        # neither the token nor what a predecessor has started since, once made the leader stop
+        # running tasks.
         if machine.reachability.unreachable and machine.up:
             for placement in machine.placements.values():
-                # Not offered any more, so the next heartbeat without it proves that it is not
-                # there.
+                # Its start is not sent any more, so the next heartbeat without it proves that it
+                # is not on the machine.
                 placement.lost |= not placement.observed
 
     def _process_shown(
@@ -90,7 +90,7 @@
     def _record_run(
         self, machine: Machine, job: Job, placement: Placement, now: timedelta
     ) -> None:
-        """Record that an attempt runs, and so has its image."""
+        """Record that an attempt runs, so that its image is in the machine's cache."""
         placement.running_since = now
         if not job.has_run:
             job.has_run = True
@@ -102,12 +102,13 @@
         machine.remember_image(job.spec.image, job.spec.image_gb, cache_gb)
 
     def _proves_termination(self, placement: Placement, heartbeat: WorkerHeartbeat) -> bool:
-        """Whether the absence of an attempt from a heartbeat of its session is proof: the worker
-        has processed or dropped the answer that carried the start, and gets no other."""
+        """Whether the absence of an attempt from a heartbeat of its session proves that it is not
+        on the machine: the worker has processed or dropped the answer that carried the start, and
+        no other answer carries it."""
         return (
             heartbeat.token == self.context.token
             and heartbeat.sequence > placement.offered_sequence
-            and (placement.observed or placement.lost or not wanted(placement))
+            and (placement.observed or placement.lost or not should_run(placement))
         )
 
 
--- a/dappledrum/workers/reachability.py
+++ b/dappledrum/workers/reachability.py
@@ -1,40 +1,40 @@
-"""Whether a machine gets our answers, as far as its heartbeats show it.
+"""Whether this controller's answers reach a machine, as far as its heartbeats show it.
 
 A link may deliver heartbeats but lose all answers. Such a machine looks alive: it sends heartbeats
-and shows its tasks, but carries out nothing. Its session ends every lease, with all tasks that
-were placed there. It is recognised by what only an answer can have caused:
+and lists its tasks, but carries out no commands. Its session ends once per lease, with all tasks
+that were placed there. It is detected by the absence of effects that only an answer can have:
 
 - A start that was sent in an answer is shown by the next heartbeat, at least as `fetching`. A
-  worker that has lost the answer does not show it. After `MAX_MISSED_ANSWERS` heartbeats in a row
-  the machine counts as unreachable.
-- A session ends only when no answer has arrived for a lease. If its heartbeats were answered all
-  along, the machine is unreachable. This does not hold if the heartbeats had stopped: then the
-  machine hung, or was cut off in both directions, and held back heartbeats may arrive together
+  worker that did not get the answer does not show it. After `MAX_MISSED_ANSWERS` heartbeats in a
+  row the machine counts as unreachable.
+- A session ends only when no answer has arrived for a lease. If its heartbeats were answered
+  throughout, the machine is unreachable. This does not hold if the heartbeats had stopped: the
+  machine then hung, or was cut off in both directions, and delayed heartbeats may arrive together
   afterwards.
 - The heartbeat after the first answer of this term carries its token.
 
-The machine counts as reachable again once a heartbeat shows one of these: what was sent, the
-token, or a session that is older than a lease, which is impossible without answers. All of this
-rests on the fact that only one heartbeat is under way at a time: the next one is sent when the
-answer to the former has been carried out or lost.
+The machine counts as reachable again once a heartbeat shows one of these: the start that was sent,
+the token, or a session that is older than a lease, which is impossible without answers. All of
+this relies on a worker sending one heartbeat at a time: it sends the next one when the answer to
+the previous one has been carried out or lost.
 """
 
 from datetime import timedelta
 
 from dappledrum.timing.clock import longest_local_span
 
-#: Heartbeats in a row that do not show what they must if the answers before them were heard. One
-#: is an answer that was lost or took more than the worker's patience.
+#: Heartbeats in a row without the effects of the answers before them. A single one may follow an
+#: answer that was lost, or that came after the worker's timeout.
 MAX_MISSED_ANSWERS = 2
-#: Share of a lease in which heartbeats may pause and still count as answered all along. A worker
-#: that gets no answer sends its heartbeats to one controller after the other, 5 s apart; one that
-#: was cut off both ways for so long that its session ended has not been heard for nearly a lease.
+#: Longest pause between heartbeats that still count as answered throughout, as a share of a lease.
+#: A worker that gets no answer tries the controllers in turn, 5 s apart; one that was cut off in
+#: both directions until its session ended has sent no heartbeat for nearly a lease.
 MAX_ANSWER_GAP_SHARE = 0.75
 LEASE_EXPIRY_MARGIN = timedelta(milliseconds=500)
 
 
 class Reachability:
-    """What heartbeats show about the answers to one machine in one term."""
+    """Whether answers reach one machine in one term, as shown by its heartbeats."""
 
     __slots__ = (
         "answered_at",
@@ -47,9 +47,9 @@
 
     def __init__(self) -> None:
         self.unreachable = False
-        self.session_at: timedelta | None = None  # its present session was first heard of
-        self.answered_at: timedelta | None = None  # the newest answer to a heartbeat in order
-        self.steady_at: timedelta | None = None  # since then its heartbeats were answered in order
+        self.session_at: timedelta | None = None  # when its current session was first seen
+        self.answered_at: timedelta | None = None  # when a heartbeat was last answered
+        self.steady_at: timedelta | None = None  # start of the answers without a long pause
         self.token_shown = False  # a heartbeat has carried this term's token
         self.missed_answers = 0
 
@@ -60,8 +60,10 @@
         self.answered_at = now
 
     def record_missed_answer(self) -> bool:
-        """Record a heartbeat that does not show what an earlier answer carried; True: the machine
-        counts as unreachable from now on."""
+        """Record a heartbeat without the effect of an earlier answer.
+
+        Returns True if the machine counts as unreachable from now on.
+        """
         self.missed_answers += 1
         if self.unreachable or self.missed_answers < MAX_MISSED_ANSWERS:
             return False
@@ -69,19 +71,21 @@
         return True
 
     def confirm_reachable(self) -> bool:
-        """Record a heartbeat that shows what only an answer can have caused; True: the machine
-        counted as unreachable until now."""
-        was = self.unreachable
+        """Record a heartbeat that shows an effect of an answer.
+
+        Returns True if the machine counted as unreachable until now.
+        """
+        was_unreachable = self.unreachable
         self.unreachable = False
         self.missed_answers = 0
-        return was
+        return was_unreachable
 
     def new_session(self, now: timedelta, lease: timedelta, running_since: timedelta) -> bool:
-        """Record that the machine's session has ended; True: although its heartbeats were
-        answered, so it counts as unreachable from now on.
+        """Record that the machine has begun a new session, so that the former one has ended.
 
-        Time in which this controller was paused does not count, since its answers may have come
-        too late.
+        Returns True if the heartbeats of the former session were answered, so that the machine
+        counts as unreachable from now on. Time during which this controller was paused does not
+        count, since its answers may have come too late.
         """
         answered, steady = self.answered_at, self.steady_at
         self.session_at = now
@@ -96,8 +100,7 @@
         return True
 
     def outlasts_lease(self, now: timedelta, lease: timedelta) -> bool:
-        """Whether the session is older than one can be that has got no answer since it began, or
-        since it was first heard of."""
+        """Whether the session is too old to have got no answer since it was first seen."""
         return (
             self.session_at is not None
             and now > self.session_at + longest_local_span(lease) + LEASE_EXPIRY_MARGIN
--- a/dappledrum/workers/reachability_updates.py
+++ b/dappledrum/workers/reachability_updates.py
@@ -1,4 +1,4 @@
-"""Updates whether a machine gets our answers, from each of its heartbeats."""
+"""Updates from each heartbeat whether answers reach its machine."""
 
 import logging
 from datetime import timedelta
@@ -13,7 +13,7 @@
 def update_reachability(
     machine: Machine, heartbeat: WorkerHeartbeat, context: ReconciliationContext, now: timedelta
 ) -> None:
-    """Compare a heartbeat with what the answers before it must have caused.
+    """Compare a heartbeat with the effects that the answers before it must have had.
 
     To be called before the machine's session and token are set to those of the heartbeat.
     """
@@ -23,22 +23,22 @@
         got_answer = reachability.token_shown = True
     if heartbeat.session > machine.session:
         if reachability.new_session(now, lease, context.running_since()):
-            log.warning("%s lost its session though it was answered", machine.name)
+            log.warning("%s ended its session although its heartbeats were answered", machine.name)
     elif heartbeat.token == context.token and reachability.outlasts_lease(now, lease):
         got_answer = reachability.unreachable
     elif heartbeat.token < context.token and reachability.answered_at is not None:
-        record_missed_answer(machine, "does not take this term's token on")
+        record_missed_answer(machine, "does not adopt this term's token")
     if got_answer:
         record_received_answer(machine)
 
 
 def record_missed_answer(machine: Machine, reason: str) -> None:
-    """Record that a heartbeat lacks what an earlier answer must have caused."""
+    """Record that a heartbeat lacks the effect of an earlier answer; `reason` is logged."""
     if machine.reachability.record_missed_answer():
-        log.warning("%s %s: its heartbeats arrive, but no answer reaches it", machine.name, reason)
+        log.warning("%s is unreachable: it sends heartbeats, but %s", machine.name, reason)
 
 
 def record_received_answer(machine: Machine) -> None:
-    """Record that a heartbeat shows what only an answer can have caused."""
+    """Record that a heartbeat shows an effect of an answer."""
     if machine.reachability.confirm_reachable():
-        log.info("%s gets answers again", machine.name)
+        log.info("%s is reachable again: it receives answers", machine.name)
--- a/dappledrum/workers/reconciler.py
+++ b/dappledrum/workers/reconciler.py
@@ -1,17 +1,18 @@
-"""What a heartbeat means for the records.
+"""Reconciles the records with the heartbeats of workers.
 
-An attempt counts as on its machine until it is proven terminated, by one of:
+An attempt counts as being on its machine until it is proven to have terminated, by one of:
 
 - a heartbeat that shows it ended;
-- a heartbeat without it that carries our own token (one held back under a predecessor proves
-  nothing) and is newer than the one whose answer carried the start (the worker has dropped that
-  answer by then);
+- a heartbeat without it that carries this term's token (one delayed from a predecessor's term
+  proves nothing) and is newer than the one whose answer carried the start (the worker has dropped
+  that answer by then);
 - a heartbeat of a newer session;
 - the cloud's confirmation that the machine was returned;
-- silence for longer than a lease, drift included, since the last answer that anyone can have
-  given: this leader, or one before it until the term of this one began, or, if a majority of the
+- silence for longer than a lease, clock drift included, since the last answer that any controller
+  can have given. A predecessor may have answered until this term began; if a majority of the
   controllers could not be asked then, until a majority has confirmed that it relies on no lease
-  grant; or until earlier, if all the others inform this leader since when they have had no term.
+  grant; or only until an earlier time, if all the others inform this leader since when they have
+  had no term.
 """
 
 import logging
@@ -42,7 +43,7 @@
 
 
 class Reconciler:
-    """Keeps placements and machines in step with the heartbeats."""
+    """Updates placements and machines from heartbeats and from missing ones."""
 
     def __init__(
         self,
@@ -61,19 +62,17 @@
         self.ends = AttemptEnds(context, estimates, cost_recorder, observer)
         self.comparison = PlacementComparison(context, self.ends)
         self.spot_reclaim = SpotReclaim(estimates, context.limits)
-        # No predecessor has answered a worker after this; None: not known.
+        # No predecessor has answered a worker since then; None: not known.
         self.predecessors_stopped_at: timedelta | None = None
 
     def set_cache_sizes(self, cache_gb: dict[str, float]) -> None:
         """Set the sizes of the image caches in GB, by machine type."""
         self.comparison.cache_gb = cache_gb
 
-    # heartbeats
-
     def process_heartbeat(self, heartbeat: WorkerHeartbeat) -> Machine | None:
-        """Bring the machine and its placements in step with a heartbeat.
+        """Update the machine and its placements from a heartbeat.
 
-        Returns None if it is older than one that has come before, or its machine has terminated.
+        Returns the machine, or None if the heartbeat is a late copy or its machine has terminated.
         """
         now = self.clock.now()
         if heartbeat.machine in self.registry.terminated:
@@ -83,7 +82,7 @@
             return None
         if heartbeat.session > machine.session and machine.up:
             machine.images.clear()
-            log.info("%s is in session %d now", machine.name, heartbeat.session)
+            log.info("%s began a new session: session=%d", machine.name, heartbeat.session)
         update_reachability(machine, heartbeat, self.context, now)
         machine.session = heartbeat.session
         machine.sequence = heartbeat.sequence
@@ -98,7 +97,7 @@
 
     def _machine_of(self, heartbeat: WorkerHeartbeat, now: timedelta) -> Machine:
         known = self.registry.get(heartbeat.machine)
-        only_recorded = known is None or known.kind is None  # a record has its name, and no more
+        only_recorded = known is None or known.kind is None  # records give only the name and zone
         machine = self.registry.ensure(
             heartbeat.machine, InstanceKind(heartbeat.type, heartbeat.zone, heartbeat.spot), now
         )
@@ -107,11 +106,17 @@
         return machine
 
     def _record_up(self, machine: Machine, heartbeat: WorkerHeartbeat, now: timedelta) -> None:
-        certain = heartbeat.token == self.context.token or machine.asked_at is not None
-        if certain and not machine.up:
+        confirmed = heartbeat.token == self.context.token or machine.asked_at is not None
+        if confirmed and not machine.up:
             machine.up_at = now
             machine.unconfirmed = False
-            log.info("%s is up (%s in %s)", machine.name, heartbeat.type, heartbeat.zone)
+            log.info(
+                "%s is up: type=%s zone=%s spot=%s",
+                machine.name,
+                heartbeat.type,
+                heartbeat.zone,
+                heartbeat.spot,
+            )
             self.observer.planning_needed("machine up")
 
     def _record_reclaim_notice(
@@ -124,11 +129,9 @@
             self.observer.planning_needed("spot notice")
         machine.recall_at = now + timedelta(seconds=heartbeat.notice_s)
 
-    # time
-
     def lose_expired(self) -> None:
-        """Give up what was on machines whose workers have certainly ended their session, and what
-        is left of gangs that have lost a part."""
+        """Remove the placements on machines whose workers have certainly ended their session, and
+        stop the rest of gangs that have lost a task."""
         now = self.clock.now()
         stop_broken_gangs(self.jobs.values())
         lease = self.limits.lease_duration
@@ -144,8 +147,7 @@
                 self._lose_all(machine, reason, CostCategory.LOST_LEASE_EXPIRED)
 
     def remove_returned(self, machine: Machine) -> None:
-        """Remove a machine, after the cloud's confirmation that it has terminated with all that
-        was on it."""
+        """Remove a machine and its placements, after the cloud has confirmed its return."""
         self._lose_all(machine, "the machine was returned", CostCategory.LOST_RECLAIMED)
         self.registry.remove_terminated(machine.name)
 
@@ -153,18 +155,16 @@
         for placement in list(machine.placements.values()):
             self.ends.lose(machine, placement, reason, category)
 
-    # the beginning of a term
-
     def no_answers_since(self, moment: timedelta) -> None:
-        """Record that no predecessor has answered any worker after this."""
+        """Record that no predecessor has answered any worker since `moment`."""
         self.predecessors_stopped_at = moment
         for machine in self.registry:
             if machine.last_heartbeat is None:
                 machine.last_answer = min(machine.last_answer, moment)
 
     def restore(self, job: Job) -> None:
-        """Continue with the placements of a predecessor, which may have answered any worker until
-        now."""
+        """Take over the placements of a job from a predecessor, which may have answered any worker
+        until now."""
         now = self.clock.now()
         stopped_at = self.predecessors_stopped_at
         for placement in job.placements():
--- a/dappledrum/workers/reconciliation_context.py
+++ b/dappledrum/workers/reconciliation_context.py
@@ -1,4 +1,4 @@
-"""What the parts of the reconciliation share during one term of a leader."""
+"""Shared state of the reconciliation during one term of a leader."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -13,25 +13,25 @@
 
 
 class ReconciliationObserver(Protocol):
-    """Receives what a heartbeat, or the lack of one, changes."""
+    """Is notified of changes that result from a heartbeat, or from missing ones."""
 
     def page_changed(self, page: Page) -> None:
-        """The progress or the placements of a page have changed, and must be stored."""
+        """The progress or the placements of a page have changed and must be stored."""
 
     def planning_needed(self, reason: str) -> None:
-        """Something has changed that a plan depends on; `reason` is for debugging."""
+        """Something that a plan depends on has changed; `reason` is for debugging."""
 
     def placement_lost(self, reason: str) -> None:
-        """A placement was given up, since it is proven to have terminated without an end."""
+        """A placement was removed, since it is proven to have terminated without an end."""
 
 
 @dataclass(frozen=True)
 class ReconciliationContext:
     """Records, limits and clock of one term.
 
-    `token` is the fencing token of the term. `others_stopped_at` returns the moment since which no
+    `token` is the fencing token of the term. `others_stopped_at` returns the time since which no
     other controller has answered a worker, or None if that is not known. `running_since` returns
-    the end of the last pause of this process.
+    when the last pause of this process ended.
     """
 
     jobs: dict[str, Job]
--- a/dappledrum/workers/test_failure_attribution.py
+++ b/dappledrum/workers/test_failure_attribution.py
@@ -7,7 +7,12 @@
 from dappledrum.scheduling.timeline import InstanceKind
 from dappledrum.simulation.cluster import job
 from dappledrum.timing.clock import ZERO
-from dappledrum.workers.failure_attribution import Verdict, is_suspected, judge, record_failure
+from dappledrum.workers.failure_attribution import (
+    MachineHealth,
+    assess_machine,
+    is_suspected,
+    record_failure,
+)
 from dappledrum.workers.machine_registry import Machine
 
 
@@ -33,13 +38,13 @@
     machines = [machine(f"m{n}") for n in range(4)]
     for _ in range(8):
         record_failure(broken, machines[0])
-    assert judge(machines[0], table(broken)) is Verdict.DOUBTFUL
+    assert assess_machine(machines[0], table(broken)) is MachineHealth.SUSPECT
     record_failure(broken, machines[1])
     assert is_suspected(broken)
     for one in machines[2:]:
         for _ in range(5):
             record_failure(broken, one)
-    assert all(judge(one, table(broken)) is Verdict.SOUND for one in machines)
+    assert all(assess_machine(one, table(broken)) is MachineHealth.HEALTHY for one in machines)
 
 
 def test_a_machine_on_which_several_jobs_fail_is_faulty():
@@ -47,7 +52,7 @@
     bad = machine("m")
     for one in jobs:
         record_failure(one, bad)
-    assert judge(bad, table(*jobs)) is Verdict.FAULTY
+    assert assess_machine(bad, table(*jobs)) is MachineHealth.FAULTY
 
 
 def test_a_machine_is_faulty_for_one_job_that_succeeds_elsewhere():
@@ -55,7 +60,7 @@
     bad = machine("m")
     for _ in range(3):
         record_failure(proven, bad)
-    assert judge(bad, table(proven)) is Verdict.FAULTY
+    assert assess_machine(bad, table(proven)) is MachineHealth.FAULTY
 
 
 def test_broken_jobs_do_not_make_a_machine_faulty_together():
@@ -64,7 +69,7 @@
     for one in jobs:
         for where in machines:
             record_failure(one, where)
-    assert all(judge(where, table(*jobs)) is Verdict.SOUND for where in machines)
+    assert all(assess_machine(where, table(*jobs)) is MachineHealth.HEALTHY for where in machines)
 
 
 def test_a_sound_job_with_a_few_failing_tasks_is_not_suspected():
