--- a/dappledrum/workers/test_reachability.py
+++ b/dappledrum/workers/test_reachability.py
@@ -1,5 +1,7 @@
-"""Machines that hear nothing, told apart from those that hung, were cut off or are slow; and late
-copies of heartbeats, as a plain model of what a worker can have sent when."""
+"""Distinguishing machines that no answer reaches from those that hung, were cut off or are slow.
+
+Late copies of heartbeats are checked against a simple model of what a worker can have sent when.
+"""
 
 import asyncio
 import random
@@ -24,39 +26,39 @@
     return timedelta(seconds=value)
 
 
-def answered(*moments):
+def answered_at(*moments):
     reachability = Reachability()
     for moment in moments:
         reachability.answered(seconds(moment), LEASE)
     return reachability
 
 
-def test_a_session_that_ends_in_spite_of_answers_shows_a_deaf_machine():
-    assert answered(*range(20)).new_session(seconds(21), LEASE, seconds(0))
-    assert answered(*range(0, 20, 6)).new_session(seconds(21), LEASE, seconds(0)), "its search"
+def test_a_session_that_ends_although_answered_shows_an_unreachable_machine():
+    assert answered_at(*range(20)).new_session(seconds(21), LEASE, seconds(0))
+    assert answered_at(*range(0, 20, 6)).new_session(seconds(21), LEASE, seconds(0)), "searching"
 
 
-def test_who_hung_or_was_cut_off_or_was_not_answered_is_not_deaf():
-    assert not answered(*range(10)).new_session(seconds(21), LEASE, seconds(0)), "hung"
-    held = answered(*range(10), 20.9, 20.95, 21)
-    assert not held.new_session(seconds(21.1), LEASE, seconds(0)), "held back until now"
-    assert not answered(*range(20)).new_session(seconds(21), LEASE, seconds(19)), "we hung"
+def test_a_machine_that_hung_or_was_cut_off_or_not_answered_is_not_unreachable():
+    assert not answered_at(*range(10)).new_session(seconds(21), LEASE, seconds(0)), "hung"
+    delayed = answered_at(*range(10), 20.9, 20.95, 21)
+    assert not delayed.new_session(seconds(21.1), LEASE, seconds(0)), "delayed heartbeats"
+    assert not answered_at(*range(20)).new_session(seconds(21), LEASE, seconds(19)), "paused here"
     assert not Reachability().new_session(seconds(21), LEASE, seconds(0)), "never answered"
 
 
-def test_it_serves_again_when_it_shows_that_it_hears():
-    reachability = answered(1)
+def test_a_machine_is_reachable_again_when_a_heartbeat_shows_an_answer():
+    reachability = answered_at(1)
     assert not reachability.record_missed_answer()
     assert reachability.record_missed_answer()
     assert reachability.unreachable
-    assert not reachability.record_missed_answer(), "said once"
+    assert not reachability.record_missed_answer(), "only the change is reported"
     assert reachability.confirm_reachable()
     assert not reachability.unreachable
     assert not reachability.record_missed_answer()
 
 
-def desk(registry, clock):
-    """A leader that has taken over now, with token 5, and knows nothing."""
+def make_reconciler(registry, clock):
+    """The reconciler of a leader with token 5 whose term begins now, without any records."""
     began = clock.now()
     limits = WorkerLimits(1.0, 10.0, 30.0)
     context = ReconciliationContext(
@@ -66,9 +68,11 @@
     return Reconciler(context, Estimates(), Ledger(registry, clock), observer)
 
 
-class Plain:
-    """A worker, and a leader that took over at 0 from one whose token was 4; every heartbeat that
-    was ever sent may come again."""
+class ModelWorker:
+    """A simple model of a worker. At time 0 a leader with token 5 succeeded one with token 4.
+
+    Every heartbeat that was sent may be delivered again.
+    """
 
     def __init__(self, rng):
         self.rng = rng
@@ -77,8 +81,8 @@
         self.sent = []
         self.seen = (0, -1)
 
-    def step(self, at):
-        """A heartbeat, or none, or the answer to it; returns the heartbeat."""
+    def send(self, at):
+        """Send a heartbeat at this time, in a new session if the lease has expired; returns it."""
         if at > self.renewed + 10:
             self.session += 1
             self.renewed = at
@@ -87,19 +91,19 @@
         self.sent.append(heartbeat)
         return heartbeat
 
-    def answer(self, heartbeat):
+    def receive_answer(self, heartbeat):
         self.token = 5
         self.renewed = max(self.renewed, heartbeat[0])
 
 
-def test_copies_in_order_of_a_machine_that_is_gone_count_for_a_lease_at_the_most():
-    """A new leader has heard none of them before, and answers them."""
+def test_copies_in_order_from_a_terminated_machine_count_for_at_most_a_lease():
+    """A new leader can't recognize copies that it has not received before, and answers them."""
 
     async def main():
         clock = Clock()
         began = clock.now()
         registry = MachineRegistry()
-        reconciler = desk(registry, clock)
+        reconciler = make_reconciler(registry, clock)
         for tick in range(40):
             heartbeat = WorkerHeartbeat("m", "10.1.0.1:1", "small", "a", True, 1, tick, 4)
             if reconciler.process_heartbeat(heartbeat) is not None:
@@ -111,65 +115,70 @@
         assert machine.unconfirmed
         assert seconds(9) < machine.last_heartbeat - began < seconds(12)
         assert machine.expired(clock.now(), LEASE)
-        back = WorkerHeartbeat("m", "10.1.0.1:1", "small", "a", True, 2, 41, 4)
-        assert reconciler.process_heartbeat(back) is machine, "a new session was begun by somebody"
+        in_new_session = WorkerHeartbeat("m", "10.1.0.1:1", "small", "a", True, 2, 41, 4)
+        assert reconciler.process_heartbeat(in_new_session) is machine, "its session is new"
 
     run(main())
 
 
-def test_copies_of_any_age_are_told_apart_or_change_nothing_that_matters():
-    """Drawn lives: heartbeats lost, answers lost, copies in any order. What is taken on after this
-    term's token was shown is in order and true; before, for a lease at the most."""
+def test_copies_of_any_age_are_recognized_or_accepted_for_at_most_a_lease():
+    """Drawn histories with lost heartbeats, lost answers and copies in any order.
+
+    Accepted heartbeats are in order. Copies from before this term's token was shown are accepted
+    for at most a lease, and never make the machine count as up.
+    """
 
-    async def life(seed):
+    async def run_history(seed):
         rng = random.Random(seed)
         clock = Clock()
         began = clock.now()
-        reconciler = desk(MachineRegistry(), clock)
-        worker = Plain(rng)
-        for _ in range(rng.randint(0, 20)):  # under the predecessor
-            worker.step(-rng.uniform(0, 30))
-        dies = rng.choice((5.0, 20.0, 200.0))
-        hears = rng.choice((0.0, 0.5, 1.0))
-        taken = []
-
-        def comes(heartbeat, copy):
+        reconciler = make_reconciler(MachineRegistry(), clock)
+        worker = ModelWorker(rng)
+        for _ in range(rng.randint(0, 20)):  # in the predecessor's term
+            worker.send(-rng.uniform(0, 30))
+        terminated_at = rng.choice((5.0, 20.0, 200.0))
+        answer_probability = rng.choice((0.0, 0.5, 1.0))
+        accepted = []
+
+        def deliver(heartbeat, copy):
             _, session, sequence, token = heartbeat
-            text = WorkerHeartbeat("m", "10.1.0.1:1", "small", "a", True, session, sequence, token)
-            machine = reconciler.process_heartbeat(text)
+            message = WorkerHeartbeat(
+                "m", "10.1.0.1:1", "small", "a", True, session, sequence, token
+            )
+            machine = reconciler.process_heartbeat(message)
             if machine is None:
                 return
-            taken.append((now, heartbeat, copy))
+            accepted.append((now, heartbeat, copy))
             machine.reachability.answered(clock.now(), LEASE)
-            if not copy and rng.random() < hears:
-                worker.answer(heartbeat)
+            if not copy and rng.random() < answer_probability:
+                worker.receive_answer(heartbeat)
 
-        shown = False
+        showed_token = False
         for _ in range(60):
             now = (clock.now() - began).total_seconds()
-            if now < dies and rng.random() < 0.8:
-                comes(worker.step(now), False)
+            if now < terminated_at and rng.random() < 0.8:
+                deliver(worker.send(now), False)
             for heartbeat in rng.sample(worker.sent, min(len(worker.sent), rng.randint(0, 3))):
-                comes(heartbeat, True)
+                deliver(heartbeat, True)
             machine = reconciler.registry.get("m")
-            shown |= machine is not None and machine.reachability.token_shown
-            assert machine is None or machine.up == shown, "no copy of a former term's is life"
-            assert shown <= (worker.token == 5)
+            showed_token |= machine is not None and machine.reachability.token_shown
+            assert machine is None or machine.up == showed_token, "a former token proves nothing"
+            assert showed_token <= (worker.token == 5)
             await asyncio.sleep(1)
-        orders = [heartbeat[1:3] for _, heartbeat, _ in taken]
+        orders = [heartbeat[1:3] for _, heartbeat, _ in accepted]
         assert orders == sorted(set(orders)), "each once, and in order"
         first = {}
-        for now, (_, session, _, token), copy in taken:
+        for now, (_, session, _, token), copy in accepted:
             first.setdefault(session, now)
             if copy and token < 5:
-                assert now - max(first[session], 0) <= 10.1 + 1, "for a lease at the most"
-        return len(taken), sum(copy for _, _, copy in taken)
+                assert now - max(first[session], 0) <= 10.1 + 1, "accepted for at most a lease"
+        return len(accepted), sum(copy for _, _, copy in accepted)
 
-    counts = [run(life(seed)) for seed in range(120)]
-    assert sum(copies for _, copies in counts) > 20, "some were first"
+    counts = [run(run_history(seed)) for seed in range(120)]
+    assert sum(copies for _, copies in counts) > 20, "some copies arrive before the original"
 
 
-def test_when_most_seem_deaf_it_is_the_controller_that_is_not_heard():
+def test_when_most_machines_seem_unreachable_the_fault_is_on_the_controllers_side():
     registry = MachineRegistry()
     for number in range(5):
         machine = registry.ensure(f"m{number}", None, seconds(0))
--- a/dappledrum/workers/test_reconciler.py
+++ b/dappledrum/workers/test_reconciler.py
@@ -1,4 +1,7 @@
-"""When an attempt is proven gone, and when it is not: the cases on which ran_twice hangs."""
+"""When an attempt is proven terminated, and when it is not.
+
+A wrong proof would start a task a second time, which the invariant `ran_twice` forbids.
+"""
 
 import asyncio
 from datetime import UTC, datetime, timedelta
@@ -23,9 +26,11 @@
 TOKEN = 5
 
 
-class Desk:
-    """A bookkeeper with one job, whose first task is placed on machine m in session 1 and
-    stored."""
+class OneJobReconciler:
+    """A reconciler with one job, whose first task is placed on machine m in session 1.
+
+    The placement is not stored before `save` is called.
+    """
 
     def __init__(self):
         spec = {key: value for key, value in job(1).items() if key != "runS"}
@@ -47,7 +52,7 @@
         self.page.stored_revision = self.page.revision
 
     def heartbeat(self, sequence, *tasks, session=1, token=TOKEN):
-        """Take a heartbeat and return the answer's commands."""
+        """Process a heartbeat and return the commands of its answer; None if it is ignored."""
         items = [
             TaskStatus("j-000001/0", attempt, state, cause) for attempt, state, cause in tasks
         ]
@@ -61,219 +66,222 @@
         return [(c.op, c.attempt) for c in self.reconciler.commands.of_records(machine, heartbeat)]
 
     @property
-    def gone(self):
+    def placement_removed(self):
         return 0 not in self.page.placements
 
 
-def stored_desk():
+def reconciler_with_stored_placement():
     """The same, with the placement in the job's record."""
-    desk = Desk()
-    desk.save()
-    return desk
+    setup = OneJobReconciler()
+    setup.save()
+    return setup
 
 
 RUNNING, DONE, STOPPED = (1, "running", None), (1, "ended", "done"), (1, "ended", "stopped")
 
 
-async def test_no_start_before_its_record_is_stored():
-    desk = Desk()
-    assert desk.heartbeat(2) == []
-    desk.save()
-    assert desk.heartbeat(3) == [("start", 1)]
-    # The answer may have been lost; the same attempt can be repeated.
-    assert desk.heartbeat(4) == [("start", 1)]
-    assert desk.heartbeat(5, RUNNING) == []
+async def test_no_start_is_sent_before_its_record_is_stored():
+    setup = OneJobReconciler()
+    assert setup.heartbeat(2) == []
+    setup.save()
+    assert setup.heartbeat(3) == [("start", 1)]
+    # The answer may have been lost, so the start of the same attempt is sent again.
+    assert setup.heartbeat(4) == [("start", 1)]
+    assert setup.heartbeat(5, RUNNING) == []
 
 
-async def test_absent_from_a_heartbeat_that_proves_something():
-    desk = stored_desk()
-    desk.heartbeat(2)
-    desk.heartbeat(3, RUNNING)
-    desk.heartbeat(4)
-    assert desk.gone
+async def test_absence_from_a_later_heartbeat_proves_termination():
+    setup = reconciler_with_stored_placement()
+    setup.heartbeat(2)
+    setup.heartbeat(3, RUNNING)
+    setup.heartbeat(4)
+    assert setup.placement_removed
 
 
-async def test_absent_from_a_heartbeat_held_back_under_a_predecessor():
-    desk = stored_desk()
-    desk.placement.observed = True
-    desk.heartbeat(2, token=TOKEN - 1)
-    assert not desk.gone
-    desk.heartbeat(3)
-    assert desk.gone
+async def test_absence_from_a_heartbeat_with_a_predecessors_token_proves_nothing():
+    setup = reconciler_with_stored_placement()
+    setup.placement.observed = True
+    setup.heartbeat(2, token=TOKEN - 1)
+    assert not setup.placement_removed
+    setup.heartbeat(3)
+    assert setup.placement_removed
 
 
 async def test_an_old_heartbeat_changes_nothing():
-    desk = stored_desk()
-    desk.heartbeat(5)
-    desk.heartbeat(7, RUNNING)
-    assert desk.heartbeat(6) is None
-    assert not desk.gone
+    setup = reconciler_with_stored_placement()
+    setup.heartbeat(5)
+    setup.heartbeat(7, RUNNING)
+    assert setup.heartbeat(6) is None
+    assert not setup.placement_removed
 
 
-async def test_a_newer_session_and_an_older_one():
-    desk = stored_desk()
-    desk.heartbeat(3, RUNNING)
-    assert desk.heartbeat(9, session=0) is None
-    assert not desk.gone
-    desk.heartbeat(1, session=2)
-    assert desk.gone
+async def test_a_newer_session_proves_termination_and_an_older_one_is_ignored():
+    setup = reconciler_with_stored_placement()
+    setup.heartbeat(3, RUNNING)
+    assert setup.heartbeat(9, session=0) is None
+    assert not setup.placement_removed
+    setup.heartbeat(1, session=2)
+    assert setup.placement_removed
 
 
-async def test_a_placement_in_a_session_that_is_over_is_never_started():
-    desk = stored_desk()
-    assert desk.heartbeat(1, session=2) == []
-    assert desk.gone
+async def test_a_placement_in_an_ended_session_is_never_started():
+    setup = reconciler_with_stored_placement()
+    assert setup.heartbeat(1, session=2) == []
+    assert setup.placement_removed
 
 
 async def test_an_end_is_forgotten_only_when_it_is_stored():
-    desk = stored_desk()
-    desk.heartbeat(2)
-    assert desk.heartbeat(3, DONE) == []
-    assert desk.page.is_done(0)
-    assert desk.gone
-    desk.save()
-    assert desk.heartbeat(4, DONE) == [("forget", 1)]
-
-
-async def test_cancelled_tasks_are_stopped_until_they_are_gone():
-    desk = stored_desk()
-    desk.heartbeat(2)
-    desk.heartbeat(3, RUNNING)
-    desk.job.cancelled = True
-    assert desk.heartbeat(4, RUNNING) == [("stop", 1)]
-    assert not desk.gone
-    desk.heartbeat(5, STOPPED)
-    assert desk.gone
-
-
-async def test_a_cancelled_start_that_was_never_sent_or_is_proven_lost():
-    desk = stored_desk()
-    assert desk.heartbeat(2) == [("start", 1)]
-    desk.job.cancelled = True
-    assert desk.heartbeat(3) == []
-    assert desk.gone
+    setup = reconciler_with_stored_placement()
+    setup.heartbeat(2)
+    assert setup.heartbeat(3, DONE) == []
+    assert setup.page.is_done(0)
+    assert setup.placement_removed
+    setup.save()
+    assert setup.heartbeat(4, DONE) == [("forget", 1)]
+
+
+async def test_cancelled_tasks_get_a_stop_until_they_have_ended():
+    setup = reconciler_with_stored_placement()
+    setup.heartbeat(2)
+    setup.heartbeat(3, RUNNING)
+    setup.job.cancelled = True
+    assert setup.heartbeat(4, RUNNING) == [("stop", 1)]
+    assert not setup.placement_removed
+    setup.heartbeat(5, STOPPED)
+    assert setup.placement_removed
+
+
+async def test_a_start_that_was_cancelled_and_proven_lost_is_removed():
+    setup = reconciler_with_stored_placement()
+    assert setup.heartbeat(2) == [("start", 1)]
+    setup.job.cancelled = True
+    assert setup.heartbeat(3) == []
+    assert setup.placement_removed
 
 
 async def test_an_unknown_attempt_is_stopped():
-    desk = stored_desk()
-    desk.heartbeat(2)
-    assert desk.heartbeat(3, RUNNING, (77, "running", None)) == [("stop", 77)]
-    assert not desk.gone
+    setup = reconciler_with_stored_placement()
+    setup.heartbeat(2)
+    assert setup.heartbeat(3, RUNNING, (77, "running", None)) == [("stop", 77)]
+    assert not setup.placement_removed
 
 
-@pytest.mark.parametrize(("silence", "gone"), [(8.9, False), (9.05, False), (9.6, True)])
-async def test_silence_counts_from_the_last_possible_answer(silence, gone):
-    desk = stored_desk()
-    desk.heartbeat(2, RUNNING)
+@pytest.mark.parametrize(("silence", "removed"), [(8.9, False), (9.05, False), (9.6, True)])
+async def test_silence_counts_from_the_last_possible_answer(silence, removed):
+    setup = reconciler_with_stored_placement()
+    setup.heartbeat(2, RUNNING)
     await asyncio.sleep(silence)
-    desk.reconciler.lose_expired()
-    assert desk.gone is gone
+    setup.reconciler.lose_expired()
+    assert setup.placement_removed is removed
 
 
 async def test_a_predecessor_may_have_answered_until_now():
-    desk = stored_desk()
+    setup = reconciler_with_stored_placement()
     await asyncio.sleep(100)
-    desk.registry.machines.clear()
-    desk.reconciler.restore(desk.job)
+    setup.registry.machines.clear()
+    setup.reconciler.restore(setup.job)
     await asyncio.sleep(8.9)
-    desk.reconciler.lose_expired()
-    assert not desk.gone
+    setup.reconciler.lose_expired()
+    assert not setup.placement_removed
     await asyncio.sleep(0.7)
-    desk.reconciler.lose_expired()
-    assert desk.gone
+    setup.reconciler.lose_expired()
+    assert setup.placement_removed
 
 
-async def test_returned_machines_stay_gone():
-    desk = Desk()
-    desk.reconciler.remove_returned(desk.registry.get("m"))
-    assert desk.gone
-    assert desk.heartbeat(9, RUNNING) is None
-    assert desk.registry.get("m") is None
+async def test_a_late_heartbeat_does_not_add_a_returned_machine_again():
+    setup = OneJobReconciler()
+    setup.reconciler.remove_returned(setup.registry.get("m"))
+    assert setup.placement_removed
+    assert setup.heartbeat(9, RUNNING) is None
+    assert setup.registry.get("m") is None
 
 
-async def test_faults_are_laid_on_the_machine_or_on_the_job():
-    desk = stored_desk()
+async def test_failures_count_against_the_machine_once_the_job_succeeds_elsewhere():
+    setup = reconciler_with_stored_placement()
     for attempt in range(1, 4):
-        desk.heartbeat(attempt * 2, (attempt, "ended", "error"))
-        desk.placement = desk.page.place(0, "m", 1, "a", datetime.now(UTC))
-        desk.registry.get("m").placements[(desk.job.id, 0)] = desk.placement
-    machine = desk.registry.get("m")
+        setup.heartbeat(attempt * 2, (attempt, "ended", "error"))
+        setup.placement = setup.page.place(0, "m", 1, "a", datetime.now(UTC))
+        setup.registry.get("m").placements[(setup.job.id, 0)] = setup.placement
+    machine = setup.registry.get("m")
     assert not machine.draining
-    assert machine.blocked_until > desk.reconciler.clock.now()
-    assert desk.job.retry_at == timedelta(0)
-    done = [TaskStatus("j-000001/1", 9, "ended", "done")]
-    desk.reconciler.process_heartbeat(
-        WorkerHeartbeat("n", "10.1.0.2:1", "small", "a", True, 1, 1, TOKEN, None, done)
+    assert machine.blocked_until > setup.reconciler.clock.now()
+    assert setup.job.retry_at == timedelta(0)
+    succeeded = [TaskStatus("j-000001/1", 9, "ended", "done")]
+    setup.reconciler.process_heartbeat(
+        WorkerHeartbeat("n", "10.1.0.2:1", "small", "a", True, 1, 1, TOKEN, None, succeeded)
     )
     assert machine.draining
 
 
-async def test_who_should_have_been_heard_of():
-    """A first knock elsewhere of a machine that has just come up made leaders resign for
-    nothing."""
-    desk = Desk()
-    assert sending_heartbeats_elsewhere({"new": 1}, desk.registry) == []
-    assert sending_heartbeats_elsewhere({"new": 2}, desk.registry) == ["new"]
-    assert sending_heartbeats_elsewhere({"m": 1}, desk.registry) == ["m"]
+async def test_a_single_heartbeat_of_a_new_machine_elsewhere_does_not_count():
+    """When a new machine sent its first heartbeat to a peer, leaders once resigned needlessly."""
+    setup = OneJobReconciler()
+    assert sending_heartbeats_elsewhere({"new": 1}, setup.registry) == []
+    assert sending_heartbeats_elsewhere({"new": 2}, setup.registry) == ["new"]
+    assert sending_heartbeats_elsewhere({"m": 1}, setup.registry) == ["m"]
 
 
-async def test_a_machine_that_boots_for_longer_than_a_lease_is_not_silent():
-    """Its first tasks were given up, or the machine was returned, in the moment between its
-    heartbeat and the answer."""
-    desk = Desk()
-    machine = desk.registry.ensure("slow", None, desk.reconciler.clock.now())
+async def test_a_machine_that_boots_for_longer_than_a_lease_has_not_expired():
+    """Its tasks were once given up, or the machine returned, between its first heartbeat and the
+    answer to it."""
+    setup = OneJobReconciler()
+    machine = setup.registry.ensure("slow", None, setup.reconciler.clock.now())
     await asyncio.sleep(60)
     heartbeat = WorkerHeartbeat("slow", "10.1.0.1:1", "small", "a", True, 1, 1, 0)
-    assert desk.reconciler.process_heartbeat(heartbeat) is machine
-    placement = desk.page.place(1, "slow", 1, "a", datetime.now(UTC))
-    machine.placements[(desk.job.id, 1)] = placement
-    desk.reconciler.lose_expired()
-    assert 1 in desk.page.placements
-    assert not machine.expired(desk.reconciler.clock.now(), desk.reconciler.limits.lease_duration)
-
-
-async def test_an_answer_stays_short():
-    desk = Desk()
-    machine = desk.registry.get("m")
-    big = Job(JobRecord(desk.job.spec, 0, 5000, PageRecord()), 1)
-    page = big.page(0)
+    assert setup.reconciler.process_heartbeat(heartbeat) is machine
+    placement = setup.page.place(1, "slow", 1, "a", datetime.now(UTC))
+    machine.placements[(setup.job.id, 1)] = placement
+    setup.reconciler.lose_expired()
+    assert 1 in setup.page.placements
+    assert not machine.expired(
+        setup.reconciler.clock.now(), setup.reconciler.limits.lease_duration
+    )
+
+
+async def test_an_answer_has_at_most_400_commands_and_64_kib():
+    setup = OneJobReconciler()
+    machine = setup.registry.get("m")
+    large_job = Job(JobRecord(setup.job.spec, 0, 5000, PageRecord()), 1)
+    page = large_job.page(0)
     page.count = 5000
     for task in range(1000):
         placement = page.place(task, "m", 1, "a", datetime.now(UTC))
-        machine.placements[(big.id, task)] = placement
+        machine.placements[(large_job.id, task)] = placement
     page.stored_revision = page.revision
     heartbeat = WorkerHeartbeat("m", "10.1.0.1:1", "small", "a", True, 1, 2, TOKEN)
-    desk.reconciler.process_heartbeat(heartbeat)
-    first = desk.reconciler.commands.of_records(machine, heartbeat)
+    setup.reconciler.process_heartbeat(heartbeat)
+    first = setup.reconciler.commands.of_records(machine, heartbeat)
     assert len(first) == 400
     assert len(msgspec.json.encode(first)) < 64 * 1024
 
 
-async def test_what_an_unreachable_machine_never_began_is_lost_with_its_next_heartbeat():
-    """It was offered again with each heartbeat, and lost with the session, a lease later."""
-    desk = stored_desk()
+async def test_tasks_that_an_unreachable_machine_never_started_are_lost_with_its_next_heartbeat():
+    """Their start was once sent again in each answer, until the session ended a lease later."""
+    setup = reconciler_with_stored_placement()
     for tick in (2, 3):
-        assert desk.heartbeat(tick) == [("start", 1)]
-    assert desk.heartbeat(4) == []
-    assert desk.registry.get("m").reachability.unreachable
-    assert not desk.gone, "the answer to heartbeat 3 may have been heard"
-    desk.heartbeat(5)
-    assert desk.gone
+        assert setup.heartbeat(tick) == [("start", 1)]
+    assert setup.heartbeat(4) == []
+    assert setup.registry.get("m").reachability.unreachable
+    assert not setup.placement_removed, "the answer to heartbeat 3 may have arrived"
+    setup.heartbeat(5)
+    assert setup.placement_removed
 
 
 @pytest.mark.parametrize("copies", range(6))
-async def test_old_copies_after_a_takeover_give_nothing_up_that_was_started_since(copies):
-    """They show neither the new token nor the task, so the machine may be taken for deaf; what it
-    is then thought never to have begun was stopped when its next heartbeat showed it."""
-    desk = Desk()
-    machine = desk.registry.get("m")
-    desk.registry.machines.clear()
-    desk.reconciler.restore(desk.job)
-    assert desk.registry.get("m") is not machine
-    desk.save()
+async def test_old_copies_after_a_failover_do_not_stop_tasks_started_since_they_were_sent(copies):
+    """Old copies show neither the new token nor the task, so the machine may count as unreachable.
+
+    A task that it seemed never to have started was once stopped when a heartbeat showed it.
+    """
+    setup = OneJobReconciler()
+    machine = setup.registry.get("m")
+    setup.registry.machines.clear()
+    setup.reconciler.restore(setup.job)
+    assert setup.registry.get("m") is not machine
+    setup.save()
     for sequence in range(2, 2 + copies):
-        desk.heartbeat(sequence, token=TOKEN - 1)
-    assert not desk.placement.lost
-    assert desk.heartbeat(20, RUNNING, token=TOKEN - 1) == []
-    assert desk.heartbeat(21, RUNNING) == []
-    assert not desk.gone
+        setup.heartbeat(sequence, token=TOKEN - 1)
+    assert not setup.placement.lost
+    assert setup.heartbeat(20, RUNNING, token=TOKEN - 1) == []
+    assert setup.heartbeat(21, RUNNING) == []
+    assert not setup.placement_removed
