--- a/dappledrum/membership/conftest.py
+++ b/dappledrum/membership/conftest.py
@@ -10,7 +10,7 @@
 from dappledrum.membership.peer_table import PeerTable
 from dappledrum.peers.heartbeat_messages import PeerHeartbeat
 
-#: Of a controller that the store serves and that was not paused.
+#: Heartbeat of a controller that the store serves and that was not paused.
 HEALTHY = PeerHeartbeat(
     member="b",
     incarnation=1,
@@ -24,7 +24,7 @@
 
 @pytest.fixture
 def make_heartbeat() -> Callable[..., PeerHeartbeat]:
-    """Makes a heartbeat that differs from HEALTHY in the given fields."""
+    """Returns a function that makes a heartbeat that differs from HEALTHY in the given fields."""
 
     def make(
         member: str = "b",
@@ -38,7 +38,7 @@
 
 @pytest.fixture
 def make_table() -> Callable[..., PeerTable]:
-    """Makes the table of controller `a` with heartbeats that others have just sent."""
+    """Returns a function that makes the table of controller `a` with heartbeats just received."""
 
     def make(*heartbeats: PeerHeartbeat, now: float) -> PeerTable:
         table = PeerTable("a", [heartbeat.member for heartbeat in heartbeats])
--- a/dappledrum/membership/context.py
+++ b/dappledrum/membership/context.py
@@ -1,4 +1,4 @@
-"""What the parts of `membership` have in common, and what they ask of the controller."""
+"""What the modules of `membership` share, and the interfaces that the controller implements."""
 
 import random
 from collections.abc import Awaitable, Callable, Mapping
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True)
 class MembershipContext:
-    """The controller's own parts that each module of `membership` may use."""
+    """Components of the controller that all modules of `membership` use."""
 
     member: str
     """Name of this controller."""
@@ -34,11 +34,11 @@
 
     health: LinkHealth
     probe: Callable[[], Awaitable[None]]
-    """Sends one cheap request, which `health` measures; raises nothing if it is not answered."""
+    """Sends one cheap request, which `health` measures; does not raise if there is no answer."""
 
 
 class WorkerProbe(Protocol):
-    """Sends a request to a worker that changes nothing there."""
+    """Sends a request without side effects to a worker."""
 
     async def __call__(self, address: str, timeout: timedelta, /) -> bool:
         """Return whether the worker at this address answers within the timeout."""
@@ -46,9 +46,9 @@
 
 @dataclass(frozen=True)
 class LeaderActions:
-    """What a controller can do and count only while it leads."""
+    """Functions of the controller that apply only while it leads."""
 
     count_machines: Callable[[], Mapping[str, int]]
-    """Number of machines that should send heartbeats, by zone; empty if another one leads."""
+    """Returns the number of machines that should send heartbeats, by zone; empty on a follower."""
     transfer_leadership: Callable[[str, str], Awaitable[None]]
-    """Transfers leadership to a member, for a reason that is logged."""
+    """Transfers leadership to the given member; the second argument is the reason for the log."""
--- a/dappledrum/membership/heartbeat_forwarding.py
+++ b/dappledrum/membership/heartbeat_forwarding.py
@@ -1,8 +1,8 @@
 """Forwards heartbeats of workers that do not reach the leader.
 
-A worker accepts an answer from any controller if its token is not older, so it gets the leader's
-own answer. There is one hop only: a forwarded heartbeat is answered or refused by the leader, and
-never forwarded again.
+A worker accepts an answer through any controller unless its token is older than the last one, so
+the leader's answer is returned unchanged. There is one hop only: the leader answers or refuses a
+forwarded heartbeat, and nobody forwards it again.
 """
 
 import asyncio
@@ -11,22 +11,22 @@
 from typing import NamedTuple
 
 BATCH_WINDOW = timedelta(milliseconds=40)  # heartbeats that arrive within it are sent together
-MAX_BATCH_BYTES = 48 * 1024  # of one message; the peer accepts 64 KiB
-ENCODING_BYTES = 8  # of CBOR around one heartbeat
+MAX_BATCH_BYTES = 48 * 1024  # per message; the peer accepts 64 KiB
+ENCODING_BYTES = 8  # CBOR overhead per heartbeat
 
-#: Sends heartbeats to a member; returns its answers in the same order, or None if it gave none.
+#: Sends heartbeats to a member; returns its answers in the same order, or None without a reply.
 SendBatch = Callable[[str, list[bytes]], Awaitable[list[bytes | None] | None]]
 
 
 class PendingHeartbeat(NamedTuple):
-    """A heartbeat on its way to the leader, and the answer that its sender waits for."""
+    """A heartbeat to be sent to the leader, and the future for its answer."""
 
     body: bytes
     answer: asyncio.Future[bytes | None]
 
 
 class HeartbeatForwarder:
-    """Sends heartbeats to the leader in batches, and returns each answer to its sender."""
+    """Sends heartbeats to the leader in batches, and returns each answer to its caller."""
 
     def __init__(self, send: SendBatch) -> None:
         self.send = send
@@ -34,7 +34,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def forward(self, leader: str, body: bytes) -> bytes | None:
-        """The leader's answer to a heartbeat; None: it gave none."""
+        """Forward a heartbeat and return the leader's answer; None if there is none."""
         if len(body) > MAX_BATCH_BYTES:
             return None
         answer: asyncio.Future[bytes | None] = asyncio.get_running_loop().create_future()
@@ -42,7 +42,7 @@
         batch = self.pending.get(leader)
         if batch is None:
             self.pending[leader] = [heartbeat]
-            # A task of its own: if the sender of the first one is cancelled the others go on.
+            # A separate task, so that the batch is sent even if the first caller is cancelled.
             task = asyncio.get_running_loop().create_task(self._send_after_window(leader))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
@@ -68,7 +68,7 @@
 
 
 def _split(batch: list[PendingHeartbeat]) -> list[list[PendingHeartbeat]]:
-    """Parts of a batch that are small enough for one message each; none if it is empty."""
+    """Split a batch into parts that each fit into one message; no parts if it is empty."""
     parts: list[list[PendingHeartbeat]] = [[]]
     size = 0
     for heartbeat in batch:
--- a/dappledrum/membership/heartbeat_routing.py
+++ b/dappledrum/membership/heartbeat_routing.py
@@ -1,4 +1,4 @@
-"""Where a worker's heartbeat goes while another controller leads: redirected or forwarded."""
+"""Redirects or forwards the heartbeats of workers while another controller leads."""
 
 from datetime import timedelta
 
@@ -16,12 +16,12 @@
 from dappledrum.workers.messages import WorkerHeartbeat
 
 FORWARD_TIMEOUT = timedelta(seconds=3.2)  # the worker gives up after 4 s
-#: A worker that the leader has not answered after this time of its term has been searching.
+#: A worker that the leader has not answered this long after its term began is still searching.
 MIN_SEARCH_TERM = timedelta(seconds=3)
 
 
 class HeartbeatRouter:
-    """Names the leader to workers, and forwards the heartbeats of those that do not reach it."""
+    """Redirects workers to the leader, and forwards heartbeats of those that do not reach it."""
 
     def __init__(self, context: MembershipContext, monitor: PeerMonitor) -> None:
         self.context = context
@@ -31,7 +31,7 @@
         self.forwarder = HeartbeatForwarder(self._send_heartbeats)
 
     def redirect_target(self) -> str | None:
-        """The controller to which workers should be redirected; None: not known."""
+        """The controller to which workers should be redirected; None if it is not known."""
         now = self.clock.now()
         leader = self.context.elector.leader
         store_delay = self.monitor.store.expected_delay()
@@ -41,29 +41,29 @@
             now,
             store_delay is not None and store_delay <= TRANSFER_COST,
         )
-        heartbeats = {one.member: one for one in self.monitor.recent_heartbeats()}
+        heartbeats = {peer.member: peer for peer in self.monitor.recent_heartbeats()}
         received = (self.monitor.table.received[member] for member in heartbeats)
         return believed_leader(collect_claims(received, own), heartbeats)
 
     async def forward_heartbeat(
         self, heartbeat: WorkerHeartbeat, leader: str, body: bytes
     ) -> bytes | None:
-        """The leader's answer to a worker that does not reach it; None: the worker should go there
-        itself, or the leader gives no answer.
+        """Forward a heartbeat to the leader if its worker does not reach it.
 
-        `body`: the heartbeat as the worker has sent it.
+        Returns the leader's answer; None if the worker should send the heartbeat to the leader
+        itself, or if the leader does not answer. `body` is the heartbeat as the worker sent it.
         """
         now = self.clock.now()
         table = self.monitor.table
-        of_leader = table.heartbeat(leader, now)
-        if of_leader is None or not table.is_connected(leader, now):
+        leader_heartbeat = table.heartbeat(leader, now)
+        if leader_heartbeat is None or not table.is_connected(leader, now):
             return None
-        term_length = now - table.described_at(leader) + from_ms(of_leader.term_ms)
+        term_length = now - table.described_at(leader) + from_ms(leader_heartbeat.term_ms)
         if not self.redirected_workers.must_forward(
             heartbeat.machine,
             heartbeat.token,
-            of_leader.epoch,
-            unreachable=heartbeat.zone in of_leader.unreachable_zones,
+            leader_heartbeat.epoch,
+            unreachable=heartbeat.zone in leader_heartbeat.unreachable_zones,
             searching=term_length > MIN_SEARCH_TERM,
         ):
             return None
--- a/dappledrum/membership/leader_check.py
+++ b/dappledrum/membership/leader_check.py
@@ -1,4 +1,4 @@
-"""The leader's check of its own links: transfers leadership, or resigns, if it can't serve."""
+"""The leader's check of its own links; it transfers leadership or resigns if it can't serve."""
 
 import asyncio
 import logging
@@ -14,14 +14,14 @@
 log = logging.getLogger(__name__)
 
 CHECK_INTERVAL = timedelta(milliseconds=250)
-#: A worker gives up on a controller after 4 s, and turns to the next one a second later.
+#: A worker abandons a controller after 4 s, and tries the next one a second later.
 MAX_WORKER_SEARCH_TIME = timedelta(seconds=6)
 #: Longer than another controller takes to become leader once the key is deleted.
 RESIGNATION_PAUSE = timedelta(seconds=2)
 
 
 class LeaderCheck:
-    """Finds silent zones while this controller leads, and the controller that should lead."""
+    """While this controller leads, finds silent zones and checks which controller should lead."""
 
     def __init__(
         self,
@@ -38,10 +38,10 @@
         self.zones = zones
         self.silent_zones = silent_zones
         self.actions = actions
-        self._announced: set[str] = set()  # unreachable zones that the peers are informed of
+        self._announced: set[str] = set()  # unreachable zones that the peers have been informed of
 
     async def run(self) -> None:
-        """Check for ever."""
+        """Check the links in an endless loop."""
         self._announced = set()
         while True:
             await asyncio.sleep(CHECK_INTERVAL.total_seconds())
@@ -60,7 +60,7 @@
         if unreachable == self._announced:
             return
         if unreachable - self._announced:
-            log.warning("cut off from workers of %s", ", ".join(sorted(unreachable)))
+            log.warning("workers are unreachable: zones=%s", ", ".join(sorted(unreachable)))
         self._announced = unreachable
         self.monitor.announce()
 
@@ -76,7 +76,7 @@
 
     def _is_isolated(self, links: LeaderLinks) -> bool:
         """Whether this leader reaches no worker and no peer that could lead instead. It then
-        resigns for a moment, and leads again if no other controller does."""
+        resigns briefly, and leads again if no other controller does."""
         if links.connected_zones or not links.unreachable_zones or self.monitor.is_connected():
             return False
         return all(
@@ -94,14 +94,14 @@
             self.monitor.cloud.expected_delay() or ZERO,
             self.monitor.cloud.waiting_since,
             unreachable,
-            self._zones_of_lost_workers(now, unreachable),
+            self._silent_but_reachable_zones(now, unreachable),
             self._connected_zones(now),
         )
 
-    def _zones_of_lost_workers(
+    def _silent_but_reachable_zones(
         self, now: timedelta, unreachable: dict[str, timedelta]
     ) -> dict[str, timedelta]:
-        """Silent zones that probes reach, but whose workers had the time to find this leader."""
+        """Silent zones that probes reach, although their workers had time to find this leader."""
         limit = max_heartbeat_interval(self.context.worker_limits) + MAX_WORKER_SEARCH_TIME
         return {
             name: since
--- a/dappledrum/membership/leader_claims.py
+++ b/dappledrum/membership/leader_claims.py
@@ -1,8 +1,8 @@
-"""Which controller leads, as concluded from peer heartbeats.
+"""Which controller leads, according to peer heartbeats.
 
-Pure functions, so that tests can compare them with a slow model. The conclusion entitles nobody to
-anything: commands depend on the lease of the key `leader` alone. The worst effect of a wrong
-heartbeat is a detour of a second.
+Pure functions, so that tests can compare them with a reference model. The result only directs
+workers: the right to send commands depends on the lease of the key `leader` alone. A wrong
+heartbeat delays a worker by at most a second.
 """
 
 from collections.abc import Iterable, Mapping
@@ -12,9 +12,9 @@
 from dappledrum.membership.peer_table import ReceivedHeartbeat, from_ms
 from dappledrum.peers.heartbeat_messages import PeerHeartbeat
 
-#: For how long a leadership transfer keeps workers waiting (docs/membership.md).
+#: How long workers wait because of a leadership transfer (docs/membership.md).
 TRANSFER_COST = timedelta(seconds=1)
-#: A controller with a response of the store this recent is aware by its own watch of the leader.
+#: A controller with a store response this recent knows the leader from its own watch.
 MAX_STORE_RESPONSE_AGE = timedelta(seconds=2)
 
 
@@ -24,23 +24,23 @@
     epoch: int
     member: str | None
     at: timedelta
-    strong: bool  # by the leader itself, or by one that the store serves
+    strong: bool  # made by the leader itself, or by a controller that the store serves
 
 
 def collect_claims(
     received: Iterable[ReceivedHeartbeat], own: LeaderClaim | None
 ) -> list[LeaderClaim]:
-    """The claims of all heartbeats, and our own."""
+    """The claims in all received heartbeats, and this controller's own if there is one."""
     claims = [] if own is None else [own]
-    for known in received:
-        heartbeat = known.heartbeat
+    for entry in received:
+        heartbeat = entry.heartbeat
         age = heartbeat.store_response_age_ms
         served = age is not None and from_ms(age) <= MAX_STORE_RESPONSE_AGE
         claims.append(
             LeaderClaim(
                 heartbeat.epoch,
                 heartbeat.member if heartbeat.leads else heartbeat.leader,
-                known.described_at,
+                entry.described_at,
                 heartbeat.leads or (served and not store_is_slow(heartbeat)),
             )
         )
@@ -48,7 +48,7 @@
 
 
 def store_is_slow(heartbeat: PeerHeartbeat) -> bool:
-    """Whether the store answers a controller more slowly than a transfer would take."""
+    """Whether the store answers a controller more slowly than a leadership transfer takes."""
     delay = heartbeat.store_delay_ms
     return delay is None or from_ms(delay) > TRANSFER_COST
 
@@ -56,12 +56,12 @@
 def believed_leader(
     claims: Iterable[LeaderClaim], heartbeats: Mapping[str, PeerHeartbeat]
 ) -> str | None:
-    """The controller to which workers are redirected; None: not known.
+    """The controller to which workers are redirected; None if it is not known.
 
-    Never one of a lower epoch than the highest claimed, and never one whose own heartbeat denies
-    that it leads. Within an epoch the newest strong claim decides, since a key may expire before
-    the heartbeat of its owner is old. Weak claims count only if there is no strong one, as in an
-    outage with a leader of a version that sends no heartbeats.
+    Never a leader of an epoch below the highest claimed, nor a controller whose own heartbeat
+    denies that it leads. Within an epoch the newest strong claim decides, since the key may expire
+    while its owner's last heartbeat still counts as recent. Weak claims count only if there is no
+    strong one, as in a store outage with a leader of a version that sends no heartbeats.
     """
     claims = list(claims)
     epoch = max((claim.epoch for claim in claims), default=0)
--- a/dappledrum/membership/leader_placement.py
+++ b/dappledrum/membership/leader_placement.py
@@ -1,7 +1,7 @@
-"""Which controller should lead, by the health of its links.
+"""Which controller should lead, judged by the health of its links.
 
-Pure functions, so that tests can compare them with a slow model. Leadership itself depends on the
-lease of the key `leader` alone.
+Pure functions, so that they can be tested without links. Leadership itself depends on the lease of
+the key `leader` alone.
 """
 
 from collections.abc import Iterable, Mapping
@@ -13,7 +13,7 @@
 from dappledrum.peers.heartbeat_messages import PeerHeartbeat
 from dappledrum.timing.clock import ZERO
 
-#: The cloud is called rarely, and machines that run already go on without it.
+#: Long, since the cloud is called rarely and running machines do not depend on it.
 MAX_CLOUD_DELAY = timedelta(seconds=20)
 CANDIDACY_DELAY = timedelta(milliseconds=400)
 MIN_UNPAUSED_TIME = timedelta(seconds=2)
@@ -24,22 +24,22 @@
     """The state of a leader's own links."""
 
     now: timedelta
-    #: What a request to the store would take, and since when it has not responded.
+    #: Expected delay of a request to the store, and since when a request has had no response.
     store_delay: timedelta
     store_waiting_since: timedelta | None
-    #: The same of the cloud.
+    #: The same for the cloud.
     cloud_delay: timedelta
     cloud_waiting_since: timedelta | None
-    #: Zones without heartbeats, and since when: those that its own probes do not reach either, and
-    #: those that they do, but whose workers had the time to find this controller.
+    #: Zones without heartbeats, and since when: first those that its own probes do not reach
+    #: either, then those that probes reach, although their workers had time to find this leader.
     unreachable_zones: Mapping[str, timedelta]
     silent_zones: Mapping[str, timedelta]
-    #: Zones whose heartbeats arrive.
+    #: Zones from which heartbeats arrive.
     connected_zones: frozenset[str]
 
 
 class Successor(NamedTuple):
-    """A controller that would clearly be a better leader, and why, for the log."""
+    """A controller that would clearly be a better leader, and the reason for the log."""
 
     member: str
     reason: str
@@ -50,17 +50,17 @@
 ) -> Successor | None:
     """A controller that would clearly be a better leader; None: the leader stays.
 
-    The store counts first, then workers, then the cloud. Only a controller qualifies that
-    has sent a heartbeat itself since the fault began, and that was not paused just before. So if
-    all controllers have the same fault the leader stays, and so does a controller that is the only
-    one left.
+    The store counts first, then workers, then the cloud. A controller qualifies only if this
+    leader has recently received a heartbeat directly from it, and if it was not paused just then.
+    Its contact with the store or with workers must be newer than the fault. So the leader stays if
+    all controllers have the same fault, or if it is the only one left.
 
     `heartbeat_peers`: peers whose version supports heartbeats.
     """
     candidates = _candidates(own, table, heartbeat_peers)
     if own.store_waiting_since is not None and own.store_delay > TRANSFER_COST:
         return _better_served_by_store(own.store_waiting_since, candidates)
-    candidates = [known for known in candidates if not store_is_slow(known.heartbeat)]
+    candidates = [entry for entry in candidates if not store_is_slow(entry.heartbeat)]
     if own.unreachable_zones or own.silent_zones:
         return _better_connected_to_workers(own, candidates)
     if own.cloud_waiting_since is not None and own.cloud_delay > MAX_CLOUD_DELAY:
@@ -71,17 +71,17 @@
 def _candidates(
     own: LeaderLinks, table: PeerTable, heartbeat_peers: Iterable[str]
 ) -> list[ReceivedHeartbeat]:
-    """Peers that are connected and were not paused just before, by name."""
+    """Peers that are connected and were not paused just before, sorted by name."""
     candidates = []
     for member in sorted(heartbeat_peers):
-        known = table.received.get(member)
+        entry = table.received.get(member)
         if (
-            known is not None
+            entry is not None
             and table.is_connected(member, own.now)
             and table.heartbeat(member, own.now) is not None
-            and from_ms(known.heartbeat.unpaused_ms) >= MIN_UNPAUSED_TIME
+            and from_ms(entry.heartbeat.unpaused_ms) >= MIN_UNPAUSED_TIME
         ):
-            candidates.append(known)
+            candidates.append(entry)
     return candidates
 
 
@@ -89,21 +89,21 @@
     waiting_since: timedelta, candidates: Iterable[ReceivedHeartbeat]
 ) -> Successor | None:
     served = [
-        known.heartbeat
-        for known in candidates
-        if _is_after(known, known.heartbeat.store_response_age_ms, waiting_since)
-        and not store_is_slow(known.heartbeat)
+        entry.heartbeat
+        for entry in candidates
+        if _is_after(entry, entry.heartbeat.store_response_age_ms, waiting_since)
+        and not store_is_slow(entry.heartbeat)
     ]
     if not served:
         return None
-    best = min(served, key=lambda one: (len(one.unreachable_zones), one.store_delay_ms or 0))
+    best = min(served, key=lambda peer: (len(peer.unreachable_zones), peer.store_delay_ms or 0))
     return Successor(best.member, "the store serves it, and not this controller")
 
 
 def _better_connected_to_workers(
     own: LeaderLinks, candidates: Iterable[ReceivedHeartbeat]
 ) -> Successor | None:
-    best = max(candidates, key=lambda known: len(_reached_zones(known, own)), default=None)
+    best = max(candidates, key=lambda entry: len(_reached_zones(entry, own)), default=None)
     if best is None:
         return None
     reached = _reached_zones(best, own)
@@ -117,8 +117,8 @@
 
 
 def _better_served_by_cloud(candidates: Iterable[ReceivedHeartbeat]) -> Successor | None:
-    for known in candidates:
-        heartbeat = known.heartbeat
+    for entry in candidates:
+        heartbeat = entry.heartbeat
         delay = heartbeat.cloud_delay_ms
         if (
             delay is not None
@@ -130,28 +130,28 @@
     return None
 
 
-def _is_after(known: ReceivedHeartbeat, age_ms: int | None, since: timedelta) -> bool:
+def _is_after(entry: ReceivedHeartbeat, age_ms: int | None, since: timedelta) -> bool:
     """Whether an event of this age in a heartbeat happened after `since`."""
-    at = event_time(known.described_at, age_ms)
+    at = event_time(entry.described_at, age_ms)
     return at is not None and at > since
 
 
-def _reached_zones(known: ReceivedHeartbeat, own: LeaderLinks) -> set[str]:
-    """Zones whose workers this controller reaches: of those that we have lost, the ones with which
-    it has had contact since; of the others, those that it does not report as unreachable.
+def _reached_zones(entry: ReceivedHeartbeat, own: LeaderLinks) -> set[str]:
+    """Zones whose workers the peer reaches.
 
-    Where our own probes get through, only workers that came there by themselves count: a leader
-    that had just begun, and that workers had not found yet, once transferred leadership for
-    nothing.
+    Of the zones that this leader has lost, those with which the peer has had contact since; of the
+    others, those that the peer does not report as unreachable. Where this leader's own probes get
+    through, only heartbeats at the peer count: a new leader that workers had not found yet once
+    transferred leadership needlessly.
     """
-    heartbeat = known.heartbeat
+    heartbeat = entry.heartbeat
     regained = set()
     for zone, since in {**own.unreachable_zones, **own.silent_zones}.items():
         after = max(since, own.now - MAX_CONTACT_AGE)
         probed = zone in own.unreachable_zones and _is_after(
-            known, heartbeat.probe_ages_ms.get(zone), after
+            entry, heartbeat.probe_ages_ms.get(zone), after
         )
-        if probed or _is_after(known, heartbeat.heartbeat_ages_ms.get(zone), after):
+        if probed or _is_after(entry, heartbeat.heartbeat_ages_ms.get(zone), after):
             regained.add(zone)
     return regained | {
         zone for zone in own.connected_zones if zone not in heartbeat.unreachable_zones
@@ -159,7 +159,7 @@
 
 
 def candidacy_delay(own: PeerHeartbeat, others: Iterable[PeerHeartbeat]) -> timedelta:
-    """How long to let a better candidate campaign first; zero among equals."""
+    """How long to wait so that a better candidate campaigns first; zero among equals."""
     own_rank = _rank(own)
     if any(_rank(heartbeat) < own_rank for heartbeat in others):
         return CANDIDACY_DELAY
@@ -167,7 +167,7 @@
 
 
 class _Rank(NamedTuple):
-    """Order of candidates: the lowest campaigns first."""
+    """Order of candidates: the one with the lowest rank campaigns first."""
 
     slow_store: bool
     unreachable_zones: int
--- a/dappledrum/membership/monitor.py
+++ b/dappledrum/membership/monitor.py
@@ -1,7 +1,7 @@
 """Exchanges heartbeats with the other controllers.
 
 Heartbeats are sent when something has changed, and otherwise about once a second. A peer that has
-just sent its own needs no request, so at rest each pair exchanges one message a second.
+just sent its own heartbeat is skipped, so an idle pair exchanges one request a second.
 """
 
 import asyncio
@@ -22,13 +22,13 @@
 #: No request is sent to a peer whose own heartbeat is newer than this.
 MIN_EXCHANGE_INTERVAL = timedelta(milliseconds=850)
 EXCHANGE_TIMEOUT = timedelta(milliseconds=900)
-#: No clock is further ahead of ours; a heartbeat that claims so is not genuine.
+#: Clocks are never further apart; an incarnation further ahead is invalid and not superseded.
 MAX_CLOCK_DIFFERENCE = timedelta(hours=1)
-PROBE_ADDRESSES_PER_ZONE = 2  # of workers, in a leader's heartbeats
+PROBE_ADDRESSES_PER_ZONE = 2  # worker addresses in a leader's heartbeats
 
 
 class PeerMonitor:
-    """Sends this controller's heartbeat to its peers, and keeps the newest one of each."""
+    """Sends this controller's heartbeat to its peers, and keeps the newest one of each peer."""
 
     def __init__(
         self,
@@ -54,7 +54,7 @@
         self._send_now = {peer: asyncio.Event() for peer in context.peers.callers}
 
     def own_heartbeat(self) -> PeerHeartbeat:
-        """This controller's own heartbeat, of this moment."""
+        """Build this controller's heartbeat from its current state."""
         now = self.clock.now()
         elector = self.context.elector
         term = elector.valid_term()
@@ -87,7 +87,7 @@
         return list(self.silent_zones.unreachable())
 
     def _draw_probe_addresses(self) -> dict[str, list[str]]:
-        """Some addresses of workers of each zone, for followers to probe."""
+        """Draw some worker addresses of each zone, for followers to probe."""
         return {
             name: self.context.rng.sample(
                 list(zone.addresses), min(PROBE_ADDRESSES_PER_ZONE, len(zone.addresses))
@@ -102,39 +102,41 @@
         self.table.record(heartbeats.own, now, direct=True)
         for heartbeat in heartbeats.relayed[: len(self.table.members)]:
             if heartbeat.member == self.context.member:
-                self._supersede_former_process(heartbeat)
+                self._supersede_previous_process(heartbeat)
             self.table.record(heartbeat, now, direct=False)
 
-    def _supersede_former_process(self, heartbeat: PeerHeartbeat) -> None:
-        """Make sure that this process counts as newer than a former process of this controller.
+    def _supersede_previous_process(self, heartbeat: PeerHeartbeat) -> None:
+        """Raise the incarnation above that of a previous process of this controller.
 
-        Clocks are not exact: of two processes that begin a moment apart, the later one may have
-        the earlier incarnation, and all its heartbeats would count as old ones of the former
-        process. A peer relays the former process's newest heartbeat to it, and it begins after
-        that.
+        `heartbeat`: the newest one of that process, relayed by a peer. Clocks are not exact: of
+        two processes that start shortly after one another, the later one may have the lower
+        incarnation, and all its heartbeats would count as old ones of the previous process.
         """
         own = HeartbeatOrder(self.incarnation, to_ms(self.clock.now() - self.started_at))
-        newest = int((self.clock.utc_now() + MAX_CLOCK_DIFFERENCE).timestamp() * 1000)
-        if own < heartbeat_order(heartbeat) and heartbeat.incarnation <= newest:
-            log.info("heartbeats of the former process look newer, continuing after them")
+        max_incarnation = int((self.clock.utc_now() + MAX_CLOCK_DIFFERENCE).timestamp() * 1000)
+        if own < heartbeat_order(heartbeat) and heartbeat.incarnation <= max_incarnation:
+            log.info(
+                "raising the incarnation above that of the previous process: incarnation=%d",
+                heartbeat.incarnation + 1,
+            )
             self.incarnation = heartbeat.incarnation + 1
             self.announce()
 
     def answer(self, heartbeats: PeerHeartbeats) -> PeerHeartbeatsReply:
-        """Answer a peer's heartbeats with ours. A peer that sends heartbeats supports them,
-        whatever its version was before."""
+        """Answer a peer's heartbeats with this controller's own. A peer that sends heartbeats
+        supports them, whatever its version was before."""
         if heartbeats.own.member in self.table.members:
             self.heartbeat_peers.add(heartbeats.own.member)
         self.receive(heartbeats)
         return PeerHeartbeatsReply(self.own_heartbeat(), self.table.to_relay(self.clock.now()))
 
     def announce(self) -> None:
-        """Send heartbeats at once, since something has changed that the peers should know."""
+        """Send heartbeats at once, to inform the peers of a change."""
         for event in self._send_now.values():
             event.set()
 
     async def exchange_heartbeats(self, peer: str) -> None:
-        """Exchange heartbeats with one peer, for ever."""
+        """Exchange heartbeats with one peer, in an endless loop."""
         while True:
             interval = HEARTBEAT_INTERVAL.total_seconds() * self.context.rng.uniform(0.9, 1.1)
             try:
@@ -154,11 +156,11 @@
                 self.receive(reply)
 
     def recent_heartbeats(self) -> list[PeerHeartbeat]:
-        """The heartbeats of all peers that are recent, received directly or relayed."""
+        """The recent heartbeats of all peers, received directly or relayed."""
         return self.table.recent(self.clock.now())
 
     def connected_heartbeats(self) -> list[PeerHeartbeat]:
-        """The recent heartbeats of peers that have lately sent one themselves."""
+        """The recent heartbeats of peers from which one has recently arrived directly."""
         now = self.clock.now()
         return [
             heartbeat
@@ -167,6 +169,6 @@
         ]
 
     def is_connected(self) -> bool:
-        """Whether any peer has sent a heartbeat lately."""
+        """Whether a heartbeat of any peer has recently arrived directly."""
         now = self.clock.now()
         return any(self.table.is_connected(peer, now) for peer in self.heartbeat_peers)
--- a/dappledrum/membership/peer_table.py
+++ b/dappledrum/membership/peer_table.py
@@ -1,4 +1,4 @@
-"""The newest heartbeat of each controller, and how it arrived."""
+"""The newest heartbeat of each peer, and whether it arrived directly."""
 
 from collections.abc import Iterable
 from datetime import timedelta
@@ -9,42 +9,42 @@
 from dappledrum.peers.heartbeat_messages import PeerHeartbeat
 from dappledrum.timing.clock import MAX_CLOCK_DRIFT, ZERO
 
-MAX_RECENT_AGE = timedelta(seconds=3.5)  # three heartbeats of a second, with a margin
+MAX_RECENT_AGE = timedelta(seconds=3.5)  # three heartbeat intervals of 1 s, and a margin
 MAX_RELAYED_AGE = timedelta(seconds=10)
 
 
 class HeartbeatOrder(NamedTuple):
-    """Order of the heartbeats of one controller: the larger one is the newer."""
+    """Sort key for the heartbeats of one controller; a newer heartbeat has a larger one."""
 
     incarnation: int
     uptime_ms: int
 
 
 def heartbeat_order(heartbeat: PeerHeartbeat) -> HeartbeatOrder:
-    """The place of a heartbeat among those of its controller."""
+    """The sort key of a heartbeat among those of its controller."""
     return HeartbeatOrder(heartbeat.incarnation, heartbeat.uptime_ms)
 
 
 class ReceivedHeartbeat:
-    """The newest heartbeat of one controller, and the moment on our clock that it describes."""
+    """The newest heartbeat of one controller, and the local time that it describes."""
 
     def __init__(self, heartbeat: PeerHeartbeat, described_at: timedelta, direct: bool) -> None:
         self.heartbeat = heartbeat
         self.described_at = described_at
         self.direct = direct
-        #: The moment that the newest heartbeat describes that came from the controller itself.
+        #: The time described by the newest heartbeat that came from the controller itself.
         self.direct_at: timedelta | None = None
-        #: Our clock less the uptime of the sender, by the quickest heartbeat.
+        #: Local clock minus the uptime of the sender, from the heartbeat with the least delay.
         self.clock_offset = described_at - from_ms(heartbeat.uptime_ms)
 
 
 def to_ms(span: timedelta) -> int:
-    """Whole milliseconds, as in heartbeats; never negative."""
+    """Convert to whole milliseconds, as in heartbeats; negative spans become 0."""
     return max(0, int(span.total_seconds() * 1000))
 
 
 def from_ms(value: int) -> timedelta:
-    """A duration from a number of milliseconds."""
+    """Convert from milliseconds."""
     return timedelta(milliseconds=value)
 
 
@@ -60,7 +60,7 @@
         """Store a heartbeat unless a newer one is stored. Heartbeats of unknown members are
         ignored.
 
-        `direct`: it came from the controller itself, not through another one.
+        `direct`: it came from the controller itself, and was not relayed by another one.
         """
         if heartbeat.member not in self.members or heartbeat.member == self.member:
             return
@@ -73,8 +73,8 @@
         described_at = now - from_ms(heartbeat.age_ms)
         new = ReceivedHeartbeat(heartbeat, described_at, direct)
         if known is not None and known.heartbeat.incarnation == heartbeat.incarnation:
-            # A message may be delayed for minutes and still carry an age of zero. It comes later
-            # than its uptime says by the quickest one before it, drift allowed for.
+            # A message may be delayed for minutes and still carry an age of zero. The delay shows
+            # in a larger offset than that of the fastest heartbeat before it, plus clock drift.
             elapsed = from_ms(heartbeat.uptime_ms - known.heartbeat.uptime_ms)
             max_offset = known.clock_offset + elapsed * (2 * MAX_CLOCK_DRIFT)
             new.clock_offset = min(new.clock_offset, max_offset)
@@ -87,20 +87,20 @@
     def heartbeat(
         self, member: str, now: timedelta, max_age: timedelta = MAX_RECENT_AGE
     ) -> PeerHeartbeat | None:
-        """The heartbeat of a controller, if it is not older than `max_age`."""
+        """The heartbeat of a controller, or None if there is none that recent."""
         known = self.received.get(member)
         if known is None or now - known.described_at > max_age:
             return None
         return known.heartbeat
 
     def described_at(self, member: str) -> timedelta:
-        """The moment on our clock that the stored heartbeat of a member describes."""
+        """The time on the local clock that the stored heartbeat of a member describes."""
         return self.received[member].described_at
 
     def is_connected(
         self, member: str, now: timedelta, max_age: timedelta = MAX_RECENT_AGE
     ) -> bool:
-        """Whether the controller itself has sent a heartbeat that is not older than `max_age`."""
+        """Whether a heartbeat not older than `max_age` came from the controller itself."""
         known = self.received.get(member)
         return (
             known is not None and known.direct_at is not None and now - known.direct_at <= max_age
@@ -115,7 +115,8 @@
         ]
 
     def to_relay(self, now: timedelta) -> list[PeerHeartbeat]:
-        """Heartbeats that were received directly: each is relayed once, with its present age."""
+        """Heartbeats to relay, with their current age: only those received directly, so that each
+        is relayed over one hop."""
         return [
             msgspec.structs.replace(
                 known.heartbeat, age_ms=to_ms(now - known.described_at), probe_addresses={}
@@ -126,6 +127,6 @@
 
 
 def event_time(described_at: timedelta, age_ms: int | None) -> timedelta | None:
-    """The moment on our clock of an event whose age is given by a heartbeat that describes the
-    moment `described_at`; None if there was no such event."""
+    """The time on the local clock of an event of which a heartbeat gives the age, relative to
+    `described_at`; None if there was no such event."""
     return None if age_ms is None else max(described_at - from_ms(age_ms), ZERO)
--- a/dappledrum/membership/probes.py
+++ b/dappledrum/membership/probes.py
@@ -1,4 +1,4 @@
-"""Probes of links without traffic: to the store, to workers and to the cloud."""
+"""Probes idle links: to the store, to workers and to the cloud."""
 
 import asyncio
 from collections.abc import Iterable
@@ -15,7 +15,7 @@
 STORE_PROBE_INTERVAL = timedelta(seconds=1)
 WORKER_PROBE_TIMEOUT = timedelta(seconds=1)
 WORKER_PROBE_INTERVAL = timedelta(seconds=4)  # while all zones are connected
-URGENT_PROBE_INTERVAL = timedelta(milliseconds=700)  # while the leader hears nothing from a zone
+URGENT_PROBE_INTERVAL = timedelta(milliseconds=700)  # while a zone is silent
 CLOUD_PROBE_INTERVAL = timedelta(seconds=5)
 
 
@@ -27,7 +27,7 @@
         self.store = store
 
     async def run(self) -> None:
-        """Probe for ever."""
+        """Probe in an endless loop."""
         while True:
             await _sleep_about(STORE_PROBE_INTERVAL, self.context)
             if self.store.health.idle_for(STORE_PROBE_INTERVAL):
@@ -35,8 +35,8 @@
 
 
 class CloudProber:
-    """Probes the cloud while the leader gets no response from it. Calls are limited; the leader
-    uses none of them then."""
+    """Probes the cloud while the leader gets no response from it. The cloud limits the rate of
+    calls, and the leader uses none of that limit then."""
 
     def __init__(
         self, context: MembershipContext, monitor: PeerMonitor, cloud: ProbedService
@@ -46,23 +46,23 @@
         self.cloud = cloud
 
     async def run(self) -> None:
-        """Probe for ever."""
+        """Probe in an endless loop."""
         while True:
             await _sleep_about(CLOUD_PROBE_INTERVAL, self.context)
-            if any(map(_lacks_cloud, self.monitor.recent_heartbeats())):
+            if any(map(_reports_slow_cloud, self.monitor.recent_heartbeats())):
                 await self.cloud.probe()
 
 
-def _lacks_cloud(heartbeat: PeerHeartbeat) -> bool:
+def _reports_slow_cloud(heartbeat: PeerHeartbeat) -> bool:
     return heartbeat.leads and from_ms(heartbeat.cloud_delay_ms or 0) > CLOUD_PROBE_INTERVAL
 
 
 class WorkerProber:
     """Probes workers of zones from which no heartbeats arrive.
 
-    Followers probe a worker now and then, and workers of all zones while the leader gets no
-    heartbeats from one. The leader probes the silent zones itself, to find out whether it is cut
-    off or they are.
+    Followers probe one worker every WORKER_PROBE_INTERVAL, and workers of all zones more often
+    while the leader reports an unreachable zone. The leader probes the silent zones itself, to
+    find out whether its links to them are cut.
     """
 
     def __init__(
@@ -81,7 +81,7 @@
         self.probe = probe
 
     async def run(self) -> None:
-        """Probe for ever."""
+        """Probe in an endless loop."""
         last_round = ZERO
         while True:
             await _sleep_about(URGENT_PROBE_INTERVAL, self.context)
@@ -99,7 +99,7 @@
             await asyncio.gather(*(self._probe_zone(name) for name in zones))
 
     def _add_addresses(self, heartbeats: Iterable[PeerHeartbeat]) -> None:
-        """Keep the addresses that a leader sends."""
+        """Add the worker addresses in a leader's heartbeats to the zones."""
         for heartbeat in heartbeats:
             if not heartbeat.leads:
                 continue
@@ -108,8 +108,8 @@
                 known.extend(address for address in addresses if address not in known)
 
     def _zones_to_probe(self, leads: bool) -> list[str]:
-        """Zones without contact lately, starting with the oldest probe; of a leader only those
-        that are silent."""
+        """Zones without recent contact, least recently probed first; on a leader only those that
+        are silent."""
         now = self.clock.now()
         names = [
             name
@@ -124,7 +124,7 @@
         return sorted(names, key=lambda name: self.zones[name].probed_at or ZERO)[:MAX_ZONES]
 
     async def _probe_zone(self, name: str) -> None:
-        """Probe one worker of a zone, drawn at random."""
+        """Probe one randomly chosen worker of a zone."""
         zone = self.zones[name]
         sent = zone.probed_at = self.clock.now()
         address = self.context.rng.choice(list(zone.addresses))
@@ -133,5 +133,5 @@
 
 
 async def _sleep_about(interval: timedelta, context: MembershipContext) -> None:
-    """Sleep for an interval within a tenth of the given one, so that controllers spread."""
+    """Sleep for the interval plus or minus up to 10%, so that controllers do not synchronize."""
     await asyncio.sleep(interval.total_seconds() * context.rng.uniform(0.9, 1.1))
--- a/dappledrum/membership/redirected_workers.py
+++ b/dappledrum/membership/redirected_workers.py
@@ -5,26 +5,26 @@
 
 from dappledrum.timing.clock import Clock
 
-#: For how long the heartbeats of a worker are forwarded before it is redirected to the leader
-#: again; doubled each time that it comes back.
+#: How long the heartbeats of a worker are forwarded before it is redirected to the leader again;
+#: doubled each time the worker returns.
 FORWARDING_PERIOD = timedelta(seconds=20)
 MAX_FORWARDING_PERIOD = timedelta(seconds=120)
 MAX_WORKERS = 5_000
 
 
 class RedirectedWorker:
-    """A worker that came here while another controller leads, for one epoch of that leader."""
+    """State of a worker that sent a heartbeat to this follower, for one epoch of the leader."""
 
     def __init__(self, epoch: int) -> None:
         self.epoch = epoch
-        self.redirected = False  # to the leader, and not seen here since
-        self.forwarded_once = False  # it is redirected when it comes next
+        self.redirected = False  # to the leader, and has sent no heartbeat here since
+        self.forwarded_once = False  # its next heartbeat is redirected
         self.forwarded_until: timedelta | None = None
         self.forwarding_period = FORWARDING_PERIOD
 
 
 class RedirectedWorkers:
-    """The workers that were redirected to the leader, and those that came back."""
+    """Workers that were redirected to the leader, and those that returned."""
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
@@ -37,12 +37,13 @@
         redirected there, and that is recorded.
 
         It must be forwarded if the leader reports that it does not reach the worker's zone
-        (`unreachable`), if the worker was answered by this leader before (`token`) and comes here
-        now, and if it was redirected there and comes here again: so no worker is redirected in a
-        circle. After a while it is redirected once more, since links recover. A worker that comes
-        here only when the leader has led for long (`searching`) may have no time left for another
-        failed attempt: one heartbeat of it is forwarded first. A worker that was never answered
-        (token 0) has no tasks to lose.
+        (`unreachable`), if this leader has answered the worker before (`token`), and if the worker
+        was redirected to the leader and has returned. This prevents redirect loops. After a while
+        the worker is redirected once more, since links recover.
+
+        A worker that comes here when the leader has led for some time (`searching`) may have no
+        time left for another failed attempt, so one of its heartbeats is forwarded first. A worker
+        that was never answered (token 0) has no tasks to lose.
         """
         now = self.clock.now()
         worker = self._worker(machine, epoch)
@@ -64,7 +65,7 @@
         return unreachable
 
     def _worker(self, machine: str, epoch: int) -> RedirectedWorker:
-        """The state of a worker, new for each epoch; the least recent ones are dropped."""
+        """The state of a worker, new for each epoch; the least recently used ones are dropped."""
         worker = self.workers.get(machine)
         if worker is None or worker.epoch != epoch:
             worker = self.workers[machine] = RedirectedWorker(epoch)
--- a/dappledrum/membership/service.py
+++ b/dappledrum/membership/service.py
@@ -1,4 +1,4 @@
-"""The membership service of one controller: connects its parts, and runs their loops."""
+"""The membership service of one controller: creates its components and runs their loops."""
 
 import asyncio
 import logging
@@ -29,7 +29,7 @@
 
 
 class Membership:
-    """What a controller has found out about links and peers, and the loops that find it out."""
+    """Health of links and peers as one controller knows it, and the loops that update it."""
 
     def __init__(
         self,
@@ -63,7 +63,7 @@
         self._peers = list(context.peers.callers)
 
     async def run(self) -> None:
-        """Run all background tasks, for ever."""
+        """Run all background loops; never returns."""
         await asyncio.gather(
             *(
                 SUPERVISOR.repeat(
@@ -90,19 +90,19 @@
         return self.monitor.received_at
 
     def answer(self, heartbeats: PeerHeartbeats) -> PeerHeartbeatsReply:
-        """Answer a peer's heartbeats with ours."""
+        """Answer a peer's heartbeats with this controller's own."""
         return self.monitor.answer(heartbeats)
 
     def announce(self) -> None:
-        """Send heartbeats at once, since something has changed that the peers should know."""
+        """Send heartbeats at once, to inform the peers of a change."""
         self.monitor.announce()
 
     def is_connected(self) -> bool:
-        """Whether any peer has sent a heartbeat lately."""
+        """Whether a heartbeat of any peer has recently arrived directly."""
         return self.monitor.is_connected()
 
     def served_peers(self) -> list[str]:
-        """Peers that reach the store, the quickest first."""
+        """Peers that the store serves, fastest first."""
         served = [
             heartbeat
             for heartbeat in self.monitor.connected_heartbeats()
@@ -112,24 +112,27 @@
         return [heartbeat.member for heartbeat in served]
 
     def candidacy_delay(self) -> timedelta:
-        """How long to let better candidates campaign first."""
+        """How long to wait so that better candidates campaign first."""
         own = self.monitor.own_heartbeat()
         return candidacy_delay(own, self.monitor.connected_heartbeats())
 
     # workers
 
     def record_worker_heartbeat(self, heartbeat: WorkerHeartbeat) -> None:
-        """Record that a heartbeat of a worker arrived here, whoever answers it."""
+        """Record a worker's heartbeat, whichever controller answers it."""
         zone = self.zones.get_or_create(heartbeat.zone)
         zone.record_heartbeat(self.clock.now(), heartbeat.address)
 
     def redirect_target(self) -> str | None:
-        """The controller to which workers should be redirected; None: not known."""
+        """The controller to which workers should be redirected; None if it is not known."""
         return self.router.redirect_target()
 
     async def forward_heartbeat(
         self, heartbeat: WorkerHeartbeat, leader: str, body: bytes
     ) -> bytes | None:
-        """The leader's answer to a worker that does not reach it; None: the worker should go there
-        itself, or the leader gives no answer."""
+        """Forward a heartbeat to the leader if its worker does not reach it.
+
+        Returns the leader's answer; None if the worker should send the heartbeat to the leader
+        itself, or if the leader does not answer. `body` is the heartbeat as the worker sent it.
+        """
         return await self.router.forward_heartbeat(heartbeat, leader, body)
--- a/dappledrum/membership/silent_zones.py
+++ b/dappledrum/membership/silent_zones.py
@@ -1,4 +1,4 @@
-"""Finds zones whose workers the leader gets no heartbeats from."""
+"""Finds zones from whose workers the leader gets no heartbeats."""
 
 from collections.abc import Callable, Mapping
 from datetime import timedelta
@@ -8,20 +8,20 @@
 from dappledrum.timing.clock import ZERO, Clock
 from dappledrum.timing.timeouts import PauseDetector
 
-MACHINE_COUNT_INTERVAL = timedelta(seconds=2)  # while heartbeats of all zones arrive
+MACHINE_COUNT_INTERVAL = timedelta(seconds=2)  # while heartbeats arrive from all zones
 MIN_SILENCE = timedelta(seconds=1.5)
-#: A worker's heartbeat is later than its usual interval by a quarter at most, and by this delay.
+#: A worker's heartbeat is late by at most a quarter of the interval plus this delay.
 MAX_HEARTBEAT_DELAY = timedelta(milliseconds=750)
 
 
 def max_heartbeat_interval(limits: WorkerLimits) -> timedelta:
-    """The longest time between two heartbeats of a worker that runs and is connected."""
+    """The longest time between two heartbeats of a healthy, connected worker."""
     return limits.heartbeat_interval * 1.25 + MAX_HEARTBEAT_DELAY
 
 
 class SilentZones:
     """Zones with machines that should send heartbeats, but from which none has arrived for longer
-    than any of them may take."""
+    than the machines may take."""
 
     def __init__(
         self,
@@ -41,11 +41,11 @@
         self._counted_at = ZERO
 
     def clear(self) -> None:
-        """Forget all silent zones, since this controller does not lead."""
+        """Clear the silent zones, when this controller does not lead."""
         self.silent_since = {}
 
     def update(self, term_started_at: timedelta) -> None:
-        """Find the silent zones of this moment."""
+        """Find the zones that are silent now."""
         self.silent_since = self._find(term_started_at)
 
     def unreachable(self) -> dict[str, timedelta]:
@@ -58,13 +58,13 @@
 
     def _find(self, term_started_at: timedelta) -> dict[str, timedelta]:
         now = self.clock.now()
-        # Time in which this controller itself was paused does not count.
+        # Time during which this controller itself was paused does not count.
         since = max(term_started_at, self.pause_detector.running_since())
         if now - since <= MIN_SILENCE:
             return {}
-        # To count all machines four times a second costs more than to process their heartbeats.
-        # While heartbeats of every zone arrive, counting only finds zones that are new.
-        if self._all_zones_heard(now, since) and now - self._counted_at < MACHINE_COUNT_INTERVAL:
+        # Counting all machines four times a second costs more than processing their heartbeats.
+        # While heartbeats arrive from every known zone, counting can only find new zones.
+        if self._all_connected(now, since) and now - self._counted_at < MACHINE_COUNT_INTERVAL:
             return {}
         self._counted_at = now
         silent = {}
@@ -74,15 +74,17 @@
                 silent[name] = at
         return silent
 
-    def _all_zones_heard(self, now: timedelta, since: timedelta) -> bool:
+    def _all_connected(self, now: timedelta, since: timedelta) -> bool:
         max_age = min(max_heartbeat_interval(self.limits), MIN_SILENCE)
         return all(
             now - max(zone.heartbeat_at or ZERO, since) <= max_age for zone in self.zones.values()
         )
 
     def _max_silence(self, machines: int) -> timedelta:
-        """The longest time without a heartbeat from this many machines. No machine is ever later
-        than `max_heartbeat_interval`, and of many machines with random offsets some send much
-        sooner: all of them are later than 12 / `machines` intervals with probability e^-12."""
+        """The longest normal time without a heartbeat from this many machines.
+
+        No machine takes longer than `max_heartbeat_interval`. With random offsets the time is much
+        shorter for many machines: it exceeds 12 / `machines` intervals with probability e^-12.
+        """
         random_offsets = self.limits.heartbeat_interval * 12 / machines
         return min(max_heartbeat_interval(self.limits), max(random_offsets, MIN_SILENCE))
--- a/dappledrum/membership/zone_health.py
+++ b/dappledrum/membership/zone_health.py
@@ -4,7 +4,7 @@
 from datetime import timedelta
 
 MAX_ZONES = 16
-MAX_ADDRESSES = 8  # of workers of one zone, kept for probes
+MAX_ADDRESSES = 8  # worker addresses kept for probes, per zone
 MIN_FAILED_PROBES = 2  # in a row, before a zone counts as unreachable
 
 
@@ -12,11 +12,11 @@
     """Contact with the workers of one zone: their heartbeats, and their answers to probes."""
 
     def __init__(self) -> None:
-        self.heartbeat_at: timedelta | None = None  # of the last one, answered or not
+        self.heartbeat_at: timedelta | None = None  # when the last one arrived, answered or not
         self.probe_answered_at: timedelta | None = None
         self.probed_at: timedelta | None = None
-        self.failed_probe_sent_at: timedelta | None = None  # of the last that was not answered
-        self.failed_probes = 0  # in a row, without a heartbeat between them
+        self.failed_probe_sent_at: timedelta | None = None  # when the last unanswered one was sent
+        self.failed_probes = 0  # in a row, without a heartbeat in between
         self.addresses: deque[str] = deque(maxlen=MAX_ADDRESSES)
 
     @property
@@ -41,22 +41,26 @@
             self.failed_probe_sent_at = sent
             self.failed_probes += 1
 
-    def unreachable_since(self, silent: timedelta) -> bool:
-        """Whether a probe sent since then failed, and none was answered after it."""
+    def unreachable_since(self, silent_since: timedelta) -> bool:
+        """Whether a probe sent since then has failed, and none was answered after it."""
         failed, answered = self.failed_probe_sent_at, self.probe_answered_at
-        return failed is not None and failed >= silent and (answered is None or answered < failed)
+        return (
+            failed is not None
+            and failed >= silent_since
+            and (answered is None or answered < failed)
+        )
 
     def is_unreachable(self) -> bool:
-        """Whether probes show that the zone is not reached; a single failure may be a worker that
+        """Whether probes show that the zone is unreachable; a single failure may be a worker that
         has exited."""
         return self.failed_probes >= MIN_FAILED_PROBES
 
 
 class ZoneTable(dict[str, ZoneHealth]):
-    """Zones by name, in the order of their first contact; at most MAX_ZONES."""
+    """Health of the zones by name, oldest entry first; at most MAX_ZONES."""
 
     def get_or_create(self, name: str) -> ZoneHealth:
-        """The health of a zone; a new zone replaces the oldest one if there are too many."""
+        """Return the health of a zone; at the limit a new zone replaces the oldest one."""
         if name not in self:
             while len(self) >= MAX_ZONES:
                 self.pop(next(iter(self)))
@@ -64,5 +68,5 @@
         return self[name]
 
     def unreachable(self) -> list[str]:
-        """Names of the zones that probes do not reach."""
+        """Names of the zones that probes can't reach."""
         return [name for name, zone in self.items() if zone.is_unreachable()]
