--- a/dappledrum/membership/leader_placement.py
+++ b/dappledrum/membership/leader_placement.py
@@ -51,7 +51,7 @@
     """A controller that would clearly be a better leader; None: the leader stays.
 
     The store counts first, then workers, then the cloud. A controller qualifies only if this
-    leader has recently received a heartbeat directly from it, and if it was not paused just then.
+    leader has recently received a heartbeat directly from it, and if it was not recently paused.
     Its contact with the store or with workers must be newer than the fault. So the leader stays if
     all controllers have the same fault, or if it is the only one left.
 
--- a/dappledrum/membership/test_leader_claims.py
+++ b/dappledrum/membership/test_leader_claims.py
@@ -1,4 +1,4 @@
-"""Who leads, as concluded from drawn heartbeats, against a slow model."""
+"""The believed leader for random heartbeats, compared with a reference model."""
 
 import random
 from datetime import timedelta
@@ -12,8 +12,8 @@
 
 
 def model_believed_leader(claims, heartbeats):
-    """The same as a slow model: whom the newest strong claim of the highest epoch names,
-    or any other claim where there is none, and whose own heartbeat does not deny it."""
+    """Reference model: the member named by the newest strong claim of the highest epoch, or by the
+    newest weak claim if there is no strong one, unless its own heartbeat denies that it leads."""
     epoch = max((claim.epoch for claim in claims), default=0)
     if epoch == 0:
         return None
@@ -34,7 +34,7 @@
     return None if own is not None and not (own.leads and own.epoch >= epoch) else best.member
 
 
-def test_believed_leader_agrees_with_the_slow_model(make_heartbeat):
+def test_believed_leader_agrees_with_the_reference_model(make_heartbeat):
     rng = random.Random(5)
     seen = set()
     for _ in range(5000):
@@ -50,7 +50,8 @@
             for name in rng.sample("bcd", rng.randint(0, 3))
         }
         received = [
-            ReceivedHeartbeat(one, at(rng.random() * 9), True) for one in heartbeats.values()
+            ReceivedHeartbeat(heartbeat, at(rng.random() * 9), True)
+            for heartbeat in heartbeats.values()
         ]
         own = LeaderClaim(
             rng.randint(0, 3), rng.choice([None, "a", "c"]), at(9.5), rng.random() < 0.5
--- a/dappledrum/membership/test_leader_placement.py
+++ b/dappledrum/membership/test_leader_placement.py
@@ -35,7 +35,7 @@
             NO_STORE,
             {"store_response_age_ms": 3000},
             False,
-            id="store served the peer before the fault, which may be everybody's",
+            id="store served the peer before the fault, which may affect all",
         ),
         pytest.param(NO_STORE, {"store_delay_ms": 1500}, False, id="store is slow for both"),
         pytest.param(NO_STORE, {"unpaused_ms": 500}, False, id="peer was paused just before"),
@@ -51,7 +51,7 @@
             ZONE_UNREACHABLE,
             {"heartbeat_ages_ms": {"x": 500}, "unreachable_zones": ["y"]},
             False,
-            id="one zone for another",
+            id="peer reaches it, but loses another zone",
         ),
         pytest.param(
             ZONE_UNREACHABLE,
@@ -86,7 +86,7 @@
     assert better_leader(links, table, []) is None
 
 
-def test_a_better_candidate_goes_first_and_equals_do_not_wait(make_heartbeat):
+def test_a_better_candidate_campaigns_first_and_equals_do_not_wait(make_heartbeat):
     good, bad = make_heartbeat("b", 1), make_heartbeat("c", 1, unreachable_zones=["x"])
     assert candidacy_delay(bad, [good]) > at(0)
     assert candidacy_delay(good, [bad]) == candidacy_delay(good, [good]) == at(0)
--- a/dappledrum/membership/test_link_health.py
+++ b/dappledrum/membership/test_link_health.py
@@ -1,4 +1,4 @@
-"""The expected delay of a link, and what probes show about a zone."""
+"""The expected delay of a link, and whether probes show a zone as unreachable."""
 
 import asyncio
 from datetime import timedelta
@@ -12,7 +12,7 @@
     return timedelta(seconds=seconds)
 
 
-def test_a_link_counts_by_its_delay():
+def test_the_expected_delay_of_a_link_grows_while_a_request_is_unanswered():
     async def main():
         clock = SkewedClock()
         link = LinkHealth(clock)
@@ -30,7 +30,7 @@
     run(main())
 
 
-def test_a_zone_is_unreachable_only_by_a_probe_that_began_after_the_silence():
+def test_a_zone_is_unreachable_only_if_a_probe_sent_during_the_silence_failed():
     zone = ZoneHealth()
     zone.record_probe(at(5), at(6), False)
     assert not zone.unreachable_since(at(7))
--- a/dappledrum/membership/test_messages.py
+++ b/dappledrum/membership/test_messages.py
@@ -1,4 +1,4 @@
-"""What peers and workers send is checked before it is used."""
+"""Validation of messages from peers and of worker addresses."""
 
 import asyncio
 from datetime import timedelta
--- a/dappledrum/membership/test_outages.py
+++ b/dappledrum/membership/test_outages.py
@@ -1,5 +1,5 @@
-"""Outages of the store while a controller is missing, and leaders that go on for promises
-while another one leads."""
+"""Store outages while a controller is missing, and leaders that continue on lease grants while
+another controller leads."""
 
 import asyncio
 
@@ -13,8 +13,8 @@
 
 @pytest.mark.parametrize("how", ["killed", "frozen", "cut"])
 def test_an_outage_while_one_controller_is_missing_loses_no_work(how):
-    """All had to promise once: with one missing, an outage longer than a worker's lease lost all
-    that ran."""
+    """Lease grants of all controllers were once required: with one missing, an outage longer than
+    a worker's lease lost all running tasks."""
 
     async def main():
         cluster = await cluster_with_long_jobs(seed=4)
@@ -37,9 +37,11 @@
     run(main())
 
 
-def test_without_all_a_leader_goes_on_for_a_bounded_time():
-    """Somebody may be served meanwhile, and have told a user that a job is cancelled: 30 s for the
-    cancellation, 9 s of lease, 5 s to spare."""
+def test_a_leader_without_grants_of_all_continues_for_a_bounded_time():
+    """The missing controller may reach the store, and have confirmed a cancellation to a user.
+
+    A cancellation must take effect within 30 s, of which 9 s are the lease and 5 s margin.
+    """
 
     async def main():
         cluster = await cluster_with_long_jobs(seed=4)
@@ -56,7 +58,8 @@
     run(main())
 
 
-def clear(cluster):
+def others_have_stopped(cluster):
+    """Whether the leader has confirmed that no other controller answers workers."""
     leader = cluster.leader()
     return (
         leader is not None
@@ -64,40 +67,45 @@
     )
 
 
-def two_sides(cluster):
-    """Leader and two others are refused by the store, two are served, and the two sides
-    can't talk; returns the leader, and the others in this order."""
+def partition_into_two_sides(cluster):
+    """Cut the leader and two followers off from the other two followers and from the store.
+
+    Returns the leader, and the followers in this order.
+    """
     leader = cluster.leader()
     others = [m for m in FIVE if m != leader]
-    # Words would tell the three that another leads: the two can't reach their peers at all.
-    for one in (leader, *others[:2]):
-        cluster.store.refused.add(one)
-        for two in others[2:]:
-            for a, b in ((one, "back-" + two), (two, "back-" + one)):
+    # Heartbeats would inform the three of the new leader, so the links are cut in both directions.
+    for member in (leader, *others[:2]):
+        cluster.store.refused.add(member)
+        for peer in others[2:]:
+            for a, b in ((member, "back-" + peer), (peer, "back-" + member)):
                 cluster.network.cut(a, b)
     return leader, others
 
 
-def test_a_minority_that_is_served_leads_and_waits_with_its_proofs():
-    """Leader and two others are refused, two are served: one of the two leads, but what it does
-    not hear of counts as running until a majority has told that it holds to no promise."""
+def test_a_leader_of_a_served_minority_gives_up_nothing_while_the_former_leader_answers():
+    """The store refuses the leader and two others, and serves two: one of the two leads.
+
+    Tasks of which it gets no heartbeat count as running until a majority has confirmed that it
+    relies on no lease grant.
+    """
 
     async def main():
         cluster = await cluster_with_long_jobs(seed=5)
-        leader, _ = two_sides(cluster)
+        leader, _ = partition_into_two_sides(cluster)
         await cluster.until(lambda: cluster.leader() not in (None, leader), most=10)
-        seen = 0.0
+        overlap = 0.0
         while cluster.controllers[leader].elector.valid_term() is not None:
-            # The former leader still answers: nothing may be given up meanwhile, whoever leads.
+            # The former leader still answers workers, so no leader may give up placements yet.
             second = cluster.leader()
             assert (
                 second is None
                 or cluster.controllers[second].elector.term.others_stopped_at is None
             )
             await cluster.wait(0.25)
-            seen += 0.25
-        assert seen > 2
-        await cluster.until(lambda: clear(cluster), most=40)
+            overlap += 0.25
+        assert overlap > 2
+        await cluster.until(lambda: others_have_stopped(cluster), most=40)
         cluster.network.heal()
         cluster.store.refused.clear()
         await cluster.wait(15)
@@ -105,7 +113,7 @@
     run(main())
 
 
-def test_who_stands_without_a_majority_of_the_living_leads_all_the_same():
+def test_two_of_five_controllers_elect_a_leader_when_the_others_are_killed():
     async def main():
         cluster = await cluster_with_long_jobs(seed=6)
         leader = cluster.leader()
@@ -121,10 +129,12 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_a_candidate_that_comes_late_leaves_no_bar_against_the_winner(seed):
-    """It looked for a leader before the winner's transaction and for the epoch after it, and asked
-    all whether it may stand against the winner: their promises to that one counted for nothing in
-    the outage that followed."""
+def test_a_late_candidate_does_not_make_voters_refuse_grants_to_the_winner(seed):
+    """A candidate that read the leader before the winner's transaction, and the epoch after it,
+    once campaigned against the winner's epoch.
+
+    The voters' lease grants to the winner were then void in the store outage that followed.
+    """
 
     async def main():
         cluster = SimulatedCluster(seed=seed, members=FIVE)
--- a/dappledrum/membership/test_partitions.py
+++ b/dappledrum/membership/test_partitions.py
@@ -1,4 +1,4 @@
-"""Whole controllers while some links are cut and a way is left: served, and nothing lost."""
+"""Network partitions that leave some path to each worker: all are served, and no work is lost."""
 
 import asyncio
 import json
@@ -16,8 +16,8 @@
 )
 
 
-async def test_who_is_not_served_names_no_former_leader():
-    """Four that the store did not serve once named the former leader to every worker."""
+async def test_controllers_without_the_store_do_not_redirect_to_a_former_leader():
+    """Controllers that the store did not serve once sent all workers to the former leader."""
     cluster = await cluster_with_long_jobs(lease_s=15.0)
     leader = cluster.leader()
     others = cluster.others(leader)
@@ -39,9 +39,9 @@
 
 @pytest.mark.parametrize("seed", range(3))
 @pytest.mark.parametrize("mode", ["hold", "refuse", "503"])
-async def test_four_of_five_lose_the_state_service(mode, seed):
-    """The four once named the former leader to every worker, which went round between them until
-    its lease was over, while the fifth led and reached everything."""
+async def test_work_continues_when_four_of_five_controllers_lose_the_store(mode, seed):
+    """The four once redirected workers in a circle until their leases expired, while the fifth led
+    and reached everything."""
     cluster = await cluster_with_long_jobs(seed=seed)
     leader = cluster.leader()
     fifth = after(leader, 3)
@@ -61,29 +61,29 @@
 
 
 @pytest.mark.parametrize("seed", range(2))
-async def test_the_leader_alone_is_cut_off_from_all_workers(seed):
-    """It once needed three heartbeats' time to see it, and its successor was drawn by lot."""
+async def test_a_leader_cut_off_from_all_workers_is_replaced_by_one_that_reaches_them(seed):
+    """It once took three heartbeat intervals to detect this, and the successor was random."""
     cluster = await cluster_with_long_jobs(seed=seed, lease_s=15.0)
     leader = cluster.leader()
-    other = after(leader, 2)
+    other_cut_off = after(leader, 2)
     for name in cluster.cloud.machines:
         cluster.network.cut(leader, name)
-        cluster.network.cut(other, name)
+        cluster.network.cut(other_cut_off, name)
     took = await cluster.until(lambda: cluster.leader() not in (None, leader))
     assert took < 5
-    assert cluster.leader() != other
+    assert cluster.leader() != other_cut_off
     await wait_without_lost_leases(cluster, 20)
 
 
-async def test_a_leader_that_neither_workers_nor_peers_reach_steps_aside():
-    """Connections between controllers are refused, so it can ask nobody; it once kept its key
-    until they were no more."""
+async def test_a_leader_that_neither_workers_nor_peers_reach_resigns():
+    """Connections between controllers are refused, so it can't ask its peers; it once kept the
+    leader key as long as that lasted."""
     cluster = await cluster_with_long_jobs(seed=2, lease_s=24.0)
     await cluster.wait(8)
     leader = cluster.leader()
-    for one in FIVE:
-        for two in FIVE:
-            cluster.network.refusing.add(frozenset((one, "back-" + two)))
+    for member in FIVE:
+        for peer in FIVE:
+            cluster.network.refusing.add(frozenset((member, "back-" + peer)))
     for name in cluster.cloud.machines:
         cluster.network.refusing.add(frozenset((leader, name)))
     took = await cluster.until(lambda: cluster.leader() not in (None, leader))
@@ -91,7 +91,7 @@
     await wait_without_lost_leases(cluster, 20)
 
 
-async def test_the_only_one_left_leads_again_when_it_has_stepped_aside():
+async def test_the_only_running_controller_leads_again_after_it_resigned():
     cluster = await cluster_with_long_jobs(seed=2, lease_s=24.0)
     await cluster.wait(8)
     leader = cluster.leader()
@@ -104,8 +104,8 @@
     assert await cluster.until(lambda: cluster.leader() == leader) < 4
 
 
-async def test_only_one_controller_reaches_the_workers_and_another_the_state_service():
-    """Neither can serve alone: heartbeats go through the one to the other."""
+async def test_heartbeats_are_forwarded_when_no_controller_reaches_both_store_and_workers():
+    """Only the leader reaches the store, and only one follower reaches the workers."""
     cluster = await cluster_with_long_jobs(seed=3, lease_s=20.0)
     leader = cluster.leader()
     through = after(leader, 1)
@@ -121,22 +121,23 @@
     await cluster.until(lambda: any(j == "j-000050" for j, _ in cluster.rules.running), 30)
 
 
-async def test_a_zone_is_cut_off_with_the_leader_inside():
-    """Inside it goes on as long as it may; outside another leads, and loses none of its own."""
+async def test_a_zone_that_is_cut_off_with_the_leader_loses_no_work_outside():
+    """The leader inside the zone continues as long as it may. Outside, another controller leads,
+    and none of the workers there loses its lease."""
     cluster = await cluster_with_long_jobs(seed=8, lease_s=15.0)
     await cluster.accept(job(60, beats=4, hall="b", runS=200.0, expectedS=200.0, dueS=400.0))
     await cluster.until(lambda: len(cluster.rules.running) == 22)
     leader = cluster.leader()
     inside = [leader, after(leader, 1)]
     outside = [m for m in FIVE if m not in inside]
-    apart = {name for name, m in cluster.cloud.machines.items() if m.kind[1] == "b"}
-    assert apart
-    assert len(apart) < len(cluster.cloud.machines)
+    zone_b = {name for name, m in cluster.cloud.machines.items() if m.kind[1] == "b"}
+    assert zone_b
+    assert len(zone_b) < len(cluster.cloud.machines)
     for member in inside:
         cluster.cut_off(member, "state", "cloud", *outside, *("back-" + m for m in outside))
-        for name in set(cluster.cloud.machines) - apart:
+        for name in set(cluster.cloud.machines) - zone_b:
             cluster.network.cut(member, name)
-    for name in apart:
+    for name in zone_b:
         for member in outside:
             cluster.network.cut(member, name)
     before = sessions(cluster)
@@ -144,22 +145,22 @@
     assert took < 5
     await cluster.wait(30)
     lost = {name for name, session in sessions(cluster).items() if session > before[name]}
-    assert lost <= apart
+    assert lost <= zone_b
     cluster.network.heal()
     await cluster.wait(10)
 
 
-async def test_links_that_come_and_go_move_leadership_only_so_often(caplog):
-    """Every two seconds the store refuses the other half of the controllers: a leader may
-    hand over three times a minute, and its lease lasts through the rest."""
+async def test_unstable_links_transfer_leadership_at_most_three_times_a_minute(caplog):
+    """Every two seconds the store refuses the other half of the controllers. Between transfers the
+    leader keeps its lease."""
     cluster = await cluster_with_long_jobs(seed=4)
     before = max(controller.elector.epoch for controller in cluster.controllers.values())
     for second in range(60):
         refused = [m for n, m in enumerate(FIVE) if (n + second // 2) % 2]
         cluster.store.refused = set(refused)
         await cluster.wait(1)
-    moves = [r for r in caplog.records if "transferring leadership" in r.getMessage()]
-    assert 0 < len(moves) <= 3
+    transfers = [r for r in caplog.records if "transferring leadership" in r.getMessage()]
+    assert 0 < len(transfers) <= 3
     assert (
         max(controller.elector.epoch for controller in cluster.controllers.values()) <= before + 4
     )
@@ -169,36 +170,36 @@
 
 @pytest.mark.parametrize("when", [0.0, 0.01, 0.03])
 @pytest.mark.parametrize("who", ["leader", "successor"])
-async def test_a_handover_in_the_midst_of_which_one_is_cut_off_or_ends(who, when):
-    """Whatever arrives of it, and however late: one leads, and nothing is lost."""
+async def test_a_leadership_transfer_during_which_one_side_is_cut_off_loses_no_work(who, when):
+    """The messages of the transfer may be lost or late; another controller then leads."""
     cluster = await cluster_with_long_jobs(seed=5)
     leader = cluster.leader()
     successor = after(leader, 1)
     cluster.controllers[leader].elector.transfer_leadership(successor, "a test")
     await asyncio.sleep(when)
-    gone = leader if who == "leader" else successor
-    cluster.isolate(gone)
-    await cluster.until(lambda: cluster.leader() not in (None, gone), most=12)
+    isolated = leader if who == "leader" else successor
+    cluster.isolate(isolated)
+    await cluster.until(lambda: cluster.leader() not in (None, isolated), most=12)
     await wait_without_lost_leases(cluster, 10)
     cluster.network.heal()
     await wait_without_lost_leases(cluster, 10)
 
 
-async def test_an_offer_that_comes_late_is_declined():
+async def test_a_late_leadership_offer_is_declined():
     cluster = await cluster_with_long_jobs(seed=6)
     leader = cluster.leader()
     term = cluster.controllers[leader].elector.term
     offer = TransferLeadership(leader, term.epoch, term.version, [], True)
     await cluster.restart(leader)
     await cluster.until_led()
-    now = cluster.leader()
-    for member in cluster.others(now):
+    new_leader = cluster.leader()
+    for member in cluster.others(new_leader):
         assert not await cluster.controllers[member].elector.accept_leadership(offer)
-    assert cluster.leader() == now
+    assert cluster.leader() == new_leader
 
 
-async def test_peers_of_the_version_before_are_not_spoken_to():
-    """Two of three can't hear words: leadership and work go on as they did."""
+async def test_peers_of_the_previous_version_get_no_heartbeats():
+    """Two of three controllers don't support heartbeats: leadership and work are unaffected."""
     cluster = await led_cluster(7, old={"drummer-1", "drummer-2"})
     await cluster.accept(job(1, beats=4, runS=20.0))
     await cluster.wait(5)
--- a/dappledrum/membership/test_peer_table.py
+++ b/dappledrum/membership/test_peer_table.py
@@ -1,4 +1,4 @@
-"""The order and the age of heartbeats, however late they arrive."""
+"""The order and the age of delayed heartbeats."""
 
 from datetime import timedelta
 
@@ -10,8 +10,7 @@
 
 
 def test_a_delayed_heartbeat_is_neither_new_nor_recent(make_heartbeat):
-    """A partition that heals delivers what was delayed for half a minute, and all of it carries an
-    age of zero."""
+    """When a network partition heals, messages arrive half a minute late with an age of zero."""
     table = PeerTable("a", ["b", "c"])
     table.record(make_heartbeat(uptime_ms=0), at(100), direct=True)
     table.record(make_heartbeat(uptime_ms=40_000, epoch=7), at(140), direct=True)
--- a/dappledrum/membership/test_redirected_workers.py
+++ b/dappledrum/membership/test_redirected_workers.py
@@ -1,4 +1,4 @@
-"""Workers are redirected to the leader, but never in a circle."""
+"""Workers are redirected to the leader without redirect loops."""
 
 import asyncio
 
@@ -6,7 +6,7 @@
 from dappledrum.simulation.virtual_time import SkewedClock, run
 
 
-def test_no_worker_is_redirected_in_a_circle():
+def test_a_worker_that_returns_is_forwarded_instead_of_redirected_in_a_loop():
     async def main():
         workers = RedirectedWorkers(SkewedClock())
 
@@ -15,18 +15,18 @@
 
         assert not must_forward(4)  # redirected to the leader
         await asyncio.sleep(40)
-        assert must_forward(4)  # and back, unanswered, however long that took
+        assert must_forward(4)  # returned without an answer, however long that took
         assert must_forward(5)
         await asyncio.sleep(FORWARDING_PERIOD.total_seconds() + 1)
         assert not must_forward(5)  # the link may have healed
         assert must_forward(5)  # it has not
         await asyncio.sleep(FORWARDING_PERIOD.total_seconds() + 1)
-        assert must_forward(5)  # redirected more rarely
+        assert must_forward(5)  # redirected less often
         assert not must_forward(5, epoch=6)  # another leader
-        # never answered: nothing to lose
+        # Never answered, so it has no tasks to lose.
         assert not must_forward(0, 6, machine="new", searching=True)
         assert must_forward(0, 6, machine="unreachable", unreachable=True)
-        # forwarded once, and then redirected
+        # Forwarded once, and then redirected.
         assert must_forward(5, 6, machine="searching", searching=True)
         assert not must_forward(6, 6, machine="searching", searching=True)
         assert must_forward(6, 6, machine="searching", searching=True)
