--- a/dappledrum/workers/attempt_ends.py
+++ b/dappledrum/workers/attempt_ends.py
@@ -117,7 +117,7 @@
     def _record_success(self, machine: Machine, job: Job, now: timedelta) -> None:
         """Clear the failures of the job and of the machine after a success, and check the machines
         where the job had failed: those failures now count against them."""
-        machine.errors.clear()
+        machine.failures_by_job.clear()
         if not job.failures_by_machine:
             return
         if is_suspected(job):
--- a/dappledrum/workers/failure_attribution.py
+++ b/dappledrum/workers/failure_attribution.py
@@ -37,7 +37,7 @@
 def record_failure(job: Job, machine: Machine) -> None:
     """Count the failure of one task of a job on a machine."""
     job.failures_by_machine[machine.name] = job.failures_by_machine.get(machine.name, 0) + 1
-    machine.errors[job.id] = machine.errors.get(job.id, 0) + 1
+    machine.failures_by_job[job.id] = machine.failures_by_job.get(job.id, 0) + 1
 
 
 def assess_machine(machine: Machine, jobs: Mapping[str, Job]) -> MachineHealth:
@@ -47,7 +47,7 @@
     """
     failures = {
         name: count
-        for name, count in machine.errors.items()
+        for name, count in machine.failures_by_job.items()
         if (job := jobs.get(name)) is not None and not is_suspected(job)
     }
     if sum(failures.values()) < MIN_FAILURES_ON_MACHINE:
--- a/dappledrum/workers/machine_registry.py
+++ b/dappledrum/workers/machine_registry.py
@@ -39,7 +39,7 @@
         self.draining = False
         self.failed = False
         self.retiring = False  # replaced by a cheaper machine; gets no new work
-        self.errors: dict[str, int] = {}  # number of failures by job, since the last success
+        self.failures_by_job: dict[str, int] = {}  # since the last success
         self.blocked_until = timedelta(0)
         self.listed_at: timedelta | None = None
         self.listed_up = False  # the cloud has listed it as running
