--- a/dappledrum/controller/test_end_to_end.py
+++ b/dappledrum/controller/test_end_to_end.py
@@ -217,7 +217,7 @@
     await cluster.until(lambda: len(cluster.rules.running) == 3)
     began = now()
     for worker in cluster.cloud.workers():
-        worker.recall_at = began + 12.0
+        worker.reclaim_at = began + 12.0
         worker.changed.set()
     taken = [worker.name for worker in cluster.cloud.workers()]
     await cluster.wait(12)
--- a/dappledrum/controller/test_idle_machines.py
+++ b/dappledrum/controller/test_idle_machines.py
@@ -113,7 +113,7 @@
     spec = job(1, beats=40, runS=100.0, expectedS=100.0, dueS=60.0)
     cluster = await busy_cluster(spec, 10)
     taken = next(w for w in cluster.cloud.workers() if w.kind[0] == "large")
-    taken.recall_at = cluster.now() + 30
+    taken.reclaim_at = cluster.now() + 30
     await none_retires(cluster, 15)
     assert len(cluster.rules.running) <= 4, "the spot machine is left in time"
     cluster.cloud.most = 10
--- a/dappledrum/dispatch/candidate_machines.py
+++ b/dappledrum/dispatch/candidate_machines.py
@@ -51,7 +51,7 @@
         capacity, and none of its tasks is expected to end meanwhile: the heartbeat of that end
         would have to wait for the answer to this heartbeat."""
         model = self.autoscaler.types.get(machine.kind.type) if machine.kind is not None else None
-        if model is None or not machine.usable or machine.recall_at is not None:
+        if model is None or not machine.usable or machine.reclaim_at is not None:
             return False
         now = self.clock.now()
         free = Size(model.cpus, model.gpus, model.memory_gb)
@@ -97,7 +97,7 @@
         if not machine.up and machine.placements and not machine.awaiting_heartbeat:
             return None
         ready_at = now if machine.up else self.autoscaler.ready_at(machine)
-        until = None if machine.recall_at is None else machine.recall_at - timedelta(seconds=1)
+        until = None if machine.reclaim_at is None else machine.reclaim_at - timedelta(seconds=1)
         timeline = MachineTimeline(
             machine.name,
             kind,
--- a/dappledrum/dispatch/preemption.py
+++ b/dappledrum/dispatch/preemption.py
@@ -71,7 +71,7 @@
         model = None if kind is None else self.autoscaler.types.get(kind.type)
         if kind is None or model is None or not machine.up or not bag.allowed(kind):
             return None
-        if machine.returning or machine.draining or machine.recall_at is not None:
+        if machine.returning or machine.draining or machine.reclaim_at is not None:
             return None
         return Size(model.cpus, model.gpus, model.memory_gb)
 
--- a/dappledrum/fleet/autoscaler.py
+++ b/dappledrum/fleet/autoscaler.py
@@ -271,7 +271,7 @@
         now = self.clock.now()
         if machine.failed:
             return "it stopped on its own"
-        if machine.recall_at is not None and now > machine.recall_at + RECLAIM_GRACE:
+        if machine.reclaim_at is not None and now > machine.reclaim_at + RECLAIM_GRACE:
             # The answer proves that all on it is gone, a lease earlier than silence does.
             return "it was to be taken by now"
         if machine.placements:
--- a/dappledrum/simulation/fleet.py
+++ b/dappledrum/simulation/fleet.py
@@ -95,7 +95,7 @@
         self.attempts: dict[tuple[str, int], Attempt] = {}
         self.done: set[str] = set()
         self.images: set[str] = set()
-        self.recall_at: float | None = None
+        self.reclaim_at: float | None = None
         self.changed = asyncio.Event()
         self.hung = False
         self.renewed = self.now()
@@ -189,7 +189,7 @@
     def _next_heartbeat(self) -> dict[str, Any]:
         """The machine as it is now, under a number of its own."""
         self.sequence += 1
-        recall = None if self.recall_at is None else max(0.0, self.recall_at - self.now())
+        recall = None if self.reclaim_at is None else max(0.0, self.reclaim_at - self.now())
         return {
             "drum": self.name,
             "endpoint": self.address,
@@ -509,7 +509,7 @@
             FreeMachine(worker.name, worker.kind, worker.free())
             for worker in self.workers()
             if not worker.hung
-            and worker.recall_at is None
+            and worker.reclaim_at is None
             and worker.name not in self.timing.faulty
         ]
 
--- a/dappledrum/simulation/test_history_recording.py
+++ b/dappledrum/simulation/test_history_recording.py
@@ -101,7 +101,7 @@
             (capacity.machine, capacity.free.cpus) for capacity in cluster.cloud.free_machines()
         ] == [(worker.name, 2.0)]
         worker.hung = unwell == "hung"
-        worker.recall_at = 500.0 if unwell == "to be taken" else None
+        worker.reclaim_at = 500.0 if unwell == "to be taken" else None
         if unwell == "faulty":
             cluster.timing.faulty.add(worker.name)
         assert not cluster.cloud.free_machines()
--- a/dappledrum/workers/commands.py
+++ b/dappledrum/workers/commands.py
@@ -115,7 +115,7 @@
         if job.spec.checkpoint_s <= 0:
             return 0.0
         grace = job.spec.save_s * SAVE_TIME_FACTOR + 1
-        if machine.recall_at is None:
+        if machine.reclaim_at is None:
             return grace
-        left = (machine.recall_at - self.clock.now()).total_seconds()
+        left = (machine.reclaim_at - self.clock.now()).total_seconds()
         return min(grace, left) if left > 0 else grace
--- a/dappledrum/workers/machine_registry.py
+++ b/dappledrum/workers/machine_registry.py
@@ -32,7 +32,7 @@
         self.last_heartbeat: timedelta | None = None
         # Latest time at which this leader or a predecessor may have answered the worker.
         self.last_answer = now
-        self.recall_at: timedelta | None = None
+        self.reclaim_at: timedelta | None = None
         self.images: OrderedDict[str, float] = OrderedDict()
         self.placements: dict[tuple[str, int], Placement] = {}
         self.returning = False
--- a/dappledrum/workers/reconciler.py
+++ b/dappledrum/workers/reconciler.py
@@ -91,8 +91,8 @@
         self._record_up(machine, heartbeat, now)
         self._record_reclaim_notice(machine, heartbeat, now)
         self.comparison.apply(machine, heartbeat, now)
-        if machine.recall_at is not None:
-            self.spot_reclaim.stop_unfinishable(machine, machine.recall_at - now, now)
+        if machine.reclaim_at is not None:
+            self.spot_reclaim.stop_unfinishable(machine, machine.reclaim_at - now, now)
         return machine
 
     def _machine_of(self, heartbeat: WorkerHeartbeat, now: timedelta) -> Machine:
@@ -124,10 +124,10 @@
     ) -> None:
         if heartbeat.notice_s is None:
             return
-        if machine.recall_at is None:
+        if machine.reclaim_at is None:
             log.info("%s will be reclaimed in %.0f s", machine.name, heartbeat.notice_s)
             self.observer.planning_needed("spot notice")
-        machine.recall_at = now + timedelta(seconds=heartbeat.notice_s)
+        machine.reclaim_at = now + timedelta(seconds=heartbeat.notice_s)
 
     def lose_expired(self) -> None:
         """Remove the placements on machines whose workers have certainly ended their session, and
