--- a/dappledrum/dispatch/placement.py
+++ b/dappledrum/dispatch/placement.py
@@ -95,7 +95,7 @@
                     task, name, machine.session, machine.kind.zone, utc_now, attempt
                 )
                 machine.placements[(job.id, task)] = placement
-                machine.given.set()
+                machine.placement_added.set()
                 count -= 1
                 bound += row
             self.start_recorder.mark_dirty(page)
--- a/dappledrum/leader/heartbeat_responder.py
+++ b/dappledrum/leader/heartbeat_responder.py
@@ -135,8 +135,8 @@
         return MAX_PLAN_WAIT if self.state.plan_trigger.pending else ZERO
 
     async def _placed_within(self, machine: Machine, timeout: timedelta) -> bool:
-        machine.given.clear()
-        return timeout > ZERO and await self._completes(machine.given.wait(), timeout)
+        machine.placement_added.clear()
+        return timeout > ZERO and await self._completes(machine.placement_added.wait(), timeout)
 
     async def _records_stored(self) -> bool:
         async with self.record_writer.stored:
--- a/dappledrum/workers/machine_registry.py
+++ b/dappledrum/workers/machine_registry.py
@@ -43,7 +43,7 @@
         self.blocked_until = timedelta(0)
         self.listed_at: timedelta | None = None
         self.listed_up = False  # the cloud has listed it as running
-        self.given = asyncio.Event()  # set when a task is placed there
+        self.placement_added = asyncio.Event()  # set when a task is placed there
         self.reachability = Reachability()
         #: Known only from heartbeats that may be late copies: not used as capacity, and not
         #: recorded. A record, the cloud's list, a rental or this term's token confirms a machine.
