--- a/dappledrum/leader/heartbeat_responder.py
+++ b/dappledrum/leader/heartbeat_responder.py
@@ -9,7 +9,7 @@
 from dappledrum.jobs.record_writer import RecordWriter
 from dappledrum.leader.context import TermContext, TermState
 from dappledrum.timing.clock import ZERO
-from dappledrum.workers.commands import pending
+from dappledrum.workers.commands import has_unstored_start
 from dappledrum.workers.machine_registry import Machine
 from dappledrum.workers.messages import Command, Commands, WorkerHeartbeat
 from dappledrum.workers.reconciler import Reconciler
@@ -117,12 +117,12 @@
         """
         if not machine.up:
             return  # the next heartbeat shows whether answers reach it; until then it gets nothing
-        if not pending(machine) and not await self._placed_within(
+        if not has_unstored_start(machine) and not await self._placed_within(
             machine, self._placement_wait(machine, max_wait)
         ):
             return
         deadline = self.clock.now() + MAX_RECORD_WAIT
-        while self.may_command() and pending(machine):
+        while self.may_command() and has_unstored_start(machine):
             left = deadline - self.clock.now()
             if left <= ZERO or not await self._completes(self._records_stored(), left):
                 return
--- a/dappledrum/workers/commands.py
+++ b/dappledrum/workers/commands.py
@@ -30,7 +30,7 @@
     )
 
 
-def pending(machine: Machine) -> bool:
+def has_unstored_start(machine: Machine) -> bool:
     """Whether a start that an answer to this machine could carry waits for its record."""
     return any(
         not placement.observed
