--- a/dappledrum/workers/commands.py
+++ b/dappledrum/workers/commands.py
@@ -1,7 +1,7 @@
 """The commands that a worker gets in the answer to a heartbeat.
 
-A start is sent only after the record that names the attempt is stored, and a worker is told to
-forget an ended attempt only after its end is stored.
+A start is sent only after the record that names the attempt is stored, and the command to forget
+an ended attempt only after its end is stored.
 """
 
 from dappledrum.jobs.job import Job
--- a/dappledrum/workers/spot_reclaim.py
+++ b/dappledrum/workers/spot_reclaim.py
@@ -51,5 +51,5 @@
             return left <= save_time + self.limits.heartbeat_interval * HEARTBEATS_PER_STOP
         mean, deviation = self.estimates.moments(job.id, job.spec.job_class, job.spec.estimate)
         ran = ZERO if placement.running_since is None else now - placement.running_since
-        # A task with a fair chance to end in time goes on.
+        # A task with a fair chance to end in time continues.
         return mean - deviation / 2 - ran > left
