--- a/dappledrum/recovery/test_last_answers.py
+++ b/dappledrum/recovery/test_last_answers.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from dappledrum.membership.test_outages import two_sides
+from dappledrum.membership.test_outages import partition_into_two_sides
 from dappledrum.simulation.cluster import SimulatedCluster, job
 from dappledrum.simulation.fault_combinations import FIVE
 from dappledrum.simulation.virtual_time import run
@@ -126,7 +126,7 @@
 
     async def main():
         cluster = await busy(clusters, 3)
-        leader, others = two_sides(cluster)
+        leader, others = partition_into_two_sides(cluster)
         for worker in cluster.cloud.workers()[::2]:  # these reach only the former leader
             for member in others:
                 cluster.network.cut(member, worker.name)
