--- a/dappledrum/dispatch/candidate_machines.py
+++ b/dappledrum/dispatch/candidate_machines.py
@@ -56,7 +56,7 @@
         machine_type = (
             self.autoscaler.types.get(machine.kind.type) if machine.kind is not None else None
         )
-        if machine_type is None or not machine.usable or machine.recall_at is not None:
+        if machine_type is None or not machine.usable or machine.reclaim_at is not None:
             return False
         now = self.clock.now()
         free = Size(machine_type.cpus, machine_type.gpus, machine_type.memory_gb)
@@ -102,7 +102,7 @@
         if not machine.up and machine.placements and not machine.awaiting_heartbeat:
             return None
         ready_at = now if machine.up else self.autoscaler.ready_at(machine)
-        until = None if machine.recall_at is None else machine.recall_at - timedelta(seconds=1)
+        until = None if machine.reclaim_at is None else machine.reclaim_at - timedelta(seconds=1)
         timeline = MachineTimeline(
             machine.name,
             kind,
--- a/dappledrum/dispatch/preemption.py
+++ b/dappledrum/dispatch/preemption.py
@@ -78,7 +78,7 @@
         machine_type = None if kind is None else self.autoscaler.types.get(kind.type)
         if kind is None or machine_type is None or not machine.up or not bag.allowed(kind):
             return None
-        if machine.returning or machine.draining or machine.recall_at is not None:
+        if machine.returning or machine.draining or machine.reclaim_at is not None:
             return None
         return Size(machine_type.cpus, machine_type.gpus, machine_type.memory_gb)
 
--- a/dappledrum/recovery/test_last_answers.py
+++ b/dappledrum/recovery/test_last_answers.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from dappledrum.membership.test_outages import two_sides
+from dappledrum.membership.test_outages import partition_into_two_sides
 from dappledrum.simulation.cluster import SimulatedCluster, job
 from dappledrum.simulation.fault_combinations import FIVE
 from dappledrum.simulation.virtual_time import run
@@ -137,7 +137,7 @@
 
     async def main():
         cluster = await start_busy_cluster(clusters, 3)
-        leader, others = two_sides(cluster)
+        leader, others = partition_into_two_sides(cluster)
         for worker in cluster.cloud.workers()[::2]:  # these reach only the former leader
             for member in others:
                 cluster.network.cut(member, worker.name)
