--- a/dappledrum/controller/peer_versions.py
+++ b/dappledrum/controller/peer_versions.py
@@ -57,7 +57,7 @@
             if len(self.versions) == len(self.peers.callers):
                 self.value_limit.reduce("all controllers read them")
             if self._all_support(MIN_VERSION_WITH_GANGS):
-                self.job_api.gangs = True
+                self.job_api.gangs_supported = True
             stored = stored or await self._gangs_stored()
             if stored and self._all_support(MIN_VERSION_WITH_HEARTBEATS):
                 return
@@ -85,13 +85,13 @@
         """Whether it is stored, now or from before, that all controllers support gangs."""
         try:
             entry = await self.store.get(GANGS_SUPPORTED, RequestPriority.RECORD)
-            if entry is None and self.job_api.gangs:
+            if entry is None and self.job_api.gangs_supported:
                 value = encode_value({"version": __version__})
                 guards, changes = [Guard(GANGS_SUPPORTED, 0)], [Put(GANGS_SUPPORTED, value)]
                 await self.store.commit(guards, changes, RequestPriority.RECORD)
-            self.job_api.gangs = self.job_api.gangs or entry is not None
+            self.job_api.gangs_supported = self.job_api.gangs_supported or entry is not None
             # An older peer may yet be upgraded, which settles how records are written.
-            return self.job_api.gangs and self.value_limit.is_reduced
+            return self.job_api.gangs_supported and self.value_limit.is_reduced
         except StoreError as error:
             log.debug("support of gangs by all controllers not read: %s", error)
             return False
--- a/dappledrum/controller/term_runner.py
+++ b/dappledrum/controller/term_runner.py
@@ -92,7 +92,7 @@
         return Leader(context, self.job_api.types or [], self._job_ended)
 
     def _job_ended(self, job: Job) -> None:
-        self.job_api.remember(job.id, job.ended_record())
+        self.job_api.cache_ended(job.id, job.ended_record())
 
     async def _query_no_answers(self, leader: Leader) -> None:
         """Ask the peers since when no other controller can have answered a worker. It matters
--- a/dappledrum/user_api/__init__.py
+++ b/dappledrum/user_api/__init__.py
@@ -1,1 +1,1 @@
-"""What users ask for: submissions, polls and cancellations, served by any controller."""
+"""API for users: submissions, polls and cancellations of jobs, served by every controller."""
--- a/dappledrum/user_api/job_api.py
+++ b/dappledrum/user_api/job_api.py
@@ -1,8 +1,8 @@
-"""What users ask for.
+"""Serves the requests of users: submissions, polls and cancellations of jobs.
 
-Any controller serves it, straight from the store. Nothing is answered from memory but
-final states: whoever has been told something by one controller must not be told anything older by
-another, so each answer rests on a read that began after its request came in.
+Every controller serves them directly from the store. Only final states are answered from memory:
+a user who has received a state from one controller must not receive an older one from another, so
+each answer rests on a read that began after the request arrived.
 """
 
 import logging
@@ -48,7 +48,7 @@
 from dappledrum.store.value_limit import ValueLimit
 from dappledrum.timing.clock import Clock
 from dappledrum.user_api.feasibility import infeasibility
-from dappledrum.user_api.poll_batcher import LiveStatus, PollBatcher, seen
+from dappledrum.user_api.poll_batcher import LiveStatus, PollBatcher, live_status
 from dappledrum.user_api.responses import answer, busy, refusal
 from dappledrum.user_api.submission_batcher import SubmissionBatcher
 
@@ -61,7 +61,7 @@
 
 
 class JobApi:
-    """Submissions, polls and cancellations."""
+    """Submissions, polls and cancellations, on one controller."""
 
     def __init__(
         self,
@@ -75,8 +75,9 @@
         self.clock = clock
         self.value_limit = value_limit or ValueLimit(params.state)
         self.types: list[MachineType] | None = None
-        # Versions before 0.4.0 can't read the record of a gang, and would lead nothing for it.
-        self.gangs = False
+        # By all controllers: versions before 0.4.0 can't read the record of a gang, and one that
+        # found it as leader would manage no job at all.
+        self.gangs_supported = False
         self.ended: OrderedDict[str, EndedRecord] = OrderedDict()
         self.confirmed = ConfirmedCancellations(clock.now())
         self.submission_batcher = SubmissionBatcher(store, params.state.txn_ops, self.find)
@@ -87,8 +88,8 @@
             store, params.state.txn_ops * 4, self._read_live, self._find_many
         )
 
-    def remember(self, job: str, record: EndedRecord) -> None:
-        """Keep a final state; it never changes again."""
+    def cache_ended(self, job: str, record: EndedRecord) -> None:
+        """Cache a final state; it never changes again."""
         self.ended[job] = record
         while len(self.ended) > MAX_CACHED_ENDED_JOBS:
             self.ended.popitem(last=False)
@@ -98,40 +99,40 @@
         try:
             spec = msgspec.json.decode(body, type=Spec)
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-            return await self._malformed(body, refusal(HTTPStatus.BAD_REQUEST, str(error)))
+            return await self._refuse_malformed(body, refusal(HTTPStatus.BAD_REQUEST, str(error)))
         if spec.needs is not None:
             needs = list(dict.fromkeys(spec.needs)) or None
             spec = msgspec.structs.replace(spec, needs=needs)
         if spec.id in self.ended:
-            return self._present(spec.id, self.ended[spec.id], HTTPStatus.OK)
+            return self._status_response(spec.id, self.ended[spec.id], HTTPStatus.OK)
         try:
             return await self._submit(spec)
         except StoreError as error:
-            log.info("submission %s not taken: %s", spec.id, error)
+            log.info("submission of %s failed: %s", spec.id, error)
             return busy()
 
     async def _submit(self, spec: Spec) -> Response:
-        objection = await self._objection(spec)
-        if objection is not None:
-            return await self._unless_accepted(spec.id, objection)
-        if spec.id in self.poll_batcher.known:
-            # Accepted before. A transaction whose conditions fail counts as a change, too, and
+        rejection = await self._find_rejection(spec)
+        if rejection is not None:
+            return await self._reject_unless_accepted(spec.id, rejection)
+        if spec.id in self.poll_batcher.cached:
+            # Already accepted. A transaction whose guards fail counts as a change, too, and
             # repeated submissions once used up the rate that new ones needed.
-            known = await self.poll_batcher.ask(spec.id)
-            if known is not None:
-                return self._present(spec.id, known, HTTPStatus.OK)
-        if self.submission_batcher.full():
+            found = await self.poll_batcher.ask(spec.id)
+            if found is not None:
+                return self._status_response(spec.id, found, HTTPStatus.OK)
+        if self.submission_batcher.is_full():
             return busy()
         puts = self._record(spec)
         if len(puts) > self.params.state.txn_ops:
-            objection = refusal(HTTPStatus.BAD_REQUEST, "waits for too many jobs")
-            return await self._unless_accepted(spec.id, objection)
-        return await self._admit(spec, puts)
+            rejection = refusal(HTTPStatus.BAD_REQUEST, "waits for too many jobs")
+            return await self._reject_unless_accepted(spec.id, rejection)
+        return await self._store_new_job(spec, puts)
 
-    async def _admit(self, spec: Spec, puts: list[Put]) -> Response:
-        """Store a job that may be accepted; `puts` are the changes of its records."""
-        # A repeated submission of another form joins the first one, whose form is stored.
-        first = spec.id not in self.submission_batcher.waiting
+    async def _store_new_job(self, spec: Spec, puts: list[Put]) -> Response:
+        """Store a new job and answer its submission; `puts` write its records, the head first."""
+        # A repeated submission with another form joins the first one, whose form is stored.
+        is_first = spec.id not in self.submission_batcher.waiting
         try:
             stored = await self.submission_batcher.admit(spec.id, puts)
         except TooLargeError as error:
@@ -140,80 +141,82 @@
         except ConflictError:
             found = await self.find(spec.id, RequestPriority.SUBMISSION)
             if isinstance(found, tuple):
-                self.poll_batcher.note(spec.id, seen(found[0]), found[1])
-            return busy() if found is None else self._present(spec.id, found, HTTPStatus.OK)
+                self.poll_batcher.cache(spec.id, live_status(found[0]), found[1])
+            return (
+                busy() if found is None else self._status_response(spec.id, found, HTTPStatus.OK)
+            )
         log.info("accepted %s: %s", spec.id, describe_job(spec.tasks, spec.job_class, spec.team))
         if not isinstance(stored, int):
-            return self._present(spec.id, stored, HTTPStatus.OK)
+            return self._status_response(spec.id, stored, HTTPStatus.OK)
         record = msgspec.json.decode(puts[0].value, type=JobRecord)
-        self.poll_batcher.note(spec.id, seen(record), stored)
-        if first:
+        self.poll_batcher.cache(spec.id, live_status(record), stored)
+        if is_first:
             self.lookup.note(spec.id, spec.form)
         return answer(HTTPStatus.CREATED, StatusResponse(spec.id, Outcome.QUEUED))
 
-    async def _malformed(self, body: bytes, objection: Response) -> Response:
-        """The answer to a submission that can't be read as a whole."""
+    async def _refuse_malformed(self, body: bytes, rejection: Response) -> Response:
+        """Answer a submission that can't be decoded; its job may have been accepted before."""
         try:
             name = msgspec.json.decode(body, type=SubmissionId).id
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
-            return objection
+            return rejection
         try:
-            return await self._unless_accepted(name, objection)
+            return await self._reject_unless_accepted(name, rejection)
         except StoreError as error:
-            log.info("malformed submission %s not refused: %s", name, error)
+            log.info("malformed submission of %s not refused: %s", name, error)
             return busy()
 
-    async def _unless_accepted(self, job: str, objection: Response) -> Response:
-        """Refuse a submission; accepted once means accepted for ever, so look before."""
+    async def _reject_unless_accepted(self, job: str, rejection: Response) -> Response:
+        """Refuse a submission, unless its job was accepted before and so stays accepted."""
         found = self.ended.get(job) or await self.find(job, RequestPriority.SUBMISSION)
-        return objection if found is None else self._present(job, found, HTTPStatus.OK)
+        return rejection if found is None else self._status_response(job, found, HTTPStatus.OK)
 
-    async def _objection(self, spec: Spec) -> Response | None:
-        """The answer to a job that can't be taken, unless it was accepted before."""
+    async def _find_rejection(self, spec: Spec) -> Response | None:
+        """Return the response if a new job can't be accepted, now or ever; None if it can."""
         if self.types is None:
             return busy(2)
-        if (why := self._too_long(spec)) is not None:
-            return refusal(HTTPStatus.BAD_REQUEST, why)
-        why = infeasibility(spec, self.params, self.types)
-        if why is None and spec.needs:
-            why = await self.lookup.fault(spec.needs, spec.id)
-        if why is None and spec.form is Form.GANG and not self.gangs:
+        if (reason := self._oversize_reason(spec)) is not None:
+            return refusal(HTTPStatus.BAD_REQUEST, reason)
+        reason = infeasibility(spec, self.params, self.types)
+        if reason is None and spec.needs:
+            reason = await self.lookup.fault(spec.needs, spec.id)
+        if reason is None and spec.form is Form.GANG and not self.gangs_supported:
             return busy(2)
-        return None if why is None else refusal(HTTPStatus.UNPROCESSABLE_ENTITY, why)
+        return None if reason is None else refusal(HTTPStatus.UNPROCESSABLE_ENTITY, reason)
 
     def _record(self, spec: Spec) -> list[Put]:
-        """What is stored of a new job; the head first."""
-        least = self.value_limit.reduced_bytes
+        """Return the writes that store a new job, the head first."""
+        max_part_bytes = self.value_limit.reduced_bytes
         stored = spec
         parts: list[SpecPart] = []
-        # Jobs that wait come when every controller reads parts.
-        apart = self.value_limit.is_reduced or spec.needs
-        if apart and len(msgspec.json.encode(spec)) > least // LONG_SPEC_DIVISOR:
-            stored, parts = split_spec(spec, least)
+        # Jobs with dependencies are submitted only once every controller can read parts.
+        may_split = self.value_limit.is_reduced or spec.needs
+        if may_split and len(msgspec.json.encode(spec)) > max_part_bytes // LONG_SPEC_DIVISOR:
+            stored, parts = split_spec(spec, max_part_bytes)
         at_ms = round(self.clock.utc_now().timestamp() * 1000)
         record = JobRecord(
-            stored, at_ms, page_size(stored, least), PageRecord(), spec_parts=len(parts)
+            stored, at_ms, page_size(stored, max_part_bytes), PageRecord(), spec_parts=len(parts)
         )
         puts = [Put(head_key(spec.id), encode_value(record))]
         return puts + [
             Put(spec_key(spec.id, at), encode_value(part)) for at, part in enumerate(parts)
         ]
 
-    def _too_long(self, spec: Spec) -> str | None:
-        """A specification must fit into a record, beside the progress."""
+    def _oversize_reason(self, spec: Spec) -> str | None:
+        """Return why a specification does not fit into a record beside the progress, or None."""
         if (
             spec.types is not None
             and len(msgspec.json.encode(msgspec.structs.replace(spec, needs=None)))
-            > self.value_limit.current_bytes // 4  # doesn't shrink with a smaller limit
+            > self.value_limit.current_bytes // 4  # the same before and after the limits drop
         ):
             return "list of machine types too long"
         return None
 
     async def poll(self, job: str) -> Response:
         """GET /submissions/{id}."""
-        known = self.ended.get(job)
-        if known is not None:
-            return self._present(job, known, HTTPStatus.OK)
+        cached = self.ended.get(job)
+        if cached is not None:
+            return self._status_response(job, cached, HTTPStatus.OK)
         try:
             found = await self.poll_batcher.ask(job)
         except StoreError as error:
@@ -221,7 +224,7 @@
             return busy()
         if found is None:
             return refusal(HTTPStatus.NOT_FOUND, "no such job")
-        return self._present(job, found, HTTPStatus.OK)
+        return self._status_response(job, found, HTTPStatus.OK)
 
     async def cancel(self, job: str) -> Response:
         """POST /submissions/{id}/cancel."""
@@ -231,7 +234,7 @@
                 if found is None:
                     return refusal(HTTPStatus.NOT_FOUND, "no such job")
                 if isinstance(found, EndedRecord) or found[0].cancelled:
-                    return self._present(job, found, HTTPStatus.OK, brief=True)
+                    return self._status_response(job, found, HTTPStatus.OK, state_only=True)
                 record, version = found
                 record.cancelled = True
                 if self.store.budget.queueing_delay(
@@ -245,22 +248,24 @@
                         guards,
                         [Put(head_key(job), encode_value(record))],
                         RequestPriority.SUBMISSION,
-                        partial(self._cancelled, job),
+                        partial(self._read_if_cancelled, job),
                     )
                 except ConflictError:
                     continue
                 if not isinstance(stored, int):
-                    log.info("%s is cancelled or over, by a read", job)
-                    return self._present(job, stored, HTTPStatus.OK, brief=True)
+                    log.info("%s is cancelled or has ended, as a read of the store shows", job)
+                    return self._status_response(job, stored, HTTPStatus.OK, state_only=True)
                 log.info("cancelled %s", job)
-                return self._present(job, (record, version), HTTPStatus.OK, brief=True)
+                return self._status_response(
+                    job, (record, version), HTTPStatus.OK, state_only=True
+                )
         except StoreError as error:
-            # Too large a head is written again by the leader, in parts.
-            log.info("cancellation of %s not taken: %s", job, error)
+            # A head that is too large for the store is rewritten by the leader, in parts.
+            log.info("cancellation of %s failed: %s", job, error)
         return busy()
 
-    async def _cancelled(self, job: str) -> StoredJob:
-        """What is stored of a job that is cancelled or over, whoever has stored it; else None."""
+    async def _read_if_cancelled(self, job: str) -> StoredJob:
+        """Return the stored job if it is cancelled or has ended, whoever wrote that; else None."""
         found = await self.find(job, RequestPriority.SUBMISSION)
         if isinstance(found, tuple) and not found[0].cancelled:
             return None
@@ -269,10 +274,10 @@
     async def find(self, job: str, priority: RequestPriority) -> StoredJob:
         """Read a job.
 
-        It moves from live to ended only, so the live key is read first; both absent: never
-        accepted.
+        A job only moves from live to ended, so the live key is read first. If both keys are
+        absent, the job was never accepted.
         """
-        self._affordable(priority)
+        self._check_rate_limit(priority)
         entry = await self.store.get(head_key(job), priority, READ_TIMEOUT)
         if entry is not None:
             return self._decode(entry.value, JobRecord), entry.version
@@ -283,22 +288,25 @@
         entry = await self.store.get(head_key(job), RequestPriority.SUBMISSION, READ_TIMEOUT)
         return None if entry is None else self._decode(entry.value, JobRecord)
 
-    def _affordable(self, priority: RequestPriority) -> None:
+    def _check_rate_limit(self, priority: RequestPriority) -> None:
         if self.store.budget.queueing_delay(priority) > READ_TIMEOUT / 2:
             raise RateLimitedError
 
     async def _find_ended(self, job: str, priority: RequestPriority) -> EndedRecord | None:
-        """Read the final state of a job that is not live any more, or never was."""
+        """Read the final state of a job that is no longer live, or was never accepted."""
         entry = await self.store.get(ended_key(job), priority, READ_TIMEOUT)
         if entry is None:
             return None
         record = self._decode(entry.value, EndedRecord)
-        self.remember(job, record)
+        self.cache_ended(job, record)
         return record
 
     async def _find_many(self, jobs: set[str]) -> dict[str, LiveRecord]:
-        """Those of the jobs that are live, from one look at all live ones; a record that can't be
-        read is the trouble of those who ask for its job, not of all who ask together."""
+        """Return those of the jobs that are live, from one scan of all live jobs.
+
+        A record that can't be decoded is returned as an error, so that only the requests for its
+        job fail, not the whole batch.
+        """
         entries, _ = await self.store.scan(head_key(""), RequestPriority.POLL)
         result: dict[str, LiveRecord] = {}
         for entry in entries:
@@ -311,14 +319,14 @@
         return result
 
     @staticmethod
-    def _decode(value: msgspec.Raw, kind: type[T]) -> T:
+    def _decode(value: msgspec.Raw, record_type: type[T]) -> T:
         try:
-            return msgspec.json.decode(value, type=kind)
+            return msgspec.json.decode(value, type=record_type)
         except msgspec.DecodeError as error:
-            raise StoreError(f"unusable record: {error}") from error
+            raise StoreError(f"record can't be decoded: {error}") from error
 
-    def _present(
-        self, job: str, found: StoredJob | LiveStatus, status: int, brief: bool = False
+    def _status_response(
+        self, job: str, found: StoredJob | LiveStatus, status: int, state_only: bool = False
     ) -> Response:
         if isinstance(found, EndedRecord):
             body = StatusResponse(
@@ -326,15 +334,15 @@
             )
         else:
             assert found is not None
-            live = found if isinstance(found, LiveStatus) else seen(found[0])
+            live = found if isinstance(found, LiveStatus) else live_status(found[0])
             state = Outcome.RUNNING if live.running else Outcome.QUEUED
             if live.cancelled:
-                # Of a job that has moved to the ended ones it is proven, and stored, that none of
-                # its tasks is left.
+                # Not needed for an ended job: it is stored as ended only once none of its tasks
+                # is left.
                 self.confirmed.note(job, self.clock.now())
             body = StatusResponse(
                 job, Outcome.CANCELLED if live.cancelled else state, live.done, live.running
             )
-        if brief:
+        if state_only:
             body = StatusResponse(job, body.state)
         return answer(status, body)
--- a/dappledrum/user_api/poll_batcher.py
+++ b/dappledrum/user_api/poll_batcher.py
@@ -1,9 +1,9 @@
-"""Answers to polls, many from one read.
+"""Answers polls in batches, many of them from one request to the store.
 
-With a swarm of small jobs there are more polls than the store takes requests. What a
-controller has read before is kept with its version, and one transaction that only compares says
-for dozens of jobs at once whether that still holds. It begins after the polls that it answers
-came in, so nobody is told anything older than what another controller has said.
+With many small jobs there are more polls than the store accepts requests. A controller caches the
+states that it has read, with their versions. One transaction that has only guards shows for dozens
+of jobs whether their cached states are current. It begins after the polls that it answers have
+arrived, so no user receives an older state than another controller has already returned.
 """
 
 import asyncio
@@ -24,16 +24,16 @@
 
 log = logging.getLogger(__name__)
 
-KEPT = 4_000  # live jobs of which the newest reading is kept
-GATHER = timedelta(milliseconds=10)  # polls that come together are read together
-MAX_GATHER_TIME = timedelta(milliseconds=300)
+MAX_TRACKED_JOBS = 4_000  # live jobs with a cached state; also jobs with waiting polls
+MIN_BATCH_DELAY = timedelta(milliseconds=10)  # polls that arrive within it share a read
+MAX_BATCH_DELAY = timedelta(milliseconds=300)  # when the share of the request rate is used up
 REQUEST_TIMEOUT = timedelta(seconds=1)
-AT_ONCE = 3  # readings on their way: one that hangs must not hold up all others
-SINGLE = 2  # up to so many jobs are read one by one, more from the list of all live ones
+MAX_CONCURRENT_BATCHES = 3  # so that a read that hangs does not delay all other polls
+MAX_SINGLE_READS = 2  # more jobs are read from the list of all live ones
 
 
 class LiveStatus(NamedTuple):
-    """What users are told of a live job."""
+    """The state of a live job that is shown to users."""
 
     cancelled: bool
     done: int
@@ -43,13 +43,13 @@
 PollAnswer = LiveStatus | EndedRecord | None
 
 
-def seen(record: JobRecord) -> LiveStatus:
-    """The part of a record that users are told."""
+def live_status(record: JobRecord) -> LiveStatus:
+    """Return the part of a record that is shown to users."""
     return LiveStatus(record.cancelled, record.done, record.running)
 
 
 class PollBatcher:
-    """Waiting polls, and what is known of live jobs."""
+    """Waiting polls, and cached states of live jobs."""
 
     def __init__(
         self,
@@ -64,43 +64,43 @@
         self.find = find
         self.find_many = find_many
         self.find_ended = find_ended
-        self.known: OrderedDict[str, tuple[LiveStatus, int]] = OrderedDict()
+        self.cached: OrderedDict[str, tuple[LiveStatus, int]] = OrderedDict()
         self.waiting: dict[str, asyncio.Future[PollAnswer]] = {}
-        self.running: set[asyncio.Task[None]] = set()
-        self.starter: asyncio.Task[None] | None = None
+        self.batches: set[asyncio.Task[None]] = set()
+        self.batch_starter: asyncio.Task[None] | None = None
 
-    def note(self, job: str, found: LiveStatus, version: int) -> None:
-        """Keep what a read or an own write has shown."""
-        before = self.known.get(job)
+    def cache(self, job: str, found: LiveStatus, version: int) -> None:
+        """Cache the state that a read or a write of this controller has shown."""
+        before = self.cached.get(job)
         if before is None or before[1] <= version:
-            self.known[job] = (found, version)
-            self.known.move_to_end(job)
-            while len(self.known) > KEPT:
-                self.known.popitem(last=False)
+            self.cached[job] = (found, version)
+            self.cached.move_to_end(job)
+            while len(self.cached) > MAX_TRACKED_JOBS:
+                self.cached.popitem(last=False)
 
     async def ask(self, job: str) -> PollAnswer:
-        """State of a job, from a reading that begins after this call."""
+        """Return the state of a job, from a read that begins after this call."""
         wait = self.store.budget.queueing_delay(RequestPriority.POLL)
-        if wait > REQUEST_TIMEOUT * 0.8 or len(self.waiting) > KEPT:
+        if wait > REQUEST_TIMEOUT * 0.8 or len(self.waiting) > MAX_TRACKED_JOBS:
             raise RateLimitedError
         answer = self.waiting.get(job)
         if answer is None:
             answer = self.waiting[job] = asyncio.get_running_loop().create_future()
-        if self.starter is None:
-            self.starter = asyncio.get_running_loop().create_task(self._start())
+        if self.batch_starter is None:
+            self.batch_starter = asyncio.get_running_loop().create_task(self._start_batches())
         return await asyncio.shield(answer)
 
-    async def _start(self) -> None:
-        """Begin readings for as long as polls wait."""
+    async def _start_batches(self) -> None:
+        """Start batches of reads for as long as polls wait."""
         try:
             while self.waiting:
-                # The more of the share is used up, the more polls go into one reading.
-                scarce = (
+                # The more of the request rate is used up, the more polls share a batch.
+                used_share = (
                     1
                     - max(0.0, self.store.budget.request_limiter.level)
                     / self.store.budget.request_limiter.size
                 )
-                pause = GATHER + (MAX_GATHER_TIME - GATHER) * scarce
+                pause = MIN_BATCH_DELAY + (MAX_BATCH_DELAY - MIN_BATCH_DELAY) * used_share
                 pause = max(
                     pause,
                     min(
@@ -108,18 +108,18 @@
                     ),
                 )
                 await asyncio.sleep(pause.total_seconds())
-                if len(self.running) >= AT_ONCE:
-                    await asyncio.wait(self.running, return_when=asyncio.FIRST_COMPLETED)
+                if len(self.batches) >= MAX_CONCURRENT_BATCHES:
+                    await asyncio.wait(self.batches, return_when=asyncio.FIRST_COMPLETED)
                 batch = {}
                 for job in list(self.waiting)[: self.max_guards]:
                     batch[job] = self.waiting.pop(job)
-                task = asyncio.get_running_loop().create_task(self._answer(batch))
-                self.running.add(task)
-                task.add_done_callback(self.running.discard)
+                task = asyncio.get_running_loop().create_task(self._answer_batch(batch))
+                self.batches.add(task)
+                task.add_done_callback(self.batches.discard)
         finally:
-            self.starter = None
+            self.batch_starter = None
 
-    async def _answer(self, batch: dict[str, asyncio.Future[PollAnswer]]) -> None:
+    async def _answer_batch(self, batch: dict[str, asyncio.Future[PollAnswer]]) -> None:
         try:
             found = await self._read(set(batch))
             for job, answer in batch.items():
@@ -129,39 +129,39 @@
                         answer.set_exception(value)
                     else:
                         answer.set_result(value)
-        except Exception as error:  # those who wait must hear of whatever went wrong
+        except Exception as error:  # every waiting poll must get an answer
             if not isinstance(error, StoreError):
                 log.exception("reading for polls failed, going on")
             for answer in batch.values():
                 if not answer.done():
                     answer.set_exception(StoreError(str(error)))
         for answer in batch.values():
-            answer.exception()  # whoever asked may have gone
+            answer.exception()  # marks it as retrieved: the request may have ended
 
     async def _read(self, jobs: set[str]) -> dict[str, PollAnswer | StoreError]:
-        held = await self._unchanged({job for job in jobs if job in self.known})
-        result: dict[str, PollAnswer | StoreError] = dict(held)
-        missing = jobs - held.keys()
+        unchanged = await self._unchanged_states({job for job in jobs if job in self.cached})
+        result: dict[str, PollAnswer | StoreError] = dict(unchanged)
+        missing = jobs - unchanged.keys()
         find: Callable[[str, RequestPriority], Awaitable[StoredJob]] = self.find
-        if len(missing) > SINGLE:
-            find = self.find_ended  # what is not among the live ones now was over before
+        if len(missing) > MAX_SINGLE_READS:
+            find = self.find_ended  # a job that is not listed as live has already ended
             for job, found in (await self.find_many(missing)).items():
                 if isinstance(found, StoreError):
                     result[job] = found
                 else:
-                    result[job] = seen(found[0])
-                    self.note(job, seen(found[0]), found[1])
+                    result[job] = live_status(found[0])
+                    self.cache(job, live_status(found[0]), found[1])
             missing -= result.keys()
-        singly = await asyncio.gather(*(self._single(find, job) for job in missing))
-        result.update(zip(missing, singly, strict=True))
+        single_reads = await asyncio.gather(*(self._read_single(find, job) for job in missing))
+        result.update(zip(missing, single_reads, strict=True))
         return result
 
-    async def _unchanged(self, jobs: set[str]) -> dict[str, LiveStatus]:
-        """Those of the known jobs that are still as they were known."""
+    async def _unchanged_states(self, jobs: set[str]) -> dict[str, LiveStatus]:
+        """Return the cached states of those cached jobs that have not changed since."""
         if len(jobs) < 2:
-            return {}  # a read costs no more, and tells what has changed, too
-        claims = {job: self.known[job] for job in jobs}
-        guards = [Guard(head_key(job), version) for job, (_, version) in claims.items()]
+            return {}  # a read costs no more, and also shows a changed state
+        expected = {job: self.cached[job] for job in jobs}
+        guards = [Guard(head_key(job), version) for job, (_, version) in expected.items()]
         try:
             await commit_idempotent(self.store, guards, [], RequestPriority.POLL, REQUEST_TIMEOUT)
             failed: set[str] = set()
@@ -170,14 +170,14 @@
             if not failed:
                 return {}
         result = {}
-        for job, (found, version) in claims.items():
+        for job, (found, version) in expected.items():
             if head_key(job) not in failed:
                 result[job] = found
-            elif self.known.get(job, (found, version))[1] <= version:
-                self.known.pop(job, None)
+            elif self.cached.get(job, (found, version))[1] <= version:
+                self.cached.pop(job, None)
         return result
 
-    async def _single(
+    async def _read_single(
         self, find: Callable[[str, RequestPriority], Awaitable[StoredJob]], job: str
     ) -> PollAnswer | StoreError:
         try:
@@ -186,6 +186,6 @@
             return error
         if isinstance(found, tuple):
             record, version = found
-            self.note(job, seen(record), version)
-            return seen(record)
+            self.cache(job, live_status(record), version)
+            return live_status(record)
         return found
--- a/dappledrum/user_api/responses.py
+++ b/dappledrum/user_api/responses.py
@@ -1,4 +1,4 @@
-"""Responses to users."""
+"""HTTP responses to users."""
 
 from http import HTTPStatus
 
@@ -9,15 +9,15 @@
 
 
 def answer(status: int, body: StatusResponse) -> Response:
-    """A response with this HTTP status that says in which state a job is."""
+    """Return a response with this HTTP status and the state of a job."""
     return Response(status, msgspec.json.encode(body))
 
 
 def busy(seconds: int = 1) -> Response:
-    """Ask the user to try again in so many seconds."""
+    """Ask the user to try again after this number of seconds."""
     return Response(HTTPStatus.SERVICE_UNAVAILABLE, b'{"error":"try again"}', retry_after=seconds)
 
 
-def refusal(status: int, why: str) -> Response:
-    """Refuse a request for good; `why` is the text of the error in the body."""
-    return Response(status, msgspec.json.encode({"error": why}))
+def refusal(status: int, reason: str) -> Response:
+    """Refuse a request permanently; `reason` is the error text in the body."""
+    return Response(status, msgspec.json.encode({"error": reason}))
--- a/dappledrum/user_api/submission_batcher.py
+++ b/dappledrum/user_api/submission_batcher.py
@@ -1,8 +1,8 @@
-"""Puts accepted jobs into the store, those that come together in one transaction.
+"""Stores new jobs, several that are submitted at about the same time in one transaction.
 
-Each job keeps its own guards. When one of them fails, only its job hears of it, and the others are
-written without it. While the answer of a transaction is late, its jobs are looked up: one that is
-stored is accepted, whichever transaction has stored it.
+Each job has its own guards. When a guard fails, only the submission of its job fails, and the
+other jobs are written without it. While the answer of a transaction is late, its jobs are read: a
+job that is stored is accepted, whichever transaction has stored it.
 """
 
 import asyncio
@@ -19,12 +19,12 @@
 from dappledrum.store.rate_limiter import RequestPriority
 from dappledrum.timing.clock import ZERO
 
-GATHER = timedelta(milliseconds=5)
-AT_ONCE = 4  # one slow answer of the store must not hold up whoever comes next
-QUEUE = timedelta(milliseconds=300)  # what would wait for longer is told to come back
+BATCH_DELAY = timedelta(milliseconds=5)  # submissions that arrive within it share a transaction
+MAX_CONCURRENT_TRANSACTIONS = 4  # one slow answer of the store must not delay later submissions
+MAX_QUEUEING_DELAY = timedelta(milliseconds=300)  # beyond it, users are asked to try again
 
 
-class _Item(NamedTuple):
+class _PendingSubmission(NamedTuple):
     job: str
     puts: list[Put]
     answer: asyncio.Future[int | StoredJob]
@@ -34,23 +34,23 @@
         return [Guard(head_key(self.job), 0), Guard(ended_key(self.job), 0)]
 
     def fail(self, error: Exception) -> None:
-        """Tell whoever waits what became of the transaction, unless a read has told it already."""
+        """Report the error of the transaction, unless a read has already shown the outcome."""
         if not self.answer.done():
             self.answer.set_exception(error)
 
     def succeed(self, version: int) -> None:
-        """Report the version under which the job is stored, unless a read has done so already."""
+        """Report the version of the stored job, unless a read has already shown the outcome."""
         if not self.answer.done():
             self.answer.set_result(version)
 
     def mark_retrieved(self) -> None:
-        """Whoever waited may have given up: then nobody else retrieves the exception."""
+        """Mark the exception as retrieved, since the request that waited for it may have ended."""
         if self.answer.done():
             self.answer.exception()
 
 
 class SubmissionBatcher:
-    """Jobs on their way into the store."""
+    """Queue of new jobs that are not stored yet, and the transactions that store them."""
 
     def __init__(
         self,
@@ -61,104 +61,114 @@
         self.store = store
         self.max_changes = max_changes
         self.find = find
-        self.waiting: dict[str, _Item] = {}
-        self.writing: set[asyncio.Task[None]] = set()
+        self.waiting: dict[str, _PendingSubmission] = {}
+        self.transactions: set[asyncio.Task[None]] = set()
         self.writer: asyncio.Task[None] | None = None
 
-    def full(self) -> bool:
-        """Whether the rate of changes leaves no room for one more job soon."""
+    def is_full(self) -> bool:
+        """Whether the rate limit for changes would delay one more job for too long."""
         return (
             self.store.budget.queueing_delay(
                 RequestPriority.SUBMISSION, writes=len(self.waiting) + 1
             )
-            > QUEUE
+            > MAX_QUEUEING_DELAY
         )
 
     async def admit(self, job: str, puts: list[Put]) -> int | StoredJob:
-        """Store a new job; returns the version, or what was read of the job while the answer was
-        late, or raises what became of its transaction."""
-        item = self.waiting.get(job)
-        if item is None:
+        """Store a new job; returns its version, or the job as read while the answer was late.
+
+        Raises the error of the transaction.
+        """
+        submission = self.waiting.get(job)
+        if submission is None:
             future: asyncio.Future[int | StoredJob] = asyncio.get_running_loop().create_future()
-            item = self.waiting[job] = _Item(job, puts, future)
+            submission = self.waiting[job] = _PendingSubmission(job, puts, future)
         if self.writer is None:
             self.writer = asyncio.get_running_loop().create_task(self._write())
-        return await asyncio.shield(item.answer)
+        return await asyncio.shield(submission.answer)
 
     async def _write(self) -> None:
         try:
             while self.waiting:
-                await asyncio.sleep(GATHER.total_seconds())
-                if len(self.writing) >= AT_ONCE:
-                    await asyncio.wait(self.writing, return_when=asyncio.FIRST_COMPLETED)
-                task = asyncio.get_running_loop().create_task(self._commit(self._batch()))
-                self.writing.add(task)
-                task.add_done_callback(self.writing.discard)
+                await asyncio.sleep(BATCH_DELAY.total_seconds())
+                if len(self.transactions) >= MAX_CONCURRENT_TRANSACTIONS:
+                    await asyncio.wait(self.transactions, return_when=asyncio.FIRST_COMPLETED)
+                task = asyncio.get_running_loop().create_task(self._commit(self._next_batch()))
+                self.transactions.add(task)
+                task.add_done_callback(self.transactions.discard)
         finally:
             self.writer = None
 
-    def _batch(self) -> list[_Item]:
-        """What fits into one transaction, and into the rate; always one."""
-        batch: list[_Item] = []
+    def _next_batch(self) -> list[_PendingSubmission]:
+        """Take submissions that fit into one transaction and the rate limit, and at least one."""
+        batch: list[_PendingSubmission] = []
         size = changes = 0
-        for item in list(self.waiting.values()):
-            size += sum(len(bytes(put.value)) + 300 for put in item.puts)
-            changes += len(item.puts)
-            over = (
+        for submission in list(self.waiting.values()):
+            size += sum(len(bytes(put.value)) + 300 for put in submission.puts)
+            changes += len(submission.puts)
+            exceeds_rate = (
                 self.store.budget.queueing_delay(RequestPriority.SUBMISSION, writes=changes) > ZERO
             )
-            if batch and (size > MAX_TRANSACTION_BYTES or changes > self.max_changes or over):
+            if batch and (
+                size > MAX_TRANSACTION_BYTES or changes > self.max_changes or exceeds_rate
+            ):
                 break
-            batch.append(self.waiting.pop(item.job))
+            batch.append(self.waiting.pop(submission.job))
         return batch
 
-    async def _commit(self, batch: list[_Item]) -> None:
-        guards = [guard for item in batch for guard in item.guards()]
-        puts = [put for item in batch for put in item.puts]
+    async def _commit(self, batch: list[_PendingSubmission]) -> None:
+        guards = [guard for submission in batch for guard in submission.guards()]
+        puts = [put for submission in batch for put in submission.puts]
         try:
             version = await commit_or_find(
-                self.store, guards, puts, RequestPriority.SUBMISSION, lambda: self._find(batch)
+                self.store,
+                guards,
+                puts,
+                RequestPriority.SUBMISSION,
+                lambda: self._answer_stored(batch),
             )
         except ConflictError as error:
-            others = self._refuse(batch, error)
-            if others:
-                await self._commit(others)
+            remaining = self._fail_conflicting(batch, error)
+            if remaining:
+                await self._commit(remaining)
         except StoreError as error:
-            for item in batch:
-                item.fail(type(error)(error.reason, error.request))
+            for submission in batch:
+                submission.fail(type(error)(error.reason, error.request))
         except Exception as error:
-            for item in batch:
-                item.fail(StoreError(str(error)))
+            for submission in batch:
+                submission.fail(StoreError(str(error)))
             raise
         else:
-            for item in batch:
-                item.succeed(version)
-        for item in batch:
-            item.mark_retrieved()
+            for submission in batch:
+                submission.succeed(version)
+        for submission in batch:
+            submission.mark_retrieved()
 
     @staticmethod
-    def _refuse(batch: list[_Item], error: ConflictError) -> list[_Item]:
-        """Fail the items whose guards did not hold; returns those that are left to be stored."""
+    def _fail_conflicting(
+        batch: list[_PendingSubmission], error: ConflictError
+    ) -> list[_PendingSubmission]:
+        """Fail the submissions whose guards failed; returns those that remain to be stored."""
         failed = set(error.conflicting_keys)
         refused = [i for i in batch if {head_key(i.job), ended_key(i.job)} & failed] or batch
-        for item in refused:
-            item.fail(ConflictError(error.conflicting_keys))
+        for submission in refused:
+            submission.fail(ConflictError(error.conflicting_keys))
         return [i for i in batch if i not in refused and not i.answer.done()]
 
-    async def _find(self, batch: list[_Item]) -> bool | None:
-        """Answer for those of the batch that are stored; True once all of them are answered.
+    async def _answer_stored(self, batch: list[_PendingSubmission]) -> bool | None:
+        """Answer the submissions whose jobs are stored; returns True once all are answered.
 
-        Each is read for itself: one that another controller has stored meanwhile says nothing of
-        the others, since the transaction then fails.
+        Each job is read separately: if another controller has stored one of them, this
+        transaction fails, so that job proves nothing about the others.
         """
-        for item in batch:
-            if item.answer.done():
+        for submission in batch:
+            if submission.answer.done():
                 continue
             if self.store.budget.queueing_delay(RequestPriority.SUBMISSION) > ZERO:
                 return None
-            found = await self.find(item.job, RequestPriority.SUBMISSION)
+            found = await self.find(submission.job, RequestPriority.SUBMISSION)
             if found is None:
                 return None
-            if not item.answer.done():
-                item.answer.set_result(found)
+            if not submission.answer.done():
+                submission.answer.set_result(found)
         return True
--- a/dappledrum/user_api/test_job_api.py
+++ b/dappledrum/user_api/test_job_api.py
@@ -1,4 +1,4 @@
-"""What users may send, and what they are told."""
+"""Submissions, polls and cancellations: which requests are accepted, and their answers."""
 
 import asyncio
 import json
@@ -17,7 +17,7 @@
 
 
 def send(*bodies):
-    """Statuses of submissions, sent to one controller of a quiet world."""
+    """Return the statuses of submissions that are sent to a simulated cluster without faults."""
 
     async def main():
         cluster = await led_cluster(1)
@@ -71,11 +71,11 @@
         (body(dueS="absent", hall="absent", builds="absent"), 201),
     ],
 )
-def test_submission(data, status):
+def test_status_of_a_submission(data, status):
     assert send(data) == [status]
 
 
-def test_a_known_job_is_never_refused_later():
+def test_an_accepted_job_is_never_refused_later():
     assert send(body(), body(), body(crew="nobody")) == [201, 200, 200]
 
 
@@ -90,14 +90,14 @@
         {"builds": ["x" * 190] * 60},
     ],
 )
-def test_a_changed_submission_of_a_known_job_is_never_refused(changed):
-    """One that lacked a field was refused with 400 though its job had been accepted."""
+def test_a_changed_submission_of_an_accepted_job_is_never_refused(changed):
+    """Guards against a 400 for an accepted job when its repeated submission lacks a field."""
     statuses = send(body(id="j-000002", **changed), body(), body(**changed))
     assert statuses[0] in (400, 422)
     assert statuses[1:] == [201, 200]
 
 
-async def test_paths_and_methods():
+async def test_status_of_paths_and_methods():
     cluster = await led_cluster(1)
     for method, path, status in (
         ("GET", "/submissions/j-000009", 404),
@@ -120,8 +120,8 @@
 
 
 @pytest.mark.parametrize("name", ["j-\u00b2", "j-", "j-" + "1" * 31, "j-1\n"])
-async def test_a_name_that_no_job_can_have_is_not_looked_up(name):
-    """Not every digit is an ASCII one: such a name went to the store as part of a path."""
+async def test_an_invalid_job_id_is_not_read_from_the_store(name):
+    """Guards against invalid ids in request paths to the store: a digit may be outside ASCII."""
     cluster = await led_cluster(1)
     began = asyncio.get_running_loop().time()
     reply = await cluster.controllers["drummer-1"].serve(
@@ -131,9 +131,9 @@
     assert asyncio.get_running_loop().time() == began
 
 
-async def test_a_very_large_job_keeps_within_the_store():
-    """The stand-in checks sizes of values and transactions; most tasks of the job are already
-    done."""
+async def test_a_very_large_job_keeps_within_the_limits_of_the_store():
+    """The simulated store checks the sizes of values and transactions. Most tasks of the job are
+    marked as done."""
     cluster = await led_cluster(8)
     names = await cluster.accept(
         job(1, beats=100_000, vcpus=0.25, memGb=0.1, runS=2.0, dueS=None), job(2)
@@ -151,18 +151,18 @@
             leader.leader.record_writer.mark_dirty(page)
             facts.done.update(range(page.first, page.first + page.count))
     await cluster.until(lambda: len(leader.leader.record_writer.dirty) < 8)
-    for _ in range(10):  # the totals in the head follow the pages
+    for _ in range(10):  # the totals in the head are written after the pages
         reply = await cluster._ask("GET", "/submissions/j-000001")
         if reply is not None and json.loads(reply.body)["done"] > 90_000:
             break
         await cluster.wait(1)
     else:
-        raise AssertionError("the totals are not in the head")
+        raise AssertionError("the head does not contain the totals of the pages")
     await cluster.restart(cluster.leader())
     await cluster.finish(names, most=600)
 
 
-def test_stored_pages_come_back_the_same():
+def test_pages_are_the_same_after_they_are_stored_and_read():
     spec = {key: value for key, value in job(7, beats=600).items() if key != "runS"}
     record = JobRecord(msgspec.convert(spec, Spec), 1_700_000_000_000, 256, PageRecord())
     first = Job(record, 1)
@@ -179,7 +179,7 @@
     for index in (1, 2):
         second.add_page(index, page_record(first.page(index)), 6)
 
-    def facts(page: Page):
+    def contents(page: Page):
         rows = {
             t: (p.machine, p.session, p.zone, p.attempt, p.placed_at)
             for t, p in page.placements.items()
@@ -187,7 +187,7 @@
         return page.done, page.attempt, rows, list(page.free_tasks())
 
     for index in range(3):
-        assert facts(first.page(index)) == facts(second.page(index))
+        assert contents(first.page(index)) == contents(second.page(index))
     assert (second.done, second.placement_count(), second.waiting()) == (
         first.done,
         first.placement_count(),
@@ -195,22 +195,22 @@
     )
 
 
-def numbered(index: int) -> str:
+def machine_name(index: int) -> str:
     return f"host-{100_000 + 37 * index}"
 
 
-def test_all_tasks_of_a_page_can_be_on_machines_of_their_own():
-    """Guards against tasks that wait though machines are free, as their record would not fit: rows
-    with whole names did not for more than a hundred of the 256."""
+def test_all_tasks_of_a_page_can_run_on_different_machines():
+    """Guards against tasks that wait although machines are idle, as their page would be too large
+    to store: with whole machine names, it could hold rows for only about 100 of 256 tasks."""
     spec = {key: value for key, value in job(7, beats=256).items() if key != "runS"}
     page = Job(
         JobRecord(msgspec.convert(spec, Spec), 1_700_000_000_000, 256, PageRecord()), 1
     ).page(0)
     now = datetime.fromtimestamp(1_700_000_999, UTC)
     for task in range(240):
-        bound = max_value_bytes(page, numbered(task), now)
+        bound = max_value_bytes(page, machine_name(task), now)
         assert bound <= 8 * 1024
-        page.place(task, numbered(task), 1, "keskusta", now)
+        page.place(task, machine_name(task), 1, "keskusta", now)
         assert len(msgspec.json.encode(page.job.head_record())) <= bound
 
 
@@ -225,8 +225,9 @@
     assert (live.done, live.page(0).attempt) == (1, 9)
 
 
-async def test_types_learned_while_a_submission_waits_do_not_turn_it_into_a_refusal():
-    """The catalog came in between the verdict and the answer, and a good job got 422 for ever."""
+async def test_a_catalog_loaded_during_a_submission_does_not_cause_a_refusal():
+    """Guards against a valid job that is permanently refused with 422, when the catalog is loaded
+    after the check of the machine types and before the answer."""
     cluster = await led_cluster(1)
     job_api = cluster.controllers["drummer-0"].job_api
     types, job_api.types = job_api.types, None
@@ -236,8 +237,9 @@
     assert reply.status == 503
 
 
-async def test_a_record_that_cannot_be_read_is_the_trouble_of_its_own_job():
-    """It made a batch of polls fail, and kept a leader from reading the others."""
+async def test_a_record_that_cannot_be_decoded_affects_only_its_own_job():
+    """Guards against a record that fails a whole batch of polls, or that keeps a leader from
+    reading the other jobs."""
     cluster = await led_cluster(9)
     names = await cluster.accept_jobs(6, runS=20.0)
     await cluster.until(lambda: cluster.rules.starts >= 4)
@@ -248,16 +250,16 @@
     await cluster.until_led()
     asked = [asyncio.ensure_future(cluster.poll(name, cluster.members[0])) for name in names]
     states = dict(zip(names, await asyncio.gather(*asked), strict=True))
-    assert states.pop(bad) is None, "neither told anything nor forgotten"
+    assert states.pop(bad) is None, "its state is unknown, but the job still exists"
     assert None not in states.values()
     await cluster.submit(job(7))
     await cluster.finish([*states, "j-000007"], most=200)
     assert f"job/{bad}" in cluster.store.keys
 
 
-async def test_the_form_that_is_remembered_is_the_one_that_was_stored():
-    """A repeated submission of another form joined the first one, and its form was remembered: a
-    job that waits for the service would have been accepted, and never have begun."""
+async def test_the_cached_form_of_a_job_is_the_stored_one():
+    """Guards against caching the form of a repeated submission that joined the first one with
+    another form: a job that waits for the service would be accepted and never start."""
     cluster = await led_cluster(10)
     await cluster.wait(1)
     job_api = cluster.controllers["drummer-1"].job_api
@@ -269,7 +271,7 @@
     assert reply.status == 422
 
 
-async def test_a_known_job_that_names_too_many_others_is_not_refused():
+async def test_an_accepted_job_with_too_many_dependencies_is_not_refused():
     cluster = await led_cluster(11)
     await cluster.wait(1)
     job_api = cluster.controllers["drummer-1"].job_api
