--- a/dappledrum/controller/__init__.py
+++ b/dappledrum/controller/__init__.py
@@ -1,1 +1,1 @@
-"""One controller, and its sockets; tests of whole controllers."""
+"""Assembly, endpoints and process of one controller; tests of whole controllers."""
--- a/dappledrum/controller/assembly.py
+++ b/dappledrum/controller/assembly.py
@@ -1,4 +1,4 @@
-"""Constructs all parts of one controller, each after those that it uses."""
+"""Constructs the parts of one controller, each after those that it uses."""
 
 from datetime import timedelta
 
@@ -35,13 +35,13 @@
 
 MAX_LEASE_TTL = timedelta(seconds=3)
 LEADER_LEASES_PER_WORKER_LEASE = 3
-#: Margin within the time for cancellations: a leader with lease grants of only a majority stops
-#: early enough that its workers' leases have expired this long before that time has passed.
+#: A leader with lease grants of only a majority stops so early that its workers' leases have
+#: expired this long before the time limit for cancellations.
 MAJORITY_GRANTS_MARGIN = timedelta(seconds=5)
-#: The same margin for a leader that last read all cancellations just before the user's.
+#: The same margin for a leader that last read all cancellations just before a user cancelled.
 CANCELLATIONS_AGE_MARGIN = timedelta(seconds=1)
-#: Least time for which a reading of all cancellations counts. If the time for cancellations were
-#: no longer than a lease, leaders could otherwise answer no worker at all.
+#: Minimum time for which a read of all cancellations is valid. Without it leaders could answer no
+#: worker at all if the time limit for cancellations were no longer than a lease.
 MIN_CANCELLATIONS_AGE = timedelta(seconds=6)
 
 
@@ -77,7 +77,7 @@
 
 
 def lease_limits(workers: WorkerLimits) -> LeaseLimits:
-    """Derive a leader's limits from those that workers and users were given."""
+    """Derive a leader's time limits from the lease of workers and the limit for cancellations."""
     lease, cancellation = workers.lease_duration, workers.cancellation_limit
     return LeaseLimits(
         ttl=min(MAX_LEASE_TTL, lease / LEADER_LEASES_PER_WORKER_LEASE),
--- a/dappledrum/controller/catalog.py
+++ b/dappledrum/controller/catalog.py
@@ -1,4 +1,4 @@
-"""Loads the catalog of machine types, once after each start."""
+"""Loads the catalog of machine types once after each start."""
 
 import asyncio
 import logging
@@ -17,6 +17,7 @@
 
 log = logging.getLogger(__name__)
 
+#: Key of the catalog in the store.
 CATALOG = "catalog"
 #: Shortest and longest pause between two attempts, in seconds.
 RETRY_PAUSE_S = (0.5, 1.5)
@@ -38,21 +39,20 @@
         self.rng = environment.rng
         self.job_api = job_api
         self.term_runner = term_runner
-        self.no_catalog = FaultLog(log, environment.clock, "no machine types are known yet")
+        self.catalog_fault = FaultLog(log, environment.clock, "no machine types are known yet")
 
     async def run(self) -> None:
-        """Load the catalog: from its stored copy if there is one, since the cloud may be
-        unreachable."""
+        """Load the catalog; a copy in the store comes first, as the cloud may be unreachable."""
         while True:
             types = await self._stored_types() or await self._cloud_types()
             if types:
-                self.no_catalog.recovered()
+                self.catalog_fault.recovered()
                 self.job_api.types = types
                 leader = self.term_runner.leader
                 if leader is not None:
                     leader.set_machine_types(types)
                     leader.request_plan("catalog")
-                log.info("machine types: %s", ", ".join(t.name for t in types))
+                log.info("catalog loaded, machine types: %s", ", ".join(t.name for t in types))
                 return
             await asyncio.sleep(self.rng.uniform(*RETRY_PAUSE_S))
 
@@ -63,14 +63,14 @@
                 msgspec.json.decode(entry.value, type=Catalog).types if entry is not None else []
             )
         except (StoreError, msgspec.DecodeError) as error:
-            self.no_catalog.failed(f"no stored catalog: {error}")
+            self.catalog_fault.failed(f"no stored catalog: {error}")
             return []
 
     async def _cloud_types(self) -> list[MachineType]:
         try:
             types = await self.cloud.catalog()
         except CloudError as error:
-            self.no_catalog.failed(f"no catalog: {error}")
+            self.catalog_fault.failed(f"no catalog: {error}")
             return []
         value = encode_value(Catalog(types))
         if types and len(value) < self.max_value_bytes:
--- a/dappledrum/controller/controller.py
+++ b/dappledrum/controller/controller.py
@@ -22,13 +22,13 @@
 from dappledrum.timing.timeouts import PauseDetector
 from dappledrum.user_api.job_api import JobApi
 
-#: Anything but a slash may precede the path of a job; only `/submissions` itself is exact.
+#: Paths of single jobs may have any text without a slash before `/submissions`.
 JOBS_PATH = "[^/]*/submissions"
 
 
 @dataclass(frozen=True, eq=False)
 class Endpoints:
-    """What serves users, workers and peers."""
+    """Endpoints for users, workers and peers."""
 
     users: UserEndpoint
     heartbeats: HeartbeatEndpoint
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, eq=False)
 class BackgroundServices:
-    """What a controller runs beside the election, its terms and its membership."""
+    """Background tasks of a controller other than its election, terms and membership."""
 
     pause_detector: PauseDetector
     catalog: CatalogLoader
@@ -46,7 +46,7 @@
 
 
 class Controller:
-    """One of a few equal processes that serve users and workers; `assembly` constructs it."""
+    """One of several equal processes that serve users and workers; `assembly` constructs it."""
 
     def __init__(
         self,
@@ -83,12 +83,12 @@
 
     @property
     def store(self) -> StoreClient:
-        """The controller's client of the store."""
+        """The controller's client for the store."""
         return self.clients.store
 
     @property
     def leader(self) -> Leader | None:
-        """The leader's part while this controller runs a term."""
+        """The leader of the term that this controller runs; None if it runs no term."""
         return self.term_runner.leader
 
     async def run(self) -> None:
@@ -104,7 +104,7 @@
         ]
         if self.environment.tuning.peer_heartbeats_enabled:
             tasks.append(self.membership.run())
-        # Not a task group: it would end the others in no fixed order.
+        # Not a task group: it would cancel the remaining tasks in no fixed order.
         await asyncio.gather(*tasks)
 
     async def serve(self, request: Request) -> Response:
@@ -112,5 +112,5 @@
         return await self.router.serve(request)
 
     async def serve_peer(self, request: Request) -> Response:
-        """Serve one request on the address for the other controllers."""
+        """Serve one request on the address for peers."""
         return await self.endpoints.peers.serve(request)
--- a/dappledrum/controller/election_host.py
+++ b/dappledrum/controller/election_host.py
@@ -1,4 +1,4 @@
-"""What the election of a controller asks of its other parts."""
+"""Gives the election of a controller access to the other parts."""
 
 from datetime import timedelta
 
@@ -11,7 +11,7 @@
 
 
 class ElectionHost:
-    """Connects the election with parts that are constructed after it; see `LeadershipHost`."""
+    """Connects the election to parts that are constructed after it; see `LeadershipHost`."""
 
     term_runner: TermRunner
     membership: Membership
@@ -24,19 +24,19 @@
     def connect(
         self, term_runner: TermRunner, membership: Membership, store_share: StoreShare
     ) -> None:
-        """Set the parts that the election calls; before it runs."""
+        """Set the parts that the election calls; must be called before it runs."""
         self.term_runner = term_runner
         self.membership = membership
         self.store_share = store_share
 
     def leadership_changed(self) -> None:
-        """Adapt to a change of the own term or of the known leader."""
+        """Apply a change of this controller's term or of the known leader."""
         self.store_share.update()
         self.term_runner.leadership_changed()
         self.membership.announce()
 
     def apply_confirmed_cancellations(self, cancelled: frozenset[str]) -> bool:
-        """Treat these jobs as cancelled; returns whether a leader runs that could do so."""
+        """Treat these jobs as cancelled; returns whether this controller runs a leader for it."""
         return self.term_runner.apply_confirmed_cancellations(cancelled)
 
     def candidacy_delay(self) -> timedelta:
--- a/dappledrum/controller/environment.py
+++ b/dappledrum/controller/environment.py
@@ -1,4 +1,4 @@
-"""What one controller is given from outside: its settings, time, chance and connections."""
+"""External inputs of one controller: settings, clock, random numbers and connections."""
 
 import random
 from dataclasses import dataclass
--- a/dappledrum/controller/heartbeat_endpoint.py
+++ b/dappledrum/controller/heartbeat_endpoint.py
@@ -17,16 +17,16 @@
 
 log = logging.getLogger(__name__)
 
-#: The longest that the answer to a forwarded heartbeat waits for work.
+#: Longest time that the answer to a forwarded heartbeat waits for work.
 MAX_FORWARDED_WAIT = timedelta(milliseconds=300)
 
 
 class MalformedHeartbeatError(Exception):
-    """The body of a request is no valid heartbeat; the text says why."""
+    """The body of a request is not a valid heartbeat; the text says why."""
 
 
 class HeartbeatEndpoint:
-    """Answers workers as far as this controller is entitled to."""
+    """Answers heartbeats while this controller leads; otherwise forwards or redirects them."""
 
     def __init__(
         self,
@@ -48,7 +48,7 @@
         try:
             heartbeat = _decode(request.body)
         except MalformedHeartbeatError as error:
-            log.warning("malformed heartbeat of a worker: %s", error)
+            log.warning("malformed heartbeat from a worker: %s", error)
             return refusal(HTTPStatus.BAD_REQUEST, str(error))
         self.attempts.record(heartbeat.machine, self.clock.now())
         self.membership.record_worker_heartbeat(heartbeat)
@@ -58,8 +58,10 @@
         return await self._forward_or_redirect(heartbeat, request.body)
 
     async def answer_forwarded(self, body: bytes) -> bytes | None:
-        """The answer to a heartbeat that a peer has forwarded: the answer that the worker itself
-        would get, or None. It is never forwarded again."""
+        """Return the answer to a heartbeat that a peer has forwarded, as the worker would get it.
+
+        Returns None if this controller may not answer it. It is never forwarded again.
+        """
         try:
             heartbeat = _decode(body)
         except MalformedHeartbeatError as error:
@@ -69,7 +71,7 @@
         return None if commands is None else msgspec.json.encode(commands)
 
     async def _commands(self, heartbeat: WorkerHeartbeat, max_wait: timedelta) -> Commands | None:
-        """The leader's answer; None: this controller is not entitled to give one."""
+        """Return the leader's answer, or None if this controller may not answer workers."""
         leader = self.term_runner.leader
         if leader is None or self.elector.valid_term() is not leader.term:
             return None
@@ -86,7 +88,7 @@
         return Response(
             HTTPStatus.MISDIRECTED_REQUEST,
             msgspec.json.encode(Redirect(target)),
-            close=True,  # the worker goes elsewhere, so its connection is not needed
+            close=True,  # the worker will use a connection to another controller
         )
 
 
--- a/dappledrum/controller/leadership_transfer.py
+++ b/dappledrum/controller/leadership_transfer.py
@@ -1,4 +1,4 @@
-"""Names another controller as the successor of this one."""
+"""Transfers leadership to another controller."""
 
 import logging
 from datetime import timedelta
@@ -11,12 +11,12 @@
 
 log = logging.getLogger(__name__)
 
-SERVED_TIMEOUT = timedelta(milliseconds=450)  # a peer waits for the store for 300 ms
+SERVED_TIMEOUT = timedelta(milliseconds=450)  # peers wait up to 300 ms for the store
 MAX_FLUSH_TIME = timedelta(milliseconds=500)  # for writing pending records
 
 
 class LeadershipTransfer:
-    """Transfers leadership to a peer that the store serves."""
+    """Transfers leadership to a peer, if the store serves that peer."""
 
     def __init__(self, clients: Clients, elector: Elector, term_runner: TermRunner) -> None:
         self.store = clients.store
@@ -24,12 +24,12 @@
         self.elector = elector
         self.term_runner = term_runner
 
-    async def transfer(self, member: str, why: str) -> None:
+    async def transfer(self, member: str, reason: str) -> None:
         """Name `member` as the successor, after writing pending records if possible.
 
-        Heartbeats of a peer show that the store served it up to a second ago. When an outage had
-        begun since, nobody could take the key, and the leader that had stopped could not go on by
-        lease grants: all that ran was lost.
+        Heartbeats of a peer show only that the store served it up to a second ago. If an outage
+        had begun since, no controller could write the leader key, and the leader that had resigned
+        could not continue with lease grants: all running tasks were lost.
         """
         if self.store.availability.failing_for() is not None and not await self._is_served(member):
             log.info(
@@ -39,7 +39,7 @@
         leader = self.term_runner.leader
         if leader is not None and not self.store.availability.is_failing():
             await leader.flush_records(MAX_FLUSH_TIME)
-        self.elector.transfer_leadership(member, why)
+        self.elector.transfer_leadership(member, reason)
 
     async def _is_served(self, member: str) -> bool:
         """Whether the store serves a peer at this moment."""
--- a/dappledrum/controller/link_checks.py
+++ b/dappledrum/controller/link_checks.py
@@ -1,4 +1,4 @@
-"""Requests that show whether the store and the cloud answer this controller."""
+"""Requests that show whether this controller reaches the store and the cloud."""
 
 import logging
 from datetime import timedelta
--- a/dappledrum/controller/peer_endpoint.py
+++ b/dappledrum/controller/peer_endpoint.py
@@ -1,4 +1,4 @@
-"""Requests of the other controllers."""
+"""Serves requests from the other controllers."""
 
 import asyncio
 import logging
@@ -57,7 +57,7 @@
 
 
 class PeerEndpoint:
-    """Passes each request of a peer to the part that can answer it."""
+    """Passes each request of a peer to the part that answers it."""
 
     def __init__(
         self,
@@ -74,19 +74,19 @@
         self.heartbeats = heartbeats
 
     async def serve(self, request: Request) -> Response:
-        """Serve one request on the address for the other controllers."""
+        """Serve one request on the address for peers."""
         if request.path != PEER_PATH:
             return Response(HTTPStatus.NOT_FOUND)
         try:
             message = decode(request.body, PeerRequest)
         except MalformedError as error:
-            log.warning("malformed message of a peer: %s", error)
+            log.warning("malformed message from a peer: %s", error)
             return Response(HTTPStatus.BAD_REQUEST)
         reply = await self.answer(message)
         return Response(HTTPStatus.OK, encode(reply), content_type=CONTENT_TYPE)
 
     async def answer(self, request: PeerRequest) -> PeerReply:
-        """The reply to one message."""
+        """Return the reply to one message."""
         reply: PeerReply
         match request:
             case Relay():
@@ -125,8 +125,8 @@
 
     def _holds_term(self) -> HoldsTermReply:
         unanswered = min(self.elector.no_answers_for(), MAX_NO_ANSWERS)
-        # Also a term that may answer no worker just now, as its reading of cancellations is too
-        # old: after the next reading it may again.
+        # Includes a term that may not answer workers now because its last read of cancellations is
+        # too old: after the next read it may again.
         holds = self.elector.term is not None
         return HoldsTermReply(holds, int(unanswered.total_seconds() * 1000))
 
@@ -140,12 +140,12 @@
     async def _grant_lease(self, request: LeaseGrantRequest) -> LeaseGrantReply:
         """Grant a lease, unless the store serves this controller.
 
-        The store is asked every time: while it serves this controller, a leader that is refused
-        alone must not be kept in office, since leadership can simply move.
+        The store is read for every request: while it serves this controller, a leader that is the
+        only one it refuses must not keep its term, since leadership can be transferred.
         """
         try:
             await self.store.get(CATALOG, RequestPriority.LEASE, STORE_CHECK_TIMEOUT)
         except StoreError as error:
-            log.debug("store not reached either: %s", error)
+            log.debug("store not reached by this controller either: %s", error)
             return self.elector.grant_lease(request)
         return LeaseGrantReply(False, "state service reached")
--- a/dappledrum/controller/peer_versions.py
+++ b/dappledrum/controller/peer_versions.py
@@ -1,5 +1,5 @@
-"""Asks for the versions of the other controllers, since records and gangs depend on the oldest
-one."""
+"""Asks the other controllers for their versions: the oldest one decides how records are written
+and whether gangs are accepted."""
 
 import asyncio
 import logging
@@ -17,15 +17,15 @@
 
 log = logging.getLogger(__name__)
 
-#: Key of the record that all controllers support gangs.
-GANGS_SUPPORTED = "gangs"
-FIRST_PAUSE = timedelta(milliseconds=250)
-MAX_PAUSE = timedelta(seconds=2)
+#: Key of the record that says that all controllers support gangs.
+GANGS_SUPPORTED_KEY = "gangs"
+MIN_QUERY_INTERVAL = timedelta(milliseconds=250)
+MAX_QUERY_INTERVAL = timedelta(seconds=2)
 VERSION_TIMEOUT = timedelta(milliseconds=900)
 
 
 class PeerVersions:
-    """Enables what every controller must support before it may be used."""
+    """Enables features that may be used only once every controller supports them."""
 
     def __init__(
         self,
@@ -46,10 +46,10 @@
 
         Versions before 0.3.0 do not answer, and can't read records that are split into parts; a
         controller is never downgraded. Gangs are accepted once all controllers run a version that
-        supports them; that this was so is stored, since a controller may be down for long.
+        supports them; this is stored, since a controller may be down for long afterwards.
         """
-        stored = False
-        pause = FIRST_PAUSE
+        gangs_recorded = False
+        interval = MIN_QUERY_INTERVAL
         while True:
             for member in self.peers.callers:
                 if not self._supports(member, MIN_VERSION_WITH_HEARTBEATS):
@@ -58,11 +58,11 @@
                 self.value_limit.reduce("all controllers read them")
             if self._all_support(MIN_VERSION_WITH_GANGS):
                 self.job_api.gangs_supported = True
-            stored = stored or await self._gangs_stored()
-            if stored and self._all_support(MIN_VERSION_WITH_HEARTBEATS):
+            gangs_recorded = gangs_recorded or await self._record_gang_support()
+            if gangs_recorded and self._all_support(MIN_VERSION_WITH_HEARTBEATS):
                 return
-            await asyncio.sleep(pause.total_seconds())
-            pause = min(pause * 2, MAX_PAUSE)
+            await asyncio.sleep(interval.total_seconds())
+            interval = min(interval * 2, MAX_QUERY_INTERVAL)
 
     def _supports(self, member: str, version: tuple[int, ...]) -> bool:
         return at_least(self.versions.get(member, ""), version)
@@ -78,20 +78,26 @@
         log.info("%s runs version %.40s", member, version)
         if at_least(version, MIN_VERSION_WITH_HEARTBEATS):
             self.membership.heartbeat_peers.add(member)
-            # At once: without messages of a peer this controller may not be ready.
+            # Immediately: without messages from a peer this controller may not be ready.
             self.membership.announce()
 
-    async def _gangs_stored(self) -> bool:
-        """Whether it is stored, now or from before, that all controllers support gangs."""
+    async def _record_gang_support(self) -> bool:
+        """Read, or store if it is true, the record that all controllers support gangs.
+
+        Returns whether that is known and the value limit is reduced, so that both are settled.
+        """
         try:
-            entry = await self.store.get(GANGS_SUPPORTED, RequestPriority.RECORD)
+            entry = await self.store.get(GANGS_SUPPORTED_KEY, RequestPriority.RECORD)
             if entry is None and self.job_api.gangs_supported:
                 value = encode_value({"version": __version__})
-                guards, changes = [Guard(GANGS_SUPPORTED, 0)], [Put(GANGS_SUPPORTED, value)]
+                guards, changes = (
+                    [Guard(GANGS_SUPPORTED_KEY, 0)],
+                    [Put(GANGS_SUPPORTED_KEY, value)],
+                )
                 await self.store.commit(guards, changes, RequestPriority.RECORD)
             self.job_api.gangs_supported = self.job_api.gangs_supported or entry is not None
-            # An older peer may yet be upgraded, which settles how records are written.
+            # Until the value limit is reduced, the upgrade of an older peer can still reduce it.
             return self.job_api.gangs_supported and self.value_limit.is_reduced
         except StoreError as error:
-            log.debug("support of gangs by all controllers not read: %s", error)
+            log.debug("record of gang support not read or stored: %s", error)
             return False
--- a/dappledrum/controller/previous_grants.py
+++ b/dappledrum/controller/previous_grants.py
@@ -1,4 +1,4 @@
-"""Lease grants that the previous process of this controller may have given."""
+"""Shortens the wait for lease grants that the previous process of a controller may have given."""
 
 import asyncio
 from datetime import timedelta
@@ -10,11 +10,11 @@
 
 
 async def wait_for_previous_grants(elector: Elector, peers: Peers) -> None:
-    """After a restart, ask whether any leader may still rely on a lease grant of the previous
-    process.
+    """Ask the peers after a restart whether any leader may still rely on a lease grant of the
+    previous process, and skip the rest of the wait if none does.
 
-    Without the replies this controller must wait until such grants have expired, which is most of
-    the time that a restart of all controllers takes.
+    Without their replies this controller must wait until such grants have expired, which takes
+    most of the time of a restart of all controllers.
     """
     while elector.voter.restart_wait_until > elector.clock.now():
         if peers.callers and await peers.no_term_held(HOLDS_TERM_TIMEOUT):
--- a/dappledrum/controller/process.py
+++ b/dappledrum/controller/process.py
@@ -25,11 +25,11 @@
 
 
 async def probe_worker(address: str, timeout: timedelta) -> bool:
-    """Whether a worker answers at the address that it has reported."""
+    """Return whether a worker answers at the address that it has reported."""
     try:
         client = PooledClient(*split_address(address), max_idle=0)
         return (await client.request("GET", "/inspect", None, timeout)).status == HTTPStatus.OK
-    except (NoResponseError, OverflowError) as error:  # a port may be any five digits
+    except (NoResponseError, OverflowError) as error:  # the reported port may exceed 65535
         log.debug("no answer from the worker at %s: %s", address, error)
         return False
 
@@ -44,21 +44,23 @@
     private = Server(
         lambda request: controller.serve_peer(request), shares.peers, shares.peers_waiting
     )
-    # The time after which this process counts the lease grants of its predecessor as expired
-    # begins with its construction. A predecessor that still has the addresses may grant leases
-    # yet, so the controller is constructed when that process has exited.
+    # The controller regards lease grants of its predecessor as expired a fixed time after its own
+    # construction. A predecessor that still has the addresses may still grant leases, so the
+    # controller is constructed only after that process has exited.
     await public.bind(*split_address(settings.serve_on))
     await private.bind(*split_address(settings.back))
     environment = Environment(settings, tuning, Clock(), random.Random())
     controller = build_controller(environment, _connect(settings))
     await public.start(*split_address(settings.serve_on))
     await private.start(*split_address(settings.back))
-    log.info("listening on %s, for peers on %s", settings.serve_on, settings.back)
+    log.info(
+        "listening on %s for users and workers, on %s for peers", settings.serve_on, settings.back
+    )
     await controller.run()
 
 
 def _connect(settings: Settings) -> Connections:
-    """Clients for all that the controller calls; they connect on the first request."""
+    """Create the clients that the controller uses; they connect on the first request."""
     return Connections(
         store=PooledClient(
             *split_address(settings.external.state),
--- a/dappledrum/controller/redirection.py
+++ b/dappledrum/controller/redirection.py
@@ -26,14 +26,15 @@
         self.isolation = isolation
 
     def target(self) -> str | None:
-        """The controller to redirect a worker to; None: not known, the worker tries the next one
-        itself.
+        """Return the controller to redirect a worker to.
+
+        Returns None if it is not known; the worker then tries the next one.
 
         A controller that does not reach the store may know only a former leader. Four of them
-        once redirected all workers in a circle, and none reached the fifth, which was the leader.
+        once redirected all workers in a cycle, and none to the fifth, which was the leader.
         """
         if self.isolation.is_isolated():
-            return None  # the leader known from before may have ended long ago
+            return None  # the last known leader may have stopped long ago
         if self.peer_heartbeats:
             member = self.membership.redirect_target()
         else:
--- a/dappledrum/controller/routes.py
+++ b/dappledrum/controller/routes.py
@@ -1,4 +1,4 @@
-"""Routes of the public address: which handler serves a method and a path."""
+"""Routes of the public address: map a method and a path to a handler."""
 
 import re
 from collections.abc import Awaitable, Callable
@@ -12,7 +12,7 @@
 
 
 class Route(NamedTuple):
-    """One path pattern, the only method that it allows, and what serves it."""
+    """One path pattern, the only method that it allows, and its handler."""
 
     method: str
     pattern: re.Pattern[str]  # of the whole path, without the query
@@ -20,7 +20,7 @@
 
 
 def route(method: str, pattern: str, handler: Handler) -> Route:
-    """A route; in `pattern`, `{id}` stands for one path segment that is not empty."""
+    """Create a route; in `pattern`, `{id}` stands for one path segment that is not empty."""
     return Route(method, re.compile(pattern.replace("{id}", "[^/]+")), handler)
 
 
--- a/dappledrum/controller/term_runner.py
+++ b/dappledrum/controller/term_runner.py
@@ -1,4 +1,4 @@
-"""Runs the leader's part of a controller during each of its terms."""
+"""Runs a leader during each term of this controller."""
 
 import asyncio
 import logging
@@ -17,7 +17,7 @@
 
 log = logging.getLogger(__name__)
 
-#: How long the peers are asked after a term began; later replies add nothing.
+#: The peers are asked for this long after a term has begun; later replies add nothing.
 MAX_NO_ANSWERS_QUERY = timedelta(seconds=5)
 NO_ANSWERS_TIMEOUT = timedelta(milliseconds=200)  # also the pause between two attempts
 
@@ -44,11 +44,11 @@
         self._term_changed = asyncio.Event()
 
     def leadership_changed(self) -> None:
-        """Check soon whether a term has begun."""
+        """Wake up `run` to check whether a term has begun."""
         self._term_changed.set()
 
     async def run(self) -> None:
-        """Run each term to its end, for ever."""
+        """Run each term to its end, until cancelled."""
         while True:
             await self._term_changed.wait()
             self._term_changed.clear()
@@ -56,14 +56,14 @@
             if term is None or term.ended.is_set():
                 continue
             self.leader = self._create_leader(term)
-            query = asyncio.ensure_future(self._query_no_answers(self.leader))
+            no_answers_query = asyncio.ensure_future(self._query_no_answers(self.leader))
             try:
                 await self.leader.run()
             except Exception:
-                log.exception("leading failed")
+                log.exception("leader failed, term of epoch %d ends", term.epoch)
                 term.ended.set()
             finally:
-                query.cancel()
+                no_answers_query.cancel()
                 self.leader = None
 
     def expected_heartbeats(self) -> Mapping[str, int]:
@@ -71,7 +71,7 @@
         return self.leader.expected_heartbeats() if self.leader is not None else {}
 
     def apply_confirmed_cancellations(self, cancelled: frozenset[str]) -> bool:
-        """Treat these jobs as cancelled; returns whether a leader runs that could do so."""
+        """Treat these jobs as cancelled; returns whether this controller runs a leader for it."""
         if self.leader is None:
             return False
         self.leader.apply_confirmed_cancellations(cancelled)
@@ -95,8 +95,10 @@
         self.job_api.cache_ended(job.id, job.ended_record())
 
     async def _query_no_answers(self, leader: Leader) -> None:
-        """Ask the peers since when no other controller can have answered a worker. It matters
-        after all controllers were down, and when the former leader is back."""
+        """Ask the peers since when no other controller can have answered a worker.
+
+        It matters after all controllers were down, and when the former leader has returned.
+        """
         clock = self.environment.clock
         began = leader.term.started_at
         own = self.elector.last_possible_answer_at
--- a/dappledrum/controller/unreached_leader.py
+++ b/dappledrum/controller/unreached_leader.py
@@ -1,4 +1,4 @@
-"""Detects that a leader gets no heartbeats while workers send them to other controllers."""
+"""Detects that a leader receives no heartbeats while workers send them to other controllers."""
 
 import asyncio
 from datetime import timedelta
@@ -10,18 +10,18 @@
 from dappledrum.workers.heartbeat_attempts import HeartbeatAttempts, sending_heartbeats_elsewhere
 
 CHECK_INTERVAL = timedelta(seconds=1)
-#: A leader without heartbeats for so many of their intervals asks its peers.
+#: A leader that has received no heartbeat for this number of intervals asks its peers.
 MAX_MISSED_HEARTBEATS = 3
-MIN_SILENCE = timedelta(seconds=3)
-ATTEMPT_WINDOW = timedelta(seconds=10)  # peers count the attempts of so long until now
+MIN_SILENCE_LIMIT = timedelta(seconds=3)
+ATTEMPT_WINDOW = timedelta(seconds=10)  # peers count the heartbeat attempts since then
 ATTEMPT_TIMEOUT = timedelta(seconds=1)
-CANDIDACY_PAUSE = timedelta(seconds=20)  # no campaign for so long after resigning
+CANDIDACY_PAUSE = timedelta(seconds=20)  # without a campaign after resigning
 
 
 class UnreachedLeaderMonitor:
     """Resigns as leader when no worker reaches this controller.
 
-    It serves controllers without peer heartbeats, which show more, and who should lead instead.
+    It is used without peer heartbeats, which show more, including who should lead instead.
     """
 
     def __init__(
@@ -33,8 +33,9 @@
     ) -> None:
         self.clock: Clock = environment.clock
         self.peer_heartbeats = environment.tuning.peer_heartbeats_enabled
-        self.silence = max(
-            environment.params.workers.heartbeat_interval * MAX_MISSED_HEARTBEATS, MIN_SILENCE
+        self.silence_limit = max(
+            environment.params.workers.heartbeat_interval * MAX_MISSED_HEARTBEATS,
+            MIN_SILENCE_LIMIT,
         )
         self.term_runner = term_runner
         self.elector = term_runner.elector
@@ -44,14 +45,14 @@
         self.attempts = attempts
 
     async def run(self) -> None:
-        """Check once a second, for ever."""
+        """Check once a second, until cancelled."""
         while True:
             await asyncio.sleep(CHECK_INTERVAL.total_seconds())
-            if self._is_silent():
+            if self._lacks_heartbeats():
                 await self._resign_if_unreached()
 
-    def _is_silent(self) -> bool:
-        """Whether this controller leads, and should have had a heartbeat by now."""
+    def _lacks_heartbeats(self) -> bool:
+        """Whether this controller leads, and should have received a heartbeat by now."""
         leader = self.term_runner.leader
         now = self.clock.now()
         if leader is None or not leader.loaded.is_set() or self.elector.leading_term() is None:
@@ -60,15 +61,17 @@
             return False
         last = self.attempts.last
         began = max(leader.began, self.pause_detector.running_since())
-        return now - began >= self.silence and (last is None or now - last >= self.silence)
+        return now - began >= self.silence_limit and (
+            last is None or now - last >= self.silence_limit
+        )
 
     async def _resign_if_unreached(self) -> None:
         leader = self.term_runner.leader
         assert leader is not None
-        names = sending_heartbeats_elsewhere(
+        machines = sending_heartbeats_elsewhere(
             await self.peers.heartbeat_attempts(ATTEMPT_WINDOW, ATTEMPT_TIMEOUT), leader.registry
         )
-        if names and self.term_runner.leader is leader:
+        if machines and self.term_runner.leader is leader:
             self.elector.resign(
-                f"no worker reaches this controller, {len(names)} try others", CANDIDACY_PAUSE
+                f"no worker reaches this controller, {len(machines)} try others", CANDIDACY_PAUSE
             )
--- a/dappledrum/controller/user_endpoint.py
+++ b/dappledrum/controller/user_endpoint.py
@@ -1,4 +1,4 @@
-"""Requests of users: served here, or relayed through a peer that reaches the store."""
+"""Serves requests of users here, or relays them through a peer that reaches the store."""
 
 import asyncio
 from datetime import timedelta
@@ -14,7 +14,7 @@
 from dappledrum.user_api.job_api import JobApi
 from dappledrum.user_api.responses import busy, refusal
 
-MAX_RELAY_PEERS = 2  # that are asked at the same time
+MAX_RELAY_PEERS = 2  # asked concurrently
 RELAY_TIMEOUT = timedelta(milliseconds=900)
 RETRY_AFTER_S = 2
 MAX_JOB_NUMBER_DIGITS = 30
@@ -22,7 +22,7 @@
 
 
 class UserEndpoint:
-    """Submissions, polls, cancellations, and the health check of the load balancer."""
+    """Serves submissions, polls, cancellations, and the health check of the load balancer."""
 
     def __init__(
         self,
@@ -38,25 +38,26 @@
         self.isolation = isolation
 
     async def ready(self, _request: Request) -> Response:
-        """The health check: ready once the store was reached, or while a peer sends
-        messages. A later outage changes nothing, since a state that flaps is worse. The body says
-        how the store is reached.
-
-        During an outage users are relayed to a peer that reaches the store; where there is
-        none they get an answer at once that says when to come back. Controllers that were started
-        in an outage once reported that they were not ready, and after it users found nobody for 10
-        s and more: the load balancer is slow to take controllers back.
-
-        A controller that has had contact with neither the store nor any peer for a while
-        is not ready, even if others are served: it refuses all users at once, so it has the fewest
-        open connections, and the load balancer preferred it to those that could serve.
+        """Answer the health check: ready once the store was reached, or while peers send messages.
+
+        A later outage of the store does not change that, since a state that flaps is worse. The
+        body says how the store is reached.
+
+        During an outage, requests of users are relayed to a peer that reaches the store; if there
+        is none, the user is told at once when to try again. Controllers that were started in an
+        outage once reported that they were not ready, and afterwards users reached no controller
+        for 10 s and more: the load balancer is slow to add controllers again.
+
+        A controller that has reached neither the store nor any peer for a while is not ready, even
+        if others are served. It refuses all users at once and so has the fewest open connections,
+        which made the load balancer prefer it to controllers that could serve.
         """
         reached = self.store.availability.was_served and not self.isolation.is_isolated()
         if reached or self.membership.is_connected():
             return Response(HTTPStatus.OK, msgspec.json.encode({"state": self._store_route()}))
-        why = self.store.availability.fault_log.why or "no answer yet"
+        reason = self.store.availability.fault_log.why or "no answer yet"
         return refusal(
-            HTTPStatus.SERVICE_UNAVAILABLE, f"the state service was not reached yet: {why}"
+            HTTPStatus.SERVICE_UNAVAILABLE, f"the state service was not reached yet: {reason}"
         )
 
     def _store_route(self) -> str:
@@ -66,11 +67,10 @@
         return f"through {through[0]}" if through else "not reached"
 
     async def serve(self, request: Request) -> Response:
-        """Serve a user here, or through a peer while this controller does not reach the state
-        service."""
+        """Serve a user here, or through a peer while this controller does not reach the store."""
         if self.store.availability.is_failing():
             if self.isolation.is_isolated():
-                return busy(RETRY_AFTER_S)  # at once: no peer can be asked
+                return busy(RETRY_AFTER_S)  # immediately: no peer can be asked
             relayed = await self._relay(request)
             if relayed is not None:
                 return relayed
@@ -86,7 +86,7 @@
         return response
 
     async def serve_here(self, request: Request) -> Response:
-        """Serve a user's request over this controller's own link to the store."""
+        """Serve a user's request through this controller's own link to the store."""
         match request.path.partition("?")[0].split("/"):
             case [_, _]:
                 return await self.job_api.submit(request.body)
@@ -97,26 +97,28 @@
         return refusal(HTTPStatus.NOT_FOUND, "no such job")
 
     async def _relay(self, request: Request) -> Response | None:
-        """Ask the two peers that reach the store quickest at the same time, or all peers
-        if none is known to reach it, and return the first usable answer."""
-        relay = Relay(request.method, request.path, request.body)
-        asked = [
-            asyncio.ensure_future(self.peers.relay(member, relay, RELAY_TIMEOUT))
+        """Ask the peers that reach the store fastest concurrently; return the first usable answer.
+
+        All peers are asked if none of them is known to reach the store.
+        """
+        message = Relay(request.method, request.path, request.body)
+        calls = [
+            asyncio.ensure_future(self.peers.relay(member, message, RELAY_TIMEOUT))
             for member in self.membership.served_peers()[:MAX_RELAY_PEERS] or self.peers.callers
         ]
         try:
-            for done in asyncio.as_completed(asked):
+            for done in asyncio.as_completed(calls):
                 reply = await done
                 if reply is not None and reply.status != HTTPStatus.SERVICE_UNAVAILABLE:
                     return Response(reply.status, reply.body, reply.retry_after)
         finally:
-            for task in asked:
+            for task in calls:
                 task.cancel()
         return None
 
 
 def is_job_id(name: str) -> bool:
-    """Whether users may have named a job like this."""
+    """Return whether users may have submitted a job with this name."""
     number = name.removeprefix(JOB_PREFIX)
     if number == name or len(number) > MAX_JOB_NUMBER_DIGITS:
         return False
