--- a/dappledrum/controller/test_idle_machines.py
+++ b/dappledrum/controller/test_idle_machines.py
@@ -1,11 +1,11 @@
-"""Work without a deadline: it gets idle capacity, gives it back, and still ends."""
+"""Use of idle capacity: by work without a deadline, and by spot instead of ordinary machines."""
 
 from datetime import timedelta
 
 from dappledrum.scheduling.timeline import Size
 from dappledrum.simulation.cluster import SimulatedCluster, job
 
-IDLE = {
+BEST_EFFORT = {
     "urgency": "best_effort",
     "dueS": None,
     "markEveryS": 5.0,
@@ -19,12 +19,13 @@
     return sum(job_id == name for job_id, _ in cluster.rules.running)
 
 
-async def test_work_without_a_deadline_starts_and_ends():
-    """Planned with a far deadline it was put off at each plan, and began when the day was over."""
+async def test_work_without_a_deadline_starts_and_finishes():
+    """Guards against planning such work with a deadline far ahead: each plan then postponed it,
+    until the day was over."""
 
     cluster = SimulatedCluster(seed=21)
     await cluster.until(lambda: cluster.leader() is not None)
-    await cluster.submit(job(1, beats=12, **IDLE))
+    await cluster.submit(job(1, beats=12, **BEST_EFFORT))
     await cluster.until(lambda: running(cluster, "j-000001") >= 4, most=60)
     await cluster.finish(["j-000001"])
     assert all(machine.kind[2] for machine in cluster.cloud.machines.values())
@@ -34,7 +35,7 @@
     cluster = SimulatedCluster(seed=22)
     cluster.cloud.most = 2
     await cluster.until(lambda: cluster.leader() is not None)
-    await cluster.submit(job(1, beats=40, **IDLE | {"runS": 300.0, "builds": ["small"]}))
+    await cluster.submit(job(1, beats=40, **BEST_EFFORT | {"runS": 300.0, "builds": ["small"]}))
     await cluster.until(lambda: running(cluster, "j-000001") >= 3, most=90)
     before = running(cluster, "j-000001")
     await cluster.submit(job(2, beats=2, vcpus=3.0, builds=["small"], dueS=40.0))
@@ -44,8 +45,9 @@
     assert await cluster.cancel("j-000001") == "cancelled"
 
 
-async def test_answers_wait_only_where_there_is_capacity_and_no_end_is_near():
-    """A worker has one heartbeat on its way, so news of an end would wait for the answer."""
+async def test_heartbeat_answers_wait_only_with_free_capacity_and_no_task_about_to_finish():
+    """Guards against late reports of finished tasks: a worker sends one heartbeat at a time, so a
+    report waits for the answer to the previous one."""
 
     cluster = SimulatedCluster(seed=22)
     await cluster.until(lambda: cluster.leader() is not None)
@@ -56,13 +58,13 @@
     [machine] = [m for m in leader.registry if m.placements]
     assert leader.dispatcher.machines.may_wait(machine, timedelta(seconds=2))
     assert not leader.dispatcher.machines.may_wait(machine, timedelta(seconds=29))
-    leader.dispatcher.machines.sizes = {Size(16.0, 0.0, 1.0)}  # nothing that would fit beside it
+    leader.dispatcher.machines.sizes = {Size(16.0, 0.0, 1.0)}  # no waiting task fits beside it
     assert not leader.dispatcher.machines.may_wait(machine, timedelta(seconds=2))
 
 
 async def test_ordinary_machines_are_replaced_by_any_spot_machine_that_fits():
-    """By type and zone alone the large machines of one bad moment stayed for the day, while idle
-    spot machines of another type went back."""
+    """Guards against replacement by the same type and zone only: large ordinary machines rented
+    during a shortage then stayed, while idle spot machines of another type were returned."""
 
     cluster = SimulatedCluster(seed=44)
     large = next(kind for kind in cluster.cloud.types if kind["label"] == "large")
@@ -78,15 +80,15 @@
         await cluster.submit(job(number, beats=4, runS=12.0, expectedS=12.0, dueS=150.0))
         names.append(f"j-{number:06d}")
         await cluster.wait(8)
-    on = {m for places in cluster.rules.running.values() for m in places}
-    assert on
-    assert not on & ordinary
+    used = {m for places in cluster.rules.running.values() for m in places}
+    assert used
+    assert not used & ordinary
     await cluster.finish(names)
 
 
 async def busy_cluster(spec, running):
-    """Two small ordinary machines and a large spot machine, and no more to be had; a job of which
-    so many tasks run."""
+    """Return a cluster with two small ordinary machines and a large spot machine, once at least
+    `running` tasks of the job run. No more machines can be rented."""
     cluster = SimulatedCluster(seed=45)
     for kind in (("small", "a", False), ("small", "a", False), ("large", "a", True)):
         cluster.cloud.add(kind)
@@ -97,8 +99,8 @@
     return cluster
 
 
-async def none_retires(cluster, seconds):
-    """No machine is retired while this time passes."""
+async def assert_no_machine_retires(cluster, seconds):
+    """Assert that no machine is retiring during this time."""
     leader = cluster.controllers[cluster.leader()].leader
     end = cluster.now() + seconds
     while cluster.now() < end:
@@ -107,23 +109,23 @@
 
 
 async def test_ordinary_machines_are_kept_while_spot_machines_are_about_to_be_reclaimed():
-    """Capacity of a spot machine that the cloud is about to take counted for what waits. While
-    no other machine could be had, ordinary ones then got no new work and were returned."""
+    """Guards against counting the capacity of a spot machine that is about to be reclaimed. While
+    no other machine could be rented, ordinary ones then got no new work and were returned."""
 
     spec = job(1, beats=40, runS=100.0, expectedS=100.0, dueS=60.0)
     cluster = await busy_cluster(spec, 10)
     taken = next(w for w in cluster.cloud.workers() if w.kind[0] == "large")
     taken.recall_at = cluster.now() + 30
-    await none_retires(cluster, 15)
-    assert len(cluster.rules.running) <= 4, "the spot machine is left in time"
+    await assert_no_machine_retires(cluster, 15)
+    assert len(cluster.rules.running) <= 4, "the spot machine is drained before it is reclaimed"
     cluster.cloud.most = 10
     await cluster.finish(["j-000001"], most=600)
 
 
 async def test_ordinary_machines_are_kept_while_late_work_waits_for_their_type():
-    """Capacity of spot machines of another type is none for it."""
+    """Guards against counting the capacity of spot machines of another type for that work."""
 
     spec = job(1, beats=30, runS=100.0, expectedS=100.0, dueS=60.0, builds=["small"])
     cluster = await busy_cluster(spec, 4)
-    await none_retires(cluster, 30)
+    await assert_no_machine_retires(cluster, 30)
     assert await cluster.cancel("j-000001") == "cancelled"
--- a/dappledrum/controller/test_large.py
+++ b/dappledrum/controller/test_large.py
@@ -1,4 +1,4 @@
-"""Five controllers and hundreds of machines: the same rules, and bounded work."""
+"""Five controllers and hundreds of machines: the same invariants, and bounded work."""
 
 import pytest
 
@@ -8,27 +8,27 @@
 FIVE = tuple(f"drummer-{index}" for index in range(5))
 
 
-async def wave(cluster):
-    """A third of the spot machines go at once."""
+async def spot_machines_reclaimed(cluster):
+    """Reclaim a third of the spot machines at the same time."""
     for name in [m.name for m in cluster.cloud.machines.values() if m.kind[2]][::3]:
         cluster.cloud.take(name)
     await cluster.wait(5)
 
 
-async def wave_and_leader_killed(cluster):
-    await wave(cluster)
+async def spot_machines_reclaimed_and_leader_killed(cluster):
+    await spot_machines_reclaimed(cluster)
     await leader_killed(cluster)
 
 
 @pytest.mark.long
 @pytest.mark.parametrize(
     "fault",
-    [leader_killed, rolled, short_outage, wave_and_leader_killed],
+    [leader_killed, rolled, short_outage, spot_machines_reclaimed_and_leader_killed],
     ids=lambda f: f.__name__,
 )
 async def test_a_large_cluster_with_a_fault_keeps_the_invariants(fault):
-    """Guards, at size, against plans that hold up the renewal of the leader's lease, records that
-    do not fit, and takeovers that lose or repeat tasks."""
+    """Guards, in a large cluster, against plans that delay the renewal of the leader's lease,
+    records that are too large, and failovers that lose or repeat tasks."""
 
     cluster = SimulatedCluster(seed=5, members=FIVE)
     cluster.cloud.most = 240
@@ -44,9 +44,9 @@
     await cluster.finish(names)
 
 
-async def test_ordinary_machines_are_replaced_by_spot_machines_in_calm_times():
-    """Guards against ordinary machines that stay for the day, as small tasks keep them from being
-    idle at the end of an interval."""
+async def test_ordinary_machines_are_replaced_once_spot_machines_are_available():
+    """Guards against ordinary machines that are never returned because small tasks keep them from
+    being idle at the end of a billed interval."""
 
     cluster = SimulatedCluster(seed=6)
     cluster.cloud.most = 3
--- a/dappledrum/controller/test_largest.py
+++ b/dappledrum/controller/test_largest.py
@@ -1,15 +1,16 @@
-"""Jobs that would never start, late already or too large, among many others."""
+"""Large jobs that could be postponed for ever, as they are late already, by other jobs."""
 
 from dappledrum.dispatch.bag_builder import MAX_WAIT_UNSTARTED
 from dappledrum.simulation.cluster import SimulatedCluster, job
 
 
-async def test_a_job_that_has_waited_long_starts_its_first_task_before_all_others():
-    """What can still be in time goes before what is late, so in a flood of it a large job that had
-    missed its deadline would be put off with each plan. One task of it is enough to begin."""
+async def test_a_job_that_has_waited_long_starts_its_first_task_before_all_other_tasks():
+    """Guards against starvation: work that can still be in time is planned before late work, so a
+    large job that has missed its deadline could be postponed by each plan. It is enough that one
+    of its tasks comes first."""
 
     cluster = SimulatedCluster(seed=6)
-    most, cluster.cloud.most = cluster.cloud.most, 0  # nothing starts, so all stay ready
+    max_machines, cluster.cloud.most = cluster.cloud.most, 0  # so that all tasks stay ready
     await cluster.until(lambda: cluster.leader() is not None)
     await cluster.submit(job(1, beats=30, dueS=5.0, urgency="best_effort"))
     await cluster.wait(60)
@@ -23,9 +24,9 @@
     assert order() == [("2", 9), ("1", 30)]
     await cluster.wait(MAX_WAIT_UNSTARTED.total_seconds() - 50)
     assert order() == [("1", 1), ("2", 9)]
-    cluster.cloud.most = most
+    cluster.cloud.most = max_machines
     await cluster.until(lambda: cluster.rules.jobs["j-000001"].begun_at is not None)
     assert cluster.rules.jobs["j-000001"].begun_at < 240
     await cluster.wait(1)
-    assert ("1", 1) not in order(), "begun, it takes its turn"
+    assert ("1", 1) not in order(), "a job that has started is no longer ranked first"
     await cluster.finish(["j-000001", "j-000002"], most=400)
--- a/dappledrum/controller/test_process.py
+++ b/dappledrum/controller/test_process.py
@@ -1,4 +1,4 @@
-"""A controller's process and its predecessor under the same name, over real sockets."""
+"""A controller's process and its predecessor of the same name, over real sockets."""
 
 import asyncio
 import socket
@@ -13,17 +13,18 @@
 def test_a_controller_is_constructed_only_when_its_predecessor_has_released_the_address(
     monkeypatch,
 ):
-    """Two seconds after its construction a controller counts lease grants of its predecessor as
-    expired. The predecessor can grant leases for as long as it has the address for peers."""
+    """Guards against two processes that grant leases under one name. A controller regards lease
+    grants of its predecessor as expired two seconds after its own construction, but the
+    predecessor can grant leases for as long as it has the address for peers."""
     constructed = asyncio.Event()
 
-    class SilentController:
+    class IdleController:
         async def run(self):
             await asyncio.sleep(60)
 
     def build_controller(*_):
         constructed.set()
-        return SilentController()
+        return IdleController()
 
     async def main():
         predecessor = socket.create_server(("127.0.0.1", 0))
--- a/dappledrum/controller/test_slow_boots.py
+++ b/dappledrum/controller/test_slow_boots.py
@@ -1,4 +1,4 @@
-"""Machines that come up late, at once, or never; lists that lag far more than usual."""
+"""Machines that boot slowly, immediately or never, and a list of machines that lags far behind."""
 
 import pytest
 
@@ -9,7 +9,7 @@
 from dappledrum.simulation.scenario import run_day
 
 
-def slow(factor):
+def boot_times_multiplied(factor):
     async def fault(cluster):
         cluster.cloud.slow = factor
         await machines_taken(cluster)
@@ -20,7 +20,7 @@
     return fault
 
 
-async def some_never_and_a_kill(cluster):
+async def stalled_boots_and_leader_killed(cluster):
     cluster.cloud.stalled = 0.5
     await machines_taken(cluster)
     await leader_killed(cluster)
@@ -28,7 +28,7 @@
     cluster.cloud.stalled = 0.0
 
 
-async def lists_lag(cluster):
+async def list_of_machines_lags(cluster):
     cluster.cloud.lag_s = 40.0
     await machines_taken(cluster)
     await leader_killed(cluster)
@@ -36,11 +36,16 @@
     cluster.cloud.lag_s = 4.0
 
 
-FAULTS = [slow(0.05), slow(6.0), some_never_and_a_kill, lists_lag]
+FAULTS = [
+    boot_times_multiplied(0.05),
+    boot_times_multiplied(6.0),
+    stalled_boots_and_leader_killed,
+    list_of_machines_lags,
+]
 
 
 @pytest.mark.parametrize("fault", FAULTS, ids=lambda t: t.__name__)
-async def test_a_day_with_slow_boots_keeps_the_invariants(fault):
+async def test_a_day_with_abnormal_boots_keeps_the_invariants(fault):
     await run_day(SimulatedCluster(seed=51), fault, runS=10.0)
 
 
@@ -58,7 +63,8 @@
 
 
 async def test_nothing_is_rented_or_returned_for_a_term_that_has_ended():
-    """Paced for seconds, or sent after a pause: the machines may be another leader's by then."""
+    """Guards against requests of a former leader for machines that another leader manages by then:
+    they may be delayed for seconds by the rate limit, or by a pause of the process."""
 
     cluster = SimulatedCluster(seed=53)
     await cluster.until(lambda: cluster.leader() is not None)
--- a/dappledrum/controller/test_small_jobs.py
+++ b/dappledrum/controller/test_small_jobs.py
@@ -1,15 +1,15 @@
-"""Hundreds of jobs of one task each: what each costs in requests, changes and planning."""
+"""Many jobs of one task each: their cost in requests, changes and planning."""
 
 import asyncio
 from collections import Counter
 
 from dappledrum.simulation.cluster import SimulatedCluster, job
 
-JOBS = 150
+JOB_COUNT = 150
 
 
-async def served(cluster, number):
-    """One user: submits a job and polls until it is done."""
+async def submit_and_poll(cluster, number):
+    """Submit a job as one user and poll until it is done; returns the number of polls by state."""
     spec = job(
         number,
         beats=1,
@@ -21,36 +21,36 @@
         dueS=None,
     )
     assert await cluster.submit(spec) == 201
-    answers = Counter()
+    poll_counts = Counter()
     while (state := await cluster.poll(spec["id"])) != "done":
-        answers[state] += 1
+        poll_counts[state] += 1
         await asyncio.sleep(1)
-    return answers
+    return poll_counts
 
 
 async def test_many_small_jobs_share_reads_and_cost_four_writes_each():
-    """Each poll once was a read of its own, and hundreds of them starved submissions."""
+    """Guards against one read per poll: hundreds of polls then starved submissions."""
 
     cluster = SimulatedCluster(seed=14, rps=60.0)
     await cluster.until(lambda: cluster.leader() is not None)
     writes, requests = cluster.store.writes, cluster.store.requests
     users = []
-    for number in range(JOBS):
-        users.append(asyncio.get_running_loop().create_task(served(cluster, number)))
+    for number in range(JOB_COUNT):
+        users.append(asyncio.get_running_loop().create_task(submit_and_poll(cluster, number)))
         await cluster.wait(0.05)
     await cluster.until(lambda: all(user.done() for user in users))
-    answers = sum((user.result() for user in users), Counter())
-    assert answers.total() > JOBS * 10
-    assert answers[None] < answers.total() * 0.02
-    assert cluster.store.writes - writes < JOBS * 4.5
-    assert cluster.store.requests - requests < answers.total() * 0.5
+    poll_counts = sum((user.result() for user in users), Counter())
+    assert poll_counts.total() > JOB_COUNT * 10
+    assert poll_counts[None] < poll_counts.total() * 0.02
+    assert cluster.store.writes - writes < JOB_COUNT * 4.5
+    assert cluster.store.requests - requests < poll_counts.total() * 0.5
 
 
-async def test_alike_jobs_of_one_task_form_one_bag():
-    """A plan for 800 of them took two seconds, a bag each."""
+async def test_similar_jobs_of_one_task_form_one_bag():
+    """Guards against slow plans: with one bag per job, a plan for 800 jobs took two seconds."""
 
     cluster = SimulatedCluster(seed=15)
-    most, cluster.cloud.most = cluster.cloud.most, 0  # nothing starts, so all stay ready
+    max_machines, cluster.cloud.most = cluster.cloud.most, 0  # so that all tasks stay ready
     await cluster.until(lambda: cluster.leader() is not None)
     await cluster.wait(1)
     for number in range(40):
@@ -66,11 +66,11 @@
         sizes[bag.image, bag.total == 9] += bag.ready
     assert sizes == {("img-1", False): 20, ("img-2", False): 20, ("img-1", True): 9}
     assert len(bags) <= 7
-    cluster.cloud.most = most
+    cluster.cloud.most = max_machines
     await cluster.finish([f"j-{n:06d}" for n in [*range(40), 100]])
 
 
-async def test_simultaneous_submissions_share_a_transaction_but_not_their_refusals():
+async def test_concurrent_submissions_share_a_transaction_but_not_their_refusals():
     cluster = SimulatedCluster(seed=16)
     await cluster.until(lambda: cluster.leader() is not None)
     await cluster.wait(3)
@@ -78,16 +78,16 @@
     assert await cluster.submit(specs[3]) == 201
     requests = cluster.store.requests
     member = next(m for m in cluster.members if m != cluster.leader())
-    twice = [*specs, specs[5]]
-    statuses = await asyncio.gather(*(cluster.submit(spec, 1, member) for spec in twice))
+    repeated = [*specs, specs[5]]
+    statuses = await asyncio.gather(*(cluster.submit(spec, 1, member) for spec in repeated))
     assert statuses == [201, 201, 201, 200, 201, 201, 201, 201, statuses[8]]
     assert statuses[8] in (200, 201)
     assert cluster.store.requests - requests < 25
     await cluster.finish([spec["id"] for spec in specs])
 
 
-async def test_a_slow_response_delays_no_later_submission():
-    """Written one transaction at a time, each slow answer made the next users wait, too."""
+async def test_a_slow_response_of_the_store_delays_no_later_submission():
+    """Guards against transactions in sequence: each slow answer then delayed later users, too."""
 
     cluster = SimulatedCluster(seed=17)
     await cluster.until(lambda: cluster.leader() is not None)
