--- a/dappledrum/user_api/job_api.py
+++ b/dappledrum/user_api/job_api.py
@@ -75,8 +75,8 @@
         self.clock = clock
         self.value_limit = value_limit or ValueLimit(params.state)
         self.types: list[MachineType] | None = None
-        # By all controllers: versions before 0.4.0 can't read the record of a gang, and one that
-        # found it as leader would manage no job at all.
+        # By all controllers: a leader older than 0.4.0 can't read the record of a gang, and would
+        # manage no job at all because of it.
         self.gangs_supported = False
         self.ended: OrderedDict[str, EndedRecord] = OrderedDict()
         self.confirmed = ConfirmedCancellations(clock.now())
@@ -95,7 +95,7 @@
             self.ended.popitem(last=False)
 
     async def submit(self, body: bytes) -> Response:
-        """POST /submissions."""
+        """Serve POST /submissions."""
         try:
             spec = msgspec.json.decode(body, type=Spec)
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
@@ -213,7 +213,7 @@
         return None
 
     async def poll(self, job: str) -> Response:
-        """GET /submissions/{id}."""
+        """Serve GET /submissions/{id}."""
         cached = self.ended.get(job)
         if cached is not None:
             return self._status_response(job, cached, HTTPStatus.OK)
@@ -227,7 +227,7 @@
         return self._status_response(job, found, HTTPStatus.OK)
 
     async def cancel(self, job: str) -> Response:
-        """POST /submissions/{id}/cancel."""
+        """Serve POST /submissions/{id}/cancel."""
         try:
             for _ in range(6):
                 found = self.ended.get(job) or await self.find(job, RequestPriority.SUBMISSION)
--- a/dappledrum/user_api/submission_batcher.py
+++ b/dappledrum/user_api/submission_batcher.py
@@ -30,7 +30,7 @@
     answer: asyncio.Future[int | StoredJob]
 
     def guards(self) -> list[Guard]:
-        """The job must neither be live nor have ended."""
+        """Return the guards that fail if the job is live or has ended."""
         return [Guard(head_key(self.job), 0), Guard(ended_key(self.job), 0)]
 
     def fail(self, error: Exception) -> None:
