--- a/dappledrum/jobs/test_garbage.py
+++ b/dappledrum/jobs/test_garbage.py
@@ -19,7 +19,7 @@
     """Another controller accepts a job, at this very moment."""
 
     sent = {key: value for key, value in spec.items() if key != "runS"}
-    puts = controller.job_api._record(msgspec.convert(sent, Spec))
+    puts = controller.job_api._new_job_writes(msgspec.convert(sent, Spec))
     assert len(puts) > 1
     then = [{"write": p.key, "value": msgspec.json.decode(bytes(p.value))} for p in puts]
     reply = cluster.store._multi({"guards": [{"key": puts[0].key, "stamp": 0}], "then": then})
--- a/dappledrum/user_api/job_api.py
+++ b/dappledrum/user_api/job_api.py
@@ -123,7 +123,7 @@
                 return self._status_response(spec.id, found, HTTPStatus.OK)
         if self.submission_batcher.is_full():
             return busy()
-        puts = self._record(spec)
+        puts = self._new_job_writes(spec)
         if len(puts) > self.params.state.txn_ops:
             rejection = refusal(HTTPStatus.BAD_REQUEST, "waits for too many jobs")
             return await self._reject_unless_accepted(spec.id, rejection)
@@ -184,7 +184,7 @@
             return busy(2)
         return None if reason is None else refusal(HTTPStatus.UNPROCESSABLE_ENTITY, reason)
 
-    def _record(self, spec: Spec) -> list[Put]:
+    def _new_job_writes(self, spec: Spec) -> list[Put]:
         """Return the writes that store a new job, the head first."""
         max_part_bytes = self.value_limit.reduced_bytes
         stored = spec
