--- a/dappledrum/controller/sockets.py
+++ b/dappledrum/controller/sockets.py
@@ -9,9 +9,9 @@
 MAX_CLOUD_CONNECTIONS = 6
 MAX_PEER_CONNECTIONS = 12  # to each peer, and from each
 RESERVED_SOCKETS = 10  # for listening, and for probes of workers
-#: Connections that wait to be accepted may use at most this fraction (1/N) of the sockets.
+#: Connections that wait to be accepted use at most `max_sockets // WAITING_DIVISOR` sockets.
 WAITING_DIVISOR = 6
-#: The same bounds for outgoing requests, and for connections of peers.
+#: The same bounds for outgoing requests, and for accepted connections of peers.
 OUTGOING_DIVISOR = 4
 PEER_DIVISOR = 8
 
@@ -23,7 +23,7 @@
     peers: int  # connections of peers
     peers_waiting: int  # connections of peers that are not accepted yet
     public: int  # connections of workers, users and health checks
-    public_waiting: int  # the same that are not accepted yet
+    public_waiting: int  # such connections that are not accepted yet
 
 
 def share_sockets(max_sockets: int, peer_count: int) -> SocketShares:
--- a/dappledrum/controller/term_runner.py
+++ b/dappledrum/controller/term_runner.py
@@ -101,10 +101,10 @@
         """
         clock = self.environment.clock
         began = leader.term.started_at
-        own = self.elector.last_possible_answer_at
+        own_last_answer = self.elector.last_possible_answer_at
         while clock.now() - began < MAX_NO_ANSWERS_QUERY:
             unanswered = await self.clients.peers.no_answers_for(NO_ANSWERS_TIMEOUT)
             if unanswered is not None:
-                leader.no_answers_since(max(own, clock.now() - unanswered))
+                leader.no_answers_since(max(own_last_answer, clock.now() - unanswered))
                 return
             await asyncio.sleep(NO_ANSWERS_TIMEOUT.total_seconds())
--- a/dappledrum/controller/test_largest.py
+++ b/dappledrum/controller/test_largest.py
@@ -1,4 +1,4 @@
-"""Large jobs that could be postponed for ever, as they are late already, by other jobs."""
+"""Large jobs that have missed their deadline, and could be postponed for ever by others."""
 
 from dappledrum.dispatch.bag_builder import MAX_WAIT_UNSTARTED
 from dappledrum.simulation.cluster import SimulatedCluster, job
--- a/dappledrum/controller/user_endpoint.py
+++ b/dappledrum/controller/user_endpoint.py
@@ -44,9 +44,9 @@
         body says how the store is reached.
 
         During an outage, requests of users are relayed to a peer that reaches the store; if there
-        is none, the user is told at once when to try again. Controllers that were started in an
-        outage once reported that they were not ready, and afterwards users reached no controller
-        for 10 s and more: the load balancer is slow to add controllers again.
+        is none, the user receives at once an answer that says when to try again. Controllers that
+        were started in an outage once reported that they were not ready, and afterwards users
+        reached no controller for 10 s and more: the load balancer is slow to add them again.
 
         A controller that has reached neither the store nor any peer for a while is not ready, even
         if others are served. It refuses all users at once and so has the fewest open connections,
