--- a/dappledrum/controller/test_idle_machines.py
+++ b/dappledrum/controller/test_idle_machines.py
@@ -1,4 +1,4 @@
-"""Use of idle capacity: by work without a deadline, and by spot instead of ordinary machines."""
+"""Use of idle capacity: by work without a deadline, and by spot instead of on-demand machines."""
 
 from datetime import timedelta
 
@@ -62,8 +62,8 @@
     assert not leader.dispatcher.machines.may_wait(machine, timedelta(seconds=2))
 
 
-async def test_ordinary_machines_are_replaced_by_any_spot_machine_that_fits():
-    """Guards against replacement by the same type and zone only: large ordinary machines rented
+async def test_on_demand_machines_are_replaced_by_any_spot_machine_that_fits():
+    """Guards against replacement by the same type and zone only: large on-demand machines rented
     during a shortage then stayed, while idle spot machines of another type were returned."""
 
     cluster = SimulatedCluster(seed=44)
@@ -73,8 +73,8 @@
     await cluster.until(lambda: cluster.leader() is not None)
     await cluster.submit(job(0, beats=12, vcpus=4.0, loaners=False, dueS=40.0, runS=20.0))
     await cluster.finish(["j-000000"])
-    ordinary = {m.name for m in cluster.cloud.machines.values() if not m.kind[2]}
-    assert ordinary
+    on_demand = {m.name for m in cluster.cloud.machines.values() if not m.kind[2]}
+    assert on_demand
     names = []
     for number in range(1, 16):
         await cluster.submit(job(number, beats=4, runS=12.0, expectedS=12.0, dueS=150.0))
@@ -82,12 +82,12 @@
         await cluster.wait(8)
     used = {m for places in cluster.rules.running.values() for m in places}
     assert used
-    assert not used & ordinary
+    assert not used & on_demand
     await cluster.finish(names)
 
 
 async def busy_cluster(spec, running):
-    """Return a cluster with two small ordinary machines and a large spot machine, once at least
+    """Return a cluster with two small on-demand machines and a large spot machine, once at least
     `running` tasks of the job run. No more machines can be rented."""
     cluster = SimulatedCluster(seed=45)
     for kind in (("small", "a", False), ("small", "a", False), ("large", "a", True)):
@@ -108,9 +108,9 @@
         assert not any(machine.retiring for machine in leader.registry)
 
 
-async def test_ordinary_machines_are_kept_while_spot_machines_are_about_to_be_reclaimed():
+async def test_on_demand_machines_are_kept_while_spot_machines_are_about_to_be_reclaimed():
     """Guards against counting the capacity of a spot machine that is about to be reclaimed. While
-    no other machine could be rented, ordinary ones then got no new work and were returned."""
+    no other machine could be rented, on-demand ones then got no new work and were returned."""
 
     spec = job(1, beats=40, runS=100.0, expectedS=100.0, dueS=60.0)
     cluster = await busy_cluster(spec, 10)
@@ -122,7 +122,7 @@
     await cluster.finish(["j-000001"], most=600)
 
 
-async def test_ordinary_machines_are_kept_while_late_work_waits_for_their_type():
+async def test_on_demand_machines_are_kept_while_late_work_waits_for_their_type():
     """Guards against counting the capacity of spot machines of another type for that work."""
 
     spec = job(1, beats=30, runS=100.0, expectedS=100.0, dueS=60.0, builds=["small"])
--- a/dappledrum/controller/test_large.py
+++ b/dappledrum/controller/test_large.py
@@ -44,13 +44,13 @@
     await cluster.finish(names)
 
 
-async def test_ordinary_machines_are_replaced_once_spot_machines_are_available():
-    """Guards against ordinary machines that are never returned because small tasks keep them from
+async def test_on_demand_machines_are_replaced_once_spot_machines_are_available():
+    """Guards against on-demand machines that are never returned because small tasks keep them from
     being idle at the end of a billed interval."""
 
     cluster = SimulatedCluster(seed=6)
     cluster.cloud.most = 3
-    ordinary = [cluster.cloud.add(("large", "a", False)) for _ in range(3)]
+    on_demand = [cluster.cloud.add(("large", "a", False)) for _ in range(3)]
     await cluster.until(lambda: cluster.leader() is not None)
     names = []
     for number in range(75):
@@ -59,8 +59,8 @@
         assert await cluster.submit(spec) == 201
         await cluster.wait(2)
         if number == 20:
-            assert all(name in cluster.cloud.machines for name in ordinary)
+            assert all(name in cluster.cloud.machines for name in on_demand)
             cluster.cloud.most = 40
-    assert not any(name in cluster.cloud.machines for name in ordinary)
+    assert not any(name in cluster.cloud.machines for name in on_demand)
     assert any(machine.kind[2] for machine in cluster.cloud.machines.values())
     await cluster.finish(names)
