--- a/dappledrum/scale/__init__.py
+++ b/dappledrum/scale/__init__.py
@@ -1,6 +1,6 @@
-"""Real controller processes over loopback TCP, with a fleet of hollow workers and users.
+"""Scale test: real controller processes over loopback TCP, with hollow workers and users.
 
-`python3 -m dappledrum.scale` starts controllers as `deploy/service.toml` does, serves the
-stand-ins of the store and the cloud over sockets, and lets hundreds of hollow workers
-share a process. Everything it starts ends with it. Figures are simulated: no task does any work.
+`python3 -m dappledrum.scale` starts controllers with the command of `deploy/service.toml`, serves
+a simulated store and a simulated cloud over sockets, and runs hundreds of hollow workers in each
+host process. It ends every process that it started. All figures are simulated: tasks only wait.
 """
--- a/dappledrum/scale/__main__.py
+++ b/dappledrum/scale/__main__.py
@@ -1,4 +1,4 @@
-"""Command line of the scale run."""
+"""Command line of the scale test."""
 
 import argparse
 import asyncio
@@ -10,7 +10,7 @@
 import msgspec
 
 from dappledrum.scale.report import ScaleReport
-from dappledrum.scale.run import PHASES, Options, play
+from dappledrum.scale.run import PHASES, Options, run_scale_test
 
 EXAMPLES = """examples:
   python3 -m dappledrum.scale
@@ -22,8 +22,8 @@
 MAX_PROCESSES = 200
 
 
-def parser() -> argparse.ArgumentParser:
-    """The command line."""
+def make_parser() -> argparse.ArgumentParser:
+    """Return the parser of the command line."""
     defaults = Options()
     result = argparse.ArgumentParser(
         prog="python3 -m dappledrum.scale",
@@ -35,30 +35,30 @@
     add("--workers", type=int, default=defaults.workers, metavar="N", help="default %(default)s")
     add("--controllers", type=int, default=defaults.controllers, metavar="N")
     add("--hosts", type=int, default=defaults.hosts, metavar="N", help="processes of workers")
-    add("--tasks", type=int, default=defaults.tasks_per_worker, metavar="N", help="on each worker")
+    add("--tasks", type=int, default=defaults.tasks_per_worker, metavar="N", help="per worker")
     add("--tasks-per-job", type=int, default=defaults.tasks_per_job, metavar="N")
-    add("--run-s", type=float, default=defaults.run_s, metavar="S", help="of a task")
-    add("--phase-s", type=float, default=defaults.phase_s, metavar="S", help="of each phase")
+    add("--run-s", type=float, default=defaults.run_s, metavar="S", help="mean run time of a task")
+    add("--phase-s", type=float, default=defaults.phase_s, metavar="S", help="length of a phase")
     add(
         "--phases",
         default=",".join(PHASES),
         metavar="NAME,NAME",
-        help="some of %(default)s; the name of an event is that of the phase after it",
+        help="some of %(default)s; a phase named after an event starts with that event",
     )
     add("--state-rps", type=float, default=defaults.state_rps, metavar="N")
     add("--change-rps", type=float, default=defaults.change_rps, metavar="N")
     add("--seed", type=int, default=defaults.seed, metavar="N")
-    add("--report", type=Path, metavar="FILE", help="where the report goes (JSON)")
+    add("--report", type=Path, metavar="FILE", help="write the report to this file (JSON)")
     return result
 
 
-def checked(cli: argparse.ArgumentParser, given: argparse.Namespace) -> Options:
-    """The options, or a clear error."""
-    phases = tuple(name for name in given.phases.split(",") if name)
+def make_options(cli: argparse.ArgumentParser, arguments: argparse.Namespace) -> Options:
+    """Return the options of a run; an invalid argument exits with a usage error."""
+    phases = tuple(name for name in arguments.phases.split(",") if name)
     unknown = sorted(set(phases) - set(PHASES))
     if unknown or not phases:
         cli.error(f"--phases: unknown: {', '.join(unknown) or 'none given'}")
-    for name, least, most in (
+    for name, minimum, maximum in (
         ("workers", 1, MAX_WORKERS),
         ("controllers", 1, 33),
         ("hosts", 1, MAX_PROCESSES // 2),
@@ -69,47 +69,50 @@
         ("state_rps", 1, 1e6),
         ("change_rps", 1, 1e6),
     ):
-        if not least <= getattr(given, name) <= most:
-            cli.error(f"--{name.replace('_', '-')} must be between {least:g} and {most:g}")
+        if not minimum <= getattr(arguments, name) <= maximum:
+            cli.error(f"--{name.replace('_', '-')} must be between {minimum:g} and {maximum:g}")
     return Options(
-        workers=given.workers,
-        controllers=given.controllers,
-        hosts=given.hosts,
-        tasks_per_worker=given.tasks,
-        tasks_per_job=given.tasks_per_job,
-        run_s=given.run_s,
-        phase_s=given.phase_s,
+        workers=arguments.workers,
+        controllers=arguments.controllers,
+        hosts=arguments.hosts,
+        tasks_per_worker=arguments.tasks,
+        tasks_per_job=arguments.tasks_per_job,
+        run_s=arguments.run_s,
+        phase_s=arguments.phase_s,
         phases=phases,
-        state_rps=given.state_rps,
-        change_rps=given.change_rps,
-        seed=given.seed,
+        state_rps=arguments.state_rps,
+        change_rps=arguments.change_rps,
+        seed=arguments.seed,
     )
 
 
-async def _played(options: Options) -> ScaleReport:
-    """One run; an interrupt or a request to terminate ends it, with all that it started.
+async def _run_until_signal(options: Options) -> ScaleReport:
+    """Run the scale test; SIGINT and SIGTERM cancel it, which ends every process it started.
 
-    Shells start commands in the background with interrupts ignored, and Python then installs no
-    handler of its own.
+    The SIGINT handler is installed explicitly because Python installs none when SIGINT is ignored,
+    as it is for commands that a shell starts in the background.
     """
     task = asyncio.current_task()
     assert task is not None
     for number in (signal.SIGINT, signal.SIGTERM):
         asyncio.get_running_loop().add_signal_handler(number, task.cancel)
-    return await play(options, lambda text: print(text, flush=True))
+    return await run_scale_test(options, lambda text: print(text, flush=True))
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run, print progress and a summary; 1 when a rule was broken."""
-    cli = parser()
-    given = cli.parse_args(argv)
-    options = checked(cli, given)
+    """Run the scale test, and print its progress and a summary.
+
+    Returns 0 on success, 1 if an invariant was violated, and 130 after SIGINT or SIGTERM.
+    """
+    cli = make_parser()
+    arguments = cli.parse_args(argv)
+    options = make_options(cli, arguments)
     try:
-        report = asyncio.run(_played(options))
+        report = asyncio.run(_run_until_signal(options))
     except asyncio.CancelledError:
         return 130
-    if given.report is not None:
-        given.report.write_bytes(msgspec.json.format(msgspec.json.encode(report), indent=1))
+    if arguments.report is not None:
+        arguments.report.write_bytes(msgspec.json.format(msgspec.json.encode(report), indent=1))
     print(
         f"simulated, on {os.cpu_count()} cores: {report.jobs_done} of {report.jobs_submitted}"
         f" jobs done, {report.jobs_cancelled} cancelled; submission p95 {report.submit_ms.p95:g}"
--- a/dappledrum/scale/addresses.py
+++ b/dappledrum/scale/addresses.py
@@ -1,4 +1,4 @@
-"""Addresses on the loopback range that nobody listens on."""
+"""Free TCP addresses on the loopback interface."""
 
 import socket
 
@@ -6,6 +6,6 @@
 
 
 def free_address() -> str:
-    """An address with a port that was free a moment ago."""
-    with socket.create_server((LOOPBACK, 0)) as listening:
-        return f"{LOOPBACK}:{listening.getsockname()[1]}"
+    """Return an address whose port is free; another process may still take it before its use."""
+    with socket.create_server((LOOPBACK, 0)) as server:
+        return f"{LOOPBACK}:{server.getsockname()[1]}"
--- a/dappledrum/scale/capacity.py
+++ b/dappledrum/scale/capacity.py
@@ -1,9 +1,9 @@
-"""What each role needs at the size that operators expect, worked out from measured slopes.
+"""Extrapolates what each role needs at the expected fleet size from measurements of smaller ones.
 
     python3 -m dappledrum.scale.capacity [DIRECTORY]
 
-Reads the reports of scale runs in a directory (docs/capacity), fits a straight line through the
-readings of one phase against the number of workers, and prints the table of docs/CAPACITY.md.
+Reads the reports of scale tests in a directory (default docs/capacity), fits a straight line to
+the readings of the steady phase by number of workers, and prints the tables of docs/CAPACITY.md.
 """
 
 import sys
@@ -24,17 +24,17 @@
 
 
 class Hardware(NamedTuple):
-    """What one control machine has, and what a region's store serves."""
+    """Limits of one controller's machine, and of the store of a region."""
 
-    cores: float = 1.0  # a controller is one process that runs on one core
+    cores: float = 1.0  # a controller is one process that uses one core
     memory_mb: float = 1024.0
     sockets: float = 16_000.0
-    state_requests: float = 200.0
-    state_changes: float = 80.0
-    worker_bytes: float = 18_000.0  # a second and worker, both ways
+    state_requests: float = 200.0  # per second
+    state_changes: float = 80.0  # per second
+    worker_bytes: float = 18_000.0  # per second and worker, in both directions
 
     def scaled(self, factor: float) -> "Hardware":
-        """The same, so many times as large; what workers may send stays."""
+        """Return these limits times a factor, except for the traffic of a worker."""
         return Hardware(
             cores=self.cores * factor,
             memory_mb=self.memory_mb * factor,
@@ -46,23 +46,23 @@
 
 
 class Line(NamedTuple):
-    """A least-squares line through readings."""
+    """Least-squares line through readings by number of workers."""
 
     slope: float
     intercept: float
-    residual: float  # the largest distance of a reading, as a share of the largest reading
+    residual: float  # largest distance of a reading from the line / largest reading
 
     def at(self, workers: float) -> float:
-        """The value that the line gives for a number of workers."""
+        """Return the value of the line at a number of workers."""
         return self.intercept + self.slope * workers
 
     def reaches(self, limit: float) -> float | None:
-        """The number of workers at which the line reaches a limit; None: never."""
+        """Return the workers at which the line reaches a limit, or None if it does not rise."""
         return (limit - self.intercept) / self.slope if self.slope > 0 else None
 
 
 def fit(points: Iterable[tuple[float, float]]) -> Line:
-    """The line through points of workers and readings; raises ValueError for less than two."""
+    """Fit a line to pairs of workers and reading; raises ValueError unless there are two sizes."""
     known = list(points)
     if len({x for x, _ in known}) < 2:
         raise ValueError("a line needs readings at two sizes")
@@ -78,18 +78,18 @@
 
 
 class Need(NamedTuple):
-    """One row of the table: a reading, its limit and what carries it."""
+    """One row of the table: a reading, its limit, and the mechanism that bounds the reading."""
 
     name: str
     unit: str
     read: Callable[[PhaseReport], float]
     limit: Callable[[Hardware], float]
     mechanism: str
-    per_worker: bool = False  # the reading is that of one worker, and does not grow with them
+    per_worker: bool = False  # the reading is per worker, so it does not grow with the fleet
 
 
 def _of(role: str, field: str) -> Callable[[PhaseReport], float]:
-    """A field of one role; processor time is that of one process of it."""
+    """Return a function that reads a field of a role; cores are averaged over its processes."""
 
     def read(phase: PhaseReport) -> float:
         use = next(use for use in phase.roles if use.role == role)
@@ -160,7 +160,7 @@
 
 
 def load(directory: Path) -> list[ScaleReport]:
-    """The reports of a directory, by size; raises ValueError when one can't be read."""
+    """Load all reports, sorted by number of workers; raises ValueError if one is malformed."""
     reports = []
     for path in sorted(directory.glob("*.json")):
         try:
@@ -179,7 +179,7 @@
 
 
 def rows(reports: list[ScaleReport], hardware: Hardware) -> list[str]:
-    """The table's rows."""
+    """Return the rows of the table, one for each need."""
     result = []
     phases = [_phase(report) for report in reports]
     for need in NEEDS:
@@ -189,21 +189,21 @@
         limit = need.limit(hardware)
         if need.per_worker or line.slope <= 0:  # does not grow with the fleet
             value = max(y for _, y in points)
-            slope, wall = "none", "none" if value <= limit else "any"
+            slope, limit_workers = "none", "none" if value <= limit else "any"
         else:
             value = line.at(TARGET_WORKERS)
             slope = f"{line.slope * 1000:.3g}"
             reached = line.reaches(limit)
-            wall = "none" if reached is None else f"{reached:,.0f}"
+            limit_workers = "none" if reached is None else f"{reached:,.0f}"
         result.append(
             f"| {need.name} | {need.unit} | {readings} | {slope} | {line.residual:.0%} |"
-            f" {_number(value)} | {_number(limit)} | {wall} | {need.mechanism} |"
+            f" {_number(value)} | {_number(limit)} | {limit_workers} | {need.mechanism} |"
         )
     return result
 
 
 def table(reports: list[ScaleReport], hardware: Hardware) -> str:
-    """The table as it stands in docs/CAPACITY.md."""
+    """Return a table in the format of docs/CAPACITY.md."""
     sizes = ", ".join(f"{_phase(report).workers:,}" for report in reports)
     head = [
         f"| need | unit | measured at {sizes} workers | slope per 1,000 workers | residual |"
@@ -214,7 +214,7 @@
 
 
 def page_tables(reports: list[ScaleReport]) -> str:
-    """The tables for the assumed hardware, and for half and twice that."""
+    """Return the tables for the assumed hardware, half of it and twice as much."""
     parts = []
     for factor in (1.0, 0.5, 2.0):
         hardware = Hardware().scaled(factor)
@@ -223,7 +223,7 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Print the tables of the page."""
+    """Print the tables of docs/CAPACITY.md."""
     arguments = sys.argv[1:] if argv is None else argv
     print(page_tables(load(Path(arguments[0]) if arguments else DIRECTORY)))
     return 0
--- a/dappledrum/scale/controllers.py
+++ b/dappledrum/scale/controllers.py
@@ -1,4 +1,4 @@
-"""Controller processes, started as `deploy/service.toml` says."""
+"""Controller processes, started with the command of `deploy/service.toml`."""
 
 import asyncio
 import json
@@ -13,13 +13,14 @@
 from dappledrum.scale.addresses import free_address
 from dappledrum.scale.processes import ROOT
 
-#: Plans are told in the log; idle machines stay, so that the size of the fleet is what was asked.
+#: The duration of each plan is logged at debug level. With billed intervals of a day no machine is
+#: returned while idle during a run, so the fleet keeps the requested size.
 ENVIRONMENT = {"LOG_LEVEL": "debug", "DAPPLEDRUM_INTERVAL_S": "86400"}
 SERVICE = ROOT / "deploy" / "service.toml"
 
 
 def service_command() -> list[str]:
-    """The command of the deployment file, with the Python that runs this."""
+    """Return the command of the deployment file, run by this Python interpreter."""
     command = shlex.split(tomllib.loads(SERVICE.read_text(encoding="utf-8"))["run"])
     return [sys.executable, *command[1:]] if command[0].startswith("python") else command
 
@@ -42,9 +43,9 @@
         private = {name: free_address() for name in self.names}
         self.processes: dict[str, asyncio.subprocess.Process] = {}
         self.restarts = 0
-        self.ended_by_themselves = 0
+        self.unexpected_exits = 0
         self._stopping: set[str] = set()
-        self._waiting: set[asyncio.Task[None]] = set()
+        self._watchers: set[asyncio.Task[None]] = set()
         for name in self.names:
             seeds = [
                 {"member": other, "location": self.zones[other], "endpoint": private[other]}
@@ -66,7 +67,7 @@
         return self.directory / f"{name}.json"
 
     async def start(self, name: str) -> None:
-        """Start one controller; its log goes into a file of its own."""
+        """Start one controller, which logs to its own file."""
         with (self.directory / f"{name}.log").open("ab") as log:
             process = await asyncio.create_subprocess_exec(
                 *service_command(),
@@ -79,26 +80,26 @@
             )
         self.processes[name] = process
         task = asyncio.get_running_loop().create_task(self._watch(name, process))
-        self._waiting.add(task)
-        task.add_done_callback(self._waiting.discard)
+        self._watchers.add(task)
+        task.add_done_callback(self._watchers.discard)
 
     async def _watch(self, name: str, process: asyncio.subprocess.Process) -> None:
         await process.wait()
         if name in self._stopping:
             self._stopping.discard(name)
         else:
-            self.ended_by_themselves += 1
+            self.unexpected_exits += 1
 
     async def start_all(self) -> None:
         """Start every controller."""
         for name in self.names:
             await self.start(name)
 
-    async def restart(self, names: list[str], after_s: float) -> None:
-        """Kill these without a word, and start them again a little later."""
+    async def restart(self, names: list[str], delay_s: float) -> None:
+        """Kill controllers with SIGKILL, and start them again after `delay_s` seconds."""
         for name in names:
             await self._kill(name)
-        await asyncio.sleep(after_s)
+        await asyncio.sleep(delay_s)
         for name in names:
             self.restarts += 1
             await self.start(name)
@@ -111,11 +112,11 @@
             await process.wait()
 
     async def stop(self) -> None:
-        """End all of them."""
+        """Kill every controller."""
         for name in list(self.processes):
             await self._kill(name)
 
     def log_text(self, name: str) -> str:
-        """What a controller has logged so far."""
+        """Return what a controller has logged so far."""
         path = self.directory / f"{name}.log"
         return path.read_text(errors="replace") if path.exists() else ""
--- a/dappledrum/scale/hollow.py
+++ b/dappledrum/scale/hollow.py
@@ -1,10 +1,12 @@
-"""One process with many hollow workers: each has its own connection, session, lease, tasks and
-image cache, and speaks the published protocol; its tasks only wait.
+"""Host process with many hollow workers.
+
+Each worker has its own connection, session, lease, tasks and image cache, and speaks the published
+protocol; its tasks only wait.
 
     python3 -m dappledrum.scale.hollow HOSTS.json
 
-HOSTS.json names the controllers' public addresses and the workers' timing. Commands come on
-standard input; the process ends when that is closed.
+HOSTS.json is a `HollowSettings`. The process takes commands on standard input, and ends when that
+is closed.
 """
 
 import asyncio
@@ -15,39 +17,39 @@
 import msgspec
 
 from dappledrum.model.invariants import JobFacts
-from dappledrum.scale.lines import Events, serve_commands
+from dappledrum.scale.lines import EventSender, serve_commands
 from dappledrum.scale.messages import (
     Boot,
     Command,
     Counters,
+    CountersRequest,
     CutZone,
     Describe,
     Ended,
-    Report,
     Started,
     Vanish,
 )
 from dappledrum.scale.sockets import SocketNetwork
 from dappledrum.simulation.fleet import Timing, Worker
 
-LEASE_STEP_S = 0.5  # hundreds of workers look at their leases in one process
+LEASE_CHECK_INTERVAL_S = 0.5  # coarse, since hundreds of workers share the process
 
 
 class HollowSettings(msgspec.Struct):
-    """What the workers of a process are told at its start."""
+    """Settings of a host process."""
 
-    controllers: dict[str, str]  # names and public addresses
+    controllers: dict[str, str]  # public addresses by name
     report_s: float
     lease_s: float
     step_s: float
     seed: int
-    subnet: str  # of the workers' addresses
+    subnet: str  # first two octets of the workers' addresses
 
 
-class RemoteRules:
-    """Stands in for the rules checker in the workers' process: what happens is sent on."""
+class RemoteInvariants:
+    """Replaces `Invariants` in a host process: sends starts and ends to the coordinator."""
 
-    def __init__(self, events: Events) -> None:
+    def __init__(self, events: EventSender) -> None:
         self.jobs: dict[str, JobFacts] = {}
         self.running = 0
         self._events = events
@@ -55,12 +57,12 @@
     def started(
         self, at: float, machine: str, kind: tuple[str, str, bool], job: str, task: int
     ) -> None:
-        """A task has its image and starts."""
+        """Send the start of a task that has its image."""
         self.running += 1
         self._events.send(Started(at, machine, kind, job, task))
 
     def ended(self, machine: str, job: str, task: int, completed: bool) -> None:
-        """A task is off its machine."""
+        """Send the end of a task."""
         self.running -= 1
         if completed:
             self.jobs[job].done.add(task)
@@ -68,36 +70,36 @@
 
 
 class HollowHost:
-    """The workers of this process."""
+    """The workers of this process, and the commands that act on them."""
 
     def __init__(self, settings: HollowSettings) -> None:
         self.settings = settings
-        self.events = Events()
-        self.rules = RemoteRules(self.events)
+        self.events = EventSender()
+        self.invariants = RemoteInvariants(self.events)
         self.network = SocketNetwork(dict(settings.controllers))
         self.timing = Timing(
             settings.report_s,
             settings.lease_s,
             step_s=settings.step_s,
-            lease_step_s=LEASE_STEP_S,
+            lease_step_s=LEASE_CHECK_INTERVAL_S,
             subnet=settings.subnet,
         )
         self.rng = random.Random(settings.seed)
         self.workers: dict[str, Worker] = {}
-        self.sessions_of_gone = 0
+        self.sessions_ended_before_termination = 0
 
-    async def act(self, command: Command) -> None:
-        """Carry out one command."""
+    async def execute(self, command: Command) -> None:
+        """Execute one command."""
         match command:
             case Describe(spec):
-                self.rules.jobs[spec["id"]] = JobFacts(spec)
+                self.invariants.jobs[spec["id"]] = JobFacts(spec)
             case Boot(machine, kind, size):
                 await self._boot(machine, kind, size)
             case Vanish(machine):
                 await self._vanish(machine)
             case CutZone(zone, for_s):
                 self._cut(zone, for_s)
-            case Report():
+            case CountersRequest():
                 self.events.send(self._counters())
 
     async def _boot(self, name: str, kind: tuple[str, str, bool], size: dict[str, float]) -> None:
@@ -106,8 +108,8 @@
             name,
             kind,
             size,
-            self.network,  # type: ignore[arg-type] # offers the same over sockets
-            self.rules,  # type: ignore[arg-type] # sends what happens to the parent process
+            self.network,  # type: ignore[arg-type] # has what a worker uses of Network
+            self.invariants,  # type: ignore[arg-type] # has what a worker uses of Invariants
             self.timing,
             controllers,
             self.rng,
@@ -118,32 +120,33 @@
     async def _vanish(self, name: str) -> None:
         worker = self.workers.pop(name, None)
         if worker is not None:
-            self.sessions_of_gone += worker.session - 1
+            self.sessions_ended_before_termination += worker.session - 1
             worker.vanish()
-            await self.network.forget(name)
+            await self.network.stop_serving(name)
 
     def _cut(self, zone: str, for_s: float) -> None:
         names = {name for name, worker in self.workers.items() if worker.kind[1] == zone}
-        self.network.cut |= names
+        self.network.cut_hosts |= names
         loop = asyncio.get_running_loop()
-        loop.call_later(for_s, self.network.cut.difference_update, names)
+        loop.call_later(for_s, self.network.cut_hosts.difference_update, names)
 
     def _counters(self) -> Counters:
         recent = Worker.now() - self.settings.lease_s
         return Counters(
             len(self.workers),
             sum(1 for w in self.workers.values() if w.token and w.answered > recent),
-            self.rules.running,
-            self.sessions_of_gone + sum(w.session - 1 for w in self.workers.values()),
+            self.invariants.running,
+            self.sessions_ended_before_termination
+            + sum(w.session - 1 for w in self.workers.values()),
             self.network.traffic,
         )
 
 
 async def run(settings_json: bytes) -> None:
-    """Serve commands until the coordinator is gone."""
+    """Execute commands until standard input is closed."""
     host = HollowHost(msgspec.json.decode(settings_json, type=HollowSettings))
-    host.events.send(Counters())  # ready
-    await serve_commands(host.act)
+    host.events.send(Counters())  # tells the coordinator that the process is ready
+    await serve_commands(host.execute)
 
 
 if __name__ == "__main__":
--- a/dappledrum/scale/lines.py
+++ b/dappledrum/scale/lines.py
@@ -1,4 +1,4 @@
-"""Reads the commands of the coordinator from a process's standard input."""
+"""Standard input and output of a child process: commands in, events out."""
 
 import asyncio
 import os
@@ -9,33 +9,33 @@
 
 from dappledrum.scale.messages import Command, encode_line
 
-LINE_BYTES = 1 << 20
+MAX_LINE_BYTES = 1 << 20
 
 
-async def serve_commands(act: Callable[[Command], Awaitable[None]]) -> None:
-    """Carry out commands until the coordinator closes the pipe or ends."""
+async def serve_commands(execute: Callable[[Command], Awaitable[None]]) -> None:
+    """Execute commands until the coordinator exits or closes standard input."""
     loop = asyncio.get_running_loop()
-    reader = asyncio.StreamReader(limit=LINE_BYTES)
+    reader = asyncio.StreamReader(limit=MAX_LINE_BYTES)
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     decoder = msgspec.json.Decoder(Command)
     while line := await reader.readline():
-        await act(decoder.decode(line))
+        await execute(decoder.decode(line))
 
 
-class Events:
-    """Sends events to the coordinator, many in one write."""
+class EventSender:
+    """Sends events to the coordinator, all those of one event loop iteration in one write."""
 
     def __init__(self) -> None:
-        self._waiting: list[bytes] = []
+        self._unsent: list[bytes] = []
 
     def send(self, event: msgspec.Struct) -> None:
-        """Put an event into the next write."""
-        if not self._waiting:
+        """Add an event to the next write."""
+        if not self._unsent:
             asyncio.get_running_loop().call_soon(self._flush)
-        self._waiting.append(encode_line(event))
+        self._unsent.append(encode_line(event))
 
     def _flush(self) -> None:
-        data, self._waiting = b"".join(self._waiting), []
+        data, self._unsent = b"".join(self._unsent), []
         descriptor = sys.stdout.fileno()
         while data:
             data = data[os.write(descriptor, data) :]
--- a/dappledrum/scale/measure.py
+++ b/dappledrum/scale/measure.py
@@ -1,4 +1,4 @@
-"""Readings at the beginning and end of a phase, and what lies between them."""
+"""Readings at the start and end of a phase, and the difference between them."""
 
 import asyncio
 from dataclasses import dataclass
@@ -9,12 +9,12 @@
 from dappledrum.election.messages import LeaderRecord
 from dappledrum.http.client import NoResponseError
 from dappledrum.scale.controllers import Controllers
-from dappledrum.scale.messages import Counters, Report, StateCounters
-from dappledrum.scale.processes import Companion, Usage, usage
+from dappledrum.scale.messages import Counters, CountersRequest, StateCounters
+from dappledrum.scale.processes import ChildProcess, Usage, read_usage
 from dappledrum.scale.report import PhaseReport, RoleUse
 from dappledrum.scale.sockets import SocketLink
 
-ASK_WITHIN = timedelta(seconds=5)
+REQUEST_TIMEOUT = timedelta(seconds=5)
 NO_COUNTERS = StateCounters(0, 0, 0, 0, 0, 0)
 
 
@@ -24,25 +24,25 @@
 
 @dataclass
 class Reading:
-    """Everything that can be read at one moment."""
+    """All measurements at one moment."""
 
     at: float
-    starts: int
+    starts: int  # of tasks since the run began
     state: StateCounters
     hosts: list[Counters]
-    uses: dict[str, dict[int, Usage]]  # by role and process
+    usages: dict[str, dict[int, Usage]]  # by role and process id
     leader: str | None
 
 
 class Meter:
-    """Takes readings."""
+    """Takes readings of the controllers, the store and the host processes."""
 
     def __init__(
         self,
         controllers: Controllers,
-        state: Companion,
+        state: ChildProcess,
         state_link: SocketLink,
-        hosts: list[Companion],
+        hosts: list[ChildProcess],
     ) -> None:
         self.controllers = controllers
         self.state = state
@@ -50,44 +50,46 @@
         self.hosts = hosts
 
     async def read(self, starts: int) -> Reading:
-        """One reading; processes that are gone are left out."""
-        hosts = await asyncio.gather(*(host.next_counters(Report()) for host in self.hosts))
-        counters, leader = await self._state(), await self.leader()
-        uses: dict[str, dict[int, Usage]] = {}
+        """Take a reading; processes that have ended are left out."""
+        hosts = await asyncio.gather(
+            *(host.request_counters(CountersRequest()) for host in self.hosts)
+        )
+        counters, leader = await self._read_store_counters(), await self.leader()
+        usages: dict[str, dict[int, Usage]] = {}
         for name, process in self.controllers.processes.items():
             role = "leader" if name == leader else "follower"
-            self._add(uses, role, process.pid)
-        self._add(uses, "state service", self.state.pid)
+            self._add_usage(usages, role, process.pid)
+        self._add_usage(usages, "state service", self.state.pid)
         for host in self.hosts:
-            self._add(uses, "workers", host.pid)
+            self._add_usage(usages, "workers", host.pid)
         now = asyncio.get_running_loop().time()
-        return Reading(now, starts, counters, hosts, uses, leader)
+        return Reading(now, starts, counters, hosts, usages, leader)
 
     @staticmethod
-    def _add(uses: dict[str, dict[int, Usage]], role: str, pid: int) -> None:
-        used = usage(pid)
-        if used is not None:
-            uses.setdefault(role, {})[pid] = used
+    def _add_usage(usages: dict[str, dict[int, Usage]], role: str, pid: int) -> None:
+        usage = read_usage(pid)
+        if usage is not None:
+            usages.setdefault(role, {})[pid] = usage
 
-    async def _state(self) -> StateCounters:
+    async def _read_store_counters(self) -> StateCounters:
         try:
-            reply = await self.state_link.request("GET", "/counters", None, ASK_WITHIN)
+            reply = await self.state_link.request("GET", "/counters", None, REQUEST_TIMEOUT)
         except NoResponseError:
             return NO_COUNTERS
         return msgspec.json.decode(reply.body, type=StateCounters)
 
     async def leader(self) -> str | None:
-        """Who holds the leader's key."""
+        """Return the leader's name from the store; None if it has none or does not answer."""
         try:
-            reply = await self.state_link.request("GET", "/keys/leader", None, ASK_WITHIN)
+            reply = await self.state_link.request("GET", "/keys/leader", None, REQUEST_TIMEOUT)
             return msgspec.json.decode(reply.body, type=_LeaderEntry).value.member
         except (NoResponseError, msgspec.DecodeError):
             return None
 
 
 def phase_report(name: str, before: Reading, after: Reading) -> PhaseReport:
-    """What lies between two readings."""
-    span = after.at - before.at
+    """Report a phase from the readings at its start and end."""
+    duration_s = after.at - before.at
     sent = _sum(after, "bytes_sent") - _sum(before, "bytes_sent")
     received = _sum(after, "bytes_received") - _sum(before, "bytes_received")
     reports = _sum(after, "reports") - _sum(before, "reports")
@@ -97,22 +99,22 @@
         - before.state.bytes_sent
         - before.state.bytes_received
     )
-    sessions = sum(c.sessions_ended for c in after.hosts)
+    total_sessions_ended = sum(c.sessions_ended for c in after.hosts)
     return PhaseReport(
         name,
-        round(span, 1),
+        round(duration_s, 1),
         sum(c.workers for c in after.hosts),
         sum(c.answered_workers for c in after.hosts),
         sum(c.running for c in after.hosts),
-        round((after.starts - before.starts) / span, 2),
-        round(reports / span, 1),
-        round(sent / span),
-        round(received / span),
-        round((after.state.requests - before.state.requests) / span, 1),
-        round((after.state.changes - before.state.changes) / span, 1),
+        round((after.starts - before.starts) / duration_s, 2),
+        round(reports / duration_s, 1),
+        round(sent / duration_s),
+        round(received / duration_s),
+        round((after.state.requests - before.state.requests) / duration_s, 1),
+        round((after.state.changes - before.state.changes) / duration_s, 1),
         after.state.refused - before.state.refused,
-        round(state_bytes / span),
-        sessions - sum(c.sessions_ended for c in before.hosts),
+        round(state_bytes / duration_s),
+        total_sessions_ended - sum(c.sessions_ended for c in before.hosts),
         _roles(before, after),
     )
 
@@ -122,15 +124,25 @@
 
 
 def _roles(before: Reading, after: Reading) -> list[RoleUse]:
-    span = after.at - before.at
-    earlier = {pid: used for uses in before.uses.values() for pid, used in uses.items()}
+    duration_s = after.at - before.at
+    before_by_pid = {
+        pid: usage for usages in before.usages.values() for pid, usage in usages.items()
+    }
     result = []
-    for role, uses in after.uses.items():
-        spent = sum(
-            used.cpu_s - (earlier[pid].cpu_s if pid in earlier else 0.0)
-            for pid, used in uses.items()
+    for role, usages in after.usages.items():
+        used_cpu_s = sum(
+            usage.cpu_s - (before_by_pid[pid].cpu_s if pid in before_by_pid else 0.0)
+            for pid, usage in usages.items()
+        )
+        max_memory_mb = max(usage.memory_mb for usage in usages.values())
+        max_sockets = max(usage.sockets for usage in usages.values())
+        result.append(
+            RoleUse(
+                role,
+                len(usages),
+                round(used_cpu_s / duration_s, 3),
+                round(max_memory_mb, 1),
+                max_sockets,
+            )
         )
-        largest = max(used.memory_mb for used in uses.values())
-        sockets = max(used.sockets for used in uses.values())
-        result.append(RoleUse(role, len(uses), round(spent / span, 3), round(largest, 1), sockets))
     return result
--- a/dappledrum/scale/messages.py
+++ b/dappledrum/scale/messages.py
@@ -1,7 +1,7 @@
-"""Messages between the coordinator and the processes that it starts.
+"""Messages between the coordinator, which is the main process of a run, and its child processes.
 
-One JSON object a line: to a process on its standard input, from it on its standard output. Times
-are readings of the machine's steady clock, which all processes share.
+Each message is one line of JSON, sent to a child on its standard input or from it on its standard
+output. Times are seconds of the machine's monotonic clock, which all processes share.
 """
 
 from typing import Any
@@ -10,41 +10,41 @@
 
 
 class Describe(msgspec.Struct, tag="describe"):
-    """A job's specification, as a worker would fetch it before it runs a task."""
+    """Announces a job to the workers, which need its specification to run its tasks."""
 
     spec: dict[str, Any]
 
 
 class Boot(msgspec.Struct, tag="boot"):
-    """A machine is up: its worker begins to report."""
+    """A machine is up: its worker starts and sends heartbeats."""
 
     machine: str
-    kind: tuple[str, str, bool]
+    kind: tuple[str, str, bool]  # type, zone, whether it is spot
     size: dict[str, float]
 
 
 class Vanish(msgspec.Struct, tag="vanish"):
-    """A machine is gone with all that is on it."""
+    """A machine has terminated, with its worker and tasks."""
 
     machine: str
 
 
 class CutZone(msgspec.Struct, tag="cut_zone"):
-    """Nothing passes between controllers and the workers of a zone for so many seconds."""
+    """Requests of a zone's workers to the controllers get no answer for `for_s` seconds."""
 
     zone: str
     for_s: float
 
 
-class Report(msgspec.Struct, tag="report"):
-    """Ask for the counters."""
+class CountersRequest(msgspec.Struct, tag="report"):
+    """Requests the counters."""
 
 
-Command = Describe | Boot | Vanish | CutZone | Report
+Command = Describe | Boot | Vanish | CutZone | CountersRequest
 
 
 class Started(msgspec.Struct, tag="started"):
-    """A task has its image and starts on a machine."""
+    """A task has its image and starts to run on a machine."""
 
     at: float
     machine: str
@@ -54,7 +54,7 @@
 
 
 class Ended(msgspec.Struct, tag="ended"):
-    """A task is off a machine."""
+    """A task no longer runs on a machine."""
 
     at: float
     machine: str
@@ -64,21 +64,21 @@
 
 
 class Traffic(msgspec.Struct):
-    """What passed between a host's workers and the controllers since the process began."""
+    """Traffic between a host process's workers and the controllers since the process started."""
 
-    reports: int = 0
-    answered: int = 0
+    reports: int = 0  # heartbeats sent
+    answered: int = 0  # heartbeats answered with status 200
     bytes_sent: int = 0
     bytes_received: int = 0
 
 
 class Counters(msgspec.Struct, tag="counters"):
-    """Answer to `Report`, once a process is ready and each time it is asked."""
+    """Sent once when a process is ready, then in answer to each `CountersRequest`."""
 
     workers: int = 0
-    answered_workers: int = 0  # whose last report was answered within a lease
-    running: int = 0
-    sessions_ended: int = 0
+    answered_workers: int = 0  # with a heartbeat answered less than one lease ago
+    running: int = 0  # tasks
+    sessions_ended: int = 0  # worker sessions that ended because their lease expired
     traffic: Traffic = msgspec.field(default_factory=Traffic)
 
 
@@ -86,16 +86,16 @@
 
 
 class StateCounters(msgspec.Struct):
-    """What the store has served since it began."""
+    """Requests and traffic of the simulated store since it started."""
 
     requests: int
     changes: int
-    refused: int
+    refused: int  # requests above the rate limit
     bytes_received: int
     bytes_sent: int
     keys: int
 
 
 def encode_line(message: msgspec.Struct) -> bytes:
-    """One message as a line."""
+    """Encode a message as one line of JSON."""
     return msgspec.json.encode(message) + b"\n"
--- a/dappledrum/scale/report.py
+++ b/dappledrum/scale/report.py
@@ -1,21 +1,21 @@
-"""What a run has measured, as one JSON document."""
+"""Report of a run, written as one JSON document."""
 
 import msgspec
 from hdrh.histogram import HdrHistogram
 
 
 class Percentiles(msgspec.Struct):
-    """Of a distribution, in milliseconds."""
+    """Percentiles of a distribution, in milliseconds."""
 
     count: int
     p50: float
     p95: float
     p99: float
-    most: float
+    most: float  # the maximum
 
 
 def percentiles(values: HdrHistogram) -> Percentiles:
-    """The usual percentiles of a histogram."""
+    """Return the count, percentiles and maximum of a histogram."""
     return Percentiles(
         count=values.total_count,
         p50=float(values.get_value_at_percentile(50)),
@@ -26,45 +26,45 @@
 
 
 class RoleUse(msgspec.Struct):
-    """What the processes of one role used in a phase."""
+    """Resource usage of the processes of one role in a phase."""
 
     role: str
     processes: int
-    cores: float  # processor seconds a second, of all of them together
-    memory_mb: float  # of the largest, at the end
-    sockets: int  # of the one with most, at the end
+    cores: float  # CPU seconds per second, summed over the processes
+    memory_mb: float  # of the process with the most, at the end
+    sockets: int  # open file descriptors of the process with the most, at the end
 
 
 class PhaseReport(msgspec.Struct):
-    """One phase of a run; rates are means over it, a second."""
+    """One phase of a run; rates are means over the phase, per second."""
 
     name: str
     seconds: float
-    workers: int  # up at the end
-    answered_workers: int  # answered within a lease, at the end
+    workers: int  # running at the end
+    answered_workers: int  # with a heartbeat answered less than one lease before the end
     running: int  # tasks, at the end
-    starts: float
-    reports: float
+    starts: float  # of tasks
+    reports: float  # heartbeats of workers
     worker_bytes_sent: float
     worker_bytes_received: float
     state_requests: float
     state_changes: float
-    state_refused: int
+    state_refused: int  # number of store requests above the rate limit
     state_bytes: float
-    sessions_ended: int
+    sessions_ended: int  # worker sessions that ended because their lease expired
     roles: list[RoleUse]
-    first_start_s: float | None = None  # after the event at the beginning of the phase
+    first_start_s: float | None = None  # from the start of the phase to the first start of a task
 
 
 class ScaleReport(msgspec.Struct):
-    """One run. All figures are simulated: no task does any work."""
+    """One run. All figures are simulated: tasks only wait."""
 
     version: str
     seed: int
     workers: int
     controllers: int
     tasks_per_worker: int
-    host_processes: int
+    host_processes: int  # that share the workers
     cores_of_machine: int
     phases: list[PhaseReport]
     start_delay_ms: dict[str, Percentiles]  # from submission to a job's first task, by urgency
--- a/dappledrum/scale/sockets.py
+++ b/dappledrum/scale/sockets.py
@@ -1,7 +1,7 @@
-"""The stand-ins' network over loopback TCP.
+"""Loopback TCP connections in place of the simulated network.
 
-Offers what the stand-ins use of `simulation.network.Network`: `services`, `addresses` and
-`caller`.
+`SocketNetwork` has the part of `simulation.network.Network` that simulated workers use:
+`services`, `addresses` and `caller`.
 """
 
 import asyncio
@@ -15,12 +15,12 @@
 from dappledrum.simulation.network import Service
 
 MAX_CONNECTIONS = 20_000
-HEAD_BYTES = 90  # of a request or answer, beside its path and body
-REPORTS = "/hello"
+HEADER_BYTES = 90  # size assumed for a request or response without its path and body
+HEARTBEAT_PATH = "/hello"
 
 
-def served(service: Service, source: str = "") -> Server:
-    """A server that hands its requests to a stand-in; the sender's name is not known to it."""
+def make_server(service: Service, source: str = "") -> Server:
+    """Return a server for a simulated service; `source` stands for the sender of each request."""
 
     async def handle(request: Request) -> Response:
         reply = await service(source, request.method, request.path, request.body)
@@ -30,7 +30,7 @@
 
 
 class SocketLink:
-    """The client of one host for one other."""
+    """Client of one host for a service at another host."""
 
     def __init__(self, network: "SocketNetwork", source: str, target: str) -> None:
         self.network = network
@@ -41,47 +41,47 @@
     async def request(
         self, method: str, path: str, body: bytes | None, timeout: timedelta
     ) -> Reply:
-        """Send one request; raises NoResponseError."""
-        if self.source in self.network.cut:
+        """Send one request; raises NoResponseError, after the timeout if the source is cut off."""
+        if self.source in self.network.cut_hosts:
             await asyncio.sleep(timeout.total_seconds())
-            raise NoResponseError("cut off")
+            raise NoResponseError(f"{self.source} is cut off")
         traffic = self.network.traffic
-        if path == REPORTS:
+        if path == HEARTBEAT_PATH:
             traffic.reports += 1
-        traffic.bytes_sent += HEAD_BYTES + len(path) + len(body or b"")
+        traffic.bytes_sent += HEADER_BYTES + len(path) + len(body or b"")
         reply = await self.client.request(method, path, body, timeout)
-        if path == REPORTS and reply.status == 200:
+        if path == HEARTBEAT_PATH and reply.status == 200:
             traffic.answered += 1
-        traffic.bytes_received += HEAD_BYTES + len(reply.body)
+        traffic.bytes_received += HEADER_BYTES + len(reply.body)
         return reply
 
 
 class SocketNetwork:
-    """Hosts by name, each at an address on the loopback range."""
+    """Hosts by name, each at a loopback address."""
 
     def __init__(self, hosts: dict[str, str]) -> None:
         self.hosts = hosts
         self.services: dict[str, Service] = {}
         self.addresses: dict[str, str] = {}
-        self.cut: set[str] = set()  # hosts whose requests get no answer
+        self.cut_hosts: set[str] = set()  # sources whose requests are not sent and time out
         self.traffic = Traffic()
         self._links: dict[tuple[str, str], SocketLink] = {}
         self._servers: dict[str, Server] = {}
 
     def caller(self, source: str, target: str) -> SocketLink:
-        """The client at one host for a service at another; its connection is kept."""
+        """Return the client of one host for a service at another; its connection is reused."""
         link = self._links.get((source, target))
         if link is None:
             link = self._links[source, target] = SocketLink(self, source, target)
         return link
 
     async def listen(self, name: str, address: str) -> None:
-        """Serve what is registered under a name at its address."""
-        server = self._servers[name] = served(self.services[name])
+        """Serve a registered service at an address."""
+        server = self._servers[name] = make_server(self.services[name])
         await server.start(*split_address(address))
 
-    async def forget(self, name: str) -> None:
-        """Stop serving a host, and drop its connections."""
+    async def stop_serving(self, name: str) -> None:
+        """Stop the server of a host, and close the idle connections of its clients."""
         for pair in [pair for pair in self._links if pair[0] == name]:
             self._links.pop(pair).client.close_idle()
         server = self._servers.pop(name, None)
--- a/dappledrum/scale/state_service.py
+++ b/dappledrum/scale/state_service.py
@@ -1,8 +1,8 @@
-"""The stand-in of the store in a process of its own, with rates and latency.
+"""Process that serves a simulated store with rate limits and latency.
 
     python3 -m dappledrum.scale.state_service SETTINGS.json
 
-Counters are read at `GET /counters`. The process ends when its standard input is closed.
+`GET /counters` returns `StateCounters`. The process ends when its standard input is closed.
 """
 
 import asyncio
@@ -13,27 +13,27 @@
 import msgspec
 
 from dappledrum.http.client import Reply
-from dappledrum.scale.lines import Events, serve_commands
+from dappledrum.scale.lines import EventSender, serve_commands
 from dappledrum.scale.messages import Command, Counters, StateCounters
-from dappledrum.scale.sockets import HEAD_BYTES, served
+from dappledrum.scale.sockets import HEADER_BYTES, make_server
 from dappledrum.settings import split_address
 from dappledrum.simulation.key_value_store import KeyValueStore
 
 
 class StateSettings(msgspec.Struct):
-    """Address, rates and latency of the service."""
+    """Address, limits and latency of the service."""
 
     address: str
     requests_per_s: float
     changes_per_s: float
     value_kb: float
     transaction_changes: int
-    latency_s: float  # the median; drawn between half and one and a half of it
+    latency_s: float  # median; each request draws between 0.5 and 1.5 times this
     seed: int
 
 
-class MeteredState:
-    """Counts what passes, and delays it."""
+class MeteredStore:
+    """Simulated store that counts and delays its requests."""
 
     def __init__(self, settings: StateSettings) -> None:
         self.settings = settings
@@ -46,13 +46,13 @@
         self.received = self.sent = 0
 
     async def __call__(self, source: str, method: str, path: str, body: bytes) -> Reply:
-        """One request."""
+        """Serve one request."""
         if path == "/counters":
             return Reply(200, msgspec.json.encode(self._counters()))
-        self.received += HEAD_BYTES + len(path) + len(body)
+        self.received += HEADER_BYTES + len(path) + len(body)
         await asyncio.sleep(self.settings.latency_s * self.rng.uniform(0.5, 1.5))
         answer = await self.service(source, method, path, body)
-        self.sent += HEAD_BYTES + len(answer.body)
+        self.sent += HEADER_BYTES + len(answer.body)
         return answer
 
     def _counters(self) -> StateCounters:
@@ -67,15 +67,15 @@
 
 
 async def _ignore(_command: Command) -> None:
-    """This process takes no commands; it only waits for the end of its standard input."""
+    """Ignore a command: the loop that reads them only detects that standard input is closed."""
 
 
 async def run(settings_json: bytes) -> None:
-    """Serve until the coordinator is gone."""
+    """Serve requests until standard input is closed."""
     settings = msgspec.json.decode(settings_json, type=StateSettings)
-    server = served(MeteredState(settings))
+    server = make_server(MeteredStore(settings))
     await server.start(*split_address(settings.address))
-    Events().send(Counters())  # ready
+    EventSender().send(Counters())  # tells the coordinator that the process is ready
     await serve_commands(_ignore)
 
 
--- a/dappledrum/scale/test_capacity.py
+++ b/dappledrum/scale/test_capacity.py
@@ -1,4 +1,4 @@
-"""Lines through readings, and the page that they make."""
+"""Line fits, and docs/CAPACITY.md, which must hold the tables that the reports give."""
 
 from pathlib import Path
 
@@ -32,24 +32,24 @@
     assert line.residual < 1e-3 or abs(slope) + abs(intercept) < 1
 
 
-def test_what_is_no_line_has_a_residual():
+def test_readings_off_the_line_give_a_residual_and_a_flat_line_reaches_no_limit():
     line = fit([(0, 0.0), (1, 1.0), (2, 4.0)])
     assert line.residual == pytest.approx(1 / 3 / 4 * 2)
     assert fit([(1, 2.0), (2, 2.0)]).reaches(3.0) is None
 
 
-def test_one_size_makes_no_line():
+def test_fit_of_readings_at_one_size_is_an_error():
     with pytest.raises(ValueError, match="two sizes"):
         fit([(100, 1.0), (100, 2.0)])
 
 
-def test_a_damaged_report_is_an_error_that_names_it(tmp_path):
+def test_error_of_a_malformed_report_names_its_file(tmp_path):
     (tmp_path / "scale-1.json").write_text("{}")
     with pytest.raises(ValueError, match=r"scale-1\.json"):
         load(tmp_path)
 
 
-def test_the_page_holds_what_the_measurements_give():
+def test_capacity_page_holds_the_tables_computed_from_the_reports():
     reports = load(DIRECTORY)
     assert len({report.workers for report in reports}) >= MIN_SIZES
     assert not any(report.rules_broken for report in reports)
@@ -59,7 +59,7 @@
     )
 
 
-def test_twice_the_hardware_reaches_its_limits_later():
+def test_scaled_hardware_changes_the_limits_except_for_worker_traffic():
     reports = load(DIRECTORY)
     half, twice = Hardware().scaled(0.5), Hardware().scaled(2.0)
     assert half.worker_bytes == twice.worker_bytes
--- a/dappledrum/scale/test_scale.py
+++ b/dappledrum/scale/test_scale.py
@@ -1,4 +1,4 @@
-"""A short run over real sockets, and what its parts do with odd input."""
+"""Short runs over real sockets, invalid options, and the order of events."""
 
 import asyncio
 import contextlib
@@ -12,11 +12,11 @@
 import pytest
 
 from dappledrum.model.invariants import Invariants
-from dappledrum.scale.__main__ import checked, parser
+from dappledrum.scale.__main__ import make_options, make_parser
 from dappledrum.scale.messages import Ended, Started
-from dappledrum.scale.order import WAIT_S, OrderedEvents
+from dappledrum.scale.order import MAX_EVENT_DELAY_S, OrderedEvents
 from dappledrum.scale.processes import ROOT
-from dappledrum.scale.run import Options, play
+from dappledrum.scale.run import Options, run_scale_test
 from dappledrum.simulation.cluster import job
 
 SMALL = Options(
@@ -25,11 +25,10 @@
 KIND = ("standard", "a", True)
 
 
-def test_a_short_run_with_the_end_of_a_leader():
-    """All that it started has ended, no rule is broken, and work goes on after the end."""
+def test_short_run_with_a_crash_of_the_leader_keeps_the_invariants_and_ends_its_processes():
     options = Options(**{**vars(SMALL), "phases": ("ramp", "leader")})
-    said: list[str] = []
-    report = asyncio.run(play(options, said.append))
+    progress_lines: list[str] = []
+    report = asyncio.run(run_scale_test(options, progress_lines.append))
     assert report.rules_broken == []
     assert [phase.name for phase in report.phases] == ["ramp", "leader"]
     assert report.phases[0].answered_workers == options.workers
@@ -37,7 +36,7 @@
     assert report.start_delay_ms["prod"].count
     assert report.controllers_ended_by_themselves == 0
     assert {use.role for use in report.phases[0].roles} >= {"leader", "follower", "workers"}
-    assert len(said) == 2
+    assert len(progress_lines) == 2
     assert psutil.Process().children(recursive=True) == []
 
 
@@ -45,8 +44,8 @@
     ("number", "in_background"),
     [(signal.SIGINT, False), (signal.SIGINT, True), (signal.SIGTERM, False)],
 )
-def test_an_interrupt_ends_all_that_was_started(number, in_background):
-    """Also when a shell has started the command in the background, with interrupts ignored."""
+def test_sigint_and_sigterm_end_all_processes_of_a_run(number, in_background):
+    """A shell starts background commands with SIGINT ignored; the run must still handle it."""
     command = [sys.executable, "-m", "dappledrum.scale", "--workers", "5", "--phase-s", "60"]
     before = signal.signal(signal.SIGINT, signal.SIG_IGN if in_background else signal.SIG_DFL)
     try:
@@ -66,14 +65,14 @@
         assert len(children) >= 5
         assert alive == []
     finally:
-        for one in (process, *children):  # a failure once left three controllers behind
+        for one in (process, *children):  # a failure once left three controllers running
             with contextlib.suppress(psutil.NoSuchProcess):
                 one.kill()
         process.wait()
 
 
 @pytest.mark.parametrize(
-    "words",
+    "arguments",
     [
         ["--workers", "0"],
         ["--workers", "10001"],
@@ -83,23 +82,23 @@
         ["--phase-s", "nan"],
     ],
 )
-def test_bad_options_are_an_error_that_names_them(words, capsys):
-    cli = parser()
+def test_error_of_an_invalid_option_names_the_option(arguments, capsys):
+    cli = make_parser()
     with pytest.raises(SystemExit):
-        checked(cli, cli.parse_args(words))
-    assert words[0] in capsys.readouterr().err
+        make_options(cli, cli.parse_args(arguments))
+    assert arguments[0] in capsys.readouterr().err
 
 
-def test_events_of_several_processes_are_told_in_the_order_of_their_times():
-    """A start on a second machine arrives before the end on the first."""
-    rules = Invariants(30.0, {})
-    rules.submitted(job(1))
-    ordered = OrderedEvents(rules, lambda *_: None)
+def test_events_of_several_processes_reach_the_invariants_in_the_order_of_their_times():
+    """The start on a second machine arrives before the earlier end on the first."""
+    invariants = Invariants(30.0, {})
+    invariants.submitted(job(1))
+    ordered = OrderedEvents(invariants, lambda *_: None)
     ordered.add(Started(1.0, "host-1", KIND, "j-000001", 0))
     ordered.add(Started(3.0, "host-2", KIND, "j-000001", 0))
     ordered.add(Ended(2.0, "host-1", "j-000001", 0, False))
     ordered.release(3.0)
-    assert rules.starts == 0  # an earlier event may still come
-    ordered.release(3.1 + WAIT_S)
-    assert rules.starts == 2
-    assert rules.broken == []
+    assert invariants.starts == 0  # an earlier event may still arrive
+    ordered.release(3.1 + MAX_EVENT_DELAY_S)
+    assert invariants.starts == 2
+    assert invariants.broken == []
