--- a/checks/__init__.py
+++ b/checks/__init__.py
@@ -1,1 +1,1 @@
-"""pytest plugins of this repository: what the test run itself guarantees."""
+"""pytest plugins that this repository loads for every test run."""
--- a/checks/hash_seed.py
+++ b/checks/hash_seed.py
@@ -1,7 +1,7 @@
 """Runs every test with the same hash seed, so that sets are iterated in the same order.
 
-The seed is fixed when a Python process starts. Worker processes of pytest-xdist inherit it from
-the environment; a run without workers (`-n 0`, `--pdb`) must be started with it.
+Python reads the seed from the environment when a process starts. Workers of pytest-xdist inherit
+it; a run without workers (`-n 0`, `--pdb`) must be started with it.
 """
 
 import os
@@ -22,10 +22,10 @@
 def pytest_runtestloop(session: pytest.Session) -> None:
     """Refuse to run tests in a process that started with another seed."""
     config = session.config
-    only_distributes = config.getoption("dist", "no") != "no" and not hasattr(
+    is_xdist_controller = config.getoption("dist", "no") != "no" and not hasattr(
         config, "workerinput"
     )
-    if config.option.collectonly or only_distributes:
+    if config.option.collectonly or is_xdist_controller:
         return
     if sys.flags.hash_randomization:
         raise pytest.UsageError(f"without worker processes, start pytest with {VARIABLE}={SEED}")
--- a/checks/isolation.py
+++ b/checks/isolation.py
@@ -1,4 +1,4 @@
-"""Undoes what a test may change for the whole process, since workers run tests in any company."""
+"""Resets process-wide state that tests change, since a worker process runs many tests."""
 
 import logging
 from collections.abc import Iterator
@@ -8,6 +8,6 @@
 
 @pytest.fixture(autouse=True)
 def logging_enabled() -> Iterator[None]:
-    """Command-line tools turn logging off for their process; the next test has it again."""
+    """Enable logging after each test: command-line tools that tests run disable it."""
     yield
     logging.disable(logging.NOTSET)
--- a/checks/known_red.py
+++ b/checks/known_red.py
@@ -1,7 +1,7 @@
-"""Tolerates the failures that are listed in KNOWN-RED.txt, and nothing else.
+"""Tolerates the test failures listed in KNOWN-RED.txt, and no others.
 
-Each line of that file reads `test id | cause | issue`. A listed test has to fail: the run fails if
-it passes, if it is not collected, if a line is malformed, or if there are more than three lines.
+Each line of that file is `test id | cause | issue`. The run fails if a listed test passes or is
+not collected, if a line is malformed, or if the file has more than three lines.
 """
 
 from collections.abc import Iterable
@@ -13,12 +13,12 @@
 
 FILE_NAME = "KNOWN-RED.txt"
 SEPARATOR = " | "
-MOST = 3
+MAX_KNOWN_FAILURES = 3
 
 
 @dataclass(frozen=True)
 class KnownFailure:
-    """A test that fails for a real fault which is not mended yet."""
+    """A test that fails because of a fault that is not fixed yet."""
 
     test_id: str
     cause: str
@@ -29,10 +29,12 @@
 
 
 def parse(text: str) -> list[KnownFailure]:
-    """The failures that a file lists; raises `pytest.UsageError` if it breaks a rule."""
+    """Parse the contents of the file; raises `pytest.UsageError` if they are invalid."""
     lines = text.splitlines()
-    if len(lines) > MOST:
-        raise pytest.UsageError(f"{FILE_NAME}: {len(lines)} lines, at most {MOST} are allowed")
+    if len(lines) > MAX_KNOWN_FAILURES:
+        raise pytest.UsageError(
+            f"{FILE_NAME}: {len(lines)} lines, at most {MAX_KNOWN_FAILURES} are allowed"
+        )
     failures = [_parse_line(number, line) for number, line in enumerate(lines, start=1)]
     if len({failure.test_id for failure in failures}) < len(failures):
         raise pytest.UsageError(f"{FILE_NAME}: a test is listed twice")
@@ -48,19 +50,19 @@
 
 
 def read(root: Path) -> list[KnownFailure]:
-    """The failures that are listed at the root of a repository; none if there is no file."""
+    """Read the file at the root of a repository; returns no failures if there is none."""
     path = root / FILE_NAME
     return parse(path.read_text(encoding="utf-8")) if path.exists() else []
 
 
 class KnownRed:
-    """Hooks that expect the listed tests to fail."""
+    """pytest hooks that expect the listed tests to fail."""
 
     def __init__(self, failures: list[KnownFailure]) -> None:
         self.failures = failures
 
     def pytest_collection_modifyitems(self, items: list[pytest.Item]) -> None:
-        """Expect each listed test to fail, and fail it if it passes."""
+        """Mark each listed test as an expected failure, which fails if it passes."""
         listed = {failure.test_id: failure for failure in self.failures}
         for item in items:
             failure = listed.get(item.nodeid)
@@ -69,20 +71,20 @@
                 item.add_marker(pytest.mark.xfail(reason=reason, strict=True), append=False)
 
     def pytest_collection_finish(self, session: pytest.Session) -> None:
-        """Check the list in a run without workers; with workers, their controller does."""
-        distributes = session.config.getoption("dist", "no") != "no"
-        if not distributes and not hasattr(session.config, "workerinput"):
+        """Check the list in a run without workers; otherwise the process that starts them does."""
+        has_workers = session.config.getoption("dist", "no") != "no"
+        if not has_workers and not hasattr(session.config, "workerinput"):
             self._check_collected(session.config, [item.nodeid for item in session.items])
 
     @pytest.hookimpl(optionalhook=True)
     def pytest_xdist_node_collection_finished(
         self, node: WorkerController, ids: list[str]
     ) -> None:
-        """Check the list against what a worker of pytest-xdist has collected."""
+        """Check the list against the tests that a worker of pytest-xdist has collected."""
         self._check_collected(node.config, ids)
 
     def pytest_terminal_summary(self, terminalreporter: pytest.TerminalReporter) -> None:
-        """Print the list."""
+        """Print the listed failures."""
         if self.failures:
             terminalreporter.section(f"known failures ({FILE_NAME})")
             for failure in self.failures:
@@ -97,10 +99,10 @@
 
 
 def _collects_everything(config: pytest.Config) -> bool:
-    selects = config.option.keyword or config.option.markexpr or config.option.deselect
-    return config.args_source is pytest.Config.ArgsSource.TESTPATHS and not selects
+    selects_tests = config.option.keyword or config.option.markexpr or config.option.deselect
+    return config.args_source is pytest.Config.ArgsSource.TESTPATHS and not selects_tests
 
 
 def pytest_configure(config: pytest.Config) -> None:
-    """Read the list before anything runs."""
+    """Read the list before any test runs, and register the hooks."""
     config.pluginmanager.register(KnownRed(read(config.rootpath)), "known-red")
--- a/checks/logged_failures.py
+++ b/checks/logged_failures.py
@@ -1,7 +1,7 @@
-"""Fails a test in which the service logs an exception and goes on, unless the test says so.
+"""Fails a test during which the service logs an exception, unless the test expects it.
 
-A test that brings such an exception about is marked with the pattern that its message must match:
-`@pytest.mark.logs_failure("reading for polls failed")`. It fails if nothing of the kind is logged.
+A test that causes such an exception is marked with a pattern that the message must match:
+`@pytest.mark.logs_failure("reading for polls failed")`. It fails if no such message is logged.
 """
 
 import re
@@ -16,7 +16,7 @@
 
 @pytest.fixture(autouse=True)
 def no_unexpected_failures(request: pytest.FixtureRequest) -> Iterator[None]:
-    """Compare what was logged with an exception with what the test expects."""
+    """Compare the messages logged with an exception with the patterns of the test."""
     patterns = [mark.args[0] for mark in request.node.iter_markers(MARK)]
     with LoggedFailures() as failures:
         yield
--- a/checks/test_isolation.py
+++ b/checks/test_isolation.py
@@ -1,9 +1,9 @@
-"""A test that turns logging off does not blind those that run after it in the same process."""
+"""A test that disables logging does not affect later tests in the same process."""
 
 PLUGIN = "checks.isolation"
 
 
-def test_logging_is_on_again_in_the_next_test(pytester):
+def test_logging_is_enabled_again_in_the_next_test(pytester):
     pytester.makepyfile(
         """
         import logging
--- a/checks/test_known_red.py
+++ b/checks/test_known_red.py
@@ -1,4 +1,4 @@
-"""KNOWN-RED.txt: just the listed failures pass, and the list has to be true."""
+"""KNOWN-RED.txt: only the listed failures are tolerated, and each listed test must fail."""
 
 import pytest
 
@@ -26,12 +26,12 @@
     return pytester
 
 
-def listing(repository, *lines):
+def write_list(repository, *lines):
     path = repository.path / "KNOWN-RED.txt"
     path.write_text("".join(f"{line}\n" for line in lines))
 
 
-def line(test_id):
+def list_line(test_id):
     return f"{test_id} | a fault of the state client | issue 43"
 
 
@@ -41,8 +41,8 @@
     )
 
 
-def refused(result, message):
-    """The run ended before any test, with an error."""
+def assert_refused(result, message):
+    """Check that the run ended with a usage error before any test."""
     assert result.ret == pytest.ExitCode.USAGE_ERROR
     result.stderr.fnmatch_lines([f"*KNOWN-RED.txt: {message}"])
     assert "passed" not in result.stdout.str()
@@ -50,24 +50,24 @@
 
 
 @in_one_process_or_two_workers
-def test_listed_failures_pass_and_are_printed(repository, workers):
-    listing(repository, line(FAILS), line(ALSO_FAILS))
+def test_listed_failures_are_tolerated_and_printed(repository, workers):
+    write_list(repository, list_line(FAILS), list_line(ALSO_FAILS))
     result = run(repository, workers)
     assert result.ret == pytest.ExitCode.OK
     result.assert_outcomes(passed=1, xfailed=2)
     result.stdout.fnmatch_lines(
-        ["*known failures*", line(FAILS), line(ALSO_FAILS).replace("[", "[[]")]
+        ["*known failures*", list_line(FAILS), list_line(ALSO_FAILS).replace("[", "[[]")]
     )
 
 
-def test_a_failure_that_is_not_listed_fails(repository):
-    listing(repository, line(FAILS))
+def test_unlisted_failure_fails_the_run(repository):
+    write_list(repository, list_line(FAILS))
     result = run(repository)
     assert result.ret == pytest.ExitCode.TESTS_FAILED
     result.assert_outcomes(passed=1, xfailed=1, failed=1)
 
 
-def test_without_a_file_nothing_is_listed(repository):
+def test_without_a_list_every_failure_counts(repository):
     result = run(repository)
     assert result.ret == pytest.ExitCode.TESTS_FAILED
     result.assert_outcomes(passed=1, failed=2)
@@ -75,38 +75,39 @@
 
 
 @in_one_process_or_two_workers
-def test_a_listed_test_that_passes_fails(repository, workers):
-    listing(repository, line(PASSES), line(FAILS), line(ALSO_FAILS))
+def test_listed_test_that_passes_fails_the_run(repository, workers):
+    write_list(repository, list_line(PASSES), list_line(FAILS), list_line(ALSO_FAILS))
     result = run(repository, workers)
     assert result.ret == pytest.ExitCode.TESTS_FAILED
     result.assert_outcomes(failed=1, xfailed=2)
 
 
 @in_one_process_or_two_workers
-def test_a_listed_test_that_is_not_there_fails(repository, workers):
-    listing(repository, line(FAILS), line("test_some.py::test_gone"))
-    refused(run(repository, workers), "not collected: test_some.py::test_gone")
+def test_listed_test_that_is_not_collected_fails_the_run(repository, workers):
+    write_list(repository, list_line(FAILS), list_line("test_some.py::test_gone"))
+    assert_refused(run(repository, workers), "not collected: test_some.py::test_gone")
 
 
 @pytest.mark.parametrize("selection", [(FAILS,), ("-k", "test_fails"), ("--deselect", ALSO_FAILS)])
-def test_a_run_of_some_tests_misses_none_of_the_others(repository, selection):
-    listing(repository, line(FAILS), line(ALSO_FAILS))
+def test_run_of_selected_tests_does_not_require_the_other_listed_tests(repository, selection):
+    write_list(repository, list_line(FAILS), list_line(ALSO_FAILS))
     assert run(repository, "0", *selection).ret == pytest.ExitCode.OK
 
 
-def test_four_lines_are_too_many(repository):
-    listing(repository, *(line(f"test_some.py::test_{number}") for number in range(4)))
-    refused(run(repository), "4 lines, at most 3 are allowed")
+def test_list_of_four_lines_is_refused(repository):
+    write_list(repository, *(list_line(f"test_some.py::test_{number}") for number in range(4)))
+    assert_refused(run(repository), "4 lines, at most 3 are allowed")
 
 
-def test_a_test_is_listed_once(repository):
-    listing(repository, line(FAILS), line(FAILS))
-    refused(run(repository), "a test is listed twice")
+def test_test_that_is_listed_twice_is_refused(repository):
+    write_list(repository, list_line(FAILS), list_line(FAILS))
+    assert_refused(run(repository), "a test is listed twice")
 
 
 @pytest.mark.parametrize(
-    "malformed", [FAILS, f"{FAILS} | issue 43", f"{FAILS} |  | issue 43", f"{line(FAILS)} | x", ""]
+    "malformed",
+    [FAILS, f"{FAILS} | issue 43", f"{FAILS} |  | issue 43", f"{list_line(FAILS)} | x", ""],
 )
-def test_a_malformed_line_is_refused(repository, malformed):
-    listing(repository, malformed)
-    refused(run(repository), "line 1 is not*")
+def test_malformed_line_is_refused(repository, malformed):
+    write_list(repository, malformed)
+    assert_refused(run(repository), "line 1 is not*")
--- a/checks/test_logged_failures.py
+++ b/checks/test_logged_failures.py
@@ -1,6 +1,7 @@
-"""A test fails when the service logs an exception and goes on, though its assertions hold.
+"""A test fails when the service logs an exception, even if its assertions hold.
 
-The inner tests share this process and its loggers, so the outer ones see what they log.
+The inner tests run in this process and share its loggers, so the outer tests, which use the same
+plugin, must expect the exceptions that the inner ones log.
 """
 
 import pytest
@@ -18,36 +19,38 @@
 """
 
 
-def outcomes(pytester, test):
-    """What becomes of a file with this test."""
+def run_with_plugin(pytester, test):
+    """Run a file with this test and the plugin."""
     pytester.makeini("[pytest]\nmarkers = logs_failure: see checks/logged_failures.py\n")
     pytester.makepyfile(LOGS_A_FAILURE + test)
     return pytester.runpytest_inprocess("-p", PLUGIN, "-n", "0")
 
 
 @pytest.mark.logs_failure("plan failed")
-def test_an_exception_that_is_logged_fails_the_test(pytester):
-    result = outcomes(pytester, "\n    def test_it(): log_a_failure()\n")
+def test_unexpected_logged_exception_fails_the_test(pytester):
+    result = run_with_plugin(pytester, "\n    def test_it(): log_a_failure()\n")
     result.assert_outcomes(passed=1, errors=1)
     result.stdout.fnmatch_lines(["*plan failed, going on: ValueError('wrong')*"])
 
 
 @pytest.mark.logs_failure("plan failed")
-def test_an_expected_exception_does_not(pytester):
+def test_expected_logged_exception_does_not_fail_the_test(pytester):
     mark = '\n    @pytest.mark.logs_failure("plan failed")'
-    outcomes(pytester, f"{mark}\n    def test_it(): log_a_failure()\n").assert_outcomes(passed=1)
+    run_with_plugin(pytester, f"{mark}\n    def test_it(): log_a_failure()\n").assert_outcomes(
+        passed=1
+    )
 
 
-def test_an_expected_exception_that_is_not_logged_fails_the_test(pytester):
+def test_expected_exception_that_is_not_logged_fails_the_test(pytester):
     mark = '\n    @pytest.mark.logs_failure("reading failed")'
-    result = outcomes(pytester, f"{mark}\n    def test_it(): pass\n")
+    result = run_with_plugin(pytester, f"{mark}\n    def test_it(): pass\n")
     result.assert_outcomes(passed=1, errors=1)
 
 
-def test_errors_without_an_exception_and_other_loggers_do_not_count(pytester):
+def test_errors_without_an_exception_and_other_loggers_are_ignored(pytester):
     test = """
     def test_it():
         logging.getLogger("dappledrum.main").error("a setting is wrong")
         log_a_failure("elsewhere")
     """
-    outcomes(pytester, test).assert_outcomes(passed=1)
+    run_with_plugin(pytester, test).assert_outcomes(passed=1)
--- a/checks/test_order.py
+++ b/checks/test_order.py
@@ -1,7 +1,7 @@
-"""Marked tests are started first, everything else keeps its order."""
+"""Marked tests are started first; the order is kept otherwise."""
 
 
-def test_long_tests_come_first(pytester):
+def test_long_tests_are_started_first(pytester):
     pytester.makeini("[pytest]\nmarkers = long: slow")
     pytester.makepyfile(
         """
--- a/checks/test_virtual_time.py
+++ b/checks/test_virtual_time.py
@@ -1,4 +1,4 @@
-"""Coroutines among the tests run in virtual time, with fixtures and parameters, and may fail."""
+"""Coroutine tests run in virtual time with their fixtures and parameters, and can fail."""
 
 
 def test_coroutines_run_in_virtual_time(pytester):
--- a/conftest.py
+++ b/conftest.py
@@ -1,4 +1,4 @@
-"""Loads the plugins in `checks` for every test run of this repository."""
+"""Loads the pytest plugins in `checks` for every test run."""
 
 pytest_plugins = [
     "pytester",
