--- a/dappledrum/controller/test_cancellations_in_outage.py
+++ b/dappledrum/controller/test_cancellations_in_outage.py
@@ -1,7 +1,7 @@
-"""Cancellations that users were acknowledged and the leader can't read: the tasks terminate in
-time all the same, and what nobody cancelled is not lost for it where all controllers can be asked.
+"""Cancellations that were confirmed to users while the leader can't read the store.
 
-The invariants (`ran_cancelled` among them) are checked in each step of `wait`.
+Tasks of a cancelled job end in time all the same, and where all controllers can be asked, no other
+task is lost. The invariants (`ran_cancelled` among them) are checked in each step of `wait`.
 """
 
 import asyncio
@@ -15,16 +15,16 @@
 from dappledrum.simulation.workloads import FIVE, job_name, long_running_jobs
 from dappledrum.store.errors import RefusedError
 
-THREE = pytest.mark.parametrize("seed", range(3))
+THREE_SEEDS = pytest.mark.parametrize("seed", range(3))
 JOBS = 4
 
 
 @pytest.mark.parametrize("seed", range(9))
-async def test_tasks_of_a_job_cancelled_between_the_leaders_refusal_and_an_outage_end_in_time(
+async def test_tasks_end_in_time_when_jobs_are_cancelled_while_the_store_refuses_only_the_leader(
     seed,
 ):
-    """It went on on lease grants of all, and was not informed: the tasks ran on for as long as
-    the outage lasted."""
+    """In the outage that followed, the leader kept its term on lease grants of all peers without
+    learning of the cancellation, and the tasks ran for as long as the outage lasted."""
 
     async with long_running_jobs(seed) as work:
         cluster, controller, peers = work.cluster, work.leading_controller(), work.others()
@@ -39,52 +39,53 @@
         assert controller.elector.answering_term() is not None
         assert not work.running(0)
         assert len(work.running(2)) == 3
-        assert work.sessions() == sessions, "nothing of what nobody has cancelled is lost"
+        assert work.sessions() == sessions, "a worker lost its session and its tasks"
 
 
-@pytest.mark.parametrize("how", ["crashed", "restarted", "suspended", "cut off"])
+@pytest.mark.parametrize("failure", ["crashed", "restarted", "suspended", "cut off"])
 async def test_all_tasks_end_when_the_controller_that_confirmed_a_cancellation_cannot_be_asked(
-    how, caplog
+    failure, caplog
 ):
-    """Then the leader must not answer for longer than a lease before the time is over: all that
-    runs ends, which is the price."""
+    """The leader can't rule out a confirmed cancellation, so it stops answering workers early
+    enough for their leases to expire in time: all tasks end, also those that nobody cancelled."""
 
     async with long_running_jobs(1) as work:
         cluster = work.cluster
         cluster.store.refused.add(cluster.leader())
         confirming = work.others()[0]
         await work.cancel(0, confirming)
-        began = now()
+        confirmed_at = now()
         cluster.store.out = True
-        if how == "crashed":
+        if failure == "crashed":
             cluster.kill(confirming)
-        elif how == "restarted":
+        elif failure == "restarted":
             await cluster.restart(confirming, 0.3)
-        elif how == "suspended":
+        elif failure == "suspended":
             cluster.freeze(confirming)
         else:
             cluster.cut_off(confirming, *(m for m in FIVE if m != confirming))
             cluster.cut_off(confirming, *("back-" + m for m in FIVE if m != confirming))
-        await cluster.wait(CANCEL_S + 20 - (now() - began))
+        await cluster.wait(CANCEL_S + 20 - (now() - confirmed_at))
         assert not cluster.rules.running
-        logged = "answering no workers: confirmed cancellations of the last" in caplog.text
-        assert logged or how != "restarted"
+        logged_reason = "answering no workers: confirmed cancellations of the last" in caplog.text
+        assert logged_reason or failure != "restarted"
 
 
-async def test_cancellations_acknowledged_only_by_a_poll_and_a_repeated_submission_count():
-    """The controller that stored the cancellation got no response, and acknowledged it to nobody;
-    others did."""
+async def test_cancellations_confirmed_only_by_a_poll_and_a_repeated_submission_take_effect():
+    """The controller that stored the cancellations got no response and confirmed them to nobody;
+    two other controllers reported them to users."""
 
     async with long_running_jobs(2) as work:
         cluster, peers = work.cluster, work.others()
-        cluster.network.watcher = lambda sent: 0.0 if sent.path == "/multi" else None  # no answers
+        # Transactions are executed, and their responses are lost.
+        cluster.network.watcher = lambda sent: 0.0 if sent.path == "/multi" else None
         cluster.store.refused.add(cluster.leader())
         for number in (0, 1):
             work.cancelled.add(number)
             path = f"/submissions/{job_name(number)}/cancel"
-            asked = asyncio.ensure_future(cluster._ask("POST", path, b"", peers[0]))
+            request = asyncio.ensure_future(cluster._ask("POST", path, b"", peers[0]))
             await cluster.wait(0.1)
-            asked.cancel()
+            request.cancel()
         cluster.network.watcher = None
         assert await cluster.poll(job_name(0), peers[1]) == "cancelled"
         assert await cluster.submit(job(1, beats=3), 1, peers[2]) == 200
@@ -95,32 +96,39 @@
         await cluster.wait(CANCEL_S + 20)
 
 
-@THREE
-async def test_a_new_leader_answers_no_worker_when_an_outage_begins_before_it_has_read(seed):
-    """It has won the key and answers nobody, as it has not read which jobs users have
-    cancelled."""
+@THREE_SEEDS
+async def test_a_new_leader_answers_no_worker_when_an_outage_begins_before_it_has_read_the_jobs(
+    seed,
+):
+    """It holds the leader key but hasn't read which jobs users have cancelled."""
 
     async with long_running_jobs(seed) as work:
-        cluster, former, peers, scans = work.cluster, work.cluster.leader(), work.others(), []
-
-        def stop(sent):
+        cluster, former_leader, peers, scan_sources = (
+            work.cluster,
+            work.cluster.leader(),
+            work.others(),
+            [],
+        )
+
+        def start_outage_at_first_scan(sent):
             if sent.target == "state" and sent.path.startswith("/keys?prefix=job/"):
-                scans.append(sent.source)
+                scan_sources.append(sent.source)
                 cluster.store.out = True
 
-        cluster.network.watcher = stop
-        cluster.kill(former)
+        cluster.network.watcher = start_outage_at_first_scan
+        cluster.kill(former_leader)
         await work.cancel(0, peers[0])
         await cluster.until(lambda: cluster.store.out, most=10)
         cluster.network.watcher = None
         await cluster.wait(CANCEL_S + 10)
-        assert cluster.controllers[scans[0]].elector.answering_term() is None
+        assert cluster.controllers[scan_sources[0]].elector.answering_term() is None
         assert not cluster.rules.running
 
 
-@THREE
+@THREE_SEEDS
 async def test_tasks_of_a_cancelled_job_end_in_time_when_the_store_answers_the_leader_slowly(seed):
-    """Its renewals and readings time out, others are served, then it is slow for all."""
+    """The leader's renewals and reads time out while other controllers are served; then the store
+    is slow for all."""
 
     async with long_running_jobs(seed) as work:
         cluster = work.cluster
@@ -131,9 +139,10 @@
         await cluster.wait(CANCEL_S + 20)
 
 
-@THREE
+@THREE_SEEDS
 async def test_suspended_machines_stop_cancelled_tasks_when_the_leader_has_only_lease_grants(seed):
-    """It may command nothing any more but this: that tasks of cancelled jobs stop."""
+    """A leader that holds only lease grants may still order machines to stop tasks of cancelled
+    jobs, and nothing else."""
 
     async with long_running_jobs(seed) as work:
         cluster, controller, sessions = work.cluster, work.leading_controller(), work.sessions()
@@ -152,8 +161,8 @@
 
 
 async def test_unreachable_machines_lose_their_lease_when_they_cannot_learn_of_a_cancellation():
-    """They never learn of the stop, so no answer may have renewed their lease; the others' work
-    goes on."""
+    """The order to stop never reaches these machines, so no answer may renew their lease; tasks on
+    the other machines go on."""
 
     async with long_running_jobs(3) as work:
         cluster, controller = work.cluster, work.leading_controller()
@@ -167,52 +176,54 @@
         assert cluster.rules.running
 
 
-@pytest.mark.parametrize("how", ["waits", "fails"])
-async def test_a_leader_gives_up_its_term_when_its_watch_returns_nothing(how):
-    """A renewal shows that it leads, not that it has read what users were acknowledged."""
+@pytest.mark.parametrize("failure", ["waits", "fails"])
+async def test_a_leader_gives_up_its_term_when_its_watch_returns_nothing(failure):
+    """A renewed leader key shows that the leader still leads, not that it has read the
+    cancellations that users were told of."""
 
     async with long_running_jobs(4) as work:
         cluster, controller = work.cluster, work.leading_controller()
         watch = controller.store.watch
 
-        async def nothing(prefix, after, wait, priority):
+        async def watch_without_jobs(prefix, after, wait, priority):
             if prefix != "job/":
                 return await watch(prefix, after, wait, priority)
-            if how == "waits":
+            if failure == "waits":
                 await asyncio.sleep(3600)
             raise RefusedError("status 429")
 
-        controller.store.watch = nothing
-        await cluster.wait(2.5)  # the one that is under way still comes
+        controller.store.watch = watch_without_jobs
+        await cluster.wait(2.5)  # the watch that is under way still returns
         await work.cancel(0, work.others()[0])
         await cluster.wait(CANCEL_S + 5)
         assert cluster.leader() is not None
-        assert controller.elector.epoch > 1  # it gave its term up, and read again
+        assert controller.elector.epoch > 1  # a new term, which began by reading the jobs
         controller.store.watch = watch
 
 
-async def test_a_watch_counts_from_when_it_was_sent():
-    """It may have waited through an outage, in which its end says nothing of what came after."""
+async def test_a_watch_proves_known_cancellations_only_up_to_when_it_was_sent():
+    """A watch may have waited through an outage, and then its response says nothing about what was
+    stored after it was sent."""
 
     async with long_running_jobs(7, jobs=1) as work:
-        controller, sent = work.leading_controller(), []
+        controller, sent_at = work.leading_controller(), []
         watch = controller.store.watch
 
-        async def late(prefix, after, wait, priority):
+        async def recording_watch(prefix, after, wait, priority):
             if prefix == "job/":
-                sent.append(controller.clock.now())
+                sent_at.append(controller.clock.now())
             return await watch(prefix, after, wait, priority)
 
-        controller.store.watch = late
+        controller.store.watch = recording_watch
         await work.cluster.wait(6)
         for _ in range(60):
             await work.cluster.wait(0.11)
-            assert controller.elector.term.cancellations_known_at in sent[-2:]
+            assert controller.elector.term.cancellations_known_at in sent_at[-2:]
 
 
 async def test_cancellations_confirmed_in_an_outage_are_in_the_records_afterwards():
-    """The leader stops the tasks before it can read that they are cancelled; its records catch up,
-    under the cancellation that another controller has stored, and the next leader agrees."""
+    """The leader stops the tasks before it can read that they are cancelled. After the outage its
+    records follow the cancellation that another controller stored, and the next leader agrees."""
 
     async with long_running_jobs(5) as work:
         cluster, leader = work.cluster, work.cluster.leader()
@@ -230,8 +241,8 @@
 
 
 async def test_peers_confirm_cancellations_throughout_a_long_outage():
-    """All peers attest, so the leader goes on for as long as the outage lasts, and longer than the
-    bound from its last reading."""
+    """All peers confirm what they know, so the leader goes on for as long as the outage lasts,
+    beyond the bound that counts from its last read."""
 
     async with long_running_jobs(6, JOBS) as work:
         elector = work.leading_controller().elector
@@ -243,8 +254,9 @@
 
 
 async def test_a_term_that_may_answer_no_worker_is_still_reported_as_held():
-    """A restarted controller campaigns at once when nobody holds a term, as nobody can rely on
-    what its predecessor has granted; this one may read more and answer again."""
+    """A restarted controller campaigns at once when it hears that nobody holds a term, as then
+    nobody relies on its predecessor's lease grants. A leader that may answer no worker can read
+    the jobs and answer again, so it still holds its term."""
 
     async with long_running_jobs(8, jobs=1) as work:
         controller = work.leading_controller()
--- a/dappledrum/controller/test_concurrent_leadership_faults.py
+++ b/dappledrum/controller/test_concurrent_leadership_faults.py
@@ -1,7 +1,7 @@
 """Other faults concurrent with changes of leader (docs/design.md, "Concurrent faults").
 
-Seeds are fixed and moments drawn from them; users submit, ask and cancel all the while, and the
-invariants are checked in each step (`simulation/scenario.py`). Besides, whatever a leader takes as
+Seeds are fixed, and moments are drawn from them. Meanwhile users submit, poll and cancel jobs, and
+the invariants are checked in each step (`simulation/scenario.py`). Whatever a leader takes as
 proof that a task has terminated is compared with what is on the machine
 (`simulation/ground_truth.py`).
 """
@@ -21,25 +21,25 @@
 
 SEEDS = pytest.mark.parametrize("seed", range(3))
 TWO_SEEDS = pytest.mark.parametrize("seed", range(2))
-LONG_S = 300.0
-NEVER_S = 3_600.0  # longer than any test
-LONG = {"runS": [LONG_S] * 3, "expectedS": LONG_S, "vcpus": 0.5}
+LONG_RUN_S = 300.0
+LONGER_THAN_ANY_TEST_S = 3_600.0
+LONG_TASKS = {"runS": [LONG_RUN_S] * 3, "expectedS": LONG_RUN_S, "vcpus": 0.5}
 
 
-#: Conclusions of all leaders are checked in each test.
-pytestmark = pytest.mark.usefixtures("truth")
+pytestmark = pytest.mark.usefixtures("ground_truth")
 
 
 @pytest.fixture
-def truth():
-    """Everything that leaders conclude from heartbeats and silence must be so."""
+def ground_truth():
+    """Compare what leaders conclude from heartbeats and silence with the ground truth."""
     with compared_with_ground_truth() as found:
         yield found
     assert not found.wrong, found.wrong
 
 
-async def confirm(scenario, number, member):
-    """A user asks this controller to cancel until it says so; then all that can answer agree."""
+async def cancel_until_confirmed(scenario, number, member):
+    """Request a cancellation from one controller until it confirms it; then all controllers that
+    answer must agree."""
     cluster, name = scenario.cluster, f"j-{900 + number:06d}"
     cluster.rules.cancel_asked(name)
     for _ in range(200):
@@ -48,7 +48,7 @@
             break
         await cluster.wait(0.1)
     else:
-        raise AssertionError(f"{member} does not confirm that {name} is cancelled")
+        raise AssertionError(f"{member} did not confirm the cancellation of {name}")
     state = json.loads(reply.body)["stance"]
     cluster.rules.poll_answer(now(), name, 200, state)
     for other in FIVE:
@@ -57,7 +57,7 @@
 
 
 async def change_leader(scenario, step, incoming):
-    """The work changes hands, to this controller if it can be named."""
+    """End the leader's term in one of several ways; `incoming` is the target of a transfer."""
     cluster, rng = scenario.cluster, scenario.rng
     outgoing = cluster.leader()
     if step == "transfer":
@@ -70,50 +70,52 @@
             "a test", cluster.controllers[outgoing].elector.lease_ttl * 3
         )
     elif step == "roll":
-        for turn, member in enumerate(rng.sample(FIVE, len(FIVE))):
-            at = turn * rng.uniform(0.4, 1.2)
-            call_later(at, cluster.kill, member)
-            call_later(at + rng.choice((0.1, 0.3)), cluster.start, member)
+        for position, member in enumerate(rng.sample(FIVE, len(FIVE))):
+            kill_after = position * rng.uniform(0.4, 1.2)
+            call_later(kill_after, cluster.kill, member)
+            call_later(kill_after + rng.choice((0.1, 0.3)), cluster.start, member)
 
 
 @SEEDS
 @pytest.mark.parametrize("step", ["transfer", "end", "resignation", "roll"])
 async def test_cancellations_around_a_change_of_leader_are_kept(seed, step):
-    """Confirmed by the outgoing, the incoming and a third controller, right before and after."""
+    """Confirmed by the outgoing leader, the incoming one and a third controller, right before and
+    right after the change."""
 
     async with running_scenario(seed) as scenario:
         cluster, rng = scenario.cluster, scenario.rng
-        moments = [(w, m) for w in ("outgoing", "incoming", "third") for m in ("before", "after")]
-        for number, (who, moment) in enumerate(moments):
+        cases = [(w, m) for w in ("outgoing", "incoming", "third") for m in ("before", "after")]
+        for number, (confirmer, when) in enumerate(cases):
             await scenario.until_led()
-            await scenario.submit_long(number, **LONG)
+            await scenario.submit_long(number, **LONG_TASKS)
             await cluster.wait(rng.uniform(4, 7))
             await scenario.until_led()
             outgoing = cluster.leader()
             incoming, third = rng.sample(scenario.others(), 2)
-            member = {"outgoing": outgoing, "incoming": incoming, "third": third}[who]
-            if moment == "before":
-                await confirm(scenario, number, member)
+            member = {"outgoing": outgoing, "incoming": incoming, "third": third}[confirmer]
+            if when == "before":
+                await cancel_until_confirmed(scenario, number, member)
                 await change_leader(scenario, step, incoming)
             else:
                 await change_leader(scenario, step, incoming)
                 await cluster.wait(rng.uniform(0, 0.4))
-                await confirm(scenario, number, member)
+                await cancel_until_confirmed(scenario, number, member)
         await cluster.wait(CANCEL_S + 5)
-        assert not any(scenario.machines_of(number) for number in range(len(moments)))
+        assert not any(scenario.machines_of(number) for number in range(len(cases)))
 
 
-def deliver(cluster, sent, after):
-    """A heartbeat arrives once more, at every controller."""
+def deliver_again(cluster, sent, delay_s):
+    """Deliver a heartbeat once more, to every controller."""
     for member in FIVE:
         asyncio.get_running_loop().create_task(
-            cluster.network._late(sent.source, member, "POST", "/hello", sent.body, after),
+            cluster.network._late(sent.source, member, "POST", "/hello", sent.body, delay_s),
             context=contextvars.Context(),
         )
 
 
-async def disturb(scenario):
-    """Heartbeats become old: a machine loses its session, another is returned."""
+async def outdate_heartbeats(scenario):
+    """Make earlier heartbeats outdated: one machine loses its session, another is taken by the
+    cloud."""
     cluster, rng = scenario.cluster, scenario.rng
     hanging, taken = rng.sample(cluster.cloud.workers(), 2)
     hanging.hung = True
@@ -123,39 +125,40 @@
 
 @SEEDS
 async def test_old_heartbeats_do_no_harm_as_a_term_begins(seed):
-    """Of earlier sessions and attempts, and of machines that were returned meanwhile."""
+    """Heartbeats from earlier sessions and task attempts, and from machines that were returned
+    meanwhile, arrive as a term begins."""
 
     async with running_scenario(seed) as scenario:
         cluster, rng = scenario.cluster, scenario.rng
         heartbeats = []
 
-        def remember(sent):
-            if sent.path == "/hello" and now() - heard.get(sent.source, -1) > 1:
-                heard[sent.source] = now()
+        def collect_heartbeat(sent):
+            if sent.path == "/hello" and now() - collected_at.get(sent.source, -1) > 1:
+                collected_at[sent.source] = now()
                 heartbeats.append(sent)
 
-        heard = {}
-        cluster.network.watcher = remember
+        collected_at = {}
+        cluster.network.watcher = collect_heartbeat
         await scenario.submit_long(0, 1)
         await scenario.submit_long(2, crew="red")
         for turn in range(4):
-            await disturb(scenario)
+            await outdate_heartbeats(scenario)
             await cluster.wait(rng.uniform(2, LEASE_S))
             await scenario.until_led()
-            former = cluster.leader()
+            former_leader = cluster.leader()
             if rng.random() < 0.5:
-                cluster.kill(former)
-                call_later(0.3, cluster.start, former)
+                cluster.kill(former_leader)
+                call_later(0.3, cluster.start, former_leader)
             else:
-                cluster.controllers[former].elector.transfer_leadership(
+                cluster.controllers[former_leader].elector.transfer_leadership(
                     rng.choice(scenario.others()), "a test"
                 )
             cluster.cloud.take(rng.choice(cluster.cloud.workers()).name)
             while cluster.leader() is None:
                 await cluster.wait(0.02)
-            delay = rng.choice((0.0, 0.05, 0.4))
+            delay_s = rng.choice((0.0, 0.05, 0.4))
             for sent in rng.sample(heartbeats, min(len(heartbeats), 60)):
-                deliver(cluster, sent, delay)
+                deliver_again(cluster, sent, delay_s)
             await scenario.submit_long(10 + turn)
             await cluster.wait(rng.uniform(2, 5))
 
@@ -163,7 +166,8 @@
 @SEEDS
 @pytest.mark.parametrize("share", [0.3, 1.0])
 async def test_heartbeats_repeated_to_the_next_leader_stop_nothing_that_runs(seed, share):
-    """In the order of their heartbeats; nothing that runs is stopped for what they do not show."""
+    """The copies arrive in their original order; tasks that they do not yet list must not be
+    stopped."""
 
     async with running_scenario(seed) as scenario:
         cluster, rng = scenario.cluster, scenario.rng
@@ -171,10 +175,10 @@
         await scenario.submit_long(0, 1)
         await scenario.submit_long(2, crew="red")
         for turn in range(4):
-            await disturb(scenario)
+            await outdate_heartbeats(scenario)
             await cluster.wait(rng.uniform(2, LEASE_S + 3))
             await scenario.until_led()
-            await scenario.submit_long(10 + turn)  # starts that the copies do not show
+            await scenario.submit_long(10 + turn)  # starts after the copied heartbeats
             await cluster.wait(rng.uniform(0.5, 2))
             step = rng.choice(("end", "transfer", "resignation"))
             if cluster.leader() is not None:
@@ -186,23 +190,28 @@
 @SEEDS
 @pytest.mark.parametrize("share", [0.4, 1.0])
 async def test_heartbeats_delayed_until_the_next_term_do_no_harm(seed, share):
-    """They come for the first time, from machines that have got work or lost their lease since."""
+    """The heartbeats arrive for the first time, from machines that have got tasks or lost their
+    lease since they were sent."""
 
     async with running_scenario(seed) as scenario:
         cluster, rng = scenario.cluster, scenario.rng
-        held, delivered = [], 0
+        held_heartbeats, delivered = [], 0
 
         def hold(sent):
-            if sent.path != "/hello" or sent.source not in chosen or rng.random() >= share:
+            if (
+                sent.path != "/hello"
+                or sent.source not in delayed_workers
+                or rng.random() >= share
+            ):
                 return None
-            held.append(sent)
-            return NEVER_S
+            held_heartbeats.append(sent)
+            return LONGER_THAN_ANY_TEST_S
 
         await scenario.submit_long(0, 1)
         await scenario.submit_long(2, crew="red")
         for turn in range(4):
             workers = cluster.cloud.workers()
-            chosen = {worker.name for worker in rng.sample(workers, min(5, len(workers)))}
+            delayed_workers = {worker.name for worker in rng.sample(workers, min(5, len(workers)))}
             cluster.network.watcher = hold
             await cluster.wait(rng.uniform(2, LEASE_S + 3))
             await scenario.until_led()
@@ -211,32 +220,35 @@
             await cluster.wait(rng.uniform(0, 3))
             cluster.network.watcher = None
             await scenario.until_led()
-            await scenario.submit_long(10 + turn)  # starts that the heartbeats do not show
+            await scenario.submit_long(10 + turn)  # starts after the delayed heartbeats
             await cluster.wait(rng.uniform(0.5, LEASE_S))
             await scenario.until_led()
-            rng.shuffle(held)
-            for sent in held:
+            rng.shuffle(held_heartbeats)
+            for sent in held_heartbeats:
                 await cluster.network._late(
                     sent.source, cluster.leader(), "POST", "/hello", sent.body
                 )
-            delivered += len(held)
-            held.clear()
+            delivered += len(held_heartbeats)
+            held_heartbeats.clear()
             await cluster.wait(rng.uniform(1, 3))
         assert delivered > 12
 
 
-def no_worker(cluster):
-    """Nothing passes between controllers and machines, new ones too."""
+def cut_off_all_workers(cluster):
+    """Cut all controllers off from all workers, also from those rented later."""
     for member in FIVE:
         for number in range(1, cluster.cloud.next + 40):
             cluster.network.cut(member, f"host-{number:06d}")
 
 
 @TWO_SEEDS
-@pytest.mark.parametrize("span", [LEASE_S + 3, CANCEL_S + 6])
-@pytest.mark.parametrize("how", ["down", "no worker", "no state service"])
-async def test_cancelled_jobs_have_no_tasks_left_after_all_controllers_were_away(seed, span, how):
-    """For longer than a lease, and than `cancel_s`; jobs are cancelled before and after."""
+@pytest.mark.parametrize("duration_s", [LEASE_S + 3, CANCEL_S + 6])
+@pytest.mark.parametrize("fault", ["down", "no worker", "no state service"])
+async def test_cancelled_jobs_have_no_tasks_left_after_controllers_were_down_or_cut_off(
+    seed, duration_s, fault
+):
+    """All controllers are down, or cut off from the workers or the store, for longer than a lease,
+    or than `cancel_s`; one job is cancelled before, one after."""
 
     async with running_scenario(seed) as scenario:
         cluster, rng = scenario.cluster, scenario.rng
@@ -245,20 +257,20 @@
         await cluster.wait(8)
         await scenario.cancel(0, rng.choice(FIVE))
         await cluster.wait(rng.uniform(0, 0.5))
-        if how == "down":
+        if fault == "down":
             for member in FIVE:
                 cluster.kill(member)
-        elif how == "no worker":
-            no_worker(cluster)
+        elif fault == "no worker":
+            cut_off_all_workers(cluster)
         else:
             for member in FIVE:
                 cluster.cut_off(member, "state")
-        await cluster.wait(span)
+        await cluster.wait(duration_s)
         cluster.network.heal()
         for member in FIVE:
             if not cluster.alive(member):
                 cluster.start(member)
-        await confirm(scenario, 1, rng.choice(FIVE))
+        await cancel_until_confirmed(scenario, 1, rng.choice(FIVE))
         await cluster.wait(CANCEL_S + 5)
         assert not scenario.machines_of(0)
         assert not scenario.machines_of(1)
@@ -269,17 +281,17 @@
 async def test_cancellations_are_kept_when_the_leader_changes_ten_times_in_two_minutes(
     seed, outage
 ):
-    """In an outage none can follow, so those that lead on lease grants crash, restart and so
-    on."""
+    """In an outage no successor can be elected: leaders that hold only lease grants still end,
+    resign or transfer leadership, and without a leader some controller restarts."""
 
     async with running_scenario(seed) as scenario:
         cluster, rng = scenario.cluster, scenario.rng
-        await scenario.submit_long(0, 1, 2, **LONG)
+        await scenario.submit_long(0, 1, 2, **LONG_TASKS)
         await scenario.submit_long(3, crew="red")
         await cluster.wait(4)
-        cancelled, epochs = 0, set()
+        cancelled_count, epochs = 0, set()
         for turn in range(10):
-            began = now()
+            turn_began = now()
             if outage and turn in (3, 6):
                 call_later(rng.uniform(0, 2), setattr, cluster.store, "out", True)
                 call_later(12 + rng.uniform(0, 10), cluster.store.end_outage)
@@ -291,87 +303,90 @@
             elif outage:
                 await cluster.restart(rng.choice(FIVE), 0.1)
             if turn % 4 == 1 and not cluster.store.out:
-                await confirm(scenario, cancelled, rng.choice(FIVE))
-                cancelled += 1
-            await cluster.wait(max(0.1, 12 + rng.uniform(-3, 3) - (now() - began)))
+                await cancel_until_confirmed(scenario, cancelled_count, rng.choice(FIVE))
+                cancelled_count += 1
+            await cluster.wait(max(0.1, 12 + rng.uniform(-3, 3) - (now() - turn_began)))
         assert outage or len(epochs) >= 9
 
 
 def count_late_answers(monkeypatch):
-    """Answers with starts that a worker takes after another was answered with a higher token."""
-    found, highest = Counter(), [0]
+    """Count answers, and the starts in them, that a worker accepts after another worker has
+    received an answer with a higher token."""
+    counts, highest_token = Counter(), [0]
     accept = Worker._accept
 
-    def counted(worker, answer, sent, session):
+    def count_and_accept(worker, answer, sent, session):
         starts = sum(call["call"] == "start" for call in answer["calls"])
-        if answer["baton"] < highest[0]:
-            found["answers"] += 1
-            found["starts"] += starts
-        highest[0] = max(highest[0], answer["baton"])
+        if answer["baton"] < highest_token[0]:
+            counts["answers"] += 1
+            counts["starts"] += starts
+        highest_token[0] = max(highest_token[0], answer["baton"])
         accept(worker, answer, sent, session)
 
-    monkeypatch.setattr(Worker, "_accept", counted)
-    return found
+    monkeypatch.setattr(Worker, "_accept", count_and_accept)
+    return counts
 
 
-def offered(leader, machines):
-    """Whether a start is on its way to one of these machines."""
-    known = [machine for name in machines if (machine := leader.registry.get(name)) is not None]
-    placements = [placement for machine in known for placement in machine.placements.values()]
+def has_pending_start(leader, machines):
+    """Whether a start that was sent to one of these machines is not confirmed yet."""
+    registered = [
+        machine for name in machines if (machine := leader.registry.get(name)) is not None
+    ]
+    placements = [placement for machine in registered for placement in machine.placements.values()]
     return any(p.offered_sequence >= 0 and not p.observed for p in placements)
 
 
 @SEEDS
-@pytest.mark.parametrize("held", [1.0, 2.8, 6.0])
-async def test_answers_of_a_former_leader_after_newer_ones_do_no_harm(seed, held, monkeypatch):
-    """Within the 4 s in which a worker takes them, and beyond; what they start may be cancelled,
-    and its team at its limit."""
-    found = count_late_answers(monkeypatch)
+@pytest.mark.parametrize("delay_s", [1.0, 2.8, 6.0])
+async def test_answers_of_a_former_leader_after_newer_ones_do_no_harm(seed, delay_s, monkeypatch):
+    """Answers are delayed to within the 4 s in which a worker accepts them, and beyond. The jobs
+    that they start may be cancelled by then, and their team at its limit."""
+    late_answers = count_late_answers(monkeypatch)
 
     async with running_scenario(seed) as scenario:
         cluster, rng = scenario.cluster, scenario.rng
         for turn in range(18):
-            if turn >= 6 and (held > 4 or found["starts"]):
-                break  # six turns at least, and on until the faults have coincided
+            if turn >= 6 and (delay_s > 4 or late_answers["starts"]):
+                break  # at least six turns, more until a late answer has started a task
             await scenario.until_led()
-            former = cluster.leader()
-            slow = [worker.name for worker in cluster.cloud.workers()[turn % 2 :: 2]]
-            cluster.network.slow.update({(former, name): held for name in slow})
+            former_leader = cluster.leader()
+            slow_workers = [worker.name for worker in cluster.cloud.workers()[turn % 2 :: 2]]
+            cluster.network.slow.update({(former_leader, name): delay_s for name in slow_workers})
             numbers = [10 * turn + number for number in range(4)]
             await scenario.submit_long(*numbers[:2], crew="red")
             await scenario.submit_long(*numbers[2:], vcpus=0.5)
-            asked = now()
-            while cluster.leader() == former and now() < asked + 3:
-                if offered(cluster.controllers[former].leader, slow):
+            submitted_at = now()
+            while cluster.leader() == former_leader and now() < submitted_at + 3:
+                if has_pending_start(cluster.controllers[former_leader].leader, slow_workers):
                     break
                 await cluster.wait(0.05)
             if turn % 3 == 2:
-                cluster.isolate(former)
-                await scenario.until_led(former)
-            elif cluster.leader() == former:
-                cluster.controllers[former].elector.transfer_leadership(
+                cluster.isolate(former_leader)
+                await scenario.until_led(former_leader)
+            elif cluster.leader() == former_leader:
+                cluster.controllers[former_leader].elector.transfer_leadership(
                     rng.choice(scenario.others()), "a test"
                 )
             await cluster.wait(rng.uniform(0, 1))
             for number in numbers[1:3]:
-                await confirm(scenario, number, cluster.leader() or former)
-            await cluster.wait(held + 1)
+                await cancel_until_confirmed(scenario, number, cluster.leader() or former_leader)
+            await cluster.wait(delay_s + 1)
             cluster.network.heal()
             await cluster.wait(rng.uniform(1, 4))
 
-    if held < 4:
-        assert found["starts"] > 0
+    if delay_s < 4:
+        assert late_answers["starts"] > 0
 
 
 @SEEDS
 @pytest.mark.parametrize("leads", [True, False])
 async def test_cancelled_tasks_end_when_a_controller_restarts_in_an_outage(seed, leads):
-    """What it has acknowledged to users before cannot be asked of it, so what runs may end; no
-    invariant breaks."""
+    """A restarted controller can't say which cancellations it confirmed before, so all tasks may
+    end; no invariant is broken."""
 
     async with running_scenario(seed) as scenario:
         cluster, rng = scenario.cluster, scenario.rng
-        await scenario.submit_long(0, 1, 2, **LONG)
+        await scenario.submit_long(0, 1, 2, **LONG_TASKS)
         await cluster.wait(6)
         leader, confirming = cluster.leader(), rng.choice(scenario.others())
         cluster.store.refused.add(leader)
@@ -384,4 +399,4 @@
         await cluster.wait(CANCEL_S + rng.uniform(0, 10))
         assert not scenario.machines_of(0)
         cluster.store.end_outage()
-        await confirm(scenario, 1, rng.choice(FIVE))
+        await cancel_until_confirmed(scenario, 1, rng.choice(FIVE))
