--- a/dappledrum/controller/test_crash_points.py
+++ b/dappledrum/controller/test_crash_points.py
@@ -1,5 +1,5 @@
-"""Processes that restart within a second of a crash: what the next one may wrongly consider its
-own, forget or repeat (docs/design.md, "Immediate restarts")."""
+"""Processes that restart within a second of a crash (docs/design.md, "Immediate restarts"): what
+the next process could wrongly take for its own, forget or repeat."""
 
 import asyncio
 
@@ -14,14 +14,14 @@
 @pytest.mark.long
 @pytest.mark.parametrize("step", STEPS)
 async def test_every_job_finishes_when_controllers_crash_at_a_step(step):
-    """Invariants are checked after each step, and every job is done in the end."""
+    """The invariants are checked after each step, and every job finishes."""
     crashes = [await run_with_crashes(step, seed) for seed in range(2)]
     assert sum(crashes) >= 2, "no crash at this step"
 
 
 async def test_controllers_restarted_in_an_outage_are_ready_at_once():
-    """They once were when it was over, and the load balancer, which had left them all out by
-    then, took them back so slowly that users found nobody for 10 s more."""
+    """They once became ready only when the outage was over. By then the load balancer had removed
+    them all and took them back so slowly that users reached no controller for 10 s more."""
     cluster = await led_cluster(3, members=FIVE)
     await cluster.wait(3)
     cluster.store.out = True
@@ -33,51 +33,52 @@
         cluster.start(member)
     await cluster.wait(1.2)
     assert [await cluster.readiness(member) for member in FIVE] == [200] * 5
-    reply = await cluster._ask("GET", "/submissions/j-000001")
-    assert reply.status == 503
-    alone = FIVE[0]
-    cluster.cut_from_peers(alone)
-    await cluster.restart(alone, 0.1)
+    response = await cluster._ask("GET", "/submissions/j-000001")
+    assert response.status == 503
+    isolated = FIVE[0]
+    cluster.cut_from_peers(isolated)
+    await cluster.restart(isolated, 0.1)
     await cluster.wait(3)
-    assert await cluster.readiness(alone) != 200, "it can neither serve users nor pass them on"
+    assert await cluster.readiness(isolated) != 200, "it can neither serve users nor pass them on"
     cluster.network.heal()
     cluster.store.end_outage()
     await cluster.wait(1)
-    assert await cluster.readiness(alone) == 200
+    assert await cluster.readiness(isolated) == 200
 
 
 async def test_heartbeats_of_a_later_process_count_though_its_clock_is_behind():
-    """Clocks wander by a quarter of a second, more than a process that ends at once lives."""
+    """Clocks drift by up to a quarter of a second, longer than the life of a process that crashes
+    at its start."""
     cluster = await led_cluster(4, members=FIVE)
     await cluster.wait(3)
     member = cluster.others(cluster.leader())[0]
     await cluster.restart(member, 0.1)
     cluster.controllers[member].membership.monitor.incarnation -= 5_000
-    await cluster.wait(6)  # the heartbeats of the process before are not fresh any more
+    await cluster.wait(6)  # heartbeats of the previous process have expired
     for other in cluster.others(member):
         membership = cluster.controllers[other].membership
         assert membership.monitor.table.is_connected(member, membership.clock.now())
 
 
 async def test_a_controller_in_a_crash_loop_costs_little():
-    """What each restart of a follower costs: some requests to the store, no change of a
-    record, and nobody else's time."""
+    """Each restart of a follower costs some requests to the store, but no change of a record, no
+    change of leader and no delay of users at other controllers."""
     cluster = await led_cluster(5, members=FIVE)
     await cluster.wait(3)
     leader = cluster.leader()
     member = cluster.others(leader)[0]
     await cluster.wait(10)
-    rest = cluster.store.requests
+    baseline = cluster.store.requests
     await cluster.wait(20)
-    rest = (cluster.store.requests - rest) / 20
+    baseline = (cluster.store.requests - baseline) / 20
     requests, writes = cluster.store.requests, cluster.store.writes
     began = now()
     for _ in range(20):
         await cluster.restart(member, 0.3)
         await cluster.wait(0.3)
         assert cluster.leader() == leader
-    each = (cluster.store.requests - requests - rest * (now() - began)) / 20
-    assert each < 12
+    requests_per_restart = (cluster.store.requests - requests - baseline * (now() - began)) / 20
+    assert requests_per_restart < 12
     assert cluster.store.writes == writes
     for number, other in enumerate(cluster.others(member)):
         await cluster.restart(member, 0.3)
@@ -87,18 +88,18 @@
 
 @pytest.mark.parametrize("seed", range(3))
 async def test_a_leader_that_restarts_at_once_is_replaced_at_once(seed):
-    """Its key kept all others from campaigning until its lease had expired, 3 s later, though its
-    next process knew that nobody led under it."""
+    """The leader key once kept all others from campaigning until the lease had expired, 3 s later,
+    although the restarted process knew that nobody led under this key."""
     cluster = await led_cluster(seed, members=FIVE)
-    for back in (0.0, 0.05, 0.3):
+    for downtime_s in (0.0, 0.05, 0.3):
         await cluster.wait(5)
         leader = cluster.leader()
         began = now()
-        await cluster.restart(leader, back)
+        await cluster.restart(leader, downtime_s)
         while cluster.leader() is None:
             await asyncio.sleep(0.01)
-            assert now() - began < back + 0.5
-        # A leader that does not restart within its lease is waited for, as ever.
+            assert now() - began < downtime_s + 0.5
+        # For a leader that does not restart, the others wait until its lease has expired.
         leader = cluster.leader()
         cluster.kill(leader)
         await cluster.wait(2)
@@ -108,19 +109,19 @@
 
 
 async def test_a_leader_key_of_an_earlier_process_is_removed():
-    """A transaction of an election that is executed after its sender's end: the process after it
-    does not lead by that key, and ends it."""
+    """A transaction of an election may be executed after its sender has crashed. The sender's next
+    process does not lead by that key, and removes it."""
     cluster = await led_cluster(7, members=FIVE)
     await cluster.wait(3)
-    state = cluster.store
+    key_value_store = cluster.store
     leader = cluster.leader()
     earlier = cluster.others(leader)[0]
-    epoch = state.keys["epoch"][0]["epoch"]
+    epoch = key_value_store.keys["epoch"][0]["epoch"]
     cluster.kill(leader)
     await cluster.wait(1)
-    for hold in [h for k, (_, _, h) in state.keys.items() if k == "leader"]:
-        state._end(hold)
-    state.holds[99] = (now() + 3, 3.0)
+    for hold in [h for k, (_, _, h) in key_value_store.keys.items() if k == "leader"]:
+        key_value_store._end(hold)
+    key_value_store.holds[99] = (now() + 3, 3.0)
     body = {
         "guards": [],
         "then": [
@@ -128,16 +129,16 @@
             {"write": "epoch", "value": {"epoch": epoch + 1}},
         ],
     }
-    state._multi(body)
-    assert state.keys["leader"][2] == 99
+    key_value_store._multi(body)
+    assert key_value_store.keys["leader"][2] == 99
     await cluster.wait(0.75)
-    assert 99 not in state.holds
+    assert 99 not in key_value_store.holds
     assert cluster.leader() is not None
     assert cluster.controllers[cluster.leader()].elector.term.epoch == epoch + 2
 
 
 async def test_jobs_finish_when_all_controllers_crash_again_and_again():
-    """Five at once, five times, before the first read is over or after it."""
+    """All five crash at once, five times, before or after their first read has finished."""
     cluster = await led_cluster(6, members=FIVE)
     names = await cluster.accept_jobs(4, dueS=None)
     for _ in range(5):
--- a/dappledrum/controller/test_end_to_end.py
+++ b/dappledrum/controller/test_end_to_end.py
@@ -1,5 +1,5 @@
-"""Whole days in virtual time: every fault, some in pairs, with all invariants checked
-after each step."""
+"""Whole days in virtual time: each fault, some in pairs, with all invariants checked after each
+step."""
 
 import pytest
 
@@ -68,7 +68,7 @@
     assert running <= set(cluster.rules.running)
     cluster.store.end_outage()
     await cluster.finish(names)
-    assert cluster.rules.starts == 12  # none had to start twice
+    assert cluster.rules.starts == 12  # no task started twice
 
 
 async def test_a_job_cancelled_while_a_start_is_in_flight_stays_cancelled():
@@ -120,14 +120,15 @@
     cluster.rules.submitted(spec)
     began = now()
     assert await cluster.submit(spec, tries=1) is None
-    assert now() - began < 1.5  # of which the stand-in user waits one second
+    assert now() - began < 1.5  # of which the simulated user waits one second
     cluster.store.end_outage()
     assert await cluster.submit(spec) == 201
 
 
 async def test_controllers_started_during_an_outage_become_ready_after_it():
-    """Readiness once depended on the first read of the catalog: all stayed unready when only the
-    cloud had answered it. Without peer heartbeats no peer is known that could serve instead."""
+    """Readiness once depended on the first read of the catalog: all controllers stayed unready
+    when only the cloud had answered it. Without peer heartbeats no peer is known that could serve
+    instead."""
     cluster = await led_cluster(9, reach=False)
     cluster.store.out = True
     await cluster.wait(1)
@@ -140,11 +141,11 @@
 
 
 async def test_a_new_leader_does_not_rent_booting_machines_again():
-    """The list lags, so a new leader once rented its predecessor's booting machines a second
-    time."""
+    """The cloud's list lags, so a new leader once rented its predecessor's booting machines a
+    second time."""
     cluster = SimulatedCluster(seed=10)
-    for kind in cluster.cloud.types:
-        kind["readyS"] = 30.0
+    for instance_type in cluster.cloud.types:
+        instance_type["readyS"] = 30.0
     await cluster.until_led()
     await cluster.accept(job(1, beats=6, vcpus=4.0, builds=["small"], dueS=60.0))
     await cluster.until(lambda: len(cluster.cloud.machines) >= 2)
@@ -157,8 +158,8 @@
 
 
 async def test_a_new_leader_returns_no_machine_that_has_not_reached_it_yet():
-    """Machines long up but not yet heard by the new leader once passed for boots that never
-    end."""
+    """Machines that had been up for long, but whose heartbeats had not reached the new leader yet,
+    once counted as boots that never end."""
     cluster = await led_cluster(11)
     await cluster.accept(job(1, beats=8, dueS=30.0))
     await cluster.finish(["j-000001"])
@@ -193,7 +194,7 @@
 
 
 async def test_a_surge_with_wrong_estimates_and_many_images_stays_within_the_rates():
-    """Every owner is wrong by three times, every job brings an image of its own."""
+    """Every estimate is wrong by a factor of three, and every job has an image of its own."""
     cluster = await led_cluster(13)
     writes, began = cluster.store.writes, now()
     names = await cluster.accept(
@@ -203,40 +204,40 @@
         )
     )
     await cluster.finish(names, most=400)
-    rate = (cluster.store.writes - writes) / (now() - began)
-    assert rate < cluster.params.state.write_rps
+    write_rate = (cluster.store.writes - writes) / (now() - began)
+    assert write_rate < cluster.params.state.write_rps
 
 
 async def test_a_reclaim_notice_moves_tasks_that_would_be_lost_and_keeps_the_others():
-    """A task that the notice doomed once ran on until the machine was taken, and began again only
-    when the worker's lease had run out: half a minute lost for each."""
+    """A task that could not finish before the reclaim once ran on until the machine was taken, and
+    started again only when the worker's lease had expired: half a minute lost for each."""
     cluster = await led_cluster(18, lease_s=30.0)
     await cluster.accept(job(1, beats=2, vcpus=4.0, runS=40.0, expectedS=40.0, dueS=70.0))
     await cluster.until(lambda: len(cluster.rules.running) == 2)
     await cluster.accept(job(2, beats=1, vcpus=4.0, runS=8.0, expectedS=8.0, dueS=30.0))
     await cluster.until(lambda: len(cluster.rules.running) == 3)
-    began = now()
+    notice_at = now()
     for worker in cluster.cloud.workers():
-        worker.reclaim_at = began + 12.0
+        worker.reclaim_at = notice_at + 12.0
         worker.changed.set()
     taken = [worker.name for worker in cluster.cloud.workers()]
     await cluster.wait(12)
-    assert len(cluster.rules.jobs["j-000002"].done) == 1  # it had time enough
+    assert len(cluster.rules.jobs["j-000002"].done) == 1  # it could finish before the reclaim
     for name in taken:
-        machine = cluster.cloud.machines.pop(name, None)  # and no list says so
+        machine = cluster.cloud.machines.pop(name, None)  # without a trace in the cloud's list
         if machine is not None:
             machine.worker.vanish()
     await cluster.finish(["j-000001", "j-000002"])
-    assert now() - began < 75
+    assert now() - notice_at < 75
 
 
 async def test_restarted_controllers_do_not_wait_for_lease_grants_that_nobody_relies_on():
     """Each restart of all controllers once cost 2 s in which none of them campaigned."""
     cluster = await led_cluster(19)
     await cluster.restart_all(4.0)
-    took = await cluster.until_led()
-    assert took < 1.6
-    # One that can't be asked may hold a term, so the wait remains.
+    leaderless_s = await cluster.until_led()
+    assert leaderless_s < 1.6
+    # A controller that can't be asked may hold a term, so the wait remains.
     cluster.kill("drummer-2")
     await cluster.restart("drummer-0", 1.0)
     controller = cluster.controllers["drummer-0"]
@@ -246,18 +247,18 @@
 
 
 async def test_a_leader_with_lease_grants_keeps_a_restarted_peer_from_campaigning():
-    """The wait is only spared when nobody holds a term; here the leader does, on the lease grant
-    of the process that has just ended."""
+    """A restarted peer may skip the wait only when nobody holds a term. Here the leader holds one,
+    on the lease grant of the process that has just ended."""
     cluster = await led_cluster(20, lease_s=30.0)
     leader = cluster.leader()
-    other = cluster.others(leader)[0]
+    peer = cluster.others(leader)[0]
     cluster.store.out = True
     await cluster.wait(4)
     assert cluster.controllers[leader].elector.valid_term() is not None
-    await cluster.restart(other, 0.2)
+    await cluster.restart(peer, 0.2)
     await cluster.wait(1.0)
-    voter = cluster.controllers[other].elector.voter
-    assert voter.campaign_allowed_at() > cluster.controllers[other].clock.now()
+    voter = cluster.controllers[peer].elector.voter
+    assert voter.campaign_allowed_at() > cluster.controllers[peer].clock.now()
     cluster.store.end_outage()
     await cluster.wait(3)
 
