--- a/dappledrum/controller/test_cancellations_in_outage.py
+++ b/dappledrum/controller/test_cancellations_in_outage.py
@@ -254,7 +254,7 @@
 
 
 async def test_a_term_that_may_answer_no_worker_is_still_reported_as_held():
-    """A restarted controller campaigns at once when it hears that nobody holds a term, as then
+    """A restarted controller campaigns at once when it learns that nobody holds a term, as then
     nobody relies on its predecessor's lease grants. A leader that may answer no worker can read
     the jobs and answer again, so it still holds its term."""
 
--- a/dappledrum/controller/test_concurrent_faults.py
+++ b/dappledrum/controller/test_concurrent_faults.py
@@ -141,8 +141,9 @@
 
 @SEEDS
 async def test_cancellations_survive_transfers_and_a_crash_of_all_controllers(seed):
-    """All of this within seconds, or less than one; jobs are cancelled in between, and for some
-    seeds an outage follows."""
+    """Leadership is transferred there and back, then all controllers crash and restart, within
+    seconds or less than one. Jobs are cancelled in between, and for some seeds an outage
+    follows."""
 
     async with running_scenario(seed) as scenario:
         cluster, rng = scenario.cluster, scenario.rng
--- a/dappledrum/controller/test_concurrent_leadership_faults.py
+++ b/dappledrum/controller/test_concurrent_leadership_faults.py
@@ -79,8 +79,8 @@
 @SEEDS
 @pytest.mark.parametrize("step", ["transfer", "end", "resignation", "roll"])
 async def test_cancellations_around_a_change_of_leader_are_kept(seed, step):
-    """Confirmed by the outgoing leader, the incoming one and a third controller, right before and
-    right after the change."""
+    """Each of the outgoing leader, the incoming one and a third controller confirms cancellations
+    right before and right after the change."""
 
     async with running_scenario(seed) as scenario:
         cluster, rng = scenario.cluster, scenario.rng
@@ -310,8 +310,8 @@
 
 
 def count_late_answers(monkeypatch):
-    """Count answers, and the starts in them, that a worker accepts after another worker has
-    received an answer with a higher token."""
+    """Count answers, and the starts in them, that a worker accepts after some worker has received
+    an answer with a higher token."""
     counts, highest_token = Counter(), [0]
     accept = Worker._accept
 
@@ -339,8 +339,8 @@
 @SEEDS
 @pytest.mark.parametrize("delay_s", [1.0, 2.8, 6.0])
 async def test_answers_of_a_former_leader_after_newer_ones_do_no_harm(seed, delay_s, monkeypatch):
-    """Answers are delayed to within the 4 s in which a worker accepts them, and beyond. The jobs
-    that they start may be cancelled by then, and their team at its limit."""
+    """Answers are delayed by less and by more than the 4 s within which a worker accepts them. The
+    jobs that they start may be cancelled by then, and their team at its limit."""
     late_answers = count_late_answers(monkeypatch)
 
     async with running_scenario(seed) as scenario:
