--- a/dappledrum/controller/test_cancellations_in_outage.py
+++ b/dappledrum/controller/test_cancellations_in_outage.py
@@ -23,8 +23,8 @@
 async def test_tasks_end_in_time_when_jobs_are_cancelled_while_the_store_refuses_only_the_leader(
     seed,
 ):
-    """In the outage that followed, the leader kept its term on lease grants of all peers without
-    learning of the cancellation, and the tasks ran for as long as the outage lasted."""
+    """In the outage that follows, the leader once kept its term on lease grants of all peers
+    without learning of the cancellation: the tasks ran for as long as the outage lasted."""
 
     async with long_running_jobs(seed) as work:
         cluster, controller, peers = work.cluster, work.leading_controller(), work.others()
