--- a/dappledrum/model/__init__.py
+++ b/dappledrum/model/__init__.py
@@ -1,4 +1,1 @@
-"""Slow and plain models that the real code is compared with.
-
-For tests only.
-"""
+"""Simple reference models and checkers that tests compare the real code with."""
--- a/dappledrum/model/admissible.py
+++ b/dappledrum/model/admissible.py
@@ -1,4 +1,4 @@
-"""Which submissions the protocol lets a controller accept, written apart from the service."""
+"""Decides which submissions a controller must refuse, independently of the service's own code."""
 
 import re
 from collections.abc import Iterable
@@ -6,9 +6,17 @@
 
 from dappledrum.model.history import Fault
 
-TEXTS = ("id", "pattern", "crew", "form", "urgency", "skin")
-AMOUNTS = ("vcpus", "accelerators", "memGb", "pullGb", "expectedS", "markEveryS", "markTakeS")
-FLAGS = ("oneZone", "spread", "loaners")
+TEXT_FIELDS = ("id", "pattern", "crew", "form", "urgency", "skin")
+AMOUNT_FIELDS = (
+    "vcpus",
+    "accelerators",
+    "memGb",
+    "pullGb",
+    "expectedS",
+    "markEveryS",
+    "markTakeS",
+)
+FLAG_FIELDS = ("oneZone", "spread", "loaners")
 FORMS = ("batch", "service", "ensemble")
 PRIORITIES = ("prod", "high", "standard", "best_effort")
 MAX_TASKS = 100_000
@@ -18,50 +26,53 @@
 def fault(
     spec: object, types: Iterable[dict[str, Any]], limits: dict[str, tuple[float, float]]
 ) -> Fault | None:
-    """Why a submission must be refused, given the machine types and each team's limits."""
-    if not isinstance(spec, dict) or not _complete(spec):
+    """The reason why a submission must be refused, or None if it must be accepted.
+
+    `limits` holds the maximum CPUs and GPUs of each team; 0 means no limit.
+    """
+    if not isinstance(spec, dict) or not _is_complete(spec):
         return Fault.INCOMPLETE
-    if spec["crew"] not in limits or not any(_fits(spec, kind) for kind in types):
+    if spec["crew"] not in limits or not any(_fits_empty_machine(spec, kind) for kind in types):
         return Fault.UNFIT
-    at_once = 1 if spec["form"] == "batch" else spec["beats"]
-    most_cpus, most_gpus = limits[spec["crew"]]
-    for amount, most in ((spec["vcpus"], most_cpus), (spec["accelerators"], most_gpus)):
-        if most > 0 and amount * at_once > most + 1e-9:
+    concurrent_tasks = 1 if spec["form"] == "batch" else spec["beats"]
+    max_cpus, max_gpus = limits[spec["crew"]]
+    for amount, limit in ((spec["vcpus"], max_cpus), (spec["accelerators"], max_gpus)):
+        if limit > 0 and amount * concurrent_tasks > limit + 1e-9:
             return Fault.UNFIT
     return None
 
 
-def _complete(spec: dict[str, Any]) -> bool:
+def _is_complete(spec: dict[str, Any]) -> bool:
     return (
-        all(isinstance(spec.get(name), str) and spec[name] for name in TEXTS)
-        and all(_number(spec.get(name)) for name in AMOUNTS)
-        and all(isinstance(spec.get(name), bool) for name in FLAGS)
+        all(isinstance(spec.get(name), str) and spec[name] for name in TEXT_FIELDS)
+        and all(_is_amount(spec.get(name)) for name in AMOUNT_FIELDS)
+        and all(isinstance(spec.get(name), bool) for name in FLAG_FIELDS)
         and spec["form"] in FORMS
         and spec["urgency"] in PRIORITIES
         and type(spec.get("beats")) is int
         and 1 <= spec["beats"] <= MAX_TASKS
         and JOB_ID.fullmatch(spec["id"]) is not None
-        and all(_names(spec.get(name)) for name in ("builds", "waitsOn"))
+        and all(_is_name_list(spec.get(name)) for name in ("builds", "waitsOn"))
         and isinstance(spec.get("hall"), str | None)
-        and (spec.get("dueS") is None or _number(spec["dueS"]))
+        and (spec.get("dueS") is None or _is_amount(spec["dueS"]))
     )
 
 
-def _names(value: object) -> bool:
-    """A list of names, or nothing."""
+def _is_name_list(value: object) -> bool:
+    """Whether the value is a list of strings, or absent."""
     return value is None or (
         isinstance(value, list) and all(isinstance(name, str) for name in value)
     )
 
 
-def _number(value: object) -> bool:
+def _is_amount(value: object) -> bool:
     return isinstance(value, int | float) and not isinstance(value, bool) and value >= 0
 
 
-def _fits(spec: dict[str, Any], kind: dict[str, Any]) -> bool:
-    """Whether an empty machine of this type could run a task."""
+def _fits_empty_machine(spec: dict[str, Any], kind: dict[str, Any]) -> bool:
+    """Whether an empty machine of this type can run a task of the job."""
     if spec.get("builds") is not None and kind["label"] not in spec["builds"]:
         return False
     if spec.get("hall") is not None and spec["hall"] not in kind["halls"]:
         return False
-    return all(spec[wire] <= kind[wire] for wire in ("vcpus", "accelerators", "memGb"))
+    return all(spec[field] <= kind[field] for field in ("vcpus", "accelerators", "memGb"))
--- a/dappledrum/model/dds.py
+++ b/dappledrum/model/dds.py
@@ -1,7 +1,7 @@
-"""Algorithms 1 and 2 in the plainest form: one task at a time, and every time step tried.
+"""Reference implementation of the paper's algorithms 1 and 2: one task at a time, every start.
 
-Written apart from the planner, from the paper's text and DESIGN. A machine is its list of
-reservations; times are seconds as numbers. Nothing is cached, copied or taken in groups.
+Written independently of the planner, from the text of the paper and the design document. A machine
+is its list of reservations; times are seconds as numbers. Nothing is cached or grouped.
 """
 
 import math
@@ -12,14 +12,14 @@
 
 @dataclass
 class PlainMachine:
-    """A machine with what is reserved on it."""
+    """A machine and the reservations on it."""
 
     name: str
     kind: str
     cpus: float
-    ready: float
+    ready: float  # from when on it runs tasks
     rented: float
-    hourly: float
+    hourly: float  # price
     fetch: float  # seconds to fetch the image
     image_at: float | None = None
     reserved: list[tuple[float, float, float]] = field(default_factory=list)  # start, finish, cpus
@@ -27,15 +27,15 @@
     spot: bool = True
 
     def committed(self) -> float:
-        """Until when the machine has something to do."""
+        """End of the last reservation, or when the machine is ready if there is none."""
         return max([self.ready] + [finish for _, finish, _ in self.reserved])
 
     def used(self, at: float) -> float:
-        """CPUs that are taken at one moment."""
+        """CPUs that are reserved at one moment."""
         return sum(cpus for start, finish, cpus in self.reserved if start <= at < finish)
 
     def gap(self, cpus: float, run: float) -> tuple[float, float] | None:
-        """Earliest start and the finish of a task."""
+        """Earliest start of a task and its finish; None if it does not fit on the machine."""
         moments = sorted(
             {self.ready} | {t for s, f, _ in self.reserved for t in (s, f) if t >= self.ready}
         )
@@ -51,11 +51,11 @@
         return None
 
     def intervals(self, until: float, length: float) -> int:
-        """Billed intervals until then."""
+        """Number of billed intervals of `length` seconds until `until`."""
         return max(1, math.ceil((until - self.rented) / length - 1e-9))
 
     def cost(self, finish: float, length: float) -> float:
-        """Price that a task until then adds."""
+        """Cost that a task with this finish adds."""
         before = (
             0 if self.fresh and not self.reserved else self.intervals(self.committed(), length)
         )
@@ -67,7 +67,7 @@
         )
 
     def take(self, start: float, finish: float, cpus: float) -> None:
-        """Reserve."""
+        """Reserve CPUs for a task; the first one fetches the image."""
         self.reserved.append((start, finish, cpus))
         if self.image_at is None:
             self.image_at = start + self.fetch
@@ -83,14 +83,14 @@
     due: float,
     waited: float = 0.0,
 ) -> list[tuple[str, float]]:
-    """Algorithm 1 for one bag: the placements, as machine and start.
+    """Algorithm 1 for one bag; returns the placements as machine and start.
 
-    A task that would wait and be late is left out; one that has waited is expected to wait as long
-    again, unless the machine boots. Room on spot machines that can be used now, and in time, goes
-    before all other.
+    A task that would have to wait and would be late is not placed. A task that has waited is
+    expected to wait as long again, unless the machine is booting. Capacity of spot machines that
+    can be used now and in time takes precedence.
     """
     placed: list[tuple[str, float]] = []
-    cheap = True
+    spot_now_only = True
     while len(placed) < count:
         options = []
         for index, machine in enumerate(machines):
@@ -98,19 +98,19 @@
             paid_until = machine.rented + machine.intervals(machine.committed(), length) * length
             if gap is None:
                 continue
-            again = waited if machine.ready <= now else 0.0
-            if gap[0] > now and gap[1] + again > due:
+            expected_wait = waited if machine.ready <= now else 0.0
+            if gap[0] > now and gap[1] + expected_wait > due:
                 continue
-            if cheap and (not machine.spot or gap[0] > now or gap[1] > due):
+            if spot_now_only and (not machine.spot or gap[0] > now or gap[1] > due):
                 continue
             if gap[1] <= paid_until + 1e-9:
                 options.append(
                     (gap[1], machine.hourly / machine.cpus, -machine.committed(), index, gap[0])
                 )
-        if not options and not cheap:
+        if not options and not spot_now_only:
             break
         if not options:
-            cheap = False
+            spot_now_only = False
             continue
         finish, _, _, index, start = min(options)
         machines[index].take(start, finish, cpus)
@@ -129,15 +129,20 @@
     now: float,
     waited: float = 0.0,
 ) -> tuple[str, int, float, float] | None:
-    """Algorithm 2 for one bag: the kind chosen, machines to rent, added cost and worst overrun."""
+    """Algorithm 2 for one bag.
+
+    Returns the chosen kind, the number of machines to rent, the added cost, and by how many
+    seconds the latest task misses `due` (negative: finishes before it). Each offer is an unused
+    machine and the maximum number to rent.
+    """
     best: tuple[tuple[int, float, float], str, int, float, float] | None = None
-    kinds = sorted({m.kind for m in machines} | {o.kind for o, _ in offers})
+    kinds = sorted({m.kind for m in machines} | {offer.kind for offer, _ in offers})
     for kind in kinds:
-        mine = [copied(m) for m in machines if m.kind == kind]
-        new_machine = next(((o, most) for o, most in offers if o.kind == kind), None)
-        rented, cost, worst, done = 0, 0.0, -math.inf, 0
+        existing = [copied(m) for m in machines if m.kind == kind]
+        new_machine = next(((offer, limit) for offer, limit in offers if offer.kind == kind), None)
+        rented, cost, worst_overrun, placed = 0, 0.0, -math.inf, 0
         for _ in range(count):
-            candidates = list(mine)
+            candidates = list(existing)
             if new_machine is not None and rented < new_machine[1]:
                 candidates.append(copied(new_machine[0]))
             scored = []
@@ -145,33 +150,37 @@
                 gap = machine.gap(cpus, run)
                 if gap is None:
                     continue
-                new = index >= len(mine)
-                again = waited if gap[0] > now >= machine.ready else 0.0
-                likely = gap[1] + again
+                new = index >= len(existing)
+                expected_wait = waited if gap[0] > now >= machine.ready else 0.0
+                expected_finish = gap[1] + expected_wait
                 added = machine.cost(gap[1], length)
-                key = (0, added, machine.rented) if likely <= due else (1, likely, added)
+                key = (
+                    (0, added, machine.rented)
+                    if expected_finish <= due
+                    else (1, expected_finish, added)
+                )
                 scored.append((key, new, index, gap))
             if not scored:
                 break
             _, new, index, (start, finish) = min(scored)
             chosen = candidates[index]
-            again = waited if start > now >= chosen.ready else 0.0
+            expected_wait = waited if start > now >= chosen.ready else 0.0
             if new:
-                mine.append(chosen)
+                existing.append(chosen)
                 rented += 1
             cost += chosen.cost(finish, length)
-            worst = max(worst, finish + again - due)
+            worst_overrun = max(worst_overrun, finish + expected_wait - due)
             chosen.take(start, finish, cpus)
-            done += 1
-        if done:
-            score = (count - done, 0.5 * round(max(worst, 0.0) / 0.5), cost)
+            placed += 1
+        if placed:
+            score = (count - placed, 0.5 * round(max(worst_overrun, 0.0) / 0.5), cost)
             if best is None or score < best[0]:
-                best = (score, kind, rented, cost, worst)
+                best = (score, kind, rented, cost, worst_overrun)
     return None if best is None else best[1:]
 
 
 def copied(machine: PlainMachine) -> PlainMachine:
-    """An independent copy."""
+    """A copy with its own list of reservations."""
     return PlainMachine(
         machine.name,
         machine.kind,
@@ -188,7 +197,7 @@
 
 
 def no_overuse(machine: PlainMachine) -> bool:
-    """At no moment is more taken than there is."""
+    """Whether the reservations never exceed the CPUs of the machine."""
     moments = sorted({t for s, f, _ in machine.reserved for t in (s, f)})
     return all(machine.used(a) <= machine.cpus + 1e-6 for a, _ in pairwise(moments))
 
@@ -196,9 +205,11 @@
 def plain_stages(
     jobs: dict[str, dict[str, Any]], optimism: float
 ) -> dict[str, tuple[float | None, int, int, int]]:
-    """Stage due, rank, ready and all tasks of each job of a workflow, path by path.
+    """Stage deadline, rank, ready tasks and all tasks of each job of a workflow, path by path.
 
-    Each job: `needs`, `depth`, `run`, `dues`, `rank`, `tasks`, `ready`.
+    Each job has `needs`, `depth`, `run`, `dues`, `rank`, `tasks` and `ready`. Deadlines and run
+    times are seconds. A deadline shorter than `optimism` times the longest path can't be met, and
+    is ignored.
     """
 
     def stage(name: str) -> list[str]:
@@ -216,24 +227,24 @@
         weight = float(max(jobs[other]["run"] for other in stage(name)))
         return weight + max((longest_path(need) for need in jobs[name]["needs"]), default=0.0)
 
-    def after(name: str) -> set[str]:
+    def with_dependents(name: str) -> set[str]:
         result = {name}
         for other, job in jobs.items():
             if name in job["needs"]:
-                result |= after(other)
+                result |= with_dependents(other)
         return result
 
     result = {}
     for name in jobs:
         ratios = []
-        for last in after(name):
-            kept = [due for due in jobs[last]["dues"] if due >= longest_path(last) * optimism]
-            if kept and longest_path(last) > 0:
-                ratios.append(kept[0] / longest_path(last))
+        for last in with_dependents(name):
+            reachable = [due for due in jobs[last]["dues"] if due >= longest_path(last) * optimism]
+            if reachable and longest_path(last) > 0:
+                ratios.append(reachable[0] / longest_path(last))
         members = stage(name)
         result[name] = (
             min(ratios) * longest_path(name) if ratios else None,
-            min(jobs[last]["rank"] for last in after(name)),
+            min(jobs[last]["rank"] for last in with_dependents(name)),
             sum(jobs[member]["ready"] for member in members),
             sum(jobs[member]["tasks"] for member in members),
         )
--- a/dappledrum/model/election.py
+++ b/dappledrum/model/election.py
@@ -1,12 +1,12 @@
-"""Model of the election: leaders that go on by lease grants, and candidates that ask for pre-votes
-before they take a leader's silence as proof that it has stopped.
+"""Model of the election: leaders that keep their term by lease grants, and candidates that ask for
+pre-votes before they take a leader's silence as proof that it has stopped.
 
-The peers' part is the real `Voter`; leader and candidate are the simplest that follow the rules of
+Peers run the real `Voter`; leader and candidate are minimal implementations of the rules in
 docs/membership.md. A schedule is drawn from a seed: messages arrive late, in any order, or never;
 processes end and restart without memory, at any moment and several at once; transactions are
 executed late, also when the process that sent them has ended; and the store serves any of the
-controllers. Users cancel jobs at a controller that is served, and get the confirmation there, or
-later from another.
+controllers. Users cancel jobs at a controller that the store serves, and get the confirmation from it,
+or later from another one.
 
 The invariants are in `election_search.py`, which also searches schedules for a violation.
 """
@@ -45,9 +45,9 @@
 
 
 class ElectionModel:
-    """Some controllers, the key `leader`, and time.
+    """Controllers, the key `leader` of the store, and simulated time.
 
-    `without` leaves out one of the conditions that the argument needs.
+    `without` drops one of the conditions that the safety argument relies on.
     """
 
     def __init__(self, members: int, rng: random.Random, without: Condition | None = None) -> None:
@@ -58,15 +58,17 @@
         self.events: list[tuple[float, int, Callable[[], None]]] = []
         self.voters = [Voter(timedelta(0)) for _ in self.members]
         self.processes = [0] * members
-        # The store serves a controller or not for long; the first leader is not served, and the
-        # others mostly not.
+        # Whether the store serves a controller changes rarely. It does not serve the first leader,
+        # and few of the others.
         self.served = [False] + [rng.random() < 0.3 for _ in self.members[1:]]
         first = ModelTerm(1, self.now + LEASE_TTL - LEASE_SAFETY_MARGIN, self.now, self.now)
         first.cancellations_known_at = self.now
         self.terms: dict[int, ModelTerm] = {0: first}
         self.confirmed = [ConfirmedCancellations(timedelta(0)) for _ in self.members]
         self.cancelled_jobs: list[int] = []  # as stored
-        self.first_confirmed_at: dict[int, float] = {}  # to a user, of each job
+        self.first_confirmed_at: dict[
+            int, float
+        ] = {}  # by job: when a user first got the confirmation
         self.key_epoch: int | None = 1  # of the key `leader`; None: absent
         self.key_expires_at = self.now + LEASE_TTL
         self.epoch = 1
@@ -117,7 +119,7 @@
     # faults
 
     def _change_served(self) -> None:
-        """The store begins or ceases to serve a controller."""
+        """The store starts or stops serving a controller."""
         self.served[self.rng.choice(self.members)] = self.rng.random() < 0.5
 
     def _toggle_link(self) -> None:
@@ -132,14 +134,14 @@
             self._schedule(self.rng.uniform(0, 1), lambda: self._close_lease(former.epoch))
         if self._has(Condition.PROCESSES_ATTEST_ONLY_THEIR_LIFETIME):
             self.confirmed[member] = ConfirmedCancellations(self._clock())
-        else:  # it attests all of the time, though it has forgotten everything
+        else:  # it also attests the time before its restart, though it has no record of it
             self.confirmed[member] = ConfirmedCancellations(timedelta(0))
         voter = self.voters[member] = Voter(self._clock())
         if not self._has(Condition.RESTARTED_VOTERS_GRANT_WEAKLY):
             voter.weak_grants_until = timedelta(0)
 
     def _close_lease(self, epoch: int) -> None:
-        """The next process of a member closes the lease that the former one had."""
+        """A restarted controller closes the lease of its previous process."""
         if self.key_epoch == epoch:
             self.key_epoch = None
 
@@ -162,7 +164,7 @@
         )
 
     def _transfer_leadership(self) -> None:
-        """The leader that has the key stops, and names a successor that the store serves."""
+        """The leader that holds the key stops, and names a successor that the store serves."""
         leaders = [m for m, term in self.terms.items() if term.epoch == self.key_epoch]
         successors = [m for m in self.members if self.served[m] and m not in self.terms]
         if not leaders or not successors:
@@ -178,7 +180,7 @@
         self._lead(successor, self.epoch + 1, others_stopped)
 
     def _send_transaction(self, request: RequestRound) -> None:
-        """Send the transaction of a campaign, which is executed at once, or a while later."""
+        """Send the transaction of a campaign; it is executed at once or some time later."""
         if self._has(Condition.CAMPAIGNS_PREVENT_GRANTS):
             self.voters[request.asker].campaigned_against_epoch = self.epoch
         others_stopped, sent_at = self._majority_is_free(request), self.now
@@ -194,7 +196,7 @@
         same_process = self.processes[request.asker] == request.process
         if same_process and self.now < sent_at + TRANSACTION_TIMEOUT:
             self._lead(request.asker, request.epoch, others_stopped)
-        else:  # the sender has ended, or has given it up: nobody leads under this key
+        else:  # the sender has ended or timed out: the key is written, but nobody leads
             self.epoch = self.key_epoch = request.epoch
             self.key_expires_at = sent_at + LEASE_TTL
 
@@ -248,7 +250,7 @@
         known_at = term.cancellations_known_at
         term.cancellations_known_at = at if known_at is None else max(known_at, at)
 
-    # what a controller does by itself
+    # periodic steps of a controller
 
     def _run_step(self, member: int) -> None:
         """Renew the lease or request lease grants; campaign when nobody leads."""
@@ -280,7 +282,7 @@
         term.renewed_at = self.now
         if not self._has(Condition.RENEWALS_SHOW_NO_CANCELLATIONS):
             term.cancellations_known_at = self.now
-        if self.rng.random() < 0.5:  # a read may be delayed
+        if self.rng.random() < 0.5:  # otherwise left to a later step
             self._read_records(member, term)
 
     def _may_campaign(self, member: int) -> bool:
@@ -366,8 +368,8 @@
             term.grants_valid_until = max(term.grants_valid_until, until)
 
     def _apply_attestations(self, request: RequestRound, term: ModelTerm) -> None:
-        """Apply the cancellations that all controllers have confirmed, if that is complete since
-        all were known the last time."""
+        """Apply the cancellations that the controllers attest, if their windows reach back without
+        a gap to the moment at which all cancellations were last known."""
         if term.cancellations_known_at is None:
             return
         windows = self._attested_windows(request, term.cancellations_known_at)
@@ -385,7 +387,7 @@
     def _attested_windows(
         self, request: RequestRound, known_at: float
     ) -> list[CancellationWindow]:
-        """What the peers and the leader attest; empty if it may not be relied on."""
+        """The windows that the peers and the leader attest; empty if one of them is missing."""
         windows = list(request.confirmed.values())
         if len(windows) < len(self.members) - 1 and self._has(Condition.ALL_PEERS_ATTEST):
             return []
--- a/dappledrum/model/election_conditions.py
+++ b/dappledrum/model/election_conditions.py
@@ -1,4 +1,4 @@
-"""The conditions that the argument of the election rests on, and the state that its model keeps.
+"""Conditions that the safety argument of the election relies on, and the state of its model.
 
 All moments and durations of the model are seconds.
 """
@@ -15,21 +15,23 @@
 GRANT_REQUEST_TIMEOUT = 0.75
 LOOP_INTERVAL = 0.25  # between two steps of a controller
 TRANSACTION_TIMEOUT = LEASE_TTL / 2  # for the transaction of a campaign
-PRE_VOTE_TIMEOUT = 1.5  # longer than in the program, so that more fits in between
-MAX_TIME_ON_MAJORITY_GRANTS = 6.0  # of a leader to which a majority grants, but not all
+PRE_VOTE_TIMEOUT = 1.5  # longer than in the program, so that more events happen meanwhile
+MAX_TIME_ON_MAJORITY_GRANTS = (
+    6.0  # of a leader to which a majority of the controllers grants, but not all
+)
 GRANT_DURATION = LEASE_GRANT_DURATION.total_seconds()
 WORKER_LEASE = 4.0
 CANCELLATION_DEADLINE = 11.0  # from a user's confirmation until the tasks have terminated
-#: How long a leader answers workers after it knew of all cancellations.
+#: How long a leader answers workers after the last moment at which it knew all cancellations.
 MAX_CANCELLATIONS_AGE = CANCELLATION_DEADLINE - WORKER_LEASE - LEASE_SAFETY_MARGIN
 MAX_READ_TIME = 2.5  # of all records
-#: Peers are asked for confirmed cancellations of this much more than the time since all were
-#: known.
+#: Added to the time since all cancellations were known when peers are asked for confirmed ones.
 CONFIRMED_WINDOW_MARGIN = 1.5
 
 
 class Condition(Enum):
-    """What the argument needs; the model can leave out one, to see that it does."""
+    """A condition that the safety argument relies on; the model can drop one of them, which shows
+    that it is necessary."""
 
     CANDIDATES_ASK_A_MAJORITY = auto()
     CANDIDATES_ARE_INFORMED_OF_GRANTS = auto()
@@ -52,16 +54,18 @@
 
 
 class RequestKind(Enum):
-    """What a controller asks all its peers."""
+    """What a controller requests from all its peers."""
 
-    GRANT_LEASE = auto()  # of a leader without the store
-    PRE_VOTE = auto()  # of a candidate
-    FORMER_LEADERS = auto()  # a pre-vote of a leader that did not get a majority as a candidate
+    GRANT_LEASE = auto()  # by a leader that the store does not serve
+    PRE_VOTE = auto()  # by a candidate
+    FORMER_LEADERS = (
+        auto()
+    )  # a pre-vote by a leader that got no majority of free answers as a candidate
 
 
 @dataclass
 class ModelTerm:
-    """The term of a controller that leads, or counts itself as leader."""
+    """The term of a controller that leads or takes itself for the leader."""
 
     epoch: int
     lease_valid_until: float
@@ -74,7 +78,7 @@
 
 
 class Vote(NamedTuple):
-    """A peer's answer: a lease grant, or that it is free of them."""
+    """A peer's answer: whether it grants a lease, or is free of lease grants."""
 
     agreed: bool
     strong: bool
@@ -82,14 +86,14 @@
 
 @dataclass
 class RequestRound:
-    """One request to all peers, and the answers so far."""
+    """One request to all peers, with the answers received so far."""
 
     asker: int
-    process: int  # of the asker: a restarted one does not remember it
+    process: int  # of the asker: after a restart it ignores the answers
     kind: RequestKind
     epoch: int
     sent_at: float
-    asker_free: bool = True  # of lease grants
+    asker_free: bool = True  # whether the asker itself is free of lease grants
     votes: dict[int, Vote] = field(default_factory=dict)
     confirmed_span: float = 0.0  # how far back the peers are asked for confirmed cancellations
     confirmed: dict[int, CancellationWindow] = field(default_factory=dict)
--- a/dappledrum/model/election_search.py
+++ b/dappledrum/model/election_search.py
@@ -1,7 +1,8 @@
 """Invariants of the election, and a search for schedules of its model that violate one.
 
-Once a leader takes silence as proof, nobody of a lower epoch answers workers; and nobody answers
-workers who is not aware of a cancellation that is too old for the lease that this renews.
+Once a leader takes silence as proof that former leaders have stopped, no controller with a lower
+epoch answers workers. No controller answers workers while it is unaware of a cancellation whose
+deadline is before the end of the worker lease that the answer renews.
 """
 
 import random
@@ -11,7 +12,7 @@
 
 
 def violation(model: ElectionModel) -> str | None:
-    """The invariant that is violated now, with the figures; None if there is none."""
+    """Description of the invariant that is violated now, or None."""
     return _missed_cancellation(model) or _former_leader_answers(model)
 
 
@@ -46,8 +47,7 @@
 def search(
     members: int, schedules: int, duration: float, without: Condition | None = None
 ) -> str | None:
-    """The first violation found in this many schedules of `duration` seconds; None if there is
-    none."""
+    """The first violation found in `schedules` schedules of `duration` seconds, or None."""
     for seed in range(schedules):
         election = ElectionModel(members, random.Random(seed), without)
         end = election.now + duration
--- a/dappledrum/model/test_limit_moves.py
+++ b/dappledrum/model/test_limit_moves.py
@@ -1,4 +1,4 @@
-"""What the regions of a team may use together never grows, and each condition is needed."""
+"""Moving a limit between regions never raises its sum, and each condition is necessary."""
 
 import pytest
 
@@ -6,9 +6,9 @@
 
 
 def test_no_interleaving_raises_the_sum_of_the_limits():
-    assert search((1, 1), 3) == {0, 1, 2}, "and units that were in hand may be lost"
+    assert search((1, 1), 3) == {0, 1, 2}, "only units that were taken and not given may be lost"
 
 
 @pytest.mark.parametrize("condition", Condition)
-def test_each_condition_is_needed(condition):
+def test_leaving_out_any_condition_raises_the_sum(condition):
     assert max(search((1, 1), 3, condition)) > 2
