--- a/dappledrum/model/admissible.py
+++ b/dappledrum/model/admissible.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable
 from typing import Any
 
-from dappledrum.model.history import Fault
+from dappledrum.model.history import RefusalReason
 
 TEXT_FIELDS = ("id", "pattern", "crew", "form", "urgency", "skin")
 AMOUNT_FIELDS = (
@@ -25,20 +25,20 @@
 
 def fault(
     spec: object, types: Iterable[dict[str, Any]], limits: dict[str, tuple[float, float]]
-) -> Fault | None:
+) -> RefusalReason | None:
     """The reason why a submission must be refused, or None if it must be accepted.
 
     `limits` holds the maximum CPUs and GPUs of each team; 0 means no limit.
     """
     if not isinstance(spec, dict) or not _is_complete(spec):
-        return Fault.INCOMPLETE
+        return RefusalReason.INCOMPLETE
     if spec["crew"] not in limits or not any(_fits_empty_machine(spec, kind) for kind in types):
-        return Fault.UNFIT
+        return RefusalReason.UNFIT
     concurrent_tasks = 1 if spec["form"] == "batch" else spec["beats"]
     max_cpus, max_gpus = limits[spec["crew"]]
     for amount, limit in ((spec["vcpus"], max_cpus), (spec["accelerators"], max_gpus)):
         if limit > 0 and amount * concurrent_tasks > limit + 1e-9:
-            return Fault.UNFIT
+            return RefusalReason.UNFIT
     return None
 
 
--- a/dappledrum/model/election.py
+++ b/dappledrum/model/election.py
@@ -5,8 +5,8 @@
 docs/membership.md. A schedule is drawn from a seed: messages arrive late, in any order, or never;
 processes end and restart without memory, at any moment and several at once; transactions are
 executed late, also when the process that sent them has ended; and the store serves any of the
-controllers. Users cancel jobs at a controller that the store serves, and get the confirmation from it,
-or later from another one.
+controllers. Users cancel jobs at a controller that the store serves, and get the confirmation from
+it, or later from another one.
 
 The invariants are in `election_search.py`, which also searches schedules for a violation.
 """
--- a/dappledrum/model/queueing.py
+++ b/dappledrum/model/queueing.py
@@ -1,24 +1,24 @@
-"""Jobs that are left waiting though a machine has room for them."""
+"""Detects jobs that are left waiting although a machine has capacity for them."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-WAITING_S = 90.0  # after the last trouble, and without a start of one of its tasks
-LOOK_EVERY_S = 1.0
+MAX_WAIT_S = 90.0  # without a start of one of the job's tasks, once all faults are over
+CHECK_INTERVAL_S = 1.0
 ROUNDING = 1e-6
 
 
 @dataclass(frozen=True)
 class Amount:
-    """What a task takes, or a machine or team has left."""
+    """Resources that a task takes, or that a machine or team has left."""
 
     cpus: float
     gpus: float
     memory_gb: float
 
     def holds(self, other: "Amount") -> bool:
-        """Whether the other one fits into it."""
+        """Whether the other amount fits into this one."""
         return (
             other.cpus <= self.cpus + ROUNDING
             and other.gpus <= self.gpus + ROUNDING
@@ -26,7 +26,7 @@
         )
 
     def less(self, other: "Amount") -> "Amount":
-        """What is left of it."""
+        """What is left after the other amount is taken."""
         return Amount(
             self.cpus - other.cpus, self.gpus - other.gpus, self.memory_gb - other.memory_gb
         )
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True)
 class FreeMachine:
-    """A machine that is up and well, and what is free on it."""
+    """A healthy machine and its free resources."""
 
     machine: str
     kind: tuple[str, str, bool]  # type, zone, spot
@@ -43,52 +43,54 @@
 
 @dataclass(frozen=True)
 class WaitingJob:
-    """A job with tasks that are neither done nor on a machine."""
+    """A job with tasks that are neither done nor placed on a machine."""
 
     spec: dict[str, Any]
     missing: int
-    zones: tuple[str, ...]  # of its tasks that are on machines
+    zones: tuple[str, ...]  # of its placed tasks
     team_left: Amount
 
 
 @dataclass
-class Waiting:
-    """Since when each job could have had more tasks on machines, and had none started."""
+class WaitTracker:
+    """Tracks since when each job could have started more tasks, and has started none."""
 
     since: dict[str, float] = field(default_factory=dict)
-    looked_at: float = float("-inf")
+    checked_at: float = float("-inf")
 
     def due(self, at: float) -> bool:
-        """Whether it is time to look again."""
-        return at - self.looked_at >= LOOK_EVERY_S
+        """Whether the next check is due."""
+        return at - self.checked_at >= CHECK_INTERVAL_S
 
     def started(self, job: str) -> None:
-        """One of its tasks starts: it is not left waiting."""
+        """A task of the job has started, so the job is not left waiting."""
         self.since.pop(job, None)
 
-    def look(
+    def check(
         self, at: float, jobs: Iterable[WaitingJob], free_machines: list[FreeMachine]
     ) -> list[str]:
-        """The jobs that have waited for too long, with the machines that had room for them."""
-        self.looked_at = at
-        waiting, left = set(), []
+        """Descriptions of the jobs that have waited for too long, with a machine that has capacity
+        for each."""
+        self.checked_at = at
+        waiting, overdue = set(), []
         for job in jobs:
             machine = _machine_for(job, free_machines)
             if machine is None:
                 continue
             name = job.spec["id"]
             waiting.add(name)
-            if at - self.since.setdefault(name, at) > WAITING_S:
-                left.append(f"{name} since {self.since[name]:.1f}, though {machine} has room")
+            if at - self.since.setdefault(name, at) > MAX_WAIT_S:
+                overdue.append(f"{name} since {self.since[name]:.1f}, though {machine} has room")
         self.since = {name: since for name, since in self.since.items() if name in waiting}
-        return left
+        return overdue
 
 
 def _machine_for(job: WaitingJob, free_machines: list[FreeMachine]) -> str | None:
-    """A machine on which a task of the job could start now; of a gang, all that are missing."""
+    """A machine on which a task of the job could start now, or None. All missing tasks of a gang
+    must fit."""
     spec = job.spec
     task = Amount(spec["vcpus"], spec["accelerators"], spec["memGb"])
-    at_once = job.missing if spec["form"] == "ensemble" else 1
+    concurrent_tasks = job.missing if spec["form"] == "ensemble" else 1
     zones = (
         sorted({free_machine.kind[1] for free_machine in free_machines})
         if spec["oneZone"]
@@ -96,7 +98,10 @@
     )
     for zone in zones:
         machine = _place(
-            job, task, at_once, [r for r in free_machines if zone in (None, r.kind[1])]
+            job,
+            task,
+            concurrent_tasks,
+            [m for m in free_machines if zone in (None, m.kind[1])],
         )
         if machine is not None:
             return machine
@@ -104,18 +109,18 @@
 
 
 def _place(
-    job: WaitingJob, task: Amount, at_once: int, free_machines: list[FreeMachine]
+    job: WaitingJob, task: Amount, concurrent_tasks: int, free_machines: list[FreeMachine]
 ) -> str | None:
-    zones, left, last = list(job.zones), job.team_left, None
+    zones, remaining, last = list(job.zones), job.team_left, None
     free_machines = list(free_machines)
-    for _ in range(at_once):
-        if not left.holds(task):
+    for _ in range(concurrent_tasks):
+        if not remaining.holds(task):
             return None
         for index, free_machine in enumerate(free_machines):
             if free_machine.free.holds(task) and _allowed(job.spec, free_machine.kind, zones):
                 free_machines[index] = replace(free_machine, free=free_machine.free.less(task))
                 zones.append(free_machine.kind[1])
-                left, last = left.less(task), free_machine.machine
+                remaining, last = remaining.less(task), free_machine.machine
                 break
         else:
             return None
--- a/dappledrum/model/test_election.py
+++ b/dappledrum/model/test_election.py
@@ -1,4 +1,4 @@
-"""The election keeps its invariants in random schedules, and each of its conditions is necessary."""
+"""Random schedules of the election violate no invariant, and each condition is necessary."""
 
 from datetime import timedelta
 
--- a/dappledrum/model/test_history.py
+++ b/dappledrum/model/test_history.py
@@ -1,8 +1,8 @@
-"""The history checker takes every history of a correct service, and finds each broken clause.
+"""The history checker accepts every history of a correct service, and finds each broken clause.
 
-Histories are drawn: users' requests at several nodes overlap, each takes effect at one moment
-between its sending and its answer, on a register of the job's state. A mutation then adds or
-changes one answer.
+Histories are drawn: users' requests to several controllers overlap, and each takes effect on the
+state of the job at one moment between its sending and its answer. A mutation then adds or changes
+an answer.
 """
 
 import random
@@ -15,22 +15,22 @@
 from dappledrum.model.history import (
     CANCELLED,
     DONE,
-    FINAL,
+    FINAL_STATES,
     PENDING,
     RUNNING,
     UNANSWERED_S,
     Answer,
     Clause,
-    Fault,
     History,
     Question,
+    RefusalReason,
     UserRequest,
 )
 
-JOB, FOLLOWER, STRANGER = "j-1", "j-2", "j-3"
+JOB, DEPENDENT_JOB, NOT_SUBMITTED_JOB = "j-1", "j-2", "j-3"
 TASKS = 3
 NODES = ("drummer-0", "drummer-1", "drummer-2")
-END = 100.0  # all requests have ended and all tasks too
+END = 100.0  # seconds; by then all requests and all tasks have ended
 
 
 @dataclass(frozen=True)
@@ -43,7 +43,7 @@
 
 @dataclass
 class SimulatedCluster:
-    """The facts, as the events of a history tell them."""
+    """Ground truth, from the events of a history."""
 
     ended: dict = field(default_factory=dict)
 
@@ -54,7 +54,7 @@
         return self.ended.get(job, 0)
 
     def needs(self, job):
-        return (JOB,) if job == FOLLOWER else ()
+        return (JOB,) if job == DEPENDENT_JOB else ()
 
 
 @dataclass
@@ -73,7 +73,7 @@
         return RUNNING if self.done else PENDING
 
     def apply(self, request):
-        """Status, state and done count of the answer."""
+        """Execute a request; returns status, state and done count of the answer."""
         if request is UserRequest.SUBMISSION:
             status = 200 if self.accepted else 201
             self.accepted = True
@@ -91,9 +91,9 @@
     st.sampled_from(list(UserRequest)),
     st.sampled_from(NODES),
     MOMENTS,
-    st.floats(0, 5),  # until it takes effect
-    st.floats(0, 5),  # until its answer arrives
-    st.booleans(),  # whether it does
+    st.floats(0, 5),  # seconds until it takes effect
+    st.floats(0, 5),  # seconds from then until its answer arrives
+    st.booleans(),  # whether the answer arrives
 )
 
 
@@ -102,7 +102,7 @@
 
 
 def play(requests, task_ends, cancels=True):
-    """The history of a correct service that is asked all this."""
+    """The history of a correct service that gets these requests."""
     register, answers = Register(), {}
     effects = [(at, None) for at in task_ends]
     for number, (request, _, at, effect, _, _) in enumerate(requests):
@@ -116,17 +116,19 @@
             register.done += 1
             events.append((at, TaskEnd(at, JOB)))
     for number, (status, state, done) in answers.items():
-        request, controller, at, effect, delay, heard = requests[number]
+        request, controller, at, effect, delay, arrives = requests[number]
         events.append((at, Question(number, at, request, JOB, controller)))
         end = at + effect + delay
-        reported = Answer(number, end, status, state, done) if heard else Answer(number, end, None)
+        reported = (
+            Answer(number, end, status, state, done) if arrives else Answer(number, end, None)
+        )
         events.append((end, reported))
     return merged(events)
 
 
 @st.composite
 def histories(draw, cancels=True):
-    """A submission that is answered, and what happens around it."""
+    """Histories of a submission that is answered, with other requests around it."""
     first = (UserRequest.SUBMISSION, NODES[0], 0.0, 0.1, draw(st.floats(0, 3)), True)
     more = draw(st.lists(REQUESTS, max_size=25))
     return play([first, *more], draw(st.lists(MOMENTS, max_size=5)), cancels)
@@ -144,16 +146,20 @@
     return broken
 
 
-def asked(request, status, state=None, done=None, running=None, at=END, job=JOB, fault=None):
-    """One more request, answered before the next one."""
+def asked(
+    request, status, state=None, done=None, running=None, at=END, job=JOB, refusal_reason=None
+):
+    """A further request that is answered before the next one is sent."""
     number = 1_000 + round(at * 10)
-    question = Question(number, at, request, job, NODES[1], fault)
+    question = Question(number, at, request, job, NODES[1], refusal_reason)
     return [question, Answer(number, at + 0.5, status, state, done, running)]
 
 
 def final_of(events):
-    """The final state that somebody was told, if any."""
-    return next((e.state for e in events if isinstance(e, Answer) and e.state in FINAL), None)
+    """The final state in the first answer that has one, or None."""
+    return next(
+        (e.state for e in events if isinstance(e, Answer) and e.state in FINAL_STATES), None
+    )
 
 
 @settings(max_examples=150, deadline=None, derandomize=True)
@@ -162,119 +168,133 @@
     assert check(events) == []
 
 
-def unknown(events, rng):
+def accepted_then_unknown(events, rng):
     request = rng.choice((UserRequest.QUESTION, UserRequest.CANCELLATION))
     return events + asked(request, 404)
 
 
-def refused(events, rng):
+def accepted_then_refused(events, rng):
     return events + asked(
-        UserRequest.SUBMISSION, rng.choice((400, 422)), fault=rng.choice((None, Fault.UNFIT))
+        UserRequest.SUBMISSION,
+        rng.choice((400, 422)),
+        refusal_reason=rng.choice((None, RefusalReason.UNFIT)),
     )
 
 
-def accepted_again(events, rng):
+def accepted_twice(events, rng):
     state = final_of(events) or PENDING
     return events + asked(UserRequest.SUBMISSION, 201, state)
 
 
-def older_than_final(events, rng):
+def reverted_after_final(events, rng):
     last = asked(UserRequest.CANCELLATION, 200, final_of(events) or CANCELLED)
     other = rng.choice((PENDING, RUNNING))
     return events + last + asked(UserRequest.QUESTION, 200, other, at=END + rng.uniform(1, 50))
 
 
 def two_final_states_at_once(events, rng):
-    """Their questions overlap: at most one of the answers can be right."""
+    """The requests overlap; at most one of the answers can be right."""
     first = asked(UserRequest.CANCELLATION, 200, CANCELLED)
     second = asked(UserRequest.QUESTION, 200, DONE, at=END + 0.2)
     ends = [TaskEnd(END - 1, JOB)] * TASKS
     return [*events, *ends, first[0], second[0], *rng.sample([first[1], second[1]], 2)]
 
 
-def cancelled_unasked(events, rng):
+def cancelled_without_request(events, rng):
     request = rng.choice((UserRequest.QUESTION, UserRequest.SUBMISSION))
     return events + asked(request, 200, CANCELLED)
 
 
-def cancelled_with_one_that_was_done(events, rng):
+def cancelled_with_dependency_that_was_done(events, rng):
     done = [TaskEnd(0.0, JOB)] * TASKS
     first = asked(UserRequest.CANCELLATION, 200, DONE, job=JOB, at=40.0)
-    follower = asked(UserRequest.SUBMISSION, 201, PENDING, job=FOLLOWER, at=50.0)
+    dependent = asked(UserRequest.SUBMISSION, 201, PENDING, job=DEPENDENT_JOB, at=50.0)
     submitted = asked(UserRequest.SUBMISSION, 201, PENDING, at=0.0)
-    reported = asked(UserRequest.QUESTION, 200, CANCELLED, job=FOLLOWER)
-    return [*submitted, *done, *first, *follower, *reported]
+    reported = asked(UserRequest.QUESTION, 200, CANCELLED, job=DEPENDENT_JOB)
+    return [*submitted, *done, *first, *dependent, *reported]
 
 
-def not_confirmed(events, rng):
+def cancellation_not_final(events, rng):
     return events + asked(UserRequest.CANCELLATION, 200, rng.choice((PENDING, RUNNING)))
 
 
 def done_too_early(events, rng):
-    """The last task's end is told before it comes."""
+    """The job is called done before its tasks have ended."""
     before = [event for event in events if not isinstance(event, TaskEnd)]
     return before + asked(UserRequest.QUESTION, 200, DONE, rng.choice((None, TASKS)))
 
 
-def of_nobody(events, rng):
+def job_not_submitted(events, rng):
     request = rng.choice((UserRequest.QUESTION, UserRequest.CANCELLATION))
-    return events + asked(request, 200, rng.choice((PENDING, CANCELLED)), job=STRANGER)
+    return events + asked(request, 200, rng.choice((PENDING, CANCELLED)), job=NOT_SUBMITTED_JOB)
 
 
-def too_many_done(events, rng):
+def done_count_too_high(events, rng):
     ended = sum(isinstance(event, TaskEnd) for event in events)
     return events + asked(UserRequest.QUESTION, 200, RUNNING, ended + rng.randrange(1, 4))
 
 
-def too_many_running(events, rng):
+def running_count_too_high(events, rng):
     return events + asked(UserRequest.QUESTION, 200, RUNNING, 0, TASKS + rng.randrange(1, 4))
 
 
-def done_fell(events, rng):
+def done_count_decreased(events, rng):
     ends = [TaskEnd(END - 1, JOB)] * TASKS
     first = asked(UserRequest.QUESTION, 200, RUNNING, 2)
     second = asked(UserRequest.QUESTION, 200, RUNNING, rng.choice((0, 1)), at=END + 5)
     return events + ends + first + second
 
 
-def no_state(events, rng):
+def invalid_state(events, rng):
     return events + asked(UserRequest.QUESTION, 200, rng.choice((None, "lost", "")))
 
 
-def incomplete(events, rng):
-    submitted = asked(UserRequest.SUBMISSION, 201, PENDING, job=STRANGER, fault=Fault.INCOMPLETE)
+def accepted_incomplete(events, rng):
+    submitted = asked(
+        UserRequest.SUBMISSION,
+        201,
+        PENDING,
+        job=NOT_SUBMITTED_JOB,
+        refusal_reason=RefusalReason.INCOMPLETE,
+    )
     return events + submitted
 
 
-def unfit(events, rng):
+def accepted_unfit(events, rng):
     status = rng.choice((200, 201))
-    return events + asked(UserRequest.SUBMISSION, status, PENDING, job=STRANGER, fault=Fault.UNFIT)
+    return events + asked(
+        UserRequest.SUBMISSION,
+        status,
+        PENDING,
+        job=NOT_SUBMITTED_JOB,
+        refusal_reason=RefusalReason.UNFIT,
+    )
 
 
-def waits_for_nobody(events, rng):
-    return asked(UserRequest.SUBMISSION, 201, PENDING, job=FOLLOWER)
+def waits_for_unsubmitted_job(events, rng):
+    return asked(UserRequest.SUBMISSION, 201, PENDING, job=DEPENDENT_JOB)
 
 
 MUTATIONS = [
-    (unknown, Clause.UNKNOWN),
-    (refused, Clause.REFUSED),
-    (accepted_again, Clause.ACCEPTED_AGAIN),
-    (older_than_final, Clause.REVERTED),
-    (two_final_states_at_once, Clause.REVERTED),
-    (cancelled_unasked, Clause.NOT_ASKED),
-    (cancelled_with_one_that_was_done, Clause.NOT_ASKED),
-    (not_confirmed, Clause.NOT_CONFIRMED),
-    (done_too_early, Clause.NOT_DONE),
-    (of_nobody, Clause.NOT_SUBMITTED),
-    (too_many_done, Clause.PROGRESS),
-    (too_many_running, Clause.PROGRESS),
-    (done_fell, Clause.DONE_FELL),
-    (no_state, Clause.NO_STATE),
-    (incomplete, Clause.INCOMPLETE),
-    (unfit, Clause.UNFIT),
-    (waits_for_nobody, Clause.UNFIT),
+    (accepted_then_unknown, Clause.ACCEPTED_THEN_UNKNOWN),
+    (accepted_then_refused, Clause.ACCEPTED_THEN_REFUSED),
+    (accepted_twice, Clause.ACCEPTED_TWICE),
+    (reverted_after_final, Clause.FINAL_STATE_CHANGED),
+    (two_final_states_at_once, Clause.FINAL_STATE_CHANGED),
+    (cancelled_without_request, Clause.CANCELLED_WITHOUT_REQUEST),
+    (cancelled_with_dependency_that_was_done, Clause.CANCELLED_WITHOUT_REQUEST),
+    (cancellation_not_final, Clause.CANCELLATION_NOT_FINAL),
+    (done_too_early, Clause.DONE_TOO_EARLY),
+    (job_not_submitted, Clause.JOB_NOT_SUBMITTED),
+    (done_count_too_high, Clause.PROGRESS_NOT_MADE),
+    (running_count_too_high, Clause.PROGRESS_NOT_MADE),
+    (done_count_decreased, Clause.DONE_COUNT_DECREASED),
+    (invalid_state, Clause.INVALID_STATE),
+    (accepted_incomplete, Clause.ACCEPTED_INCOMPLETE),
+    (accepted_unfit, Clause.ACCEPTED_UNFIT),
+    (waits_for_unsubmitted_job, Clause.ACCEPTED_UNFIT),
 ]
-WITHOUT_CANCELLATION = (cancelled_unasked, cancelled_with_one_that_was_done)
+WITHOUT_CANCELLATION = (cancelled_without_request, cancelled_with_dependency_that_was_done)
 
 
 @pytest.mark.parametrize(("mutate", "clause"), MUTATIONS, ids=lambda x: getattr(x, "__name__", ""))
@@ -285,13 +305,13 @@
     assert clause in check(mutate(events, random.Random(seed)))
 
 
-def test_each_clause_is_broken_once_at_least():
+def test_each_clause_has_a_mutation_that_breaks_it():
     assert {clause for _, clause in MUTATIONS} | {Clause.UNANSWERED} == set(Clause)
 
 
 OLD = [
-    (404, None, None, Clause.UNKNOWN),
-    (200, PENDING, 0, Clause.REVERTED),
+    (404, None, None, Clause.ACCEPTED_THEN_UNKNOWN),
+    (200, PENDING, 0, Clause.FINAL_STATE_CHANGED),
 ]
 
 
--- a/dappledrum/model/test_invariants.py
+++ b/dappledrum/model/test_invariants.py
@@ -1,4 +1,4 @@
-"""The checker finds each broken rule in a history made for it, and none in a good one."""
+"""The checker finds each broken rule in a history made for it, and none in a correct history."""
 
 import pytest
 
@@ -6,7 +6,7 @@
 from dappledrum.model.invariants import Invariants, JobEvent
 from dappledrum.simulation.cluster import job
 
-HERE, THERE, ORDINARY = ("small", "a", True), ("small", "b", True), ("small", "a", False)
+HERE, THERE, ON_DEMAND = ("small", "a", True), ("small", "b", True), ("small", "a", False)
 
 
 def rules(*specs):
@@ -17,42 +17,42 @@
     return result
 
 
-def good(r):
+def correct(r):
     r.started(1, "m1", HERE, "j-000001", 0)
     r.ended("m1", "j-000001", 0, True)
     r.poll_answer(3, "j-000001", 200, "done")
     r.submit_answer(4, "j-000001", 200, "done")
 
 
-def ran_twice(r):
+def started_on_two_machines(r):
     r.started(1, "m1", HERE, "j-000001", 0)
     r.started(2, "m2", HERE, "j-000001", 0)
 
 
-def quota(r):
+def started_above_quota(r):
     for task in range(3):
         r.started(1, "m1", HERE, "j-000002", task)
 
 
-def wrong_type(r):
+def type_not_allowed(r):
     r.started(1, "m1", HERE, "j-000003", 0)
 
 
-def wrong_kind(r):
+def spot_not_allowed(r):
     r.started(1, "m1", HERE, "j-000004", 0)
 
 
-def two_zones(r):
+def tasks_in_two_zones(r):
     r.started(1, "m1", HERE, "j-000005", 0)
     r.started(1, "m2", THERE, "j-000005", 1)
 
 
-def no_spread(r):
+def tasks_not_spread(r):
     for task in range(3):
         r.started(1, "m1", HERE, "j-000006", task)
 
 
-def ran_cancelled(r):
+def ran_after_cancellation(r):
     r.started(1, "m1", HERE, "j-000001", 0)
     r.cancel_asked("j-000001")
     r.poll_answer(2, "j-000001", 200, "cancelled")
@@ -61,42 +61,42 @@
     r.tick(33)
 
 
-def started_cancelled(r):
+def started_after_cancellation(r):
     r.cancel_asked("j-000001")
     r.poll_answer(2, "j-000001", 200, "cancelled")
     r.started(40, "m1", HERE, "j-000001", 0)
 
 
-def forgotten(r):
+def became_unknown(r):
     r.poll_answer(2, "j-000001", 404, None)
 
 
-def refused_later(r):
+def refused_after_acceptance(r):
     r.submit_answer(2, "j-000001", 422, None)
 
 
-def invented(r):
+def unsubmitted_job_has_a_state(r):
     r.poll_answer(2, "j-000077", 200, "pending")
 
 
-def not_done(r):
+def called_done_too_early(r):
     r.poll_answer(2, "j-000001", 200, "done")
 
 
-def went_back(r):
-    good(r)
+def final_state_changed(r):
+    correct(r)
     r.poll_answer(9, "j-000001", 200, "running")
 
 
-def cancelled_unasked(r):
+def cancelled_without_request(r):
     r.poll_answer(2, "j-000001", 200, "cancelled")
 
 
-def too_early(r):
+def started_before_its_dependency(r):
     r.started(1, "m1", HERE, "j-000007", 0)
 
 
-def released_by_a_cancelled_job(r):
+def started_after_a_cancelled_dependency(r):
     r.started(1, "m1", HERE, "j-000001", 0)
     r.ended("m1", "j-000001", 0, True)
     r.cancel_asked("j-000001")
@@ -104,7 +104,7 @@
     r.started(3, "m1", HERE, "j-000007", 0)
 
 
-def orphaned(r):
+def pending_after_a_cancelled_dependency(r):
     r.cancel_asked("j-000001")
     r.poll_answer(2, "j-000001", 200, "cancelled")
     r.poll_answer(31, "j-000008", 200, "pending")
@@ -113,7 +113,7 @@
     r.poll_answer(33, "j-000007", 200, "pending")
 
 
-def cancelled_though_done_before(r):
+def cancelled_although_its_dependency_is_done(r):
     r.started(1, "m1", HERE, "j-000001", 0)
     r.ended("m1", "j-000001", 0, True)
     r.cancel_asked("j-000001")
@@ -132,24 +132,24 @@
     job(8, waitsOn=["j-000007"]),
 ]
 CASES = [
-    (ran_twice, "ran_twice"),
-    (quota, "quota"),
-    (wrong_type, "wrong_place"),
-    (wrong_kind, "wrong_place"),
-    (two_zones, "wrong_place"),
-    (no_spread, "wrong_place"),
-    (ran_cancelled, "ran_cancelled"),
-    (started_cancelled, "ran_cancelled"),
-    (forgotten, "forgotten"),
-    (refused_later, "forgotten"),
-    (invented, "invented"),
-    (not_done, "not_done"),
-    (went_back, "went_back"),
-    (cancelled_unasked, "went_back"),
-    (too_early, "too_early"),
-    (released_by_a_cancelled_job, "too_early"),
-    (orphaned, "orphaned"),
-    (cancelled_though_done_before, "went_back"),
+    (started_on_two_machines, "ran_twice"),
+    (started_above_quota, "quota"),
+    (type_not_allowed, "wrong_place"),
+    (spot_not_allowed, "wrong_place"),
+    (tasks_in_two_zones, "wrong_place"),
+    (tasks_not_spread, "wrong_place"),
+    (ran_after_cancellation, "ran_cancelled"),
+    (started_after_cancellation, "ran_cancelled"),
+    (became_unknown, "forgotten"),
+    (refused_after_acceptance, "forgotten"),
+    (unsubmitted_job_has_a_state, "invented"),
+    (called_done_too_early, "not_done"),
+    (final_state_changed, "went_back"),
+    (cancelled_without_request, "went_back"),
+    (started_before_its_dependency, "too_early"),
+    (started_after_a_cancelled_dependency, "too_early"),
+    (pending_after_a_cancelled_dependency, "orphaned"),
+    (cancelled_although_its_dependency_is_done, "went_back"),
 ]
 
 
@@ -169,39 +169,39 @@
     checker.poll_answer(2, "j-000006", 200, "cancelled")
     checker.started(3, "m1", HERE, "j-000006", 1)
     assert checker.cancelled_starts == 1
-    assert not checker.broken, "its command was on its way"
+    assert not checker.broken, "its start command was already in flight"
 
 
-def test_a_good_history_passes():
+def test_a_correct_history_breaks_no_rule():
     checker = rules(*SPECS)
-    good(checker)
+    correct(checker)
     assert not checker.broken
 
 
-def known(rules):
+def accept_first_job(rules):
     rules.submitted(job(1), 0.0)
     rules.submit_answer(1.0, "j-000001", 201, "pending")
     return rules
 
 
 def test_a_job_about_which_no_question_is_answered_is_forgotten():
-    rules = known(Invariants(30.0, {}))
+    rules = accept_first_job(Invariants(30.0, {}))
     rules.not_answered(10.0, "j-000001")
     rules.not_answered(200.0, "j-000001")
-    assert not rules.broken, "while troubles last nothing counts"
+    assert not rules.broken, "time during faults does not count"
     rules.faults_over_at = 210.0
     rules.not_answered(284.0, "j-000001")
     assert not rules.broken
     rules.poll_answer(284.5, "j-000001", 200, "pending")
     rules.not_answered(285.0, "j-000001")
     rules.not_answered(359.0, "j-000001")
-    assert not rules.broken, "one answer was enough to begin anew"
+    assert not rules.broken, "an answer restarts the time"
     rules.not_answered(360.5, "j-000001")
     assert len(rules.broken) == 1
     assert "forgotten" in rules.broken[0]
 
 
-def test_the_largest_jobs_that_do_not_begin_are_starved():
+def test_the_largest_jobs_that_do_not_start_in_time_are_starved():
     rules = Invariants(30.0, {})
     for number in range(12):
         rules.submitted(job(number, beats=number + 1, vcpus=4.0 if number == 3 else 1.0), 10.0)
@@ -211,7 +211,7 @@
     for number in range(3, 11):
         rules.started(20.0, "m", ("small", "a", True), f"j-{number:06d}", 0)
     rules.check_largest(260.0)
-    assert len(rules.broken) == 1, "the others are small"
+    assert len(rules.broken) == 1, "the other jobs are not among the largest"
     assert "j-000011" in rules.broken[0]
     rules.started(249.0, "m", ("small", "a", True), "j-000011", 0)
     rules.broken.clear()
@@ -220,7 +220,7 @@
 
 
 @pytest.mark.parametrize(("status", "broken"), [(422, 0), (None, 0), (400, 1), (200, 1), (201, 1)])
-def test_what_can_never_run_is_refused_with_its_status(status, broken):
+def test_an_invalid_submission_must_be_refused_with_the_expected_status(status, broken):
     rules = Invariants(30.0, {})
     rules.submitted(job(1))
     rules.invalid_answered(1.0, "j-000001", status, 422)
@@ -228,8 +228,8 @@
 
 
 def play_answers(rules, *answers):
-    """Tell the rules, in the order of time, of questions about a job and their answers: when a
-    question begins, when its answer ends, the kind, the status and the state."""
+    """Record, in the order of time, requests about a job and their answers. Each has the moment of
+    the request, the moment of its answer, the kind, the status and the state."""
     events = []
     for number, (asked, at, kind, status, state) in enumerate(answers):
         events.append((asked, 1, Question(number, asked, kind, "j-000001")))
@@ -241,9 +241,9 @@
 SUBMISSION, QUESTION = UserRequest.SUBMISSION, UserRequest.QUESTION
 
 
-def reported(state, *answers):
-    """Rules of a job that runs to its end in 1 s and is cancelled, too; of which a user was told
-    this state at 2 s, and then these answers."""
+def broken_after(state, *answers):
+    """Broken rules for a job that completes, and whose user asks to cancel it. A user gets `state`
+    at 2 s, and then `answers`: arrival, status, state and the moment of the request."""
     rules = Invariants(30.0, {})
     rules.submitted(job(1, beats=1))
     rules.submit_answer(0.0, "j-000001", 201, "pending")
@@ -256,12 +256,14 @@
 
 
 @pytest.mark.parametrize("state", ["done", "cancelled"])
-def test_answers_to_questions_on_their_way_at_the_same_time_arrive_in_any_order(state):
-    assert not reported(state, (2.1, 200, "running", 1.99), (2.2, 200, state, 2.1))
-    for asked in (2.0, 2.01):  # from the moment on at which the user was told
-        assert "went_back" in reported(state, (2.1, 200, "running", asked))[0]
+def test_answers_to_overlapping_questions_may_arrive_in_any_order(state):
+    assert not broken_after(state, (2.1, 200, "running", 1.99), (2.2, 200, state, 2.1))
+    for asked in (2.0, 2.01):  # sent when the first answer had arrived
+        assert "went_back" in broken_after(state, (2.1, 200, "running", asked))[0]
     other = "cancelled" if state == "done" else "done"
-    assert "went_back" in reported(state, (2.1, 200, other, 1.5))[0], "both can't be true"
+    assert "went_back" in broken_after(state, (2.1, 200, other, 1.5))[0], (
+        "the two final states contradict each other"
+    )
 
 
 def test_a_job_is_unknown_only_to_questions_from_before_its_acceptance():
@@ -285,10 +287,10 @@
         assert not broken or "went_back" in rules.broken[0]
 
 
-def test_listeners_are_told_each_event_once():
+def test_listeners_are_notified_of_each_event_once():
     rules = Invariants(30.0, {})
-    reported = []
-    rules.listeners.append(lambda *event: reported.append(event))
+    notified = []
+    rules.listeners.append(lambda *event: notified.append(event))
     for number in (1, 2):
         name = f"j-{number:06d}"
         rules.submitted(job(number, beats=2))
@@ -301,7 +303,7 @@
         for _ in range(2):
             rules.poll_answer(2.0, name, 200, "done" if number == 1 else "cancelled")
     assert not rules.broken
-    seen = {name: [event for job_id, event in reported if job_id == name] for name, _ in reported}
+    seen = {name: [event for job_id, event in notified if job_id == name] for name, _ in notified}
     begun = [JobEvent.ACCEPTED, JobEvent.COMPLETED]
     assert seen["j-000001"] == [*begun, JobEvent.DONE]
     assert seen["j-000002"] == [*begun, JobEvent.CANCELLED]
