--- a/dappledrum/controller/test_late_and_duplicate_heartbeats.py
+++ b/dappledrum/controller/test_late_and_duplicate_heartbeats.py
@@ -259,4 +259,4 @@
     await work.finish(timeout_s=400)
     cluster.rules.check_largest(now(), 240.0)
     assert not cluster.rules.broken
-    assert cluster.rules.longest_s < 10
+    assert cluster.rules.longest_unanswered_s < 10
--- a/dappledrum/model/history.py
+++ b/dappledrum/model/history.py
@@ -125,7 +125,9 @@
     facts: Facts
     report: Callable[[Clause, float, str], None]
     faults_over_at: float | None = None  # None: faults are still active
-    longest_s: float = 0.0  # longest time without an answer about a job, once all faults were over
+    longest_unanswered_s: float = (
+        0.0  # longest time without an answer about a job, once all faults were over
+    )
     jobs: dict[str, _Job] = field(default_factory=dict)
     _open: dict[int, tuple[Question, _Known]] = field(default_factory=dict)
     _next: int = 0
@@ -192,7 +194,7 @@
         if self.faults_over_at is None:
             return
         span = question.at - max(job.unanswered_since, self.faults_over_at)
-        self.longest_s = max(self.longest_s, span)
+        self.longest_unanswered_s = max(self.longest_unanswered_s, span)
         if span > UNANSWERED_S:
             self.report(Clause.UNANSWERED, question.at, f"{question.job} for {span:.0f} s")
 
--- a/dappledrum/model/invariants.py
+++ b/dappledrum/model/invariants.py
@@ -109,9 +109,9 @@
         self.history.faults_over_at = at
 
     @property
-    def longest_s(self) -> float:
+    def longest_unanswered_s(self) -> float:
         """Longest time without an answer about a job, once all faults were over."""
-        return self.history.longest_s
+        return self.history.longest_unanswered_s
 
     def record(self, event: Event) -> None:
         """A request is sent, or an answer arrives."""
--- a/dappledrum/simulation/experiment.py
+++ b/dappledrum/simulation/experiment.py
@@ -178,7 +178,7 @@
         round(cluster.store.requests / until, 1),
         round(cluster.store.writes / until, 1),
         round(max(waits, default=0.0), 2),
-        round(cluster.rules.longest_s, 2),
+        round(cluster.rules.longest_unanswered_s, 2),
         [one for one, _, _ in watch.after],
     )
 
