--- a/dappledrum/model/admissible.py
+++ b/dappledrum/model/admissible.py
@@ -23,7 +23,7 @@
 JOB_ID = re.compile(r"j-[0-9]+")
 
 
-def fault(
+def refusal_reason(
     spec: object, types: Iterable[dict[str, Any]], limits: dict[str, tuple[float, float]]
 ) -> RefusalReason | None:
     """The reason why a submission must be refused, or None if it must be accepted.
--- a/dappledrum/model/test_queueing.py
+++ b/dappledrum/model/test_queueing.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from dappledrum.model.admissible import fault
+from dappledrum.model.admissible import refusal_reason
 from dappledrum.model.history import RefusalReason
 from dappledrum.model.invariants import Invariants
 from dappledrum.model.queueing import MAX_WAIT_S, Amount, FreeMachine
@@ -119,12 +119,12 @@
     ],
 )
 def test_which_submissions_must_be_refused(changes, expected):
-    assert fault(job(1, **changes), TYPES, LIMITS) is expected
+    assert refusal_reason(job(1, **changes), TYPES, LIMITS) is expected
 
 
 @pytest.mark.parametrize("name", sorted(set(job(1)) - {"runS", "builds", "hall", "dueS"}))
 def test_a_submission_that_lacks_a_field_is_incomplete(name):
     spec = job(1)
     del spec[name]
-    assert fault(spec, TYPES, LIMITS) is RefusalReason.INCOMPLETE
-    assert fault(None, TYPES, LIMITS) is RefusalReason.INCOMPLETE
+    assert refusal_reason(spec, TYPES, LIMITS) is RefusalReason.INCOMPLETE
+    assert refusal_reason(None, TYPES, LIMITS) is RefusalReason.INCOMPLETE
--- a/dappledrum/simulation/history_recording.py
+++ b/dappledrum/simulation/history_recording.py
@@ -3,7 +3,7 @@
 import json
 
 from dappledrum.http.client import Reply
-from dappledrum.model.admissible import fault
+from dappledrum.model.admissible import refusal_reason
 from dappledrum.model.history import ACCEPTED, Answer, Question, UserRequest
 from dappledrum.simulation.fleet import CloudService
 
@@ -35,7 +35,7 @@
     except (ValueError, RecursionError):
         spec = None
     name = spec.get("id") if isinstance(spec, dict) else None
-    wrong = fault(spec, cloud.types, cloud.rules.limits)
+    wrong = refusal_reason(spec, cloud.types, cloud.rules.limits)
     return Question(number, at, UserRequest.SUBMISSION, str(name), controller, wrong)
 
 
