--- a/dappledrum/golden/__init__.py
+++ b/dappledrum/golden/__init__.py
@@ -1,8 +1,8 @@
-"""Golden bytes: what this service stores and sends, byte for byte, kept as data.
+"""Golden bytes: stored values and messages of this service, kept byte for byte as data files.
 
-Each `.toml` file describes one wire: the values in the store, the protocols of users,
-workers, cloud and store, the messages between controllers, HTTP itself, and the settings
-file. The tests beside them say which Python object or call belongs to which entry. Renaming Python
-code changes only the tests. An entry is never changed, since records and controllers of earlier
-versions hold these bytes; new forms get new entries.
+Each `.toml` file describes one interface: the values in the store, the protocols of users,
+workers, cloud and store, the messages between controllers, HTTP itself, and the settings file.
+The tests beside them map each entry to a Python object or call, so renaming Python code changes
+only the tests. Entries are never changed, since records in the store and controllers of earlier
+versions use these bytes. New formats get new entries.
 """
--- a/dappledrum/golden/entries.py
+++ b/dappledrum/golden/entries.py
@@ -1,4 +1,4 @@
-"""Reads the golden entries from the data files."""
+"""Loads the golden entries from the data files."""
 
 import tomllib
 from dataclasses import dataclass
@@ -9,23 +9,23 @@
 
 @dataclass(frozen=True)
 class GoldenEntry:
-    """One stored value or one message, as it is on the wire."""
+    """One stored value or message in its encoded form."""
 
     name: str
     about: str
-    data: bytes | None = None  # value or body; None: there is none
-    key: str | None = None  # key, or prefix of keys, in the store
+    data: bytes | None = None  # value or body, if there is one
+    key: str | None = None  # key or key prefix in the store
     method: str | None = None
     path: str | None = None
     status: int | None = None
 
 
-def load(wire: str) -> dict[str, GoldenEntry]:
-    """All entries of one wire, by name.
+def load(interface: str) -> dict[str, GoldenEntry]:
+    """All entries of one interface, by name.
 
-    A body is given as text (`text`), or in hexadecimal if it is binary (`hex`).
+    Text data is given as `text`, binary data in hexadecimal as `hex`.
     """
-    tables = tomllib.loads((DIRECTORY / f"{wire}.toml").read_text(encoding="utf-8"))
+    tables = tomllib.loads((DIRECTORY / f"{interface}.toml").read_text(encoding="utf-8"))
     return {name: _entry(name, table) for name, table in tables.items()}
 
 
--- a/dappledrum/golden/recording_caller.py
+++ b/dappledrum/golden/recording_caller.py
@@ -1,4 +1,4 @@
-"""A caller that records requests and gives prepared replies."""
+"""Test double of a connection that records requests and returns prepared replies."""
 
 from collections.abc import Iterable
 from datetime import timedelta
@@ -10,7 +10,7 @@
 
 
 class RecordingCaller:
-    """Stands for a connection to another component."""
+    """Records requests to another component, and returns the given replies in order."""
 
     def __init__(self, replies: Iterable[GoldenEntry]) -> None:
         self.replies = list(replies)
@@ -21,9 +21,9 @@
         method: str,
         path: str,
         body: bytes | None,
-        timeout: timedelta,  # noqa: ARG002 - the signature of a caller
+        timeout: timedelta,  # noqa: ARG002 - part of the caller interface
     ) -> Reply:
-        """Record the request and give the next reply."""
+        """Record the request and return the next reply."""
         self.sent.append((method, path, body))
         entry = self.replies.pop(0)
         assert entry.status is not None
--- a/dappledrum/golden/test_cloud.py
+++ b/dappledrum/golden/test_cloud.py
@@ -1,4 +1,4 @@
-"""Requests to the cloud, and its replies."""
+"""Golden bytes of requests to the cloud and of its replies."""
 
 import pytest
 
@@ -59,7 +59,7 @@
 ]
 
 
-def entitled():
+def may_command():
     return True
 
 
@@ -69,18 +69,18 @@
 
 def rent(cloud):
     request = RentalRequest(request="r-3-17", type="g8", zone="a", spot=True, count=12)
-    return cloud.rent(request, entitled)
+    return cloud.rent(request, may_command)
 
 
 def return_machines(cloud):
-    return cloud.return_machines(["host-000231", "host-000232"], entitled)
+    return cloud.return_machines(["host-000231", "host-000232"], may_command)
 
 
 def machines(cloud):
     return cloud.machines()
 
 
-#: The call, the requests that it sends, the replies, and the result or error.
+#: The call, the entries that it sends and receives, and its result or error.
 EXCHANGES = [
     (catalog, ["read-catalog"], ["catalog"], TYPES),
     (rent, ["rent"], ["rented"], ["host-000231", "host-000232"]),
@@ -91,7 +91,7 @@
 ]
 
 
-def test_each_entry_is_checked():
+def test_each_entry_is_covered():
     used = {name for _, sent, replies, _ in EXCHANGES for name in (*sent, *replies)}
     assert set(GOLDEN) == used | {"rent-first-of-epoch"}
 
@@ -101,7 +101,9 @@
     EXCHANGES,
     ids=[f"{sent[0]}-{replies[0]}" for _, sent, replies, _ in EXCHANGES],
 )
-async def test_exchanges(call, sent, replies, expected):
+async def test_calls_send_the_golden_requests_and_read_the_golden_replies(
+    call, sent, replies, expected
+):
     caller = RecordingCaller(GOLDEN[name] for name in replies)
     cloud = CloudClient(caller, 4.0, Clock())
     if isinstance(expected, type):
@@ -112,9 +114,9 @@
     assert caller.sent == [as_sent(GOLDEN[name]) for name in sent]
 
 
-async def test_rental_requests_are_named_after_the_epoch():
+async def test_names_of_rental_requests_contain_the_epoch():
     caller = RecordingCaller([GOLDEN["rented"]])
-    manager, _ = make_autoscaler(CloudClient(caller, 4.0, Clock()))
-    manager.order({SPOT: 1}, set(), manager.clock.now())
-    await while_running(manager, manager.rent_loop, for_s=0.1)
+    autoscaler, _ = make_autoscaler(CloudClient(caller, 4.0, Clock()))
+    autoscaler.order({SPOT: 1}, set(), autoscaler.clock.now())
+    await while_running(autoscaler, autoscaler.rent_loop, for_s=0.1)
     assert caller.sent == [as_sent(GOLDEN["rent-first-of-epoch"])]
--- a/dappledrum/golden/test_controllers.py
+++ b/dappledrum/golden/test_controllers.py
@@ -1,4 +1,4 @@
-"""Messages between controllers, in CBOR."""
+"""Golden bytes of messages between controllers, which are in CBOR."""
 
 from datetime import timedelta
 from typing import get_args
@@ -65,7 +65,7 @@
     member="drummer-2", incarnation=1764000000001, uptime_ms=5, age_ms=6, unpaused_ms=4
 )
 
-QUESTIONS = {
+REQUESTS = {
     "relay": Relay(method="POST", path="/submissions", body=b'{"id":"j-000007"}'),
     "report-attempts": HeartbeatAttemptsRequest(within_ms=10000),
     "promise": LeaseGrantCall(
@@ -107,10 +107,10 @@
     "transfer-leadership-reply": TransferLeadershipReply(leads=True),
     "pre-vote-reply": PreVoteReply(free=True),
 }
-#: What a controller calls to ask each question, the reply, and what the call returns.
+#: By request: the call that sends it, the reply, and the result of the call.
 CALLS = {
     "relay": (
-        lambda peers: peers.relay("drummer-1", QUESTIONS["relay"], SECOND),
+        lambda peers: peers.relay("drummer-1", REQUESTS["relay"], SECOND),
         "relay-reply",
         REPLIES["relay-reply"],
     ),
@@ -120,14 +120,14 @@
         {"host-000231": 2, "host-000232": 1},
     ),
     "promise": (
-        lambda peers: peers.is_served("drummer-1", QUESTIONS["promise"].request, SECOND),
+        lambda peers: peers.is_served("drummer-1", REQUESTS["promise"].request, SECOND),
         "promise-refused",
         True,
     ),
     "version": (lambda peers: peers.version("drummer-1", SECOND), "version-reply", "0.7.0"),
     "holding": (lambda peers: peers.no_term_held(SECOND), "holding-reply-unknown", True),
     "heartbeats": (
-        lambda peers: peers.heartbeats("drummer-1", QUESTIONS["heartbeats"], SECOND),
+        lambda peers: peers.heartbeats("drummer-1", REQUESTS["heartbeats"], SECOND),
         "heartbeats-reply",
         REPLIES["heartbeats-reply"],
     ),
@@ -140,7 +140,7 @@
     ),
     "transfer-leadership": (
         lambda peers: peers.transfer_leadership(
-            "drummer-1", QUESTIONS["transfer-leadership"], SECOND
+            "drummer-1", REQUESTS["transfer-leadership"], SECOND
         ),
         "transfer-leadership-reply",
         True,
@@ -148,41 +148,41 @@
 }
 
 
-def test_each_entry_is_checked():
-    assert set(GOLDEN) == {*QUESTIONS, *REPLIES}
+def test_each_entry_is_covered():
+    assert set(GOLDEN) == {*REQUESTS, *REPLIES}
 
 
 def test_each_kind_of_message_has_an_entry():
-    assert {type(message) for message in QUESTIONS.values()} == set(get_args(PeerRequest))
+    assert {type(message) for message in REQUESTS.values()} == set(get_args(PeerRequest))
     assert {type(message) for message in REPLIES.values()} == set(get_args(PeerReply))
 
 
-@pytest.mark.parametrize("name", QUESTIONS)
-def test_questions(name):
+@pytest.mark.parametrize("name", REQUESTS)
+def test_requests_are_encoded_as_the_golden_bytes(name):
     entry = GOLDEN[name]
-    assert encode(QUESTIONS[name]) == entry.data
-    assert decode(entry.data, PeerRequest) == QUESTIONS[name]
+    assert encode(REQUESTS[name]) == entry.data
+    assert decode(entry.data, PeerRequest) == REQUESTS[name]
 
 
 @pytest.mark.parametrize("name", REPLIES)
-def test_replies(name):
+def test_replies_are_encoded_as_the_golden_bytes(name):
     entry = GOLDEN[name]
     assert encode(REPLIES[name]) == entry.data
     assert decode(entry.data, type(REPLIES[name])) == REPLIES[name]
 
 
 @pytest.mark.parametrize("name", CALLS)
-async def test_questions_are_sent(name):
+async def test_calls_send_the_golden_requests_and_read_the_golden_replies(name):
     call, reply, expected = CALLS[name]
     caller = RecordingCaller([GOLDEN[reply]])
     assert await call(Peers({"drummer-1": caller})) == expected
     assert caller.sent == [as_sent(GOLDEN[name])]
 
 
-async def test_a_promise_counts_with_what_it_tells():
+async def test_a_lease_grant_counts_with_its_confirmed_cancellations():
     caller = RecordingCaller([GOLDEN["promise-reply"]])
     answers = await Peers({"drummer-1": caller}).request_lease_grants(
-        QUESTIONS["promise"].request, SECOND
+        REQUESTS["promise"].request, SECOND
     )
     assert caller.sent == [as_sent(GOLDEN["promise"])]
     assert (answers.agreed, answers.strong) == (1, 0)
@@ -190,16 +190,16 @@
     assert answers.confirmed.span == timedelta(seconds=45)
 
 
-async def test_a_pre_vote_is_sent():
+async def test_a_candidate_sends_the_golden_pre_vote():
     caller = RecordingCaller([GOLDEN["pre-vote-reply"]])
-    answers = await Peers({"drummer-1": caller}).pre_vote(QUESTIONS["pre-vote"], SECOND)
+    answers = await Peers({"drummer-1": caller}).pre_vote(REQUESTS["pre-vote"], SECOND)
     assert caller.sent == [as_sent(GOLDEN["pre-vote"])]
     assert answers.agreed == 1
 
 
-async def test_a_leader_answers_on_its_address_for_peers():
+async def test_a_leader_answers_requests_on_its_address_for_peers():
     cluster = await led_cluster(1, members=("drummer-0",))
-    question, expected = GOLDEN["holding"], GOLDEN["holding-reply"]
+    request, expected = GOLDEN["holding"], GOLDEN["holding-reply"]
     serve = cluster.network.services["back-drummer-0"]
-    reply = await serve("drummer-1", *as_sent(question))
+    reply = await serve("drummer-1", *as_sent(request))
     assert (reply.status, reply.body) == (expected.status, expected.data)
--- a/dappledrum/golden/test_http_bytes.py
+++ b/dappledrum/golden/test_http_bytes.py
@@ -1,4 +1,4 @@
-"""Whole requests and responses, with their heads."""
+"""Golden bytes of whole HTTP requests and responses, including their headers."""
 
 import asyncio
 
@@ -24,19 +24,19 @@
 }
 
 
-def test_each_entry_is_checked():
+def test_each_entry_is_covered():
     assert set(GOLDEN) == {*REQUESTS, *RESPONSES}
 
 
 @pytest.mark.parametrize("name", RESPONSES)
-def test_responses(name):
-    response, keep = RESPONSES[name]
-    assert encode_response(response, keep) == GOLDEN[name].data
+def test_responses_are_encoded_as_the_golden_bytes(name):
+    response, keep_alive = RESPONSES[name]
+    assert encode_response(response, keep_alive) == GOLDEN[name].data
 
 
 @pytest.mark.parametrize("name", REQUESTS)
-def test_requests(name):
-    """Sent over a real socket; in the data the port is 9000."""
+def test_clients_send_the_golden_requests(name):
+    """The request goes over a real socket; the golden bytes have port 9000."""
     received = bytearray()
 
     async def serve(reader, writer):
--- a/dappledrum/golden/test_key_value_store.py
+++ b/dappledrum/golden/test_key_value_store.py
@@ -1,4 +1,4 @@
-"""Requests to the store, and its replies."""
+"""Golden bytes of requests to the store and of its replies."""
 
 import random
 from datetime import timedelta
@@ -25,16 +25,16 @@
 VALUE = msgspec.Raw(b'{"member":"drummer-1","epoch":7}')
 
 
-def read_key(state):
-    return state.get("job/j-000007", RequestPriority.RECORD)
+def read_key(store):
+    return store.get("job/j-000007", RequestPriority.RECORD)
 
 
-def scan(state):
-    return state.scan("job/", RequestPriority.RECORD)
+def scan(store):
+    return store.scan("job/", RequestPriority.RECORD)
 
 
-def commit(state):
-    return state.commit(
+def commit(store):
+    return store.commit(
         [Guard(key="leader", version=0), Guard(key="epoch", version=412)],
         [
             Put(key="leader", value=VALUE, lease=7),
@@ -45,24 +45,24 @@
     )
 
 
-def compare(state):
-    return state.commit([Guard(key="job/j-000007", version=412)], [], RequestPriority.POLL)
+def compare_versions(store):
+    return store.commit([Guard(key="job/j-000007", version=412)], [], RequestPriority.POLL)
 
 
-def open_lease(state):
-    return state.open_lease(timedelta(seconds=5))
+def open_lease(store):
+    return store.open_lease(timedelta(seconds=5))
 
 
-def renew_lease(state):
-    return state.renew_lease(7, timedelta(seconds=1))
+def renew_lease(store):
+    return store.renew_lease(7, timedelta(seconds=1))
 
 
-def close_lease(state):
-    return state.close_lease(7)
+def close_lease(store):
+    return store.close_lease(7)
 
 
-def watch(state):
-    return state.watch("job/", 431, timedelta(seconds=10), RequestPriority.RECORD)
+def watch(store):
+    return store.watch("job/", 431, timedelta(seconds=10), RequestPriority.RECORD)
 
 
 FOUND = Entry(key="job/j-000007", value=msgspec.Raw(b'{"a":1}'), version=412, lease=7)
@@ -75,7 +75,7 @@
     Event(put="job/j-000009", value=msgspec.Raw(b'{"c":3}'), version=433),
     Event(delete="job/j-000007", version=432),
 ]
-#: The call, the requests that it sends, the replies, and the result or error.
+#: The call, the entries that it sends and receives, and its result or error.
 EXCHANGES = [
     (read_key, ["read-key"], ["key-found"], FOUND),
     (read_key, ["read-key"], ["key-missing"], None),
@@ -85,7 +85,7 @@
     (commit, ["transaction"], ["conflict"], ConflictError),
     (commit, ["transaction"], ["transaction-without-lease"], LeaseLostError),
     (commit, ["transaction"], ["transaction-too-large"], TooLargeError),
-    (compare, ["transaction-that-compares"], ["transaction-done"], 432),
+    (compare_versions, ["transaction-that-compares"], ["transaction-done"], 432),
     (open_lease, ["open-lease"], ["lease-opened"], 7),
     (renew_lease, ["renew-lease"], ["lease-renewed"], None),
     (renew_lease, ["renew-lease"], ["lease-missing"], LeaseLostError),
@@ -97,7 +97,7 @@
 CHECKED_IN_TEST_STORE = {"write-gangs"}
 
 
-def test_each_entry_is_checked():
+def test_each_entry_is_covered():
     used = {name for _, sent, replies, _ in EXCHANGES for name in (*sent, *replies)}
     assert set(GOLDEN) == used | CHECKED_IN_TEST_STORE
 
@@ -107,15 +107,17 @@
     EXCHANGES,
     ids=[f"{sent[0]}-{replies[0]}" for _, sent, replies, _ in EXCHANGES],
 )
-async def test_exchanges(call, sent, replies, expected):
+async def test_calls_send_the_golden_requests_and_read_the_golden_replies(
+    call, sent, replies, expected
+):
     caller = RecordingCaller(GOLDEN[name] for name in replies)
     limits = StoreLimits(rps=200.0, write_rps=100.0, value_kb=8.0, txn_ops=24)
-    state = StoreClient(caller, limits, Clock(), random.Random(1))
+    store = StoreClient(caller, limits, Clock(), random.Random(1))
     if isinstance(expected, type):
         with pytest.raises(expected) as caught:
-            await call(state)
+            await call(store)
         if expected is ConflictError:
             assert caught.value.conflicting_keys == ["leader", "epoch"]
     else:
-        assert await call(state) == expected
+        assert await call(store) == expected
     assert caller.sent == [as_sent(GOLDEN[name]) for name in sent]
--- a/dappledrum/golden/test_settings.py
+++ b/dappledrum/golden/test_settings.py
@@ -1,4 +1,4 @@
-"""The settings file that a controller reads."""
+"""Golden bytes of the settings file that a controller reads."""
 
 import pytest
 
@@ -63,12 +63,12 @@
 }
 
 
-def test_each_entry_is_checked():
+def test_each_entry_is_covered():
     assert set(GOLDEN) == set(SETTINGS)
 
 
 @pytest.mark.parametrize("name", SETTINGS)
-def test_settings(name, tmp_path):
+def test_golden_settings_are_read(name, tmp_path):
     path = tmp_path / "settings.json"
     path.write_bytes(GOLDEN[name].data)
     assert load_settings(path) == SETTINGS[name]
--- a/dappledrum/golden/test_store.py
+++ b/dappledrum/golden/test_store.py
@@ -1,4 +1,4 @@
-"""Keys and values in the store."""
+"""Golden bytes of the keys and values in the store."""
 
 import random
 from types import SimpleNamespace
@@ -48,7 +48,7 @@
 from dappledrum.timing.clock import Clock
 
 GOLDEN = load("store")
-STATE = load("state_service")
+STORE_PROTOCOL = load("state_service")
 
 FULL_SPEC = Spec(
     id="j-000007",
@@ -102,7 +102,7 @@
     parts=2,
 )
 
-#: Entry, key, value, and the type as which it is read.
+#: By entry: the key, the value, and the type that it is decoded as.
 VALUES = {
     "job-all-fields": (
         head_key("j-000007"),
@@ -205,7 +205,7 @@
         Catalog,
     ),
 }
-#: Written by code that is run below, not encoded from one record.
+#: Written by the code under test below, not encoded from one record.
 WRITTEN_BY_CODE = {
     "gangs",
     "live-head",
@@ -225,26 +225,26 @@
 }
 
 
-def test_each_entry_is_checked():
+def test_each_entry_is_covered():
     assert set(GOLDEN) == {*VALUES, *WRITTEN_BY_CODE, *PREFIXES}
 
 
 @pytest.mark.parametrize("name", VALUES)
-def test_values(name):
-    key, value, kind = VALUES[name]
+def test_values_are_encoded_as_the_golden_bytes(name):
+    key, value, record_type = VALUES[name]
     entry = GOLDEN[name]
     assert key == entry.key
     assert bytes(encode_value(value)) == entry.data
-    assert msgspec.json.decode(entry.data, type=kind) == value
+    assert msgspec.json.decode(entry.data, type=record_type) == value
 
 
 @pytest.mark.parametrize("name", PREFIXES)
-def test_prefixes(name):
+def test_key_prefixes_are_the_golden_ones(name):
     assert {GOLDEN[name].key} == set(PREFIXES[name])
 
 
 def live_job():
-    """The job of the entries `live-head` and `live-page`, as a new leader reads it."""
+    """The job of the entries `live-head` and `live-page`, as a new leader loads it."""
     result = Job(msgspec.json.decode(GOLDEN["live-head"].data, type=JobRecord), version=3)
     page = msgspec.json.decode(GOLDEN["live-page"].data, type=PageRecord)
     result.add_page(1, page, version=4)
@@ -260,11 +260,18 @@
     return [(GOLDEN[name].key, GOLDEN[name].data) for name in names]
 
 
-def test_a_leader_writes_a_live_job_as_it_has_read_it():
+def test_a_leader_writes_a_live_job_exactly_as_it_has_read_it():
     job_read = live_job()
     places = {
-        (p.name, p.attempt, p.machine, p.session, p.zone, p.placed_at.isoformat())
-        for p in job_read.placements()
+        (
+            placement.name,
+            placement.attempt,
+            placement.machine,
+            placement.session,
+            placement.zone,
+            placement.placed_at.isoformat(),
+        )
+        for placement in job_read.placements()
     }
     assert places == {
         ("j-000007/3", 1, "host-000011", 2, "a", "2025-11-24T16:00:02+00:00"),
@@ -277,32 +284,32 @@
     assert written(page_changes(job_read.page(1), 8192, 8192)) == golden("live-page")
 
 
-def test_a_leader_writes_a_job_in_parts():
-    """A value has so little room here that the specification and the rows are split."""
+def test_a_leader_splits_a_job_that_exceeds_the_value_limit():
+    """The value limit is so low that both the specification and the rows are split."""
     changes = page_changes(live_job().page(0), max_bytes=300, max_part_bytes=58)
     names = [name for name in GOLDEN if name.startswith("live-split-")]
     assert written(changes) == golden(*names)
 
 
-def test_rows_of_an_earlier_form_are_removed():
+def test_rows_that_an_earlier_write_had_split_off_are_removed():
     job_read = live_job()
     job_read.page(1).parts = 1
     [_, removal] = page_changes(job_read.page(1), 8192, 8192)
     assert removal == Delete(rows_key("j-000007", 1, 0))
 
 
-async def test_that_all_controllers_support_gangs(monkeypatch):
+async def test_support_of_gangs_by_all_controllers_is_recorded(monkeypatch):
     monkeypatch.setattr(peer_versions, "__version__", "0.7.0")
     limits = StoreLimits(rps=200.0, write_rps=100.0, value_kb=8.0, txn_ops=24)
-    caller = RecordingCaller([STATE["key-missing"], STATE["transaction-done"]])
-    state = StoreClient(caller, limits, Clock(), random.Random(1))
+    caller = RecordingCaller([STORE_PROTOCOL["key-missing"], STORE_PROTOCOL["transaction-done"]])
+    store_client = StoreClient(caller, limits, Clock(), random.Random(1))
     job_api = SimpleNamespace(gangs=False)
-    clients = SimpleNamespace(store=state, peers=Peers({}))
+    clients = SimpleNamespace(store=store_client, peers=Peers({}))
     await peer_versions.PeerVersions(clients, None, ValueLimit(limits), job_api).run()
     read, write = caller.sent
     assert read == ("GET", f"/keys/{GOLDEN['gangs'].key}", None)
-    assert write == as_sent(STATE["write-gangs"])
-    assert GOLDEN["gangs"].data in STATE["write-gangs"].data
+    assert write == as_sent(STORE_PROTOCOL["write-gangs"])
+    assert GOLDEN["gangs"].data in STORE_PROTOCOL["write-gangs"].data
 
 
 async def test_a_controller_writes_no_other_keys():
--- a/dappledrum/golden/test_users.py
+++ b/dappledrum/golden/test_users.py
@@ -1,4 +1,4 @@
-"""Requests of users, and the responses to them."""
+"""Golden bytes of requests of users and of the responses to them."""
 
 import asyncio
 import json
@@ -14,7 +14,7 @@
 
 GOLDEN = load("users")
 
-#: Received only.
+#: Messages that controllers only receive.
 SUBMISSIONS = {
     "submission-all-fields": Spec(
         id="j-000412",
@@ -59,7 +59,7 @@
         save_s=0.0,
     ),
 }
-#: Sent only.
+#: Messages that controllers only send.
 RESPONSES = {
     "answer-running": answer(
         200, StatusResponse(id="j-000412", state=Outcome.RUNNING, done=3, running=13)
@@ -72,7 +72,7 @@
     "try-again": busy(2),
     "refused": refusal(422, "unknown team nobody"),
 }
-WORDS = {
+ENUM_VALUES = {
     "forms": ([Form.ARRAY, Form.SERVICE, Form.GANG], Form),
     "priorities": (
         [Priority.PRODUCTION, Priority.HIGH, Priority.NORMAL, Priority.LOW],
@@ -83,8 +83,8 @@
         Outcome,
     ),
 }
-#: Requests to a controller and its responses, in this order, without time between them.
-AT_ONCE = [
+#: Requests to a controller and its responses, sent one after the other without a pause.
+FIRST_EXCHANGES = [
     ("ask-whether-ready", "ready"),
     ("poll-first", "unknown-job"),
     ("cancel-first", "unknown-job"),
@@ -98,8 +98,8 @@
     ("cancel-first", "first-cancelled"),
     ("submit-second", "second-accepted"),
 ]
-#: Later, when the first job is gone and the second one is done.
-LATER = [
+#: Sent later, when the first job has been removed and the second one is done.
+LATER_EXCHANGES = [
     ("poll-first", "first-gone"),
     ("submit-first", "first-gone"),
     ("cancel-first", "first-cancelled"),
@@ -109,36 +109,36 @@
 ]
 
 
-def test_each_entry_is_checked():
-    conversation = {name for exchange in (*AT_ONCE, *LATER) for name in exchange}
-    assert set(GOLDEN) == {*SUBMISSIONS, *RESPONSES, *WORDS, *conversation}
+def test_each_entry_is_covered():
+    conversation = {name for exchange in (*FIRST_EXCHANGES, *LATER_EXCHANGES) for name in exchange}
+    assert set(GOLDEN) == {*SUBMISSIONS, *RESPONSES, *ENUM_VALUES, *conversation}
 
 
 @pytest.mark.parametrize("name", SUBMISSIONS)
-def test_submissions(name):
+def test_golden_submissions_are_read(name):
     assert msgspec.json.decode(GOLDEN[name].data, type=Spec) == SUBMISSIONS[name]
 
 
 @pytest.mark.parametrize("name", RESPONSES)
-def test_responses(name):
+def test_responses_are_encoded_as_the_golden_bytes(name):
     response, entry = RESPONSES[name], GOLDEN[name]
     assert (response.status, response.body) == (entry.status, entry.data)
 
 
-@pytest.mark.parametrize("name", WORDS)
-def test_words(name):
-    words, kind = WORDS[name]
-    assert words == list(kind)
-    assert msgspec.json.encode(words) == GOLDEN[name].data
+@pytest.mark.parametrize("name", ENUM_VALUES)
+def test_enum_values_are_the_golden_ones(name):
+    values, enum = ENUM_VALUES[name]
+    assert values == list(enum)
+    assert msgspec.json.encode(values) == GOLDEN[name].data
 
 
-async def test_a_controller_serves_users():
+async def test_a_controller_answers_users_with_the_golden_responses():
     cluster = await led_cluster(1, members=("drummer-0",))
     serve = cluster.network.services["drummer-0"]
     for name in ("submit-first", "submit-second"):
         spec = json.loads(GOLDEN[name].data) | {"runS": 6.0}
         cluster.rules.submitted(spec, asyncio.get_running_loop().time())
-    for exchanges in (AT_ONCE, LATER):
+    for exchanges in (FIRST_EXCHANGES, LATER_EXCHANGES):
         for request, expected in exchanges:
             reply = await serve("user", *as_sent(GOLDEN[request]))
             assert (reply.status, reply.body) == (GOLDEN[expected].status, GOLDEN[expected].data)
--- a/dappledrum/golden/test_workers.py
+++ b/dappledrum/golden/test_workers.py
@@ -1,4 +1,4 @@
-"""Heartbeats of workers, and the answers to them."""
+"""Golden bytes of heartbeats of workers and of the answers to them."""
 
 import asyncio
 
@@ -23,7 +23,7 @@
 
 GOLDEN = load("workers")
 
-#: Received only.
+#: Messages that controllers only receive.
 HEARTBEATS = {
     "report-all-fields": WorkerHeartbeat(
         machine="host-000231",
@@ -51,7 +51,7 @@
         token=0,
     ),
 }
-#: Sent only.
+#: Messages that controllers only send.
 ANSWERS = {
     "commands": Commands(
         token=41,
@@ -65,7 +65,7 @@
     "redirect": Redirect(report_to="drummer-2"),
     "redirect-anywhere": Redirect(),
 }
-WORDS = {
+ENUM_VALUES = {
     "task-states": (
         [
             TaskState.FETCHING,
@@ -90,34 +90,34 @@
         Cause,
     ),
 }
-OTHERS = {"inspect", "inspected", "report-of-an-unknown-task", "stop-an-unknown-task"}
+OTHER_ENTRIES = {"inspect", "inspected", "report-of-an-unknown-task", "stop-an-unknown-task"}
 
 
-def test_each_entry_is_checked():
-    assert set(GOLDEN) == {*HEARTBEATS, *ANSWERS, *WORDS, *OTHERS}
+def test_each_entry_is_covered():
+    assert set(GOLDEN) == {*HEARTBEATS, *ANSWERS, *ENUM_VALUES, *OTHER_ENTRIES}
 
 
 @pytest.mark.parametrize("name", HEARTBEATS)
-def test_heartbeats(name):
+def test_golden_heartbeats_are_read(name):
     entry = GOLDEN[name]
     assert (entry.method, entry.path) == ("POST", connection.HEARTBEAT_PATH)
     assert msgspec.json.decode(entry.data, type=WorkerHeartbeat) == HEARTBEATS[name]
 
 
 @pytest.mark.parametrize("name", ANSWERS)
-def test_answers(name):
+def test_answers_are_encoded_as_the_golden_bytes(name):
     assert msgspec.json.encode(ANSWERS[name]) == GOLDEN[name].data
 
 
-@pytest.mark.parametrize("name", WORDS)
-def test_words(name):
-    words, kind = WORDS[name]
-    assert words == list(kind)
-    assert msgspec.json.encode(words) == GOLDEN[name].data
+@pytest.mark.parametrize("name", ENUM_VALUES)
+def test_enum_values_are_the_golden_ones(name):
+    values, enum = ENUM_VALUES[name]
+    assert values == list(enum)
+    assert msgspec.json.encode(values) == GOLDEN[name].data
 
 
-async def test_a_leader_answers_a_heartbeat():
-    """The machine is unknown, and so is its task, which is therefore stopped."""
+async def test_a_leader_stops_an_unknown_task_on_an_unknown_machine():
+    """Neither the machine nor its task is known, so the answer stops the task."""
     cluster = await led_cluster(1, members=("drummer-0",))
     expected = GOLDEN["stop-an-unknown-task"]
     serve = cluster.network.services["drummer-0"]
@@ -136,7 +136,7 @@
     assert reply.body == expected.data.replace(b"drummer-2", leader.encode())
 
 
-def test_a_worker_is_probed(monkeypatch):
+def test_a_probe_sends_the_golden_request(monkeypatch):
     caller = RecordingCaller([GOLDEN["inspected"]])
     monkeypatch.setattr(process, "PooledClient", lambda host, port, max_idle: caller)
     assert asyncio.run(process.probe_worker("10.1.0.232:9000", seconds(1)))
