--- a/dappledrum/model/dds.py
+++ b/dappledrum/model/dds.py
@@ -1,4 +1,4 @@
-"""Reference implementation of the paper's algorithms 1 and 2: one task at a time, every start.
+"""Reference implementation of the paper's algorithms 1 and 2: one task and one start at a time.
 
 Written independently of the planner, from the text of the paper and the design document. A machine
 is its list of reservations; times are seconds as numbers. Nothing is cached or grouped.
@@ -17,9 +17,9 @@
     name: str
     kind: str
     cpus: float
-    ready: float  # from when on it runs tasks
+    ready: float  # when it can run the first task
     rented: float
-    hourly: float  # price
+    hourly: float  # price per hour
     fetch: float  # seconds to fetch the image
     image_at: float | None = None
     reserved: list[tuple[float, float, float]] = field(default_factory=list)  # start, finish, cpus
--- a/dappledrum/model/history.py
+++ b/dappledrum/model/history.py
@@ -125,9 +125,8 @@
     facts: Facts
     report: Callable[[Clause, float, str], None]
     faults_over_at: float | None = None  # None: faults are still active
-    longest_unanswered_s: float = (
-        0.0  # longest time without an answer about a job, once all faults were over
-    )
+    #: Longest time without an answer about a job, once all faults were over.
+    longest_unanswered_s: float = 0.0
     jobs: dict[str, _Job] = field(default_factory=dict)
     _open: dict[int, tuple[Question, _Known]] = field(default_factory=dict)
     _next: int = 0
