--- a/dappledrum/model/history.py
+++ b/dappledrum/model/history.py
@@ -237,7 +237,7 @@
             self._report_broken(Clause.FINAL_STATE_CHANGED, question, answer, final)
         if question.request is UserRequest.CANCELLATION and state not in FINAL_STATES:
             self._report_broken(Clause.CANCELLATION_NOT_FINAL, question, answer)
-        if state == CANCELLED and not self._cancel_asked(question.job):
+        if state == CANCELLED and not self._may_be_cancelled(question.job):
             self._report_broken(Clause.CANCELLED_WITHOUT_REQUEST, question, answer)
         self._check_progress(question, answer, before)
 
@@ -256,7 +256,7 @@
             what = f"{before.max_done} were done"
             self._report_broken(Clause.DONE_COUNT_DECREASED, question, answer, what=what)
 
-    def _cancel_asked(self, job: str) -> bool:
+    def _may_be_cancelled(self, job: str) -> bool:
         """Whether an answer may call the job cancelled: its user has asked to cancel it, or a job
         that it depends on and that is not known to be done."""
         if self._job(job).cancel_asked:
