--- a/dappledrum/election/elector.py
+++ b/dappledrum/election/elector.py
@@ -66,7 +66,7 @@
         self.lease_keeper = LeaseKeeper(context)
         self.transfer_limit = TransferLimit(self.clock)
         self.no_campaign_before = ZERO
-        #: The last moment at which this process, or an earlier one of this controller, may have
+        #: The last moment at which this process, or a previous one of this controller, may have
         #: answered a worker.
         self.last_possible_answer_at = self.clock.now()
         self._candidacy_delayed = False  # whether the delay was applied in this vacancy
@@ -166,7 +166,7 @@
         process started, has answered that it holds no term.
 
         Only a term that has been valid without a break since before that could rely on a lease
-        grant of a former process, so there is nothing to wait for.
+        grant of a previous process, so there is nothing to wait for.
         """
         if self.voter.restart_wait_until > self.clock.now():
             log.info("campaigns are allowed at once: no other controller holds a term")
@@ -220,11 +220,11 @@
     async def _close_former_lease(self, version: int) -> None:
         """Close the lease of a key that names this controller although it does not lead.
 
-        The key is of a former process of this controller, which has exited and answers no worker,
-        or of a campaign whose outcome this process does not know. It would only keep others from
-        campaigning until its lease expires. Closing the lease is safe: writes sent under the key
-        are guarded by its version, a renewal finds no lease, and an answer on its way is older
-        than what the next leader assumes (docs/design.md, "Immediate restarts").
+        The key is from a previous process of this controller, which has exited and answers no
+        worker, or from a campaign whose outcome this process does not know. It would only keep
+        others from campaigning until its lease expires. Closing the lease is safe: writes sent
+        under the key are guarded by its version, a renewal finds no lease, and an answer on its
+        way is older than what the next leader assumes (docs/design.md, "Immediate restarts").
         """
         if self.leader is None or self.leader.member != self.member or self.term is not None:
             return
--- a/dappledrum/election/quorum.py
+++ b/dappledrum/election/quorum.py
@@ -6,7 +6,7 @@
 from dappledrum.election.confirmed_cancellations import CancellationWindow
 from dappledrum.timing.clock import ZERO
 
-#: The span of confirmed cancellations that is covered if there is no other controller.
+#: The span that is covered if there is no other controller that could confirm cancellations.
 UNLIMITED_SPAN = timedelta(days=10_000)
 
 
--- a/dappledrum/election/test_confirmed_cancellations.py
+++ b/dappledrum/election/test_confirmed_cancellations.py
@@ -178,7 +178,7 @@
 
 def test_a_term_that_has_lapsed_is_not_resumed_by_answers_of_peers():
     """Other controllers rely on a lapsed term staying invalid."""
-    # Cancellations may be 20 s old at most: the term lapses at 100.5 s, the answers take 0.7 s.
+    # Cancellations may be 20 s old at most: the term lapses by 100.5 s, the answers take 0.7 s.
     known_at, leader = request_grants([peer()], known_at=80.5, delay=0.7)
     assert known_at == secs(80.5)
     assert leader.host.applied == []
--- a/dappledrum/election/transfers.py
+++ b/dappledrum/election/transfers.py
@@ -34,7 +34,7 @@
         self._transferred_at.append(self.clock.now())
 
     def allows(self, started_at: timedelta) -> bool:
-        """Whether a term that started then may be transferred now."""
+        """Whether a term that started at `started_at` may be transferred now."""
         now = self.clock.now()
         self._transferred_at = [at for at in self._transferred_at if now - at < TRANSFER_WINDOW]
         return now - started_at >= MIN_TERM_AGE and len(self._transferred_at) < MAX_TRANSFERS
--- a/dappledrum/election/voter.py
+++ b/dappledrum/election/voter.py
@@ -26,14 +26,14 @@
     """
 
     def __init__(self, now: timedelta) -> None:
-        #: Until then lease grants are weak: a former process of this controller may have answered
-        #: a pre-vote that this one does not know of.
+        #: Until then lease grants are weak: a previous process of this controller may have
+        #: answered a pre-vote that this one does not know of.
         self.weak_grants_until = now + longest_local_span(LEASE_GRANT_DURATION)
-        #: Until then this process does not campaign, since a former one may have granted a lease.
-        #: Set to an earlier moment once no leader can rely on such a grant.
+        #: Until then this process does not campaign, since a previous one may have granted a
+        #: lease. Set to an earlier moment once no leader can rely on such a grant.
         self.restart_wait_until = self.weak_grants_until
         self.own_grants_until = now  # when the last lease grant of this process ends
-        #: The current epoch when this process last campaigned; None: it has not campaigned.
+        #: The stored epoch when this process last campaigned; None: it has not campaigned.
         self.campaigned_against_epoch: int | None = None
         self.min_grant_epoch = 0  # leaders of lower epochs get no strong lease grant
 
@@ -47,9 +47,10 @@
         """Answer a leader that does not reach the store; this controller does not reach it either.
 
         `epoch` is the highest that this controller knows. The grant is refused if this controller
-        leads, knows a newer leader, or has campaigned against this epoch (its transaction may
-        still be executed). It is weak if this controller has answered a pre-vote of a higher epoch
-        that it is free of lease grants, or may have done so in a former process.
+        leads, knows a newer leader, or has campaigned against this epoch or a higher one (its
+        transaction may still be executed). It is weak if this controller has answered a pre-vote
+        of a higher epoch that it is free of lease grants, or may have done so in a previous
+        process.
         """
         if leads:
             return LeaseGrantReply(False, "leading")
--- a/dappledrum/leader/test_job_loader.py
+++ b/dappledrum/leader/test_job_loader.py
@@ -65,12 +65,12 @@
         successor = next(m for m in cluster.members if m != former_leader)
         scan = cluster.controllers[successor].store.scan
 
-        async def scan_without_jobs(prefix, priority):
+        async def scan_hanging_on_jobs(prefix, priority):
             if prefix == "job/":
                 await asyncio.sleep(3600)
             return await scan(prefix, priority)
 
-        cluster.controllers[successor].store.scan = scan_without_jobs
+        cluster.controllers[successor].store.scan = scan_hanging_on_jobs
         cluster.controllers[former_leader].elector.transfer_leadership(successor, "a test")
         await cluster.until(lambda: cluster.leader() == successor, most=10)
         await cluster.until(lambda: cluster.leader() not in (None, successor), most=120)
--- a/dappledrum/peers/client.py
+++ b/dappledrum/peers/client.py
@@ -92,7 +92,7 @@
         """Whether the store serves a peer now.
 
         A peer that is asked for a lease grant sends a request to the store, and refuses the grant
-        if the store answers.
+        if the store answers. A refusal for another reason counts as served, too.
         """
         reply = await self._ask(member, LeaseGrantCall(request), LeaseGrantReply, timeout)
         return reply is not None and not reply.granted
@@ -146,7 +146,7 @@
 
     async def time_without_answers(self, timeout: timedelta) -> timedelta | None:
         """For how long no peer has answered a worker in a term of its own; None if a peer does not
-        report it."""
+        report it, or if there is no peer."""
         spans = []
         for reply in await self._holds_term_replies(timeout):
             if reply is None or reply.quiet_ms is None:
--- a/dappledrum/peers/messages.py
+++ b/dappledrum/peers/messages.py
@@ -73,7 +73,7 @@
     """Asks whether a controller holds a term.
 
     A controller that has just started asks this, since a leader may still rely on a lease grant of
-    its former process. Versions before 0.4.0 refuse the request.
+    its previous process. Versions before 0.4.0 refuse the request.
     """
 
 
