--- a/dappledrum/membership/leader_check.py
+++ b/dappledrum/membership/leader_check.py
@@ -41,7 +41,7 @@
         self._announced: set[str] = set()  # unreachable zones that the peers have been informed of
 
     async def run(self) -> None:
-        """Check the links in an endless loop."""
+        """Check the links until cancelled."""
         self._announced = set()
         while True:
             await asyncio.sleep(CHECK_INTERVAL.total_seconds())
--- a/dappledrum/membership/monitor.py
+++ b/dappledrum/membership/monitor.py
@@ -136,7 +136,7 @@
             event.set()
 
     async def exchange_heartbeats(self, peer: str) -> None:
-        """Exchange heartbeats with one peer, in an endless loop."""
+        """Exchange heartbeats with one peer until cancelled."""
         while True:
             interval = HEARTBEAT_INTERVAL.total_seconds() * self.context.rng.uniform(0.9, 1.1)
             try:
--- a/dappledrum/membership/peer_table.py
+++ b/dappledrum/membership/peer_table.py
@@ -73,8 +73,8 @@
         described_at = now - from_ms(heartbeat.age_ms)
         new = ReceivedHeartbeat(heartbeat, described_at, direct)
         if known is not None and known.heartbeat.incarnation == heartbeat.incarnation:
-            # A message may be delayed for minutes and still carry an age of zero. The delay shows
-            # in a larger offset than that of the fastest heartbeat before it, plus clock drift.
+            # A message may be delayed for minutes and still carry an age of zero. Its delay shows
+            # as an offset larger than that of the fastest heartbeat before it, plus clock drift.
             elapsed = from_ms(heartbeat.uptime_ms - known.heartbeat.uptime_ms)
             max_offset = known.clock_offset + elapsed * (2 * MAX_CLOCK_DRIFT)
             new.clock_offset = min(new.clock_offset, max_offset)
--- a/dappledrum/membership/probes.py
+++ b/dappledrum/membership/probes.py
@@ -27,7 +27,7 @@
         self.store = store
 
     async def run(self) -> None:
-        """Probe in an endless loop."""
+        """Probe until cancelled."""
         while True:
             await _sleep_about(STORE_PROBE_INTERVAL, self.context)
             if self.store.health.idle_for(STORE_PROBE_INTERVAL):
@@ -46,7 +46,7 @@
         self.cloud = cloud
 
     async def run(self) -> None:
-        """Probe in an endless loop."""
+        """Probe until cancelled."""
         while True:
             await _sleep_about(CLOUD_PROBE_INTERVAL, self.context)
             if any(map(_reports_slow_cloud, self.monitor.recent_heartbeats())):
@@ -81,7 +81,7 @@
         self.probe = probe
 
     async def run(self) -> None:
-        """Probe in an endless loop."""
+        """Probe until cancelled."""
         last_round = ZERO
         while True:
             await _sleep_about(URGENT_PROBE_INTERVAL, self.context)
--- a/dappledrum/membership/redirected_workers.py
+++ b/dappledrum/membership/redirected_workers.py
@@ -37,7 +37,7 @@
         redirected there, and that is recorded.
 
         It must be forwarded if the leader reports that it does not reach the worker's zone
-        (`unreachable`), if this leader has answered the worker before (`token`), and if the worker
+        (`unreachable`), if this leader has answered the worker before (`token`), or if the worker
         was redirected to the leader and has returned. This prevents redirect loops. After a while
         the worker is redirected once more, since links recover.
 
--- a/dappledrum/membership/service.py
+++ b/dappledrum/membership/service.py
@@ -63,7 +63,7 @@
         self._peers = list(context.peers.clients)
 
     async def run(self) -> None:
-        """Run all background loops; never returns."""
+        """Run all background loops until cancelled."""
         await asyncio.gather(
             *(
                 SUPERVISOR.repeat(
--- a/dappledrum/membership/test_outages.py
+++ b/dappledrum/membership/test_outages.py
@@ -86,8 +86,8 @@
 def test_a_leader_of_a_served_minority_gives_up_nothing_while_the_former_leader_answers():
     """The store refuses the leader and two others, and serves two: one of the two leads.
 
-    Tasks of which it gets no heartbeat count as running until a majority has confirmed that it
-    relies on no lease grant.
+    Tasks of which it gets no heartbeat count as running until a majority has confirmed that it is
+    free of lease grants.
     """
 
     async def main():
--- a/dappledrum/membership/zone_health.py
+++ b/dappledrum/membership/zone_health.py
@@ -42,7 +42,7 @@
             self.failed_probes += 1
 
     def unreachable_since(self, silent_since: timedelta) -> bool:
-        """Whether a probe sent since then has failed, and none was answered after it."""
+        """Whether a probe sent since `silent_since` has failed, and none was answered after it."""
         failed, answered = self.failed_probe_sent_at, self.probe_answered_at
         return (
             failed is not None
