--- a/dappledrum/recovery/__init__.py
+++ b/dappledrum/recovery/__init__.py
@@ -1,1 +1,1 @@
-"""Recovery at the start of a term, while records are read but machines have sent no heartbeats."""
+"""Recovery at the start of a term, when the records are known but heartbeats are still missing."""
--- a/dappledrum/recovery/progress.py
+++ b/dappledrum/recovery/progress.py
@@ -11,7 +11,7 @@
 
 log = logging.getLogger(__name__)
 
-#: After so many leases every loss that can be proven is, and missing machines stay missing.
+#: After so many leases every loss that can be proven has been, and missing machines stay missing.
 MAX_RECOVERY_LEASES = 2
 
 
--- a/dappledrum/recovery/return_times.py
+++ b/dappledrum/recovery/return_times.py
@@ -6,8 +6,8 @@
 at first after one heartbeat interval and a search for the leader, then, as with a boot, the later
 the longer the machine has been missing. So there is no fixed waiting time: machines that send
 heartbeats are used, those that don't are soon replaced, and machines are rented at once for work
-that can't wait. Treating the missing machines as boots that had lasted for minutes gave them no
-capacity, so that others were rented in their place while they came back.
+that can't wait. When the missing machines were treated as boots that had lasted for minutes, they
+counted as no capacity, and others were rented in their place while they came back.
 """
 
 from datetime import timedelta
--- a/dappledrum/workers/commands.py
+++ b/dappledrum/workers/commands.py
@@ -51,7 +51,7 @@
     def of_cancellations(self, machine: Machine, heartbeat: WorkerHeartbeat) -> list[Command]:
         """Commands from a leader whose term depends on lease grants alone: stop the tasks of
         cancelled jobs. A cancellation is final, so any later leader would do the same. Ended
-        attempts are not processed until the records can be written."""
+        attempts get no command until the records can be written."""
         result: list[Command] = []
         for item in heartbeat.tasks:
             job = self.jobs.get(item.task.rpartition("/")[0])
--- a/dappledrum/workers/failure_attribution.py
+++ b/dappledrum/workers/failure_attribution.py
@@ -43,7 +43,7 @@
 def assess_machine(machine: Machine, jobs: Mapping[str, Job]) -> MachineHealth:
     """Assess a machine by the failures since a task last succeeded on it.
 
-    `jobs` are the active jobs by name; failures of other or suspected jobs do not count.
+    `jobs` are the live jobs by name; failures of other or suspected jobs do not count.
     """
     failures = {
         name: count
--- a/dappledrum/workers/heartbeat_attempts.py
+++ b/dappledrum/workers/heartbeat_attempts.py
@@ -51,7 +51,7 @@
     single one proves nothing: the first heartbeat of a machine that has just come up is redirected
     to the leader.
 
-    `elsewhere`: by machine, the most recent heartbeats that any one peer has received.
+    `elsewhere`: by machine, the largest number of recent heartbeats that one peer has received.
     """
     result = []
     for name, count in elsewhere.items():
--- a/dappledrum/workers/heartbeat_order.py
+++ b/dappledrum/workers/heartbeat_order.py
@@ -14,10 +14,10 @@
 ) -> bool:
     """Whether a heartbeat can only be a late copy, or one that was delayed.
 
-    It is if a newer one has arrived, which is so for all with an older token than one that was
-    shown. It is also if its session must have ended: a session that has never shown this term's
-    token got no answer since it began, or since the last time at which a predecessor may have
-    answered, and lasts at most a lease from then.
+    It is one if a newer heartbeat has arrived, which is so for all with an older token than one
+    already shown. It is also one if its session must have ended: a session that has never shown
+    this term's token got no answer since it began, or since the last time at which a predecessor
+    may have answered, and lasts at most a lease from then.
 
     A leader whose term has just begun can't apply either rule, so it accepts copies as heartbeats
     for at most a lease. They may delay the expiry of the machine's lease, but don't make the
--- a/dappledrum/workers/messages.py
+++ b/dappledrum/workers/messages.py
@@ -38,7 +38,7 @@
 
 #: A job has at most 100,000 tasks; a longer number is not converted.
 MAX_TASK_DIGITS = 7
-#: Several entries for each task that runs on a large fleet.
+#: Several times the number of tasks that run on a large fleet.
 MAX_CACHED_TASK_NAMES = 8_000
 
 
--- a/dappledrum/workers/placement_comparison.py
+++ b/dappledrum/workers/placement_comparison.py
@@ -48,9 +48,9 @@
                 self.ends.lose(machine, placement, "no longer there", CostCategory.LOST_STOPPED)
         if missed_start:
             record_missed_answer(machine, "does not start its tasks")
-        # Only once the machine has shown this term's token. Until then old copies, which show
-        # neither the token nor what a predecessor has started since, once made the leader stop
-        # running tasks.
+        # Only once the machine has shown this term's token. Without this condition old copies,
+        # which show neither the token nor what a predecessor has started since, made the leader
+        # stop running tasks.
         if machine.reachability.unreachable and machine.up:
             for placement in machine.placements.values():
                 # Its start is not sent any more, so the next heartbeat without it proves that it
--- a/dappledrum/workers/reachability.py
+++ b/dappledrum/workers/reachability.py
@@ -48,8 +48,8 @@
     def __init__(self) -> None:
         self.unreachable = False
         self.session_at: timedelta | None = None  # when its current session was first seen
-        self.answered_at: timedelta | None = None  # when a heartbeat was last answered
-        self.steady_at: timedelta | None = None  # start of the answers without a long pause
+        self.answered_at: timedelta | None = None  # last answer to a heartbeat in order
+        self.steady_at: timedelta | None = None  # since when answers had no long pause
         self.token_shown = False  # a heartbeat has carried this term's token
         self.missed_answers = 0
 
--- a/dappledrum/workers/reconciler.py
+++ b/dappledrum/workers/reconciler.py
@@ -10,8 +10,8 @@
 - the cloud's confirmation that the machine was returned;
 - silence for longer than a lease, clock drift included, since the last answer that any controller
   can have given. A predecessor may have answered until this term began; if a majority of the
-  controllers could not be asked then, until a majority has confirmed that it relies on no lease
-  grant; or only until an earlier time, if all the others inform this leader since when they have
+  controllers could not be asked then, until a majority has confirmed that it is free of lease
+  grants; or only until an earlier time, if all the others inform this leader since when they have
   had no term.
 """
 
@@ -164,7 +164,7 @@
 
     def restore(self, job: Job) -> None:
         """Take over the placements of a job from a predecessor, which may have answered any worker
-        until now."""
+        until `predecessors_stopped_at`, or until now if that is not known."""
         now = self.clock.now()
         stopped_at = self.predecessors_stopped_at
         for placement in job.placements():
--- a/dappledrum/workers/test_reconciler.py
+++ b/dappledrum/workers/test_reconciler.py
@@ -71,7 +71,7 @@
 
 
 def reconciler_with_stored_placement():
-    """The same, with the placement in the job's record."""
+    """A reconciler whose placement is stored in the job's record."""
     setup = OneJobReconciler()
     setup.save()
     return setup
