--- a/dappledrum/accounting/idle_categories.py
+++ b/dappledrum/accounting/idle_categories.py
@@ -3,7 +3,7 @@
 A machine runs several tasks at a time, so each second is divided by CPUs: a task gets the share
 that it uses, and the rest is idle. Idle time is split by its reason, since each reason has another
 remedy: no waiting tasks (return machines sooner, rent fewer), tasks that do not fit (rent another
-type), a team at its quota, a kind of machine that no waiting task may use, or capacity that a task
+type), a team at its limit, a kind of machine that no waiting task may use, or capacity that a task
 would fit into (reserved by the plan, or a start has not arrived yet).
 """
 
--- a/dappledrum/accounting/ledger.py
+++ b/dappledrum/accounting/ledger.py
@@ -100,8 +100,8 @@
         now = self.clock.now()
         usable = None if available is None else set(available)
         for machine in self.registry:
-            model = types.get(machine.kind.type) if machine.kind is not None else None
-            if machine.kind is None or model is None:
+            machine_type = types.get(machine.kind.type) if machine.kind is not None else None
+            if machine.kind is None or machine_type is None:
                 continue
             account = self.accounts.get(machine.name)
             if account is None:
@@ -110,9 +110,9 @@
                 account = self.accounts[machine.name] = _Account(start, machine.kind)
             elapsed = max(now - account.booked_until, ZERO)
             account.booked_until = now
-            cost = elapsed / timedelta(hours=1) * model.hourly(machine.kind.spot)
+            cost = elapsed / timedelta(hours=1) * machine_type.hourly(machine.kind.spot)
             is_usable = usable is None or machine.name in usable
-            self._book_machine(account, machine, model, cost, demands, is_usable)
+            self._book_machine(account, machine, machine_type, cost, demands, is_usable)
         self._close_accounts()
 
     def _close_accounts(self) -> None:
@@ -125,7 +125,7 @@
         self,
         account: _Account,
         machine: Machine,
-        model: MachineType,
+        machine_type: MachineType,
         cost: float,
         demands: Sequence[Demand],
         is_usable: bool,
@@ -137,7 +137,7 @@
         if not machine.up:
             self._add(account, CostCategory.BOOT, cost)
             return
-        free, idle_share = self._book_placements(account, machine, model, cost)
+        free, idle_share = self._book_placements(account, machine, machine_type, cost)
         if idle_share > MIN_IDLE_SHARE:
             category = idle_category(account.kind, free, not machine.placements, demands)
             without_demand = (CostCategory.IDLE_EMPTY, CostCategory.IDLE_BESIDE_WORK)
@@ -146,19 +146,19 @@
             self._add(account, category, cost * idle_share)
 
     def _book_placements(
-        self, account: _Account, machine: Machine, model: MachineType, cost: float
+        self, account: _Account, machine: Machine, machine_type: MachineType, cost: float
     ) -> tuple[Size, float]:
         """Book the attempts on a machine by their CPUs.
 
         Returns the machine's free capacity and the share of the cost that is left.
         """
-        free = Size(model.cpus, model.gpus, model.memory_gb)
+        free = Size(machine_type.cpus, machine_type.gpus, machine_type.memory_gb)
         left = 1.0
         shares = dict.fromkeys(PLACEMENT_CATEGORIES, 0.0)
         for placement in machine.placements.values():
             size = placement.page.job.size
             free = free.minus(size)
-            share = min(left, size.cpus / model.cpus) if model.cpus > 0 else left
+            share = min(left, size.cpus / machine_type.cpus) if machine_type.cpus > 0 else left
             left -= share
             category = _placement_category(placement)
             shares[category] += share
--- a/dappledrum/accounting/served_counts.py
+++ b/dappledrum/accounting/served_counts.py
@@ -1,4 +1,5 @@
-"""Counts the accepted, started and completed jobs of each team, and describes jobs in log lines.
+"""Counts the accepted, started, done and cancelled jobs of each team, and describes jobs in log
+lines.
 
 The quality of service is measured by the smallest share of any team or class; `shares.py` computes
 the shares from the logs of all controllers.
@@ -34,8 +35,8 @@
     due = job.spec.deadline_s
     if due is None:
         finished = [o for o in objectives if o.kind == "finished"]
-        limits = stage_deadlines(finished, job.spec.job_class, timedelta(0))
-        due = limits[0].total_seconds() if limits else None
+        deadlines = stage_deadlines(finished, job.spec.job_class, timedelta(0))
+        due = deadlines[0].total_seconds() if deadlines else None
     return result if due is None else f"{result}, due after {due:.1f} s"
 
 
--- a/dappledrum/dependencies/lookup.py
+++ b/dappledrum/dependencies/lookup.py
@@ -38,11 +38,11 @@
         self.max_names = max(1, max_guards // 2)
         self.read_head = read_head
         self.read_heads = read_heads
-        #: Accepted jobs that are not services, least recently confirmed first.
+        #: Accepted jobs that are arrays or have ended, least recently confirmed first.
         self.arrays: OrderedDict[str, None] = OrderedDict()
 
     def note(self, job: str, form: Form) -> None:
-        """Remember that a job was accepted."""
+        """Remember that a job was accepted, if it is an array."""
         if form is Form.ARRAY:
             self.arrays[job] = None
             self.arrays.move_to_end(job)
--- a/dappledrum/dispatch/bag_builder.py
+++ b/dappledrum/dispatch/bag_builder.py
@@ -19,7 +19,7 @@
 
 MAX_READY_TASKS = 2_000  # tasks of one job that a plan considers
 #: A job of which nothing has begun for so long gets its first task before all others. Users expect
-#: every job to start within four minutes; the other two are left for capacity to become free.
+#: every job to start within four minutes; two of them are left for capacity to become free.
 MAX_WAIT_UNSTARTED = timedelta(seconds=120)
 #: A job of which nothing has begun for so long uses free capacity even if that adds a billed
 #: interval: operators expect that no job waits for 90 s while there is free capacity.
@@ -168,9 +168,8 @@
         )
 
     def _rank(self, job: Job, urgency: Urgency, latest_start: timedelta) -> tuple[float, ...]:
-        """Sort key that precedes the order of the paper: guarantees, then jobs that can still meet
-        their deadline, then high priority (which could preempt the rest anyway), then the least
-        slack."""
+        """Sort key that precedes the order of the paper: guarantees, then the order of `Urgency`,
+        then high priority (which could preempt the rest anyway), then the least slack."""
         return (
             job.id not in self.guaranteed,
             urgency,
--- a/dappledrum/dispatch/candidate_machines.py
+++ b/dappledrum/dispatch/candidate_machines.py
@@ -29,10 +29,9 @@
         self.clock = context.clock
         self.sizes: set[Size] = set()  # sizes of the tasks of live jobs
         self.running_since = ZERO
-        self.mostly_unreachable = False  # so the fault is probably this controller's
-        self._run_time_moments: dict[
-            str, tuple[timedelta, timedelta]
-        ] = {}  # cache for one plan, by job
+        self.mostly_unreachable = False  # if true, the fault is probably this controller's
+        #: Mean and deviation of run times by job; a cache for one plan.
+        self._run_time_moments: dict[str, tuple[timedelta, timedelta]] = {}
 
     def refresh(self) -> None:
         """Compute the values that all machines of one plan share."""
--- a/dappledrum/dispatch/dispatcher.py
+++ b/dappledrum/dispatch/dispatcher.py
@@ -18,7 +18,7 @@
 #: Planning time after which the event loop runs other tasks.
 EVENT_LOOP_SLICE = timedelta(milliseconds=15)
 BEST_EFFORT_INTERVAL = timedelta(seconds=3)  # between plans that place best-effort jobs
-#: Time limit of one plan; bags that it has not reached by then come first in the next one.
+#: Age at which a plan stops renting; bags that it has not reached come first in the next one.
 MAX_PLAN_TIME = timedelta(milliseconds=700)
 
 
@@ -40,7 +40,7 @@
         self.scale_in = ScaleIn(context, self.machines)
         self.best_effort_planned_at = -BEST_EFFORT_INTERVAL
         self.postponed: set[str] = set()  # bags that the last plan did not reach
-        self.nothing_late = False  # the last plan was complete, on time, and rented nothing
+        self.nothing_late = False  # the last plan was complete, had nothing late, rented nothing
 
     async def run(self) -> Plan:
         """Make one plan and carry it out.
--- a/dappledrum/dispatch/job_deadlines.py
+++ b/dappledrum/dispatch/job_deadlines.py
@@ -32,7 +32,7 @@
         return self.estimates.task_time(job.id, job.spec.job_class, job.spec.estimate)
 
     def of_owner(self, job: Job) -> list[timedelta]:
-        """The owner's deadlines; for jobs that wait for others, also the later ones that the
+        """The owner's deadline; for jobs with dependencies, also the later ones that the
         objectives name. Single jobs did no better with those (docs/limits.md)."""
         own_deadline = (
             None if job.spec.deadline_s is None else timedelta(seconds=job.spec.deadline_s)
--- a/dappledrum/dispatch/placement.py
+++ b/dappledrum/dispatch/placement.py
@@ -78,8 +78,8 @@
     def _place_on_machine(
         self, job_id: str, machine_name: str, count: int, attempt: int | None = None
     ) -> int:
-        """Place tasks of a job on a machine, if both can still take part; either may have changed
-        since the plan began. Returns how many were placed."""
+        """Place tasks of a job on a machine, unless a change since the plan began prevents it.
+        Returns how many were placed."""
         job = self.jobs.get(job_id)
         machine = self.registry.get(machine_name)
         if machine is None or machine.kind is None or not machine.usable:
--- a/dappledrum/dispatch/preemption.py
+++ b/dappledrum/dispatch/preemption.py
@@ -17,7 +17,7 @@
 
 log = logging.getLogger(__name__)
 
-MAX_PREEMPTING_TASKS = 16  # per job and plan
+MAX_PREEMPTING_TASKS = 16  # per job and plan, except gangs
 STOP_HEARTBEATS = 2  # one to send the stop, one to confirm it
 
 
@@ -40,7 +40,8 @@
         self, job: Job, bag: Bag, late: int, now: timedelta, rights: PreemptionRights
     ) -> None:
         """Stop tasks so that `late` tasks of a bag can start. Jobs within their team's guarantee
-        may stop work beyond a guarantee, and `prod` jobs work of lower priority."""
+        may stop work of lower priority, and other teams' work beyond a guarantee; `prod` jobs may
+        stop work of lower priority beyond a guarantee."""
         # Other jobs stop only best-effort tasks that save their progress, though the protocol lets
         # them stop any of lower priority: the stopped work lost twice what they gained.
         guaranteed = job.id in rights.guaranteed
--- a/dappledrum/dispatch/scale_in.py
+++ b/dappledrum/dispatch/scale_in.py
@@ -17,7 +17,7 @@
 log = logging.getLogger(__name__)
 
 SPOT_HEADROOM = 0.1  # share of the spot CPUs to keep free when machines retire
-REPLACEMENT_SHARE = 0.1  # share of the fleet to replace in one plan
+REPLACEMENT_SHARE = 0.1  # share of the fleet for which replacements may boot at a time
 
 
 class ScaleIn:
--- a/dappledrum/fleet/autoscaler.py
+++ b/dappledrum/fleet/autoscaler.py
@@ -18,7 +18,7 @@
 
 log = logging.getLogger(__name__)
 
-BOOT_TIMES_PER_INTERVAL = 2  # minimum length of a billed interval
+BOOT_TIMES_PER_INTERVAL = 2  # minimum length of a billed interval, in boot times
 MAX_RENTALS = 50
 RECLAIM_GRACE = timedelta(seconds=1)  # after the time given in a reclaim notice
 MAX_RETURNS = 100
@@ -85,13 +85,13 @@
         It is at least `BOOT_TIMES_PER_INTERVAL` boot times, so that a machine is not returned only
         to be booted again.
         """
-        model = self.types.get(kind.type)
-        if model is None:
+        machine_type = self.types.get(kind.type)
+        if machine_type is None:
             return self.base_interval
         # Ratios up to SLOW_BOOT_RATIO are ignored: otherwise intervals shifted with each new
         # estimate, and machines were returned only to be rented again.
         ratio = self.boots.ratio(kind)
-        boot = model.boot * (ratio if ratio > SLOW_BOOT_RATIO else 1.0)
+        boot = machine_type.boot * (ratio if ratio > SLOW_BOOT_RATIO else 1.0)
         return max(self.base_interval, boot * BOOT_TIMES_PER_INTERVAL)
 
     def ready_at(self, machine: Machine) -> timedelta:
@@ -127,7 +127,7 @@
         A machine that was given up as lost does not count either.
         """
         now = self.clock.now()
-        self.boots.nominal = {name: model.boot for name, model in self.types.items()}
+        self.boots.nominal = {name: machine_type.boot for name, machine_type in self.types.items()}
         waiting = []
         for machine in self.registry:
             if machine.kind is None:
@@ -243,7 +243,7 @@
     # returning
 
     async def return_loop(self) -> None:
-        """Return machines that are overdue, failed, drained, or idle at the end of an interval."""
+        """Return machines that failed, are overdue or silent, or idle as their interval ends."""
         while True:
             await asyncio.sleep(0.5)
             if not self.may_command():
@@ -382,7 +382,7 @@
             machine.returning = True
 
     async def catalog_loop(self) -> None:
-        """Keep the prices up to date."""
+        """Keep the machine types and their prices up to date."""
         while True:
             await asyncio.sleep(30)
             try:
--- a/dappledrum/fleet/boot_times.py
+++ b/dappledrum/fleet/boot_times.py
@@ -20,7 +20,7 @@
 PRIOR_WEIGHT = 2.0  # number of boots that weigh as much as the catalog's figure
 HALF_LIFE = timedelta(minutes=1)  # age at which an observed boot has half its weight
 MAX_REMEMBERED_BOOTS = 64
-ESTIMATE_MARGIN = 1.25  # over one deviation: boots take 0.6 to 1.5 times the nominal time
+ESTIMATE_MARGIN = 1.25  # more than one deviation: boots take 0.6 to 1.5 times the nominal time
 MAX_USUAL_RATIO = 1.5  # a boot up to this ratio does not count as slow
 MIN_BOOT_TIME = timedelta(seconds=1)
 OVERTAKEN_FACTOR = 2.0  # times the slowest later boot, after which an overtaken boot is given up
--- a/dappledrum/fleet/fleet_facts.py
+++ b/dappledrum/fleet/fleet_facts.py
@@ -14,7 +14,7 @@
 from dappledrum.workers.machine_registry import MachineRegistry
 
 FLEET = "fleet"
-MAX_BOOT_AGE = timedelta(minutes=10)
+MAX_BOOT_AGE = timedelta(minutes=10)  # machines that boot for longer are left out
 BYTES_PER_MACHINE = 32  # of the value, to keep it within the size limit of the store
 WRITE_INTERVAL = timedelta(seconds=1)
 
@@ -62,7 +62,7 @@
         await self.advisory_record.write_periodically(self._record, WRITE_INTERVAL)
 
     async def load_previous(self) -> None:
-        """Register the machines that a predecessor has rented."""
+        """Register the machines that were booting under a predecessor."""
         record = await self.advisory_record.read()
         if record is None:
             return
--- a/dappledrum/gangs/all_or_nothing.py
+++ b/dappledrum/gangs/all_or_nothing.py
@@ -1,4 +1,4 @@
-"""Keeps gangs complete: either all tasks of a gang are placed, or the others are stopped.
+"""Keeps gangs complete: a gang whose unfinished tasks are not all placed is stopped.
 
 The planner places all unfinished tasks of a gang in one step, and only when none of them counts as
 placed. Later a gang can lose a member: its machine is reclaimed or silent, a start is refused, or
--- a/dappledrum/jobs/cost_category.py
+++ b/dappledrum/jobs/cost_category.py
@@ -12,11 +12,11 @@
     GANG_WAIT = "gather"  # the image is fetched, other tasks of the gang are not ready yet
     RUNNING = "running"  # the attempt has not ended, so its cost is neither kept nor lost yet
     KEPT = "kept"  # the attempt completed, or saved its progress
-    LOST_STOPPED = "lost, stopped"  # stopped by a command, after a reclaim notice or preemption
+    LOST_STOPPED = "lost, stopped"  # stopped by a command, as by preemption or a reclaim notice
     LOST_CANCELLED = "lost, cancelled"
     LOST_ERROR = "lost, failed"
     LOST_LEASE_EXPIRED = "lost, lease"  # the machine was silent for its lease, or restarted
-    LOST_RECLAIMED = "lost, taken"  # the machine is no longer in the cloud's list
+    LOST_RECLAIMED = "lost, taken"  # the cloud has confirmed the return of the machine
     IDLE_EMPTY = "idle, empty"  # no task on the machine, and none waiting
     IDLE_BESIDE_WORK = "idle, beside work"  # tasks on the machine, and none waiting
     IDLE_TOO_SMALL = "idle, too small"  # waiting tasks need more capacity than is free here
--- a/dappledrum/jobs/record_writer.py
+++ b/dappledrum/jobs/record_writer.py
@@ -82,7 +82,7 @@
         if job.finished:
             return
         # All tasks may be done while an attempt still runs, if an earlier attempt completed its
-        # task and the heartbeat was delayed. The attempt counts towards the team's quota, also
+        # task and the heartbeat was delayed. The attempt counts towards the team's limit, also
         # for the next leader, so the job stays live until the attempt is proven terminated.
         if (job.complete() or job.cancelled) and not job.placement_count():
             job.ended_at = job.ended_at or self.clock.utc_now()
--- a/dappledrum/learning/learned_estimates.py
+++ b/dappledrum/learning/learned_estimates.py
@@ -47,8 +47,8 @@
         capacity = max(1, self.advisory_record.max_bytes // MAX_ROW_BYTES)
         classes = sorted(self.estimates.classes.items(), key=lambda row: -row[1].count)
         rows = [
-            ClassRow(name, round(seen.count), round(seen.mean, 2), round(seen.square, 1))
-            for name, seen in classes[: min(MAX_CLASSES, capacity // 2)]
+            ClassRow(name, round(ratios.count), round(ratios.mean, 2), round(ratios.square, 1))
+            for name, ratios in classes[: min(MAX_CLASSES, capacity // 2)]
         ]
         boots = [
             BootRow(
@@ -74,9 +74,13 @@
         record = await self.advisory_record.read()
         if record is None:
             return
-        for seen in record.classes[:MAX_CLASSES]:
-            sample = self.estimates.classes.setdefault(seen.job_class, RunningStatistics())
-            sample.count, sample.mean, sample.square = seen.count, seen.mean, seen.square
+        for class_row in record.classes[:MAX_CLASSES]:
+            ratios = self.estimates.classes.setdefault(class_row.job_class, RunningStatistics())
+            ratios.count, ratios.mean, ratios.square = (
+                class_row.count,
+                class_row.mean,
+                class_row.square,
+            )
         now, utc_now = self.clock.now(), self.clock.utc_now()
         boots = []
         for row in record.boots[:MAX_BOOTS]:
--- a/dappledrum/learning/messages.py
+++ b/dappledrum/learning/messages.py
@@ -11,7 +11,8 @@
 
 
 class ClassRow(msgspec.Struct, array_like=True):
-    """Ratio of actual to estimated run time of a class: mean and deviation of its logarithm."""
+    """Logarithm of the ratio of actual to estimated run time of a class: number of values, mean,
+    and sum of the squared differences from the mean."""
 
     job_class: Label
     count: Weight
--- a/dappledrum/scheduling/backfill.py
+++ b/dappledrum/scheduling/backfill.py
@@ -110,9 +110,8 @@
         now, run, due, image = self.builder.now, bag.run, bag.due, bag.image
         waited = ZERO if spot_only else bag.waited
         timelines = self.builder.timelines
-        latest_start = (
-            now if spot_only else max(now, due - run)
-        )  # a later start misses the deadline
+        # Later starts are not used: they miss the deadline or, with `spot_only`, are not now.
+        latest_start = now if spot_only else max(now, due - run)
         earliest_finish = heap[0][0] if heap else None
         rate, fetch_duration = -1.0, ZERO
         for row in range(next_row, len(rows)):
--- a/dappledrum/scheduling/bags.py
+++ b/dappledrum/scheduling/bags.py
@@ -16,7 +16,7 @@
     size: Size
     ready: int  # tasks that may start now
     unready: int  # unfinished tasks of the stage that are not ready
-    total: int  # tasks of the stage
+    total: int  # tasks of the stage; in a workflow, without those that are done
     run: timedelta  # estimated run time of a task, without the fetch of its image
     due: timedelta  # deadline, as a moment on the planner's clock
     image: str
@@ -24,7 +24,7 @@
     allowed: Callable[[InstanceKind], bool]
     rank: tuple[float, ...] = ()  # smaller goes first; decides before the order of the paper
     one_zone: bool = False
-    zone_capacity: dict[str, int] | None = None  # tasks that each zone may still take
+    zone_capacity: dict[str, int] | None = None  # spread: tasks that each zone may still take
     team: str = ""
     free_capacity_only: bool = False  # no machine is rented for it
     waited: timedelta = ZERO  # time since its tasks could start
--- a/dappledrum/scheduling/estimates.py
+++ b/dappledrum/scheduling/estimates.py
@@ -41,7 +41,8 @@
 
 
 class Estimates:
-    """Run times learned during one term of leadership, by job and by class."""
+    """Run times by job and by class during one term; those of classes may begin with a
+    predecessor's."""
 
     def __init__(self) -> None:
         self.jobs: dict[str, RunningStatistics] = {}
--- a/dappledrum/scheduling/gang_search.py
+++ b/dappledrum/scheduling/gang_search.py
@@ -36,7 +36,7 @@
     image: str
     image_gb: float
     allowed: Callable[[InstanceKind], bool]
-    zone_capacity: dict[str, int] | None = None  # number of tasks that each zone may take
+    zone_capacity: dict[str, int] | None = None  # spread: tasks that each zone may take
 
 
 class GangSlot(NamedTuple):
--- a/dappledrum/scheduling/timeline.py
+++ b/dappledrum/scheduling/timeline.py
@@ -143,7 +143,7 @@
         self.interval_s = interval.total_seconds()
         self._first_steps: dict[Size, int] = {}  # index of the first step at which a size fits
         self._billed_until: timedelta | None = None
-        self._billed_intervals = 0  # their number until `_billed_until`
+        self._billed_intervals = 0  # number of billed intervals until `_billed_until`
 
     def copy(self) -> "MachineTimeline":
         """An independent copy for a trial placement."""
@@ -222,8 +222,8 @@
             self._billed_until = None
 
     def occupy(self, tasks: Iterable[tuple[timedelta, Size]]) -> None:
-        """Reserve resources for tasks that run already, each from the beginning to its end; only
-        for a timeline on which nothing is reserved yet.
+        """Reserve resources for tasks that are placed already, each from the beginning to its end;
+        only for a timeline on which nothing is reserved yet.
 
         Has the same result as `reserve` for each task, but in a single pass from the last end
         back: separate calls cost a fifth of a leader's processor time with 29 tasks on each of 400
