--- a/dappledrum/jobs/placement.py
+++ b/dappledrum/jobs/placement.py
@@ -54,6 +54,6 @@
         self.running_since: timedelta | None = None
         # Sequence number of the newest heartbeat whose response contained the start.
         self.offered_sequence = -1
-        self.lost = False  # to be given up as soon as that is proven safe
+        self.lost = False  # to be stopped; it stays placed until its termination is proven
         self.waiting_for_gang = False  # the image is fetched, the rest of the gang is not ready
         self.accrued_cost = 0.0  # cost of its run time so far, see `accounting`
