--- a/dappledrum/fleet/test_autoscaler.py
+++ b/dappledrum/fleet/test_autoscaler.py
@@ -72,15 +72,15 @@
 async def test_request_names_are_unique_and_refused_kinds_have_a_cooldown():
     cloud = FakeCloud(["h1"], NoCapacityError("none"), CloudError("no answer"), ["h2"])
     autoscaler, registry = make_autoscaler(cloud)
-    was_offered = []
+    offers = []
     for _ in range(4):
         autoscaler.order({SPOT: 1}, set(), autoscaler.clock.now())
         await while_running(autoscaler, autoscaler.rent_loop, for_s=0.1)
-        was_offered.append(autoscaler.offered(SPOT))
+        offers.append(autoscaler.offered(SPOT))
         while not autoscaler.offered(SPOT):
             await asyncio.sleep(1)
     assert cloud.requests == ["r-3-1", "r-3-2", "r-3-3", "r-3-4"]
-    assert was_offered == [True, False, False, True]
+    assert offers == [True, False, False, True]
     assert set(registry.machines) == {"h1", "h2"}
 
 
