--- a/dappledrum/model/election.py
+++ b/dappledrum/model/election.py
@@ -66,9 +66,8 @@
         self.terms: dict[int, ModelTerm] = {0: first}
         self.confirmed = [ConfirmedCancellations(timedelta(0)) for _ in self.members]
         self.cancelled_jobs: list[int] = []  # as stored
-        self.first_confirmed_at: dict[
-            int, float
-        ] = {}  # by job: when a user first got the confirmation
+        #: By job: when a user first got the confirmation.
+        self.first_confirmed_at: dict[int, float] = {}
         self.key_epoch: int | None = 1  # of the key `leader`; None: absent
         self.key_expires_at = self.now + LEASE_TTL
         self.epoch = 1
--- a/dappledrum/model/election_conditions.py
+++ b/dappledrum/model/election_conditions.py
@@ -16,9 +16,8 @@
 LOOP_INTERVAL = 0.25  # between two steps of a controller
 TRANSACTION_TIMEOUT = LEASE_TTL / 2  # for the transaction of a campaign
 PRE_VOTE_TIMEOUT = 1.5  # longer than in the program, so that more events happen meanwhile
-MAX_TIME_ON_MAJORITY_GRANTS = (
-    6.0  # of a leader to which a majority of the controllers grants, but not all
-)
+#: Of a leader that has grants of a majority, but not of all controllers.
+MAX_TIME_ON_MAJORITY_GRANTS = 6.0
 GRANT_DURATION = LEASE_GRANT_DURATION.total_seconds()
 WORKER_LEASE = 4.0
 CANCELLATION_DEADLINE = 11.0  # from a user's confirmation until the tasks have terminated
@@ -58,9 +57,7 @@
 
     GRANT_LEASE = auto()  # by a leader that the store does not serve
     PRE_VOTE = auto()  # by a candidate
-    FORMER_LEADERS = (
-        auto()
-    )  # a pre-vote by a leader that got no majority of free answers as a candidate
+    FORMER_LEADERS = auto()  # a pre-vote by a leader that got no majority as a candidate
 
 
 @dataclass
--- a/dappledrum/model/invariants.py
+++ b/dappledrum/model/invariants.py
@@ -68,7 +68,7 @@
     partially_placed_since: dict[str, float] = field(default_factory=dict)
     #: Called with the job and the event.
     listeners: list[Callable[[str, JobEvent], None]] = field(default_factory=list)
-    #: How long a gang may stay so: the wait of a gang, plus a lease until a loss is proven.
+    #: How long a gang may be placed in part: its wait, plus a lease until a loss is proven.
     max_partially_placed_s: float = 60.0
     cancelled_starts: int = 0  # tasks that started after the confirmed cancellation of their job
     waiting: WaitTracker = field(default_factory=WaitTracker)
