--- a/dappledrum/dispatch/placement.py
+++ b/dappledrum/dispatch/placement.py
@@ -103,7 +103,7 @@
                     task, machine_name, machine.session, machine.kind.zone, utc_now, attempt
                 )
                 machine.placements[(job.id, task)] = placement
-                machine.given.set()
+                machine.placement_added.set()
                 count -= 1
                 page_bytes_bound += row_bytes_bound
             self.start_recorder.mark_dirty(page)
--- a/dappledrum/fleet/autoscaler.py
+++ b/dappledrum/fleet/autoscaler.py
@@ -289,7 +289,7 @@
         now = self.clock.now()
         if machine.failed:
             return "it has failed"
-        if machine.recall_at is not None and now > machine.recall_at + RECLAIM_GRACE:
+        if machine.reclaim_at is not None and now > machine.reclaim_at + RECLAIM_GRACE:
             # A confirmed return proves that its attempts are terminated, one lease sooner than
             # missing heartbeats do.
             return "its reclaim time has passed"
