--- a/dappledrum/controller/assembly.py
+++ b/dappledrum/controller/assembly.py
@@ -38,7 +38,8 @@
 #: A leader with lease grants of only a majority stops so early that its workers' leases have
 #: expired this long before the time limit for cancellations.
 MAJORITY_GRANTS_MARGIN = timedelta(seconds=5)
-#: The same margin for a leader that last read all cancellations just before a user cancelled.
+#: Workers' leases have expired this long before the time limit for cancellations, also if a leader
+#: last read all cancellations just before a user cancelled.
 CANCELLATIONS_AGE_MARGIN = timedelta(seconds=1)
 #: Minimum time for which a read of all cancellations is valid. Without it leaders could answer no
 #: worker at all if the time limit for cancellations were no longer than a lease.
--- a/dappledrum/controller/catalog.py
+++ b/dappledrum/controller/catalog.py
@@ -42,7 +42,8 @@
         self.catalog_fault = FaultLog(log, environment.clock, "no machine types are known yet")
 
     async def run(self) -> None:
-        """Load the catalog; a copy in the store comes first, as the cloud may be unreachable."""
+        """Load the catalog, from its copy in the store if there is one, since the cloud may be
+        unreachable."""
         while True:
             types = await self._stored_types() or await self._cloud_types()
             if types:
--- a/dappledrum/controller/controller.py
+++ b/dappledrum/controller/controller.py
@@ -22,7 +22,8 @@
 from dappledrum.timing.timeouts import PauseDetector
 from dappledrum.user_api.job_api import JobApi
 
-#: Paths of single jobs may have any text without a slash before `/submissions`.
+#: Paths of single jobs may have any text without a slash before `/submissions`; the path to submit
+#: a job is matched exactly.
 JOBS_PATH = "[^/]*/submissions"
 
 
--- a/dappledrum/controller/election_host.py
+++ b/dappledrum/controller/election_host.py
@@ -36,7 +36,7 @@
         self.membership.announce()
 
     def apply_confirmed_cancellations(self, cancelled: frozenset[str]) -> bool:
-        """Treat these jobs as cancelled; returns whether this controller runs a leader for it."""
+        """Treat these jobs as cancelled; returns False if this controller runs no leader."""
         return self.term_runner.apply_confirmed_cancellations(cancelled)
 
     def candidacy_delay(self) -> timedelta:
--- a/dappledrum/controller/leadership_transfer.py
+++ b/dappledrum/controller/leadership_transfer.py
@@ -29,7 +29,8 @@
 
         Heartbeats of a peer show only that the store served it up to a second ago. If an outage
         had begun since, no controller could write the leader key, and the leader that had resigned
-        could not continue with lease grants: all running tasks were lost.
+        could not continue with lease grants: all running tasks were lost. So while this
+        controller's requests to the store fail, the peer is asked first whether it is served.
         """
         if self.store.availability.failing_for() is not None and not await self._is_served(member):
             log.info(
--- a/dappledrum/controller/sockets.py
+++ b/dappledrum/controller/sockets.py
@@ -11,13 +11,14 @@
 RESERVED_SOCKETS = 10  # for listening, and for probes of workers
 #: Connections that wait to be accepted use at most `max_sockets // WAITING_DIVISOR` sockets.
 WAITING_DIVISOR = 6
-#: The same bounds for outgoing requests, and for accepted connections of peers.
+#: Outgoing requests use at most `max_sockets // OUTGOING_DIVISOR` sockets, accepted connections of
+#: peers at most `max_sockets // PEER_DIVISOR`.
 OUTGOING_DIVISOR = 4
 PEER_DIVISOR = 8
 
 
 class SocketShares(NamedTuple):
-    """Number of sockets for each kind of connection; the sum is `max_sockets` at most."""
+    """Number of sockets for each kind of connection; the sum is `max_sockets`."""
 
     outgoing: int  # requests to other services, and listening
     peers: int  # connections of peers
--- a/dappledrum/controller/term_runner.py
+++ b/dappledrum/controller/term_runner.py
@@ -71,7 +71,7 @@
         return self.leader.expected_heartbeats() if self.leader is not None else {}
 
     def apply_confirmed_cancellations(self, cancelled: frozenset[str]) -> bool:
-        """Treat these jobs as cancelled; returns whether this controller runs a leader for it."""
+        """Treat these jobs as cancelled; returns False if this controller runs no leader."""
         if self.leader is None:
             return False
         self.leader.apply_confirmed_cancellations(cancelled)
--- a/dappledrum/controller/unreached_leader.py
+++ b/dappledrum/controller/unreached_leader.py
@@ -13,9 +13,9 @@
 #: A leader that has received no heartbeat for this number of intervals asks its peers.
 MAX_MISSED_HEARTBEATS = 3
 MIN_SILENCE_LIMIT = timedelta(seconds=3)
-ATTEMPT_WINDOW = timedelta(seconds=10)  # peers count the heartbeat attempts since then
+ATTEMPT_WINDOW = timedelta(seconds=10)  # peers report the heartbeat attempts within it
 ATTEMPT_TIMEOUT = timedelta(seconds=1)
-CANDIDACY_PAUSE = timedelta(seconds=20)  # without a campaign after resigning
+CANDIDACY_PAUSE = timedelta(seconds=20)  # no campaign for this long after resigning
 
 
 class UnreachedLeaderMonitor:
--- a/dappledrum/controller/user_endpoint.py
+++ b/dappledrum/controller/user_endpoint.py
@@ -97,9 +97,9 @@
         return refusal(HTTPStatus.NOT_FOUND, "no such job")
 
     async def _relay(self, request: Request) -> Response | None:
-        """Ask the peers that reach the store fastest concurrently; return the first usable answer.
+        """Ask peers that reach the store concurrently, and return the first usable answer.
 
-        All peers are asked if none of them is known to reach the store.
+        The MAX_RELAY_PEERS fastest are asked, or all peers if none is known to reach the store.
         """
         message = Relay(request.method, request.path, request.body)
         calls = [
--- a/dappledrum/http/connection_limits.py
+++ b/dappledrum/http/connection_limits.py
@@ -26,9 +26,9 @@
 class Role(IntEnum):
     """Use of a connection; those with a lower value are dropped first."""
 
-    NEW = 0
+    NEW = 0  # without any request so far
     WORKER = 1
-    USER = 2
+    USER = 2  # users and health checks
 
 
 class ConnectionInfo(Protocol):
--- a/dappledrum/http/connection_table.py
+++ b/dappledrum/http/connection_table.py
@@ -50,7 +50,7 @@
         return iter(self._connections)
 
     def admit(self, connection: TrackedConnection) -> bool:
-        """Add a new connection, for which an idle one is dropped if the limit is reached. Returns
+        """Add a new connection; if the limit is reached, an idle one is dropped for it. Returns
         False if there is none to drop."""
         if len(self._connections) >= self.max_connections:
             now = asyncio.get_running_loop().time()
@@ -62,8 +62,8 @@
         return True
 
     def admit_worker(self, connection: TrackedConnection) -> bool:
-        """Mark a connection as a worker's, for which an idle worker is dropped if workers use all
-        that they may. Returns False if there is none to drop."""
+        """Mark a connection as a worker's; if workers then use too many, an idle worker's is
+        dropped for it. Returns False if there is none to drop."""
         if connection.role is Role.WORKER:
             return True
         connection.role = Role.WORKER
--- a/dappledrum/settings.py
+++ b/dappledrum/settings.py
@@ -36,7 +36,7 @@
 
 
 class Team(msgspec.Struct, frozen=True):
-    """A team's guaranteed resources and their limits; a limit of 0 means no limit."""
+    """A team's guarantee and limit of CPUs and GPUs; a limit of 0 means no limit."""
 
     name: Name
     cpus: Amount = 0.0
@@ -108,7 +108,7 @@
 
     def strictest(self) -> "StoreLimits":
         """The smaller of the current and the next limits. They apply from the start of this
-        controller, since the change comes without notice."""
+        controller, since the change comes without notice; for value sizes see `ValueLimit`."""
         if self.next is None:
             return self
         return StoreLimits(
--- a/dappledrum/store/test_guards.py
+++ b/dappledrum/store/test_guards.py
@@ -75,8 +75,10 @@
         await cluster.wait(4)
         users = []
         for number in range(8):
-            draw = random.Random(f"{seed} {number}")
-            users.append(asyncio.ensure_future(user(cluster, submission(number, draw), draw)))
+            user_rng = random.Random(f"{seed} {number}")
+            users.append(
+                asyncio.ensure_future(user(cluster, submission(number, user_rng), user_rng))
+            )
         # A job with several pages and rows in parts, and one with a specification in parts.
         many_tasks = job(90, beats=300, vcpus=0.5, runS=5.0, expectedS=5.0, dueS=None)
         large_spec = job(91, builds=["small"] + [f"{n:04d}" * 10 for n in range(30)], dueS=None)
--- a/dappledrum/store/value_limit.py
+++ b/dappledrum/store/value_limit.py
@@ -1,10 +1,10 @@
 """Limits the size of values written to the store.
 
 The settings may announce smaller limits that the store will apply from some moment on, without
-notice, but not before all controllers are upgraded. Controllers of earlier versions can't read
-values that are split into parts, so values up to the current limit are written whole as long as
-such a controller may become leader. Once all are upgraded, or the store has refused a value,
-values larger than the reduced limit are split.
+notice, but not before all controllers are upgraded. Versions before 0.3.0 can't read values that
+are split into parts, so values up to the current limit are written whole as long as a controller
+of such a version may become leader. Once all are upgraded, or the store has refused a value larger
+than the reduced limit, values larger than the reduced limit are split.
 """
 
 import logging
--- a/dappledrum/timing/supervisor.py
+++ b/dappledrum/timing/supervisor.py
@@ -56,6 +56,6 @@
     async def run_to_completion(
         self, name: str, loop: Callable[[], Awaitable[None]], stopped: asyncio.Event
     ) -> None:
-        """Await `loop()`, restarting it after failures, until it completes or `stopped` is set."""
+        """Await `loop()` until it completes, again after each failure unless `stopped` is set."""
         while not stopped.is_set() and not await self.attempt(name, loop):
             pass
--- a/dappledrum/user_api/job_api.py
+++ b/dappledrum/user_api/job_api.py
@@ -75,8 +75,8 @@
         self.clock = clock
         self.value_limit = value_limit or ValueLimit(params.state)
         self.types: list[MachineType] | None = None
-        # By all controllers: a leader older than 0.4.0 can't read the record of a gang, and would
-        # manage no job at all because of it.
+        # Whether all controllers support gangs: a leader older than 0.4.0 can't read the record of
+        # a gang, and would manage no job at all because of it.
         self.gangs_supported = False
         self.ended: OrderedDict[str, EndedRecord] = OrderedDict()
         self.confirmed = ConfirmedCancellations(clock.now())
--- a/dappledrum/user_api/poll_batcher.py
+++ b/dappledrum/user_api/poll_batcher.py
@@ -144,7 +144,7 @@
         missing = jobs - unchanged.keys()
         find: Callable[[str, RequestPriority], Awaitable[StoredJob]] = self.find
         if len(missing) > MAX_SINGLE_READS:
-            find = self.find_ended  # a job that is not listed as live has already ended
+            find = self.find_ended  # a job that is not live has ended, or does not exist
             for job, found in (await self.find_many(missing)).items():
                 if isinstance(found, StoreError):
                     result[job] = found
