--- a/dappledrum/controller/test_cancellations_in_outage.py
+++ b/dappledrum/controller/test_cancellations_in_outage.py
@@ -178,8 +178,8 @@
 
 @pytest.mark.parametrize("failure", ["waits", "fails"])
 async def test_a_leader_gives_up_its_term_when_its_watch_returns_nothing(failure):
-    """A renewed leader key shows that the leader still leads, not that it has read the
-    cancellations that users were told of."""
+    """A renewed lease shows that the leader still leads, not that it has read the cancellations
+    that were confirmed to users."""
 
     async with long_running_jobs(4) as work:
         cluster, controller = work.cluster, work.leading_controller()
--- a/dappledrum/controller/test_concurrent_faults.py
+++ b/dappledrum/controller/test_concurrent_faults.py
@@ -18,8 +18,8 @@
 
 @SEEDS
 async def test_tasks_that_end_far_apart_finish_across_changes_of_leader(seed):
-    """Guards against ends of tasks that one leader stored and the next hasn't read, lost removals
-    of records, and a leader that ends in the middle of a write."""
+    """Covers ends of tasks that one leader has stored and the next has not read, `forget` commands
+    that do not reach the workers, and a leader that ends in the middle of a write."""
 
     async with running_scenario(seed) as scenario:
         cluster, rng = scenario.cluster, scenario.rng
@@ -176,7 +176,7 @@
 
 @SEEDS
 @pytest.mark.parametrize("latency_s", [0.2, 1.2, 2.5])
-async def test_cancellations_are_confirmed_after_the_store_was_slow_and_then_unreachable(
+async def test_cancellations_are_confirmed_after_the_store_was_slow_and_then_refused_all(
     seed, latency_s
 ):
     async with running_scenario(seed) as scenario:
--- a/dappledrum/controller/test_concurrent_leadership_faults.py
+++ b/dappledrum/controller/test_concurrent_leadership_faults.py
@@ -114,8 +114,8 @@
 
 
 async def outdate_heartbeats(scenario):
-    """Make earlier heartbeats outdated: one machine loses its session, another is taken by the
-    cloud."""
+    """Make earlier heartbeats outdated: one machine loses its session, another is reclaimed
+    by the cloud."""
     cluster, rng = scenario.cluster, scenario.rng
     hanging, taken = rng.sample(cluster.cloud.workers(), 2)
     hanging.hung = True
@@ -125,7 +125,7 @@
 
 @SEEDS
 async def test_old_heartbeats_do_no_harm_as_a_term_begins(seed):
-    """Heartbeats from earlier sessions and task attempts, and from machines that were returned
+    """Heartbeats from earlier sessions and task attempts, and from machines that were reclaimed
     meanwhile, arrive as a term begins."""
 
     async with running_scenario(seed) as scenario:
--- a/dappledrum/controller/test_concurrent_limit_faults.py
+++ b/dappledrum/controller/test_concurrent_limit_faults.py
@@ -96,8 +96,8 @@
     seed, fault, leader_changes
 ):
     """Every team is at its limit, and jobs are cancelled while some machines are unreachable.
-    Tasks there count through any number of changes of leader, and the limit is free again a lease
-    after the last one."""
+    Tasks there count towards the limit through any number of changes of leader, and the limit is
+    free again a lease after the last one."""
 
     async with running_scenario(seed, users=0, teams=LIMITED_TEAMS) as scenario:
         cluster, rng = scenario.cluster, scenario.rng
@@ -134,7 +134,7 @@
 ):
     """A machine completes a task while it is cut off, and its heartbeat arrives only after the
     task was started again on a second machine, which is now unreachable. The job is done, and the
-    task that still runs counts, also after a change of leader."""
+    task that still runs counts towards the limit, also after a change of leader."""
 
     async with running_scenario(seed, users=0) as scenario:
         cluster, rng = scenario.cluster, scenario.rng
@@ -267,7 +267,7 @@
 ):
     """Machines boot within a second, the cloud's list lags by 15 s, and the record of booting
     machines is stored late or never. Tasks on machines that the next leader can't know of are
-    started nowhere else, and count."""
+    started nowhere else, and count towards the team's limit."""
     unlisted_machine_counts = []
 
     async with running_scenario(seed, machines=2, users=4) as scenario:
@@ -321,7 +321,8 @@
 @SEEDS
 async def test_tasks_on_silent_machines_count_until_their_lease_has_expired(seed):
     """Machines are silent for less than a lease or longer, while jobs are cancelled and the leader
-    ends. Their tasks count until the lease has expired and are started elsewhere only then."""
+    ends. Their tasks count towards the team's limit until the lease has expired, and are started
+    elsewhere only then."""
 
     async with running_scenario(seed) as scenario:
         cluster, rng = scenario.cluster, scenario.rng
