--- a/dappledrum/controller/test_cancellations_in_outage.py
+++ b/dappledrum/controller/test_cancellations_in_outage.py
@@ -241,8 +241,8 @@
 
 
 async def test_peers_confirm_cancellations_throughout_a_long_outage():
-    """All peers confirm what they know, so the leader goes on for as long as the outage lasts,
-    beyond the bound that counts from its last read."""
+    """All peers report the cancellations that they have confirmed, so the leader goes on for as
+    long as the outage lasts, beyond the bound that counts from its last read."""
 
     async with long_running_jobs(6, JOBS) as work:
         elector = work.leading_controller().elector
--- a/dappledrum/controller/test_late_and_duplicate_heartbeats.py
+++ b/dappledrum/controller/test_late_and_duplicate_heartbeats.py
@@ -40,9 +40,9 @@
     ("seed", "paths"), [(0, HEARTBEAT_PATHS), (1, HEARTBEAT_PATHS), (2, ALL_PATHS), (3, ALL_PATHS)]
 )
 async def test_no_terminated_machine_counts_as_up_when_requests_are_repeated_late(seed, paths):
-    """Copies of requests arrive at any controller, from 1 s to three leases late, while leaders
-    and machines end and machines hang. No invariant is broken, and no terminated machine counts as
-    up."""
+    """Copies of heartbeats arrive at any controller, and those of other requests where these went,
+    from 1 s to three leases late, while leaders and machines end and machines hang. No invariant
+    is broken, and no terminated machine counts as up."""
 
     work = await start_short_jobs(seed, paths)
     for turn, fault in enumerate(FAULTS):
