--- a/dappledrum/controller/test_cancellations_in_outage.py
+++ b/dappledrum/controller/test_cancellations_in_outage.py
@@ -178,8 +178,8 @@
 
 @pytest.mark.parametrize("failure", ["waits", "fails"])
 async def test_a_leader_gives_up_its_term_when_its_watch_returns_nothing(failure):
-    """A renewed leader key shows that the leader still leads, not that it has read the
-    cancellations that users were told of."""
+    """A renewed lease shows that the leader still leads, not that it has read the cancellations
+    that were confirmed to users."""
 
     async with long_running_jobs(4) as work:
         cluster, controller = work.cluster, work.leading_controller()
@@ -241,8 +241,8 @@
 
 
 async def test_peers_confirm_cancellations_throughout_a_long_outage():
-    """All peers confirm what they know, so the leader goes on for as long as the outage lasts,
-    beyond the bound that counts from its last read."""
+    """All peers report the cancellations that they have confirmed, so the leader goes on for as
+    long as the outage lasts, beyond the bound that counts from its last read."""
 
     async with long_running_jobs(6, JOBS) as work:
         elector = work.leading_controller().elector
