--- a/dappledrum/simulation/__init__.py
+++ b/dappledrum/simulation/__init__.py
@@ -1,4 +1,5 @@
-"""Stand-ins of everything around the controllers, over the published protocols, in virtual time.
+"""Simulates everything around the controllers (network, store, cloud, workers, users) in virtual
+time.
 
-For tests only.
+The simulated parts speak the published protocols. For tests only.
 """
--- a/dappledrum/simulation/cluster.py
+++ b/dappledrum/simulation/cluster.py
@@ -1,4 +1,5 @@
-"""Three controllers and all that is around them, in one process and in virtual time."""
+"""A simulated cluster: real controllers with a simulated environment, in one process and in
+virtual time."""
 
 import asyncio
 import contextvars
@@ -66,7 +67,7 @@
 
 
 def job(number: int, **changes: Any) -> dict[str, Any]:  # noqa: ANN401 - any field of a submission
-    """A submission; `runS` is what its tasks really take, and not sent."""
+    """Build a submission; `runS` is the actual run time of its tasks, which is not sent."""
     spec: dict[str, Any] = {
         "id": f"j-{number:06d}",
         "pattern": "plain",
@@ -93,8 +94,8 @@
     return spec | changes
 
 
-class OldCaller:
-    """Requests of a controller of the version before chains: its records lack what came later."""
+class PreviousVersionClient:
+    """Sends requests as the version without job dependencies did: records lack later fields."""
 
     def __init__(self, link: HttpClient) -> None:
         self.link = link
@@ -102,18 +103,18 @@
     async def request(
         self, method: str, path: str, body: bytes | None, timeout: timedelta
     ) -> Reply:
-        """As that version would have written it."""
+        """Send a request in the form that the previous version would have written."""
         if path == "/multi" and body is not None:
             transaction = json.loads(body)
             if any(guard["key"] == "gangs" for guard in transaction.get("guards", ())):
-                return Reply(409, b'{"failed":["gangs"],"tally":1}')  # it knows nothing of them
+                return Reply(409, b'{"failed":["gangs"],"tally":1}')  # gangs are unknown to it
             for change in transaction.get("then", ()):
-                self._age(change.get("write", ""), change.get("value"))
+                self._remove_new_fields(change.get("write", ""), change.get("value"))
             body = json.dumps(transaction, separators=(",", ":")).encode()
         return await self.link.request(method, path, body, timeout)
 
     @staticmethod
-    def _age(key: str, value: Any) -> None:  # noqa: ANN401 - any JSON
+    def _remove_new_fields(key: str, value: Any) -> None:  # noqa: ANN401 - any JSON
         if key.startswith("ended/"):
             value.pop("at_ms", None)
         if key.startswith("job/"):
@@ -125,7 +126,10 @@
 
 @dataclass
 class SimulatedCluster:
-    """Everything, with handles for what can go wrong."""
+    """Controllers, network, store and cloud, with methods that inject faults and act as users.
+
+    `rules` checks the invariants on every step.
+    """
 
     seed: int = 1
     teams: tuple[Team, ...] = (Team("blue"), Team("red", cpus_max=8.0))
@@ -133,16 +137,18 @@
     lease_s: float = 9.0
     rps: float = 200.0
     write_rps: float = 100.0
-    limited: bool = False  # the store refuses what exceeds these rates
+    limited: bool = False  # whether the store enforces these rates
     next: NextLimits | None = None
     reach: bool = True
-    old: set[str] = field(default_factory=set)  # controllers that run the version before chains
+    # Controllers that run the previous version, without job dependencies.
+    old: set[str] = field(default_factory=set)
     rng: random.Random = field(init=False)
     controllers: dict[str, Controller] = field(default_factory=dict)
     processes: dict[str, asyncio.Task[None]] = field(default_factory=dict)
-    links: dict[str, list[Link]] = field(default_factory=dict)  # of each controller's process
-    acting: set[asyncio.Task[None]] = field(default_factory=set)  # users that troubles have added
-    odd_users: set[asyncio.Task[None]] = field(default_factory=set)  # that go on until cancelled
+    links: dict[str, list[Link]] = field(default_factory=dict)  # clients of each controller
+    extra_user_tasks: set[asyncio.Task[None]] = field(default_factory=set)  # users added by faults
+    # Users added by faults that send requests until they are cancelled.
+    invalid_request_tasks: set[asyncio.Task[None]] = field(default_factory=set)
 
     def __post_init__(self) -> None:
         self.rng = random.Random(self.seed)
@@ -190,7 +196,7 @@
             (-0.0005, 0.0, 0.0005)[index % 3], timedelta(seconds=(-0.2, 0.2, 0.0)[index % 3])
         )
         self.links[member] = []
-        callers = {peer.member: self._link(member, "back-" + peer.member) for peer in peers}
+        peer_clients = {peer.member: self._link(member, "back-" + peer.member) for peer in peers}
         environment = Environment(
             settings,
             Tuning(peer_heartbeats_enabled=self.reach and member not in self.old),
@@ -198,9 +204,9 @@
             random.Random(self.rng.random()),
         )
         connections = Connections(
-            self._state_caller(member),
+            self._store_client(member),
             self._link(member, "cloud"),
-            dict(callers),
+            dict(peer_clients),
             partial(self._probe, member),
         )
         controller = build_controller(environment, connections)
@@ -211,7 +217,7 @@
         self.processes[member] = loop.create_task(controller.run(), context=context)
         self.network.services[member] = self._service(controller.serve, context)
         self.network.services["back-" + member] = self._service(
-            self._peer(controller, member), context
+            self._peer_handler(controller, member), context
         )
 
     def _link(self, member: str, target: str) -> Link:
@@ -227,32 +233,32 @@
             return False
 
     def _params(self, member: str) -> Params:
-        """What a controller makes of the settings: an old one knows nothing of later limits."""
+        """Settings as a controller reads them; the previous version ignores `next` limits."""
         if member not in self.old:
             return self.params
         return msgspec.structs.replace(
             self.params, state=msgspec.structs.replace(self.params.state, next=None)
         )
 
-    def _peer(self, controller: Controller, member: str) -> Handler:
-        """What peers reach; the version before refuses questions that it does not know."""
+    def _peer_handler(self, controller: Controller, member: str) -> Handler:
+        """The handler of peer requests; the previous version refuses kinds unknown to it."""
         if member not in self.old:
             return controller.serve_peer
 
         async def refuse(request: Request) -> Response:
-            news = (b"version", b"holding", b"reach", b"passed", b"hand_over")
-            if any(kind in request.body for kind in news):
+            new_kinds = (b"version", b"holding", b"reach", b"passed", b"hand_over")
+            if any(kind in request.body for kind in new_kinds):
                 return Response(400)
             return await controller.serve_peer(request)
 
         return refuse
 
-    def _state_caller(self, member: str) -> HttpClient:
+    def _store_client(self, member: str) -> HttpClient:
         link = self._link(member, "state")
-        return OldCaller(link) if member in self.old else link
+        return PreviousVersionClient(link) if member in self.old else link
 
     async def restart_all(self, after: float = 3.0) -> None:
-        """All controllers end at once, and start again a little later."""
+        """Kill all controllers at once, and start them again after some seconds."""
         for member in self.members:
             self.kill(member)
         await self.wait(after)
@@ -260,12 +266,12 @@
             self.start(member)
 
     async def upgrade(self, member: str, after: float = 3.0) -> None:
-        """End a controller's process; it comes back with the new version."""
+        """Kill a controller, and start it again with the current version."""
         self.old.discard(member)
         await self.restart(member, after)
 
     def drop_limits(self) -> None:
-        """The store takes less from now on, and tells nobody."""
+        """Lower the store's limits to the `next` ones without notice."""
         assert self.next is not None
         self.store.value_bytes = int((self.next.value_kb or 8.0) * 1024)
         self.store.txn_ops = self.next.txn_ops or 24
@@ -273,8 +279,8 @@
 
     @staticmethod
     def _service(handler: Handler, context: contextvars.Context) -> Service:
-        """What the network calls; it runs in the controller's process, so it stands still with
-        it."""
+        """Wrap a handler for the network; it runs in the controller's process, so it is frozen
+        together with it."""
 
         async def serve(source: str, method: str, path: str, body: bytes) -> Reply:
             loop = asyncio.get_running_loop()
@@ -285,11 +291,11 @@
         return serve
 
     def freeze(self, member: str) -> None:
-        """A controller's process stands still; its clocks and everything else go on."""
+        """Suspend a controller's process; its clocks and everything else continue."""
         self._loop().freeze(member)
 
     def thaw(self, member: str) -> None:
-        """It goes on where it stopped."""
+        """Resume a suspended process."""
         self._loop().thaw(member)
 
     @staticmethod
@@ -299,22 +305,22 @@
         return loop
 
     def kill(self, member: str) -> None:
-        """End a controller's process without a word."""
+        """Kill a controller's process without a graceful shutdown."""
         self.thaw(member)
         self.processes[member].cancel()
         for link in self.links[member]:
-            link.ended = True  # what it had begun to do sends nothing any more
+            link.ended = True  # its remaining tasks must not send anything
         self.network.services.pop(member, None)
         self.network.services.pop("back-" + member, None)
 
     async def restart(self, member: str, after: float = 3.0) -> None:
-        """Kill, and start again a little later."""
+        """Kill a controller, and start it again after some seconds."""
         self.kill(member)
         await self.wait(after)
         self.start(member)
 
     def leader(self) -> str | None:
-        """The controller that leads at this moment."""
+        """The controller that leads now, if any; asserts that there is at most one."""
         leading = [
             member
             for member, controller in self.controllers.items()
@@ -324,7 +330,7 @@
         return leading[0] if leading else None
 
     def alive(self, member: str) -> bool:
-        """Whether a controller's process runs."""
+        """Whether a controller's process is running."""
         return not self.processes[member].done() and member in self.network.services
 
     def others(self, member: str | None) -> list[str]:
@@ -332,7 +338,7 @@
         return [other for other in self.members if other != member]
 
     def cut_off(self, member: str, *targets: str) -> None:
-        """Cut a controller off from some hosts, on its public and its private address."""
+        """Cut a controller off from some hosts, on its public and its peer address."""
         for target in targets:
             self.network.cut(member, target)
             self.network.cut("back-" + member, target)
@@ -349,15 +355,15 @@
         self.cut_off(member, *others, *("back-" + other for other in others))
 
     def drop_answers(self, names: list[str]) -> set[tuple[str, str]]:
-        """Heartbeats of these machines arrive, answers and commands don't reach them; returns what
-        is blocked for it."""
+        """Let heartbeats of these machines arrive while answers and commands to them are lost;
+        returns the pairs added to `network.blocked`."""
         pairs = {(member, name) for name in names for member in self.members}
         self.network.blocked |= pairs
         return pairs
 
     def drop_heartbeats(self, names: list[str]) -> set[tuple[str, str]]:
-        """These machines open no connection to any controller, while controllers reach them;
-        returns what is in `network.muted` for it."""
+        """Let these machines open no connection to any controller, while controllers reach them;
+        returns the pairs added to `network.muted`."""
         pairs = {(name, member) for name in names for member in self.members}
         self.network.muted |= pairs
         return pairs
@@ -366,11 +372,11 @@
 
     @staticmethod
     def now() -> float:
-        """Virtual time."""
+        """Virtual time in seconds."""
         return asyncio.get_running_loop().time()
 
     async def wait(self, seconds: float) -> None:
-        """Let time pass, and check the rules on the way."""
+        """Let time pass, and check the invariants every 0.25 s."""
         end = asyncio.get_running_loop().time() + seconds
         while (now := asyncio.get_running_loop().time()) < end:
             await asyncio.sleep(min(0.25, end - now))
@@ -380,21 +386,21 @@
             assert not self.rules.broken, self.rules.broken
 
     async def until(self, check: Callable[[], bool], most: float = 120.0) -> float:
-        """Let time pass until something holds; how long it took."""
+        """Wait until a condition holds, checked every 0.25 s; returns the seconds waited."""
         began = asyncio.get_running_loop().time()
         while not check():
             assert asyncio.get_running_loop().time() - began < most, (
-                "it did not come about in time"
+                "the condition did not hold in time"
             )
             await self.wait(0.25)
         return asyncio.get_running_loop().time() - began
 
     async def until_led(self, most: float = 120.0) -> float:
-        """Let time pass until some controller leads; how long it took."""
+        """Wait until a controller leads; returns the seconds waited."""
         return await self.until(lambda: self.leader() is not None, most)
 
     def running(self, name: str) -> int:
-        """How many tasks of a job run."""
+        """Number of running tasks of a job."""
         return sum(job_id == name for job_id, _ in self.rules.running)
 
     async def readiness(self, member: str) -> int | None:
@@ -404,23 +410,24 @@
 
     # users
 
-    def act(self, user: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
-        """Let a further user act beside the others; what goes wrong there breaks the rules."""
+    def start_user(self, user: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
+        """Run another user concurrently; an exception in it counts as a broken invariant."""
         loop = asyncio.get_running_loop()
         task = loop.create_task(user, context=contextvars.Context())
-        self.acting.add(task)
-        task.add_done_callback(self._acted)
+        self.extra_user_tasks.add(task)
+        task.add_done_callback(self._user_finished)
         return task
 
-    def _acted(self, task: asyncio.Task[None]) -> None:
-        self.acting.discard(task)
+    def _user_finished(self, task: asyncio.Task[None]) -> None:
+        self.extra_user_tasks.discard(task)
         if not task.cancelled() and (error := task.exception()) is not None:
             self.rules.broken.append(f"a user failed: {error!r}")
 
     async def _ask(
         self, method: str, path: str, body: bytes | None = None, member: str | None = None
     ) -> Reply | None:
-        """Send one request as a user, and record what it is answered."""
+        """Send one request as a user, and record it and its answer in the history; without a
+        given controller, one that runs is drawn."""
         alive = [m for m in self.members if m in self.network.services]
         if member is None and alive:
             member = self.rng.choice(alive)
@@ -448,7 +455,7 @@
     async def submit(
         self, spec: dict[str, Any], tries: int = 40, member: str | None = None
     ) -> int | None:
-        """Submit a job, and again until there is an answer."""
+        """Submit a job, retrying every second until it is accepted or refused; the status."""
         self.rules.submitted(spec, asyncio.get_running_loop().time())
         body = json.dumps(
             {key: value for key, value in spec.items() if key not in ("runS", "broken")}
@@ -461,25 +468,26 @@
         return None
 
     async def accept(self, *specs: dict[str, Any]) -> list[str]:
-        """Submit new jobs, each of which must be accepted; their names."""
+        """Submit new jobs, each of which must be accepted; returns their names."""
         for spec in specs:
             status = await self.submit(spec)
             assert status == 201, f"{spec['id']} was answered with {status}"
         return [spec["id"] for spec in specs]
 
     async def accept_jobs(self, count: int, **changes: Any) -> list[str]:  # noqa: ANN401 - any field
-        """Submit so many new jobs that are alike, each of which must be accepted; their names."""
+        """Submit `count` similar new jobs, each of which must be accepted; returns their
+        names."""
         return await self.accept(*(job(number, **changes) for number in range(count)))
 
     async def poll(self, name: str, member: str | None = None) -> str | None:
-        """Ask for a job's state once."""
+        """Request a job's state once; None without a successful answer."""
         reply = await self._ask("GET", f"/submissions/{name}", None, member)
         if reply is None or reply.status != 200:
             return None
         return str(json.loads(reply.body)["stance"])
 
     async def cancel(self, name: str, tries: int = 40, member: str | None = None) -> str | None:
-        """Cancel a job, and again until there is an answer."""
+        """Cancel a job, retrying every second until a request succeeds; the job's state."""
         for _ in range(tries):
             reply = await self._ask("POST", f"/submissions/{name}/cancel", b"", member)
             if reply is not None and reply.status == 200:
@@ -488,19 +496,21 @@
         return None
 
     async def finish(self, names: list[str], most: float = 240.0) -> float:
-        """Poll until all jobs are over; how long it took."""
+        """Poll until all jobs are done or cancelled; returns the seconds waited."""
         began = asyncio.get_running_loop().time()
         left = list(names)
         while left:
-            assert asyncio.get_running_loop().time() - began < most, f"not over in time: {left}"
+            assert asyncio.get_running_loop().time() - began < most, (
+                f"not finished in time: {left}"
+            )
             await self.wait(1.0)
             left = [name for name in left if await self.poll(name) not in ("done", "cancelled")]
         assert not self.rules.broken, self.rules.broken
         return asyncio.get_running_loop().time() - began
 
 
-async def led_cluster(seed: int = 1, **settings: Any) -> SimulatedCluster:  # noqa: ANN401 - any field of a world
-    """A world in which some controller leads already."""
+async def led_cluster(seed: int = 1, **settings: Any) -> SimulatedCluster:  # noqa: ANN401 - any field of the cluster
+    """A simulated cluster in which a controller leads already."""
     cluster = SimulatedCluster(seed=seed, **settings)
     await cluster.until_led()
     return cluster
--- a/dappledrum/simulation/costs.py
+++ b/dappledrum/simulation/costs.py
@@ -1,11 +1,11 @@
-"""What the work of controllers costs, by duty, over the stand-ins and in virtual time.
+"""Profiles the controllers by package, in a simulated cluster and in virtual time.
 
     python3 -m dappledrum.simulation.costs [--machines 60] [--until 90] [--seed 1] [--end 60]
 
-Five whole controllers and a fleet that is kept busy, as in `experiment`; with `--end S` the leader
-ends then. A row a slice: calls of its functions, which are the same on every machine for a seed
-and a size, and seconds in them, which are this machine's, and longer than without the counting.
-Stand-ins and libraries are left out.
+Runs five complete controllers with a busy fleet, as in `experiment`; with `--end S` the leader
+crashes at that time. Prints a row for each package: calls of its functions, which are the same on
+every machine for a seed and a size, and seconds in them, which depend on this machine and include
+the overhead of the profiler. The simulation and libraries are left out.
 """
 
 import argparse
@@ -20,30 +20,30 @@
 from typing import Any
 
 from dappledrum.simulation.day_file import Day
-from dappledrum.simulation.experiment import play
+from dappledrum.simulation.experiment import run_experiment
 from dappledrum.simulation.faults.controllers import NodeCrash
 from dappledrum.simulation.virtual_time import run
 
 ROOT = Path(__file__).parents[1]
 
 
-def calls(act: Callable[[], Any]) -> int:
-    """Number of Python functions that an action calls; the same on every machine.
+def calls(action: Callable[[], Any]) -> int:
+    """Number of Python function calls in an action; the same on every machine.
 
-    The garbage collector is off meanwhile: it runs at any moment, and tools register callbacks
-    with it (hypothesis does), which counted as calls of the action.
+    The garbage collector is disabled meanwhile: it runs at any moment, and callbacks that tools
+    such as hypothesis register with it would be counted as calls of the action.
     """
     count = 0
 
-    def note(_frame: object, event: str, _arg: object) -> None:
+    def count_call(_frame: object, event: str, _arg: object) -> None:
         nonlocal count
         count += event == "call"
 
     before, collected = sys.getprofile(), gc.isenabled()
     gc.disable()
-    sys.setprofile(note)
+    sys.setprofile(count_call)
     try:
-        act()
+        action()
     finally:
         sys.setprofile(before)
         if collected:
@@ -51,35 +51,35 @@
     return count
 
 
-def by_slice(stats: pstats.Stats) -> tuple[Counter[str], Counter[str], Counter[str]]:
-    """Calls and seconds by slice, and calls by function, of the project's own code."""
-    number: Counter[str] = Counter()
-    seconds: Counter[str] = Counter()
-    functions: Counter[str] = Counter()
+def by_package(stats: pstats.Stats) -> tuple[Counter[str], Counter[str], Counter[str]]:
+    """Calls and seconds by package, and calls by function, of the controllers' own code."""
+    call_counts: Counter[str] = Counter()
+    seconds_by_package: Counter[str] = Counter()
+    function_calls: Counter[str] = Counter()
     for (file, _, name), (_, count, own, _, _) in stats.stats.items():  # type: ignore[attr-defined]
         path = Path(file)
         if not path.is_relative_to(ROOT):
             continue
         inside = path.relative_to(ROOT)
-        part = inside.parts[0] if len(inside.parts) > 1 else "root"
-        if part in ("simulation", "model") or path.name.startswith("test_"):
+        package = inside.parts[0] if len(inside.parts) > 1 else "root"
+        if package in ("simulation", "model") or path.name.startswith("test_"):
             continue
-        number[part] += count
-        seconds[part] += own
-        functions[f"{inside.as_posix()}:{name}"] += count
-    return number, seconds, functions
+        call_counts[package] += count
+        seconds_by_package[package] += own
+        function_calls[f"{inside.as_posix()}:{name}"] += count
+    return call_counts, seconds_by_package, function_calls
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Print the table."""
+    """Print the table of calls and seconds by package."""
     parser = argparse.ArgumentParser(
         prog="python3 -m dappledrum.simulation.costs",
-        description="What the controllers' work costs.",
+        description="Profile the controllers by package.",
     )
     parser.add_argument("--machines", type=int, default=60, metavar="N", help="default 60")
     parser.add_argument("--until", type=float, default=90.0, metavar="S", help="default 90")
     parser.add_argument("--seed", type=int, default=1, metavar="N", help="default 1")
-    parser.add_argument("--end", type=float, metavar="S", help="the leader ends then")
+    parser.add_argument("--end", type=float, metavar="S", help="crash the leader then")
     options = parser.parse_args(argv)
     if not 1 <= options.machines <= 5_000 or not 1 <= options.until <= 86_400:
         parser.error("--machines must be 1 to 5000, --until 1 to 86400")
@@ -88,12 +88,12 @@
     profile = cProfile.Profile()
     day = Day("costs", faults)
     profile.enable()
-    report = run(play(day, options.seed, options.machines, 0.3, options.until))
+    report = run(run_experiment(day, options.seed, options.machines, 0.3, options.until))
     profile.disable()
-    number, seconds, functions = by_slice(pstats.Stats(profile))
-    heartbeats = functions["workers/reconciler.py:process_heartbeat"]
-    placed = functions["jobs/page.py:place"]
-    plans = functions["dispatch/dispatcher.py:run"]
+    call_counts, seconds_by_package, function_calls = by_package(pstats.Stats(profile))
+    heartbeats = function_calls["workers/reconciler.py:process_heartbeat"]
+    placed = function_calls["jobs/page.py:place"]
+    plans = function_calls["dispatch/dispatcher.py:run"]
     print(
         f"{options.machines} machines, seed {options.seed}, {options.until:g} s: {heartbeats}"
         f" heartbeats processed, {placed} placements, {plans} plans, {report.accepted} jobs;"
@@ -101,11 +101,11 @@
         " second"
     )
     print(f"{'slice':12} {'calls':>10} {'a heartbeat':>11} {'a placement':>12} {'seconds':>9}")
-    for part, count in number.most_common():
+    for package, count in call_counts.most_common():
         print(
-            f"{part:12} {count:10} {count / max(heartbeats, 1):11.1f}"
+            f"{package:12} {count:10} {count / max(heartbeats, 1):11.1f}"
             f" {count / max(placed, 1):12.1f}"
-            f" {seconds[part]:9.2f}"
+            f" {seconds_by_package[package]:9.2f}"
         )
     return 0
 
--- a/dappledrum/simulation/crash_points.py
+++ b/dappledrum/simulation/crash_points.py
@@ -1,9 +1,9 @@
-"""Processes that crash at a chosen step of what they do, and restart within a second.
+"""Crashes controllers at a chosen step of their work, and restarts them within a second.
 
-A step is recognised by the request that it sends, or by the one that it is about to answer. At
-the chosen one its sender (or whoever should answer) crashes: before the request has left, right
-after it has, or so that the request is executed a while later, when the next process of the same
-name runs already. That one starts after a delay drawn from 0 to 1 s.
+A step is recognised by a request that is sent, or by one that is about to be answered. The sender
+(or the answering process) crashes before the request is sent, right after it was sent, or so that
+the request is executed up to `MAX_REQUEST_DELAY_S` later, when the restarted process may already
+run. The restart delay is drawn from `RESTART_DELAYS_S`.
 """
 
 import asyncio
@@ -19,57 +19,58 @@
 
 RESTART_DELAYS_S = (0.0, 0.01, 0.1, 0.3, 1.0)
 MAX_REQUEST_DELAY_S = 5.0
-NEVER_S = 3600.0  # longer than any test
+NEVER_S = 3600.0  # a delay longer than any test
 
 
 class Step(NamedTuple):
-    """A kind of request, and whether it is the answering process that crashes."""
+    """A kind of request; `answering`: the process that answers it crashes, not the sender."""
 
     matches: Callable[[Sent], bool]
     answering: bool = False
 
 
-def _writes(sent: Sent, key: bytes) -> bool:
+def _writes_key(sent: Sent, key: bytes) -> bool:
     return sent.path == "/multi" and b'"write":"' + key in sent.body
 
 
-def _asks(sent: Sent, kind: bytes) -> bool:
+def _is_peer_request(sent: Sent, kind: bytes) -> bool:
     return sent.target.startswith("back-") and kind in sent.body
 
 
-def _step(target: str, path: str) -> Step:
+def _request_to(target: str, path: str) -> Step:
     return Step(lambda sent: sent.target == target and sent.path.startswith(path))
 
 
-def _peer(kind: bytes, answering: bool = False) -> Step:
-    return Step(lambda sent: _asks(sent, kind), answering)
+def _peer_request(kind: bytes, answering: bool = False) -> Step:
+    return Step(lambda sent: _is_peer_request(sent, kind), answering)
 
 
 STEPS: dict[str, Step] = {
-    "read of the leader key": _step("state", "/keys?prefix=leader"),
+    "read of the leader key": _request_to("state", "/keys?prefix=leader"),
     "lease": Step(lambda sent: sent.target == "state" and sent.path == "/holds"),
     "end of the former lease": Step(
         lambda sent: sent.target == "state" and re.fullmatch(r"/holds/\d+", sent.path) is not None
     ),
-    "pre-vote sent": _peer(b"standing"),
-    "pre-vote answered": _peer(b"standing", True),
-    "election": Step(lambda sent: _writes(sent, b"leader")),
+    "pre-vote sent": _peer_request(b"standing"),
+    "pre-vote answered": _peer_request(b"standing", True),
+    "election": Step(lambda sent: _writes_key(sent, b"leader")),
     "renewal": Step(lambda sent: sent.target == "state" and sent.path.endswith("/touch")),
-    "read of the jobs": _step("state", "/keys?prefix=job/"),
-    "records": Step(lambda sent: _writes(sent, b"job/")),
-    "end of a job": Step(lambda sent: _writes(sent, b"ended/")),
+    "read of the jobs": _request_to("state", "/keys?prefix=job/"),
+    "records": Step(lambda sent: _writes_key(sent, b"job/")),
+    "end of a job": Step(lambda sent: _writes_key(sent, b"ended/")),
     "rental": Step(lambda sent: sent.target == "cloud" and sent.path == "/rentals"),
-    "return": _step("cloud", "/rentals/return"),
-    "lease grant requested": _peer(b"promise"),
-    "lease grant given": _peer(b"promise", True),
-    "leadership transfer sent": _peer(b"hand_over"),
-    "leadership transfer accepted": _peer(b"hand_over", True),
-    "peer heartbeat": _peer(b"reach"),
+    "return": _request_to("cloud", "/rentals/return"),
+    "lease grant requested": _peer_request(b"promise"),
+    "lease grant given": _peer_request(b"promise", True),
+    "leadership transfer sent": _peer_request(b"hand_over"),
+    "leadership transfer accepted": _peer_request(b"hand_over", True),
+    "peer heartbeat": _peer_request(b"reach"),
     "heartbeat": Step(lambda sent: sent.path == "/hello", True),
 }
 
 
-#: Earlier names of steps, which seed their draws, so that the same moments are drawn as ever.
+#: Former names of steps; they seed the random generator, so that a seed still draws the same
+#: crashes.
 SEED_NAMES = {
     "read of the leader key": "first look",
     "end of the former lease": "end of the former hold",
@@ -86,7 +87,10 @@
 
 
 class CrashPoints:
-    """Crashes controllers of a cluster at one step, now and then."""
+    """Crashes controllers of a cluster at some of the requests of one step.
+
+    A crash is drawn for one of the first two requests, then for one of the next eight each time.
+    """
 
     def __init__(
         self, cluster: SimulatedCluster, step: Step, rng: random.Random, max_crashes: int
@@ -95,8 +99,8 @@
         self.step = step
         self.rng = rng
         self.max_crashes = max_crashes
-        self.until_crash = rng.randint(1, 2)  # matching requests
-        self.crashes: Counter[str] = Counter()  # by moment
+        self.until_crash = rng.randint(1, 2)  # matching requests until the next crash
+        self.crashes: Counter[str] = Counter()  # by moment: before, after, late
         cluster.network.watcher = self._observe
 
     def _observe(self, sent: Sent) -> float | None:
@@ -117,7 +121,7 @@
             return None
         self._crash(member)
         if self.step.answering:
-            return None  # no process answers, or the next one
+            return None  # it stays unanswered, or the restarted process answers it
         return self.rng.uniform(0.0, MAX_REQUEST_DELAY_S) if moment == "late" else NEVER_S
 
     def _crash(self, member: str) -> None:
@@ -129,8 +133,8 @@
 
 
 async def run_with_crashes(step: str, seed: int) -> int:
-    """Run five controllers that crash at one step, now and then, until every job has finished;
-    returns the number of crashes."""
+    """Run five controllers with crashes at one step until every job has finished; returns the
+    number of crashes."""
     rng = random.Random(f"{SEED_NAMES.get(step, step)} {seed}")
     cluster = await led_cluster(seed, members=FIVE)
     crash_points = CrashPoints(cluster, STEPS[step], rng, max_crashes=10)
@@ -148,8 +152,8 @@
 
 
 async def _reach_each_step(cluster: SimulatedCluster, rng: random.Random) -> str:
-    """An outage, leaders that crash or must transfer leadership, machines taken; the name of a job
-    that was submitted meanwhile."""
+    """Bring about crashes of leaders, an outage, leadership transfers and terminated machines, so
+    that each step occurs; returns the name of a job that was submitted meanwhile."""
     for _ in range(2):
         await cluster.wait(rng.uniform(1, 3))
         leader = cluster.leader()
@@ -158,7 +162,7 @@
     cluster.store.out = True
     await cluster.wait(rng.uniform(2, 4))
     cluster.store.end_outage()
-    await cluster.wait(rng.uniform(14, 16))  # a term that is long enough for a transfer
+    await cluster.wait(rng.uniform(14, 16))  # the term must be old enough for a transfer
     leader = cluster.leader()
     if leader is not None:
         cluster.store.refused.add(leader)
@@ -168,7 +172,7 @@
     cluster.store.refused.clear()
     late = job(900, dueS=None)
     assert await cluster.submit(late) in (200, 201)
-    await cluster.wait(60)  # and idle machines for long enough to be returned
+    await cluster.wait(60)  # until idle machines are returned
     leader = cluster.leader()
     if leader is not None:
         cluster.store.refused.add(leader)
--- a/dappledrum/simulation/day_file.py
+++ b/dappledrum/simulation/day_file.py
@@ -1,7 +1,8 @@
-"""Days in files, with the kinds of fault that the bench's days have, played over the stand-ins.
+"""Reads day files: lists of faults in TOML that are run in a simulated cluster.
 
-Only what `simulation/faults` lists is known; anything else in a day's file ends it with a clear
-error. `busiest` takes the leader first, `count` how many.
+The format is shared with the bench. Only the kinds of fault in `simulation/faults` are supported;
+any other kind or option raises DayError. `busiest` selects the leader first, `count` how many
+controllers or machines are affected.
 """
 
 import tomllib
@@ -15,11 +16,11 @@
 
 
 class DayError(Exception):
-    """The file can't be played; the text says what is wrong with it."""
+    """A day file can't be read or uses something unsupported; the text says what."""
 
 
 class Day(msgspec.Struct):
-    """A day, as far as the stand-ins can play it."""
+    """The part of a day file that the simulation uses: faults and the first seed."""
 
     name: str
     faults: list[Fault] = []
@@ -27,7 +28,7 @@
 
 
 class _DayFile(msgspec.Struct):
-    """What a day's file holds."""
+    """The raw contents of a day file."""
 
     name: str
     faults: list[dict[str, Any]] = []
@@ -35,7 +36,7 @@
 
 
 def load(path: Path) -> Day:
-    """Read a day's file, or raise DayError."""
+    """Read a day file; raises DayError."""
     try:
         file = msgspec.convert(tomllib.loads(path.read_text(encoding="utf-8")), _DayFile)
         return Day(file.name, [convert(fault) for fault in file.faults], file.seed)
--- a/dappledrum/simulation/fault_combinations.py
+++ b/dappledrum/simulation/fault_combinations.py
@@ -178,7 +178,7 @@
     assert not cluster.store.refused, said
     assert not cluster.network.late_writes, said
     end_all(cluster)
-    while cluster.acting or not all(one.done() for one in users):
+    while cluster.extra_user_tasks or not all(one.done() for one in users):
         await cluster.wait(1)
     names = [name for one in users if (name := one.result()) is not None]
     await cluster.finish(names, most=600)
--- a/dappledrum/simulation/fault_scenarios.py
+++ b/dappledrum/simulation/fault_scenarios.py
@@ -204,7 +204,7 @@
     await cluster.wait(8)
     assert cluster.leader() not in (None, leader)
     cluster.network.heal()
-    assert cluster.network.late > 0
+    assert cluster.network.late_deliveries > 0
     await cluster.wait(5)
 
 
--- a/dappledrum/simulation/faults/__init__.py
+++ b/dappledrum/simulation/faults/__init__.py
@@ -63,7 +63,7 @@
     network = cluster.network
     network.heal()
     network.copies = network.late_writes = network.late_commands = network.watcher = None
-    network.kept.clear()
+    network.copies_for_next_leader.clear()
     cluster.store.refused.clear()
     if cluster.store.out:
         cluster.store.end_outage()
@@ -75,6 +75,6 @@
         if not cluster.alive(member):
             cluster.start(member)
     cluster.rules.listeners.clear()
-    for task in cluster.odd_users:
+    for task in cluster.invalid_request_tasks:
         task.cancel()
     cluster.rules.faults_over_at = cluster.now()
--- a/dappledrum/simulation/faults/users.py
+++ b/dappledrum/simulation/faults/users.py
@@ -55,7 +55,7 @@
             hang(cluster.rng.sample(workers, min(MAX_HUNG, len(workers))), self.hang_s)
         for name in chosen:
             after = cluster.rng.uniform(0, CANCEL_WITHIN_S)
-            cluster.act(_cancel(cluster, name, after))
+            cluster.start_user(_cancel(cluster, name, after))
 
 
 class CancelAtEnd(LastingFault, tag="cancel_at_end"):
@@ -67,7 +67,7 @@
         def listen(name: str, event: JobEvent) -> None:
             if event is JobEvent.COMPLETED and cluster.rng.random() < self.share:
                 after = cluster.rng.choice((0.0, cluster.rng.uniform(0, AT_END_S)))
-                cluster.act(_cancel(cluster, name, after))
+                cluster.start_user(_cancel(cluster, name, after))
 
         _listen(cluster, listen, self.for_s)
 
@@ -77,15 +77,15 @@
     fit no machine or lack a field."""
 
     def begin(self, cluster: SimulatedCluster, back: float) -> None:
-        task = cluster.act(self._ask(cluster))
-        cluster.odd_users.add(task)
-        task.add_done_callback(cluster.odd_users.discard)
+        task = cluster.start_user(self._ask(cluster))
+        cluster.invalid_request_tasks.add(task)
+        task.add_done_callback(cluster.invalid_request_tasks.discard)
 
     async def _ask(self, cluster: SimulatedCluster) -> None:
         end = cluster.now() + self.for_s
         while cluster.now() < end:
             ask = cluster.rng.choice((_repeat_submission, _cancel_done, _submit_invalid))
-            cluster.act(ask(cluster))
+            cluster.start_user(ask(cluster))
             await asyncio.sleep(cluster.rng.uniform(*ODD_PAUSE_S))
 
 
@@ -97,11 +97,11 @@
         def listen(name: str, event: JobEvent) -> None:
             for member in cluster.members:
                 for _ in range(LOOKS):
-                    cluster.act(_look(cluster, name, member))
+                    cluster.start_user(_look(cluster, name, member))
             if cluster.rng.random() < REPEATED:
-                cluster.act(_submit_again(cluster, name))
+                cluster.start_user(_submit_again(cluster, name))
             if event is JobEvent.ACCEPTED and cluster.rng.random() < CANCELLED_AT_ONCE:
-                cluster.act(_cancel(cluster, name, cluster.rng.uniform(0, LOOK_WITHIN_S)))
+                cluster.start_user(_cancel(cluster, name, cluster.rng.uniform(0, LOOK_WITHIN_S)))
 
         _listen(cluster, listen, self.for_s)
 
--- a/dappledrum/simulation/fleet.py
+++ b/dappledrum/simulation/fleet.py
@@ -1,4 +1,4 @@
-"""The cloud and the workers on its machines."""
+"""A simulated cloud, and the workers on its machines."""
 
 import asyncio
 import json
@@ -11,15 +11,15 @@
 from dappledrum.http.client import NoResponseError, Reply
 from dappledrum.model.invariants import Invariants
 from dappledrum.model.queueing import Amount, FreeMachine
-from dappledrum.simulation.key_value_store import reply
+from dappledrum.simulation.key_value_store import json_reply
 from dappledrum.simulation.network import Network
 
-LIST_LAGS = 2  # the list is older than its usual age by so much at the most
+MAX_LIST_LAGS = 2  # the cloud's list is at most so many times its usual lag old
 
 
 @dataclass
 class Attempt:
-    """A task on a machine."""
+    """One attempt of a task, on a machine."""
 
     job: str
     number: int
@@ -32,11 +32,11 @@
 
     @property
     def name(self) -> str:
-        """Name on the wire."""
+        """The task's name on the wire."""
         return f"{self.job}/{self.number}"
 
     def status(self) -> dict[str, Any]:
-        """As heartbeats show it."""
+        """The attempt as heartbeats report it."""
         return {
             "beat": self.name,
             "take": self.take,
@@ -48,24 +48,24 @@
 
 @dataclass
 class Timing:
-    """How workers behave."""
+    """Intervals and limits of all workers, and the state that outlives their machines."""
 
     report_s: float
     lease_s: float
     faulty: set[str] = field(default_factory=set)  # machines on which every task fails
     gang_wait_s: float = 30.0
     gang_peer_s: float = 6.0
-    step_s: float = 0.5  # in which a task's progress grows; longer ones cost less to play
-    lease_step_s: float = 0.05  # how late the end of a lease may be seen
+    step_s: float = 0.5  # resolution of a task's progress; longer steps are cheaper to simulate
+    lease_step_s: float = 0.05  # interval at which a worker checks its lease
     subnet: str = "10.1"  # of the workers' addresses
-    # Members of each gang that have their image and are on some machine, wherever it is.
+    # Attempts of each gang, by task, that have fetched their image, on any machine.
     gangs: dict[str, dict[int, "Attempt"]] = field(default_factory=dict)
-    # Seconds of progress that tasks have saved, outside their machines.
+    # Seconds of progress in the checkpoint of each task, which survives its machine.
     saved: dict[str, float] = field(default_factory=dict)
 
 
 class Worker:
-    """The worker of one machine, as the protocol describes it."""
+    """The worker of one machine, according to the protocol."""
 
     def __init__(
         self,
@@ -98,39 +98,39 @@
         self.reclaim_at: float | None = None
         self.changed = asyncio.Event()
         self.hung = False
-        self.renewed = self.now()
-        self.answered = self.now()  # unlike the lease, not begun anew with a session
+        self.lease_renewed_at = self.now()
+        self.answered = self.now()  # last answered heartbeat; unchanged by a new session
         self.last_token_change = -1e9
         self.tasks = [
-            asyncio.get_running_loop().create_task(x)
-            for x in (self._heartbeat_loop(), self._lease_loop())
+            asyncio.get_running_loop().create_task(coroutine)
+            for coroutine in (self._heartbeat_loop(), self._lease_loop())
         ]
 
     @staticmethod
     def now() -> float:
-        """Virtual time."""
+        """Virtual time in seconds."""
         return asyncio.get_running_loop().time()
 
     async def _serve(self, source: str, method: str, path: str, body: bytes) -> Reply:
-        """Direct commands and questions, which renew no lease."""
+        """Handle direct commands and inspections, which do not renew the lease."""
         while self.hung:
             await asyncio.sleep(0.1)
         if path == "/inspect":
-            return reply(200, self._next_heartbeat())
+            return json_reply(200, self._next_heartbeat())
         if path != "/do":
-            return reply(404)
+            return json_reply(404)
         command = json.loads(body)
         if "baton" not in command or "set" not in command:
-            return reply(400)
+            return json_reply(400)
         if command["baton"] < self.token or command["set"] != self.session:
-            return reply(409, self._next_heartbeat())
-        self._see_token(command["baton"])
+            return json_reply(409, self._next_heartbeat())
+        self._update_token(command["baton"])
         for call in command["calls"]:
             self._execute(call)
-        return reply(200, self._next_heartbeat())
+        return json_reply(200, self._next_heartbeat())
 
     def begin_anew(self) -> "Worker":
-        """The worker's process has ended, with all its tasks; the next one of the machine."""
+        """Restart the worker's process, whose tasks are gone; returns the new worker."""
         return Worker(
             self.name,
             self.kind,
@@ -143,7 +143,7 @@
         )
 
     def vanish(self) -> None:
-        """The machine is gone."""
+        """Terminate the machine."""
         self.network.services.pop(self.name, None)
         for task in self.tasks:
             task.cancel()
@@ -151,10 +151,10 @@
 
     def _kill_all(self) -> None:
         for attempt in self.attempts.values():
-            self._leave(attempt, completed=False)
+            self._end_attempt(attempt, completed=False)
         self.attempts.clear()
 
-    def _leave(self, attempt: Attempt, completed: bool) -> None:
+    def _end_attempt(self, attempt: Attempt, completed: bool) -> None:
         if attempt.runner is not None:
             attempt.runner.cancel()
             attempt.runner = None
@@ -167,11 +167,11 @@
     async def _lease_loop(self) -> None:
         while True:
             await asyncio.sleep(self.timing.lease_step_s)
-            # Also while it hangs: it may go on at any moment within its lease, not after it.
-            if self.now() > self.renewed + self.timing.lease_s:
+            # Also while it hangs: it may resume at any moment within its lease, but not after it.
+            if self.now() > self.lease_renewed_at + self.timing.lease_s:
                 self._kill_all()
                 self.session += 1
-                self.renewed = self.now()
+                self.lease_renewed_at = self.now()
                 self.changed.set()
 
     async def _heartbeat_loop(self) -> None:
@@ -187,7 +187,7 @@
                 pass
 
     def _next_heartbeat(self) -> dict[str, Any]:
-        """The machine as it is now, under a number of its own."""
+        """The machine's current state, with a new sequence number."""
         self.sequence += 1
         recall = None if self.reclaim_at is None else max(0.0, self.reclaim_at - self.now())
         return {
@@ -236,13 +236,13 @@
     def _accept(self, answer: dict[str, Any], sent: float, session: int) -> None:
         if session != self.session or answer["baton"] < self.token:
             return
-        self._see_token(answer["baton"])
-        self.renewed = max(self.renewed, sent)
+        self._update_token(answer["baton"])
+        self.lease_renewed_at = max(self.lease_renewed_at, sent)
         self.answered = self.now()
         for call in answer["calls"]:
             self._execute(call)
 
-    def _see_token(self, token: int) -> None:
+    def _update_token(self, token: int) -> None:
         if token > self.token:
             self.token = token
             if self.now() - self.last_token_change > self.timing.lease_s / 2:
@@ -268,7 +268,7 @@
             self.changed.set()
 
     def free(self) -> Amount:
-        """What no task takes of the machine, fetching ones included."""
+        """Free capacity; tasks that still fetch their image count as used."""
         left = Amount(self.size["vcpus"], self.size["accelerators"], self.size["memGb"])
         for attempt in self.attempts.values():
             if attempt.state != "ended":
@@ -288,7 +288,7 @@
             saving = self._save(attempt, spec["markTakeS"])
             attempt.runner = asyncio.get_running_loop().create_task(saving)
         else:
-            self._leave(attempt, completed=False)
+            self._end_attempt(attempt, completed=False)
             attempt.state, attempt.cause = "ended", "stopped"
         self.changed.set()
 
@@ -298,7 +298,7 @@
             await asyncio.sleep(0.1)
         self.timing.saved[attempt.name] = attempt.progress
         attempt.stored = True
-        self._exit(attempt, "stopped")
+        self._finish(attempt, "stopped")
 
     def _refusal(self, new: Attempt) -> str | None:
         if new.job not in self.rules.jobs:
@@ -322,12 +322,12 @@
             attempt.state = "gathering"
             self.changed.set()
             self.timing.gangs.setdefault(attempt.job, {})[attempt.number] = attempt
-            waited = 0.0
+            waited_s = 0.0
             while not self._gathered(attempt.job):
                 await asyncio.sleep(0.1)
-                waited += 0.1
-                if waited > self.timing.gang_wait_s:
-                    self._exit(attempt, "alone")
+                waited_s += 0.1
+                if waited_s > self.timing.gang_wait_s:
+                    self._finish(attempt, "alone")
                     return
         attempt.state = "running"
         self.changed.set()
@@ -338,35 +338,35 @@
             await asyncio.sleep(1e6)
             cause = "done"
         else:
-            run_s = spec["runS"]  # of all tasks, or of each
+            run_s = spec["runS"]  # one value for all tasks, or a list with one for each
             run_s = run_s[attempt.number] if isinstance(run_s, list) else run_s
             attempt.progress = self.timing.saved.get(attempt.name, 0.0)
-            left = 0.0 if attempt.name in self.done else run_s - attempt.progress
-            missing = 0.0
-            step = self.timing.step_s
-            while left > 0:
-                await asyncio.sleep(min(left, step))
-                left -= 0.0 if self.hung else step
-                attempt.progress += 0.0 if self.hung else step
+            left_s = 0.0 if attempt.name in self.done else run_s - attempt.progress
+            missing_s = 0.0
+            step_s = self.timing.step_s
+            while left_s > 0:
+                await asyncio.sleep(min(left_s, step_s))
+                left_s -= 0.0 if self.hung else step_s
+                attempt.progress += 0.0 if self.hung else step_s
                 if spec["markEveryS"] > 0 and attempt.progress % spec["markEveryS"] == 0:
                     self.timing.saved[attempt.name] = attempt.progress
-                missing = missing + step if gang and not self._gathered(attempt.job) else 0.0
-                if missing > self.timing.gang_peer_s:
-                    self._exit(attempt, "peers")
+                missing_s = missing_s + step_s if gang and not self._gathered(attempt.job) else 0.0
+                if missing_s > self.timing.gang_peer_s:
+                    self._finish(attempt, "peers")
                     return
             cause = "done"
-        self._exit(attempt, cause)
+        self._finish(attempt, cause)
 
     def _gathered(self, job: str) -> bool:
-        """Every member of a gang is on a machine, or has completed."""
+        """Whether every task of a gang is on a machine with the same attempt number, or done."""
         members = self.timing.gangs.get(job, {})
-        here = set(members) | self.rules.jobs[job].done
-        same = len({attempt.take for attempt in members.values()}) <= 1
-        return same and len(here) >= self.rules.jobs[job].spec["beats"]
+        present = set(members) | self.rules.jobs[job].done
+        same_attempt = len({attempt.take for attempt in members.values()}) <= 1
+        return same_attempt and len(present) >= self.rules.jobs[job].spec["beats"]
 
-    def _exit(self, attempt: Attempt, cause: str) -> None:
+    def _finish(self, attempt: Attempt, cause: str) -> None:
         attempt.runner = None
-        self._leave(attempt, completed=cause == "done")
+        self._end_attempt(attempt, completed=cause == "done")
         if cause == "done":
             self.done.add(attempt.name)
         attempt.state, attempt.cause = "ended", cause
@@ -374,20 +374,20 @@
 
 
 @dataclass
-class Rented:
-    """A machine as the cloud sees it."""
+class RentedMachine:
+    """A rented machine in the cloud."""
 
     name: str
     kind: tuple[str, str, bool]
-    since: float
-    boots: bool
+    rented_at: float
+    completes_boot: bool
     worker: Worker | None = None
     up_at: float = math.inf
-    gone_at: float = math.inf
+    terminated_at: float = math.inf
 
-    def row(self, at: float) -> dict[str, Any] | None:
-        """As the list shows it at some moment, or None when it does not."""
-        if not self.since <= at < self.gone_at:
+    def listed_row(self, at: float) -> dict[str, Any] | None:
+        """The machine's row in the cloud's list at some time, or None if it is not listed."""
+        if not self.rented_at <= at < self.terminated_at:
             return None
         return {
             "id": self.name,
@@ -396,14 +396,14 @@
             "hall": self.kind[1],
             "loaners": self.kind[2],
             "stance": "running" if self.up_at <= at else "booting",
-            "since": self.since,
+            "since": self.rented_at,
         }
 
 
 class CloudService:
-    """Rents machines.
+    """Rents machines, as the cloud's protocol describes it.
 
-    The list lags; requests may be refused; some machines never come up.
+    The list lags, requests may be refused, and some machines never boot.
     """
 
     def __init__(
@@ -425,56 +425,57 @@
             rng,
             lag_s,
         )
-        self.machines: dict[str, Rented] = {}
-        self.gone: list[Rented] = []  # not long ago: the list may still show them
-        self.answers: dict[str, list[str]] = {}
+        self.machines: dict[str, RentedMachine] = {}
+        # The list may still show these.
+        self.recently_terminated: list[RentedMachine] = []
+        self.rentals: dict[str, list[str]] = {}  # machines by rental request: retries get the same
         self.most = 12
         self.out = False
-        self.stalled = 0.0  # share of machines that never come up
-        self.slow = 1.0  # factor on boots
-        self.next = 0
+        self.stalled = 0.0  # share of new machines that never boot
+        self.slow = 1.0  # factor on boot times
+        self.next = 0  # number of the newest machine
 
     async def __call__(self, source: str, method: str, path: str, body: bytes) -> Reply:
-        """One request."""
+        """Handle one request."""
         await asyncio.sleep(0.05)
         if self.out:
-            return reply(503, {"error": "trouble"})
+            return json_reply(503, {"error": "trouble"})
         if path == "/catalog":
-            return reply(200, {"builds": self.types})
+            return json_reply(200, {"builds": self.types})
         if path == "/rentals":
             return self._rent(json.loads(body))
         if path == "/rentals/return":
             for name in json.loads(body)["drums"]:
                 self.take(name)
-            return reply(200)
+            return json_reply(200)
         return self._list()
 
     def _rent(self, request: dict[str, Any]) -> Reply:
-        if request["hire"] in self.answers:
-            return reply(200, {"drums": self.answers[request["hire"]]})
+        if request["hire"] in self.rentals:
+            return json_reply(200, {"drums": self.rentals[request["hire"]]})
         count = min(request["number"], self.most - len(self.machines))
         if count <= 0:
-            return reply(503, {"error": "no capacity"})
+            return json_reply(503, {"error": "no capacity"})
         names = [
             self.add((request["build"], request["hall"], request["loaners"])) for _ in range(count)
         ]
-        self.answers[request["hire"]] = names
-        return reply(200, {"drums": names})
+        self.rentals[request["hire"]] = names
+        return json_reply(200, {"drums": names})
 
     def add(self, kind: tuple[str, str, bool]) -> str:
-        """A new machine, booting."""
+        """Rent a machine, which starts to boot; returns its name."""
         self.next += 1
         name = f"host-{self.next:06d}"
         model = next(t for t in self.types if t["label"] == kind[0])
-        machine = Rented(name, kind, Worker.now(), self.rng.random() >= self.stalled)
+        machine = RentedMachine(name, kind, Worker.now(), self.rng.random() >= self.stalled)
         self.machines[name] = machine
-        if machine.boots:
+        if machine.completes_boot:
             delay = model["readyS"] * self.rng.uniform(0.6, 1.5) * self.slow
-            asyncio.get_running_loop().call_later(delay, self._up, machine, model)
+            asyncio.get_running_loop().call_later(delay, self._finish_boot, machine, model)
         return name
 
-    def _up(self, machine: Rented, model: dict[str, Any]) -> None:
-        if machine.gone_at < math.inf:
+    def _finish_boot(self, machine: RentedMachine, model: dict[str, Any]) -> None:
+        if machine.terminated_at < math.inf:
             return
         machine.up_at = Worker.now()
         size = {wire: model[wire] for wire in ("vcpus", "accelerators", "memGb")}
@@ -483,28 +484,30 @@
     def make_worker(
         self, name: str, kind: tuple[str, str, bool], size: dict[str, float]
     ) -> Worker:
-        """The worker of a machine that is up."""
+        """Create the worker of a machine that has booted."""
         return Worker(
             name, kind, size, self.network, self.rules, self.timing, self.controllers, self.rng
         )
 
     def take(self, name: str) -> None:
-        """A machine is gone, with all that is on it."""
+        """Terminate a machine with all its tasks; ignored if it is not rented."""
         machine = self.machines.pop(name, None)
         if machine is not None:
-            machine.gone_at = Worker.now()
+            machine.terminated_at = Worker.now()
             if machine.worker is not None:
                 machine.worker.vanish()
-            oldest = Worker.now() - LIST_LAGS * self.lag_s
-            self.gone = [one for one in self.gone if one.gone_at > oldest]
-            self.gone.append(machine)
+            oldest = Worker.now() - MAX_LIST_LAGS * self.lag_s
+            self.recently_terminated = [
+                one for one in self.recently_terminated if one.terminated_at > oldest
+            ]
+            self.recently_terminated.append(machine)
 
     def workers(self) -> list[Worker]:
-        """Workers that are up."""
+        """Workers of all machines that have booted."""
         return [m.worker for m in self.machines.values() if m.worker is not None]
 
     def free_machines(self) -> list[FreeMachine]:
-        """Machines that are up and well, with what is free on them."""
+        """Healthy machines without a reclaim notice, with their free capacity."""
         return [
             FreeMachine(worker.name, worker.kind, worker.free())
             for worker in self.workers()
@@ -514,8 +517,10 @@
         ]
 
     def _list(self) -> Reply:
-        seen_at = Worker.now() - self.lag_s * self.rng.uniform(0.5, LIST_LAGS)
-        machines = sorted([*self.machines.values(), *self.gone], key=lambda one: one.name)
-        rows = [row for one in machines if (row := one.row(seen_at)) is not None]
+        seen_at = Worker.now() - self.lag_s * self.rng.uniform(0.5, MAX_LIST_LAGS)
+        machines = sorted(
+            [*self.machines.values(), *self.recently_terminated], key=lambda machine: machine.name
+        )
+        rows = [row for machine in machines if (row := machine.listed_row(seen_at)) is not None]
         aged = [row | {"ageS": max(0.0, seen_at - row["since"])} for row in rows]
-        return reply(200, {"drums": aged, "more": False})
+        return json_reply(200, {"drums": aged, "more": False})
--- a/dappledrum/simulation/key_value_store.py
+++ b/dappledrum/simulation/key_value_store.py
@@ -1,4 +1,4 @@
-"""The store: keys with versions, guarded transactions, leases and watches."""
+"""A simulated store: keys with versions, guarded transactions, leases and watches."""
 
 import asyncio
 import bisect
@@ -10,87 +10,89 @@
 from dappledrum.http.client import Reply
 
 
-def reply(status: int, body: Any = None) -> Reply:  # noqa: ANN401 - any JSON
-    """An answer with a JSON body."""
+def json_reply(status: int, body: Any = None) -> Reply:  # noqa: ANN401 - any JSON
+    """Build an answer with a JSON body."""
     return Reply(status, json.dumps(body if body is not None else {}).encode())
 
 
-class Allowance:
-    """What a rate allows at this moment; bursts of one second's worth."""
+class TokenBucket:
+    """A token bucket that holds at most one second's worth of its rate."""
 
     def __init__(self) -> None:
-        self.spare = math.inf  # the burst, from the first use on
-        self.at = 0.0
+        self.tokens = math.inf  # unlimited until the first use
+        self.updated_at = 0.0  # when `tokens` was last updated
 
     def take(self, amount: float, rate: float | None) -> bool:
-        """Take an amount, if the rate allows it; without a rate everything is allowed."""
+        """Take an amount if the rate allows it; without a rate everything is allowed."""
         if rate is None:
             return True
         now = asyncio.get_running_loop().time()
-        self.spare, self.at = min(self.spare + (now - self.at) * rate, rate), now
-        if amount > self.spare:
+        self.tokens, self.updated_at = min(self.tokens + (now - self.updated_at) * rate, rate), now
+        if amount > self.tokens:
             return False
-        self.spare -= amount
+        self.tokens -= amount
         return True
 
 
 class KeyValueStore:
-    """All in memory.
+    """A store in memory.
 
-    `out` stands for an outage; hosts in `refused` get 503 while others are served.
+    `out` simulates an outage; hosts in `refused` get 503 while others are served.
     """
 
     def __init__(self) -> None:
         self.tally = 0
-        self.keys: dict[str, tuple[Any, int, int | None]] = {}
-        self.holds: dict[int, tuple[float, float]] = {}  # end, life
-        self.log: list[dict[str, Any]] = []
+        self.keys: dict[str, tuple[Any, int, int | None]] = {}  # value, version, lease
+        self.holds: dict[int, tuple[float, float]] = {}  # when it expires, its duration
+        self.log: list[dict[str, Any]] = []  # all changes, as events of watches
         self.changed = asyncio.Event()
         self.out = False
         self.refused: set[str] = set()
-        self.next_hold = 1
+        self.last_lease = 1
         self.writes = 0
         self.requests = 0
-        self.too_large: list[str] = []  # what was refused for its size
+        self.too_large: list[str] = []  # keys, or "transaction", refused for their size
         self.value_bytes = 8192
         self.txn_ops = 24
-        self.write_rps: float | None = None  # changes a second; bursts of one second's worth
-        self.rps: float | None = None  # requests a second
-        self.spare_writes = Allowance()
-        self.spare_requests = Allowance()
-        self.over_rate = 0
-        self.list_most = 1000  # keys in one answer of a list
+        self.write_rps: float | None = None  # allowed changes per second
+        self.rps: float | None = None  # allowed requests per second
+        self.write_budget = TokenBucket()
+        self.request_budget = TokenBucket()
+        self.over_rate = 0  # requests refused with 429
+        self.list_most = 1000  # keys in one page of a list
 
     def end_outage(self) -> None:
-        """Service again; every lease has its full time."""
+        """End the outage, and renew every lease for its full duration."""
         self.out = False
         now = asyncio.get_running_loop().time()
-        self.holds = {hold: (now + life, life) for hold, (_, life) in self.holds.items()}
+        self.holds = {
+            lease: (now + duration_s, duration_s) for lease, (_, duration_s) in self.holds.items()
+        }
 
     def _expire(self) -> None:
         if self.out:
             return
         now = asyncio.get_running_loop().time()
-        for hold, (end, _) in list(self.holds.items()):
+        for lease, (end, _) in list(self.holds.items()):
             if end < now:
-                self._end(hold)
+                self._end_lease(lease)
 
-    def _end(self, hold: int) -> None:
-        del self.holds[hold]
-        keys = [key for key, (_, _, attached) in self.keys.items() if attached == hold]
+    def _end_lease(self, lease: int) -> None:
+        del self.holds[lease]
+        keys = [key for key, (_, _, attached) in self.keys.items() if attached == lease]
         if keys:
             self.tally += 1
             for key in keys:
                 del self.keys[key]
                 self.log.append({"remove": key, "stamp": self.tally})
-            self._tell()
+            self._notify_watches()
 
-    def _tell(self) -> None:
+    def _notify_watches(self) -> None:
         self.changed.set()
         self.changed = asyncio.Event()
 
     async def __call__(self, source: str, method: str, path: str, body: bytes) -> Reply:
-        """One request."""
+        """Handle one request."""
         self.requests += 1
         refusal = self._refusal(source)
         if refusal is not None:
@@ -101,27 +103,27 @@
         if route == "/watch":
             return await self._watch(source, options)
         if route == "/multi":
-            return self._multi(json.loads(body))
+            return self._transaction(json.loads(body))
         if route.startswith("/holds"):
-            return self._holds(method, route, body)
+            return self._handle_lease(method, route, body)
         if route == "/keys":
             return self._list(options)
         return self._get(route.removeprefix("/keys/"))
 
     def _refusal(self, source: str) -> Reply | None:
-        """Why a request is not served at this moment."""
+        """The answer that refuses a request in an outage or above the rate; None: serve it."""
         if self.out or source in self.refused:
-            return reply(503, {"error": "trouble"})
-        if not self.spare_requests.take(1, self.rps):
+            return json_reply(503, {"error": "trouble"})
+        if not self.request_budget.take(1, self.rps):
             self.over_rate += 1
-            return reply(429, {"error": "too many requests"})
+            return json_reply(429, {"error": "too many requests"})
         return None
 
     def _get(self, key: str) -> Reply:
         if key not in self.keys:
-            return reply(404, {"tally": self.tally})
-        value, stamp, hold = self.keys[key]
-        return reply(200, {"key": key, "value": value, "stamp": stamp, "hold": hold})
+            return json_reply(404, {"tally": self.tally})
+        value, version, lease = self.keys[key]
+        return json_reply(200, {"key": key, "value": value, "stamp": version, "hold": lease})
 
     def _list(self, options: dict[str, str]) -> Reply:
         prefix, after, page = (
@@ -133,26 +135,26 @@
         pairs = [
             {"key": k, "value": self.keys[k][0], "stamp": self.keys[k][1]} for k in names[:page]
         ]
-        return reply(200, {"pairs": pairs, "more": len(names) > page, "tally": self.tally})
+        return json_reply(200, {"pairs": pairs, "more": len(names) > page, "tally": self.tally})
 
-    def _holds(self, method: str, route: str, body: bytes) -> Reply:
+    def _handle_lease(self, method: str, route: str, body: bytes) -> Reply:
         now = asyncio.get_running_loop().time()
         parts = route.split("/")
         if len(parts) == 2:
-            life = json.loads(body)["lifeMs"] / 1000
-            self.next_hold += 1
-            self.holds[self.next_hold] = (now + life, life)
-            return reply(200, {"hold": self.next_hold})
-        hold = int(parts[2])
-        if hold not in self.holds:
-            return reply(404)
+            duration_s = json.loads(body)["lifeMs"] / 1000
+            self.last_lease += 1
+            self.holds[self.last_lease] = (now + duration_s, duration_s)
+            return json_reply(200, {"hold": self.last_lease})
+        lease = int(parts[2])
+        if lease not in self.holds:
+            return json_reply(404)
         if method == "DELETE":
-            self._end(hold)
+            self._end_lease(lease)
         else:
-            self.holds[hold] = (now + self.holds[hold][1], self.holds[hold][1])
-        return reply(200)
+            self.holds[lease] = (now + self.holds[lease][1], self.holds[lease][1])
+        return json_reply(200)
 
-    def _multi(self, body: dict[str, Any]) -> Reply:
+    def _transaction(self, body: dict[str, Any]) -> Reply:
         changes = body.get("then", [])
         refusal = self._transaction_refusal(changes, len(body["guards"]))
         if refusal is not None:
@@ -163,31 +165,31 @@
             if self.keys.get(g["key"], (None, 0, None))[1] != g["stamp"]
         ]
         if failed:
-            return reply(409, {"failed": failed, "tally": self.tally})
+            return json_reply(409, {"failed": failed, "tally": self.tally})
         if changes:
             self._apply(changes)
-        return reply(200, {"tally": self.tally})
+        return json_reply(200, {"tally": self.tally})
 
     def _transaction_refusal(self, changes: list[dict[str, Any]], guards: int) -> Reply | None:
-        """Why a transaction is not carried out, whatever its guards say."""
+        """The answer that refuses a transaction whatever its guards; None: check the guards."""
         if len(changes) > self.txn_ops or guards > self.txn_ops * 4:
             self.too_large.append("transaction")
-            return reply(400, {"error": "too many changes in one transaction"})
-        if not self.spare_writes.take(len(changes), self.write_rps):
+            return json_reply(400, {"error": "too many changes in one transaction"})
+        if not self.write_budget.take(len(changes), self.write_rps):
             self.over_rate += 1
-            return reply(429, {"error": "too many changes"})
+            return json_reply(429, {"error": "too many changes"})
         self.writes += len(changes)
         for change in changes:
             value = json.dumps(change.get("value"), separators=(",", ":"))
             if len(value) > self.value_bytes:
                 self.too_large.append(change["write"])
-                return reply(400, {"error": "the value is too large"})
+                return json_reply(400, {"error": "the value is too large"})
             if change.get("hold") is not None and change["hold"] not in self.holds:
-                return reply(400, {"error": "no such lease"})
+                return json_reply(400, {"error": "no such lease"})
         return None
 
     def _apply(self, changes: list[dict[str, Any]]) -> None:
-        """Carry out the changes of a transaction under one revision."""
+        """Apply the changes of a transaction under one revision."""
         self.tally += 1
         for change in changes:
             if "write" in change:
@@ -197,23 +199,28 @@
                 )
             elif self.keys.pop(change["remove"], None) is not None:
                 self.log.append({"remove": change["remove"], "stamp": self.tally})
-        self._tell()
+        self._notify_watches()
 
     async def _watch(self, source: str, options: dict[str, str]) -> Reply:
         loop = asyncio.get_running_loop()
-        since, end = int(options["from"]), loop.time() + int(options.get("waitMs", "0")) / 1000
+        from_revision, end = (
+            int(options["from"]),
+            loop.time() + int(options.get("waitMs", "0")) / 1000,
+        )
         while True:
             events = []
             if not self.out and source not in self.refused:
                 self._expire()
-                newer = bisect.bisect_right(self.log, since, key=lambda event: event["stamp"])
+                newer = bisect.bisect_right(
+                    self.log, from_revision, key=lambda event: event["stamp"]
+                )
                 events = [
                     event
                     for event in self.log[newer:]
                     if (event.get("write") or event["remove"]).startswith(options["prefix"])
                 ]
             if events or loop.time() >= end:
-                return reply(200, {"tally": self.tally, "events": events})
+                return json_reply(200, {"tally": self.tally, "events": events})
             try:
                 async with asyncio.timeout(min(0.05, max(end - loop.time(), 0.001))):
                     await self.changed.wait()
--- a/dappledrum/simulation/logged_failures.py
+++ b/dappledrum/simulation/logged_failures.py
@@ -1,8 +1,8 @@
-"""Finds exceptions that the service logs and survives.
+"""Collects exceptions that controllers log and survive.
 
-A loop of a controller that fails is logged and started again, so the jobs of a test may well end
-as they should although the code behind the loop is wrong. Tests and drawn worlds therefore collect
-what was logged with an exception.
+When a loop of a controller fails, the exception is logged and the loop restarts, so the jobs of a
+test may still finish although the code is wrong. Tests and drawn fault combinations therefore
+also check for logged exceptions.
 """
 
 import logging
@@ -14,14 +14,14 @@
 
 
 class LoggedFailures(logging.Handler):
-    """Collects, while it is entered, the messages of errors that were logged with an exception."""
+    """A context manager that collects the messages of errors logged with an exception."""
 
     def __init__(self) -> None:
         super().__init__(logging.ERROR)
         self.messages: list[str] = []
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Keep the message and the exception of a record; others are ignored."""
+        """Keep the message and the exception of a record; ignore records without one."""
         if record.exc_info and record.exc_info[1] is not None:
             self.messages.append(f"{record.getMessage()}: {record.exc_info[1]!r}")
 
--- a/dappledrum/simulation/network.py
+++ b/dappledrum/simulation/network.py
@@ -1,4 +1,4 @@
-"""A network that delays, cuts, holds back and loses."""
+"""A simulated network that can delay, hold back, lose, refuse and duplicate requests."""
 
 import asyncio
 import contextvars
@@ -30,69 +30,71 @@
 
 
 class Copies(NamedTuple):
-    """Requests that are delivered again, by a new connection, to any of some hosts; nobody hears
-    the answer."""
+    """Duplicates a share of the requests: each copy arrives later on a new connection, and its
+    answer is dropped."""
 
     share: float
-    least_s: float
-    most_s: float
-    targets: tuple[str, ...]  # of heartbeats; anything else comes again where it came before
+    min_delay_s: float
+    max_delay_s: float
+    targets: tuple[str, ...]  # drawn for heartbeats; other copies go to the original target
     paths: tuple[str, ...] = ("/hello",)
-    #: Heartbeats: the copy is kept until a heartbeat was answered with a higher token than any
-    #: before, and then reaches the controller that gave that answer.
+    #: Copies of heartbeats are kept until a heartbeat is answered with a higher fencing token
+    #: than any before, and are then delivered to the controller that gave this answer.
     for_next: bool = False
 
 
 class LateWrites(NamedTuple):
-    """A share of the transactions gets no answer, and is carried out so much later, after newer
-    ones of the same sender; or at once, so that only the answer is lost."""
+    """Delays a share of the transactions until their senders have given up, so that they may be
+    executed after newer ones of the same sender; or loses only their answers."""
 
     share: float
-    least_s: float
-    most_s: float
-    at_once: bool = False  # carried out when it arrives; only the answer is lost
+    min_delay_s: float
+    max_delay_s: float
+    at_once: bool = False  # executed without delay; only the answer is lost
 
 
 class LateCommands(NamedTuple):
-    """A share of the direct commands to workers gets no answer, and is carried out so much
-    later."""
+    """Delays a share of the direct commands to workers until their senders have given up."""
 
     share: float
-    least_s: float
-    most_s: float
+    min_delay_s: float
+    max_delay_s: float
 
 
 def host(name: str) -> str:
-    """The machine of an address: controllers have two, for users and workers and for peers."""
+    """The host of a target name; a controller has two: one for users and workers, and one with
+    the prefix `back-` for peers."""
     return name.removeprefix("back-")
 
 
 class Network:
-    """Hosts by name; a cut between two of them holds requests back and delivers them when it
-    ends."""
+    """Services by host name, and the faults of the links between hosts.
+
+    A cut between two hosts holds requests back, and delivers them when it ends.
+    """
 
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
         self.services: dict[str, Service] = {}
-        self.addresses: dict[str, str] = {}  # hosts that are asked by address
+        self.addresses: dict[str, str] = {}  # host names by address
         self.cuts: set[frozenset[str]] = set()
         self.answers_dropped: set[frozenset[str]] = set()  # requests arrive, answers are lost
-        self.refusing: set[frozenset[str]] = set()  # connections are refused or reset
-        self.blocked: set[tuple[str, str]] = set()  # one way: from one host to another
-        #: From a host that can't open connections to the other; the other may open them to it.
+        self.refusing: set[frozenset[str]] = set()  # connections are refused
+        self.blocked: set[tuple[str, str]] = set()  # one way: requests held back, answers lost
+        #: The first host can't open connections to the second, which may open them to the first.
         self.muted: set[tuple[str, str]] = set()
-        self.slow: dict[tuple[str, str], float] = {}  # seconds more, one way
-        #: Told of each request as it arrives; seconds until it is executed, after its sender has
-        #: given up on it, or None: as ever.
+        self.slow: dict[tuple[str, str], float] = {}  # extra seconds from one host to another
+        #: Called with each request as it arrives. Returns None to execute it normally, or the
+        #: seconds after which it is executed without an answer to its sender.
         self.watcher: Callable[[Sent], float | None] | None = None
         self.copies: Copies | None = None
-        self.copied = 0
-        self.kept: list[tuple[str, bytes]] = []  # copies for the next leader: source and heartbeat
-        self.token = 0  # the highest that a worker was answered with
+        self.copied = 0  # copies drawn so far
+        self.copies_for_next_leader: list[tuple[str, bytes]] = []  # source and heartbeat
+        self.highest_token = 0  # the highest fencing token in an answer to a worker
         self.late_writes: LateWrites | None = None
         self.late_commands: LateCommands | None = None
-        self.held: list[tuple[str, str, str, str, bytes]] = []
-        self.late = 0
+        self.held_requests: list[tuple[str, str, str, str, bytes]] = []
+        self.late_deliveries = 0  # held requests delivered so far
         self.trace: MessageTrace | None = None  # records every message, if set
 
     def cut(self, a: str, b: str) -> None:
@@ -100,48 +102,50 @@
         self.cuts.add(frozenset((a, b)))
 
     def heal(self) -> None:
-        """End all cuts; what was held back arrives now."""
+        """End all link faults, and deliver all requests that were held back."""
         self.cuts.clear()
         self.answers_dropped.clear()
         self.refusing.clear()
         self.blocked.clear()
         self.muted.clear()
         self.slow.clear()
-        self._deliver()
+        self._deliver_held()
 
     def mend(self, pairs: set[frozenset[str]]) -> None:
-        """End the cuts between these, and no others."""
+        """End the cuts and refusals between these pairs of hosts only."""
         self.cuts -= pairs
         self.refusing -= pairs
-        self._deliver()
+        self._deliver_held()
 
-    def _deliver(self) -> None:
-        held, self.held = self.held, []
+    def _deliver_held(self) -> None:
+        held, self.held_requests = self.held_requests, []
         for source, target, method, path, body in held:
             cut = frozenset((source, target)) in self.cuts
             if cut or (host(source), host(target)) in self.blocked:
-                self.held.append((source, target, method, path, body))
+                self.held_requests.append((source, target, method, path, body))
                 continue
-            self.late += 1
+            self.late_deliveries += 1
             if target in self.services:
                 asyncio.get_running_loop().create_task(
                     self._late(source, target, method, path, body)
                 )
 
     async def _late(
-        self, source: str, target: str, method: str, path: str, body: bytes, after: float = 0.0
+        self, source: str, target: str, method: str, path: str, body: bytes, delay_s: float = 0.0
     ) -> None:
-        await asyncio.sleep(after)
+        await asyncio.sleep(delay_s)
         if target in self.services:
             await self._serve(self.services[target], Request(source, target, method, path, body))
 
     def _serve(self, service: Service, request: Request) -> Coroutine[Any, Any, Reply]:
-        """Hand a request to a service, and record it and its response in the trace, if any."""
+        """Pass a request to a service, and record it and its response in the trace, if any."""
         response = service(request.sender, request.method, request.path, request.body)
         return response if self.trace is None else self.trace.serve(request, response)
 
-    def _copy(self, source: str, target: str, method: str, path: str, body: bytes) -> None:
-        """Draw whether a request comes again, when and where."""
+    def _maybe_duplicate(
+        self, source: str, target: str, method: str, path: str, body: bytes
+    ) -> None:
+        """Draw whether a request is duplicated, and when and where the copy arrives."""
         copies = self.copies
         if copies is None or not path.startswith(copies.paths):
             return
@@ -149,23 +153,23 @@
             return
         self.copied += 1
         if path == "/hello" and copies.for_next:
-            self.kept.append((source, body))
+            self.copies_for_next_leader.append((source, body))
             return
         if path == "/hello":
             target = self.rng.choice(copies.targets)
-        after = self.rng.uniform(copies.least_s, copies.most_s)
+        delay_s = self.rng.uniform(copies.min_delay_s, copies.max_delay_s)
         asyncio.get_running_loop().create_task(
-            self._late(source, target, method, path, body, after), context=contextvars.Context()
+            self._late(source, target, method, path, body, delay_s), context=contextvars.Context()
         )
 
-    def _answered(self, controller: str, answer: bytes) -> None:
-        """A heartbeat was answered; if by a new leader, it gets the copies kept for it, in
-        order."""
+    def _deliver_kept_copies(self, controller: str, answer: bytes) -> None:
+        """Process the answer to a heartbeat: deliver the kept copies, in order, to a controller
+        that answers with a new fencing token."""
         token = json.loads(answer).get("baton", 0)
-        if token <= self.token:
+        if token <= self.highest_token:
             return
-        self.token = token
-        kept, self.kept = self.kept, []
+        self.highest_token = token
+        kept, self.copies_for_next_leader = self.copies_for_next_leader, []
         for source, body in kept:
             asyncio.get_running_loop().create_task(
                 self._late(source, controller, "POST", "/hello", body),
@@ -173,7 +177,7 @@
             )
 
     def caller(self, source: str, target: str) -> "Link":
-        """A client at one host for a service at another."""
+        """Create a client at one host for a service at another."""
         return Link(self, source, target)
 
 
@@ -184,12 +188,12 @@
         self.network = network
         self.source = source
         self.target = target
-        self.ended = False  # the process at the source: it sends and hears nothing any more
+        self.ended = False  # whether the source process was killed: it must not exchange messages
 
     async def request(
         self, method: str, path: str, body: bytes | None, timeout: timedelta
     ) -> Reply:
-        """As the real client: an answer, or NoResponseError."""
+        """Send a request; raises NoResponseError like the real client."""
         response = self._request_in_time(method, path, body, timeout)
         trace = self.network.trace
         if trace is None:
@@ -207,8 +211,8 @@
             raise NoResponseError("no answer") from error
 
     def _delays(self, path: str, body: bytes) -> Iterator[float]:
-        """Seconds after which the request arrives without a response, once for each fault that
-        holds it back."""
+        """Yield, for each fault that delays the request, the seconds after which it arrives
+        without a response."""
         network = self.network
         if network.watcher is not None:
             delay = network.watcher(Sent(self.source, self.target, path, body))
@@ -217,23 +221,23 @@
         writes = network.late_writes
         if writes is not None and path == "/multi" and network.rng.random() < writes.share:
             at_once = writes.at_once
-            yield 0.0 if at_once else network.rng.uniform(writes.least_s, writes.most_s)
+            yield 0.0 if at_once else network.rng.uniform(writes.min_delay_s, writes.max_delay_s)
         commands = network.late_commands
         if commands is not None and path == "/do" and network.rng.random() < commands.share:
-            yield network.rng.uniform(commands.least_s, commands.most_s)
+            yield network.rng.uniform(commands.min_delay_s, commands.max_delay_s)
 
     async def _request(self, method: str, path: str, body: bytes) -> Reply:
         network = self.network
         if self.ended:
             await asyncio.sleep(NO_RESPONSE_S)
         pair = frozenset((self.source, self.target))
-        there = (host(self.source), host(self.target))
-        back = (there[1], there[0])
-        await asyncio.sleep(network.rng.uniform(0.0005, 0.004) + network.slow.get(there, 0.0))
-        if pair in network.cuts or there in network.blocked:
-            network.held.append((self.source, self.target, method, path, body))
+        forward = (host(self.source), host(self.target))
+        backward = (forward[1], forward[0])
+        await asyncio.sleep(network.rng.uniform(0.0005, 0.004) + network.slow.get(forward, 0.0))
+        if pair in network.cuts or forward in network.blocked:
+            network.held_requests.append((self.source, self.target, method, path, body))
             await asyncio.sleep(NO_RESPONSE_S)
-        network._copy(self.source, self.target, method, path, body)
+        network._maybe_duplicate(self.source, self.target, method, path, body)
         for delay in self._delays(path, body):
             asyncio.get_running_loop().create_task(
                 network._late(self.source, self.target, method, path, body, delay),
@@ -241,19 +245,19 @@
             )
             await asyncio.sleep(NO_RESPONSE_S)
         service = network.services.get(self.target)
-        if service is None or pair in network.refusing or there in network.muted:
+        if service is None or pair in network.refusing or forward in network.muted:
             raise NotSentError("connection refused")
-        # In a context of its own: what a service does is no part of the process that asked, and
-        # goes on when that stands still or gives up.
-        served = asyncio.get_running_loop().create_task(
+        # Served in a separate context, so that it continues when the sender's process is frozen
+        # or gives up.
+        serving = asyncio.get_running_loop().create_task(
             network._serve(service, Request(self.source, self.target, method, path, body)),
             context=contextvars.Context(),
         )
-        reply = await asyncio.shield(served)
+        reply = await asyncio.shield(serving)
         if path == "/hello" and reply.status == 200:
-            network._answered(self.target, reply.body)
-        await asyncio.sleep(network.rng.uniform(0.0005, 0.004) + network.slow.get(back, 0.0))
-        if pair in network.cuts or pair in network.answers_dropped or back in network.blocked:
+            network._deliver_kept_copies(self.target, reply.body)
+        await asyncio.sleep(network.rng.uniform(0.0005, 0.004) + network.slow.get(backward, 0.0))
+        if pair in network.cuts or pair in network.answers_dropped or backward in network.blocked:
             await asyncio.sleep(NO_RESPONSE_S)
         if self.ended:
             await asyncio.sleep(NO_RESPONSE_S)
--- a/dappledrum/simulation/scenario.py
+++ b/dappledrum/simulation/scenario.py
@@ -103,7 +103,7 @@
     await cluster.wait(10)
     yield scenario
     end_faults(cluster)
-    while cluster.acting or not all(task.done() for task in user_tasks):
+    while cluster.extra_user_tasks or not all(task.done() for task in user_tasks):
         await cluster.wait(1)
     accepted = [name for task in user_tasks if (name := task.result()) is not None]
     names = accepted + scenario.names
--- a/dappledrum/simulation/test_days.py
+++ b/dappledrum/simulation/test_days.py
@@ -270,7 +270,7 @@
         cluster.network._late = record
         begin(cluster, "late_reports", share=1.0, for_s=3.0, for_next=True)
         await cluster.wait(5)
-        kept = len(cluster.network.kept)
+        kept = len(cluster.network.copies_for_next_leader)
         assert kept == cluster.network.copied > 5
         assert not late
         former = cluster.leader()
@@ -278,7 +278,7 @@
         await cluster.until(lambda: cluster.leader() not in (None, former))
         await cluster.wait(3)
         assert late == [cluster.leader()] * kept
-        assert not cluster.network.kept
+        assert not cluster.network.copies_for_next_leader
 
     play(check)
 
@@ -363,8 +363,8 @@
         assert asked.count("/submissions") > len(cluster.rules.jobs) - 2  # repeated ones, too
         assert {400, 422} <= statuses
         await cluster.wait(5)
-        assert not cluster.odd_users
-        assert not cluster.acting
+        assert not cluster.invalid_request_tasks
+        assert not cluster.extra_user_tasks
 
     play(check)
 
@@ -394,7 +394,7 @@
         async def fail():
             raise ValueError("of a user")
 
-        cluster.act(fail())
+        cluster.start_user(fail())
         await asyncio.sleep(0.01)
         assert len(cluster.rules.broken) == 1
         assert "of a user" in cluster.rules.broken.pop()
@@ -424,14 +424,14 @@
         assert not (network.late_writes)
         assert not (network.late_commands)
         assert not (network.copies)
-        assert not (network.kept)
+        assert not (network.copies_for_next_leader)
         assert not (network.cuts)
         assert not (network.refusing)
         assert not (network.blocked)
         assert not (network.muted)
         assert not (cluster.rules.listeners)
-        assert not (cluster.odd_users)
-        assert not (cluster.acting)
+        assert not (cluster.invalid_request_tasks)
+        assert not (cluster.extra_user_tasks)
         assert not any(worker.hung for worker in cluster.cloud.workers())
         assert all(cluster.alive(member) for member in cluster.members)
         assert cluster.leader() is not None
--- a/dappledrum/simulation/test_trace.py
+++ b/dappledrum/simulation/test_trace.py
@@ -11,7 +11,7 @@
 from dappledrum.http.client import NoResponseError, NotSentError, Reply
 from dappledrum.simulation import trace_digests
 from dappledrum.simulation.day_file import Day
-from dappledrum.simulation.experiment import main, play
+from dappledrum.simulation.experiment import main, run_experiment
 from dappledrum.simulation.network import LateWrites, Network
 from dappledrum.simulation.trace import MessageTrace
 from dappledrum.simulation.virtual_time import run
@@ -120,14 +120,14 @@
 def test_a_small_day_played_twice_has_one_digest():
     traces = [MessageTrace(), MessageTrace(), MessageTrace()]
     for seed, trace in zip((1, 1, 2), traces, strict=True):
-        run(play(Day("small"), seed, 2, 0.3, 12.0, trace))
+        run(run_experiment(Day("small"), seed, 2, 0.3, 12.0, trace))
     assert traces[0].lines == traces[1].lines > 100
     assert traces[0].sha256 == traces[1].sha256 != traces[2].sha256
 
 
 def test_a_trace_does_not_change_the_day():
-    plain = run(play(Day("small"), 1, 2, 0.3, 12.0))
-    assert run(play(Day("small"), 1, 2, 0.3, 12.0, MessageTrace())) == plain
+    plain = run(run_experiment(Day("small"), 1, 2, 0.3, 12.0))
+    assert run(run_experiment(Day("small"), 1, 2, 0.3, 12.0, MessageTrace())) == plain
 
 
 def test_the_command_writes_the_trace_and_prints_its_digest(tmp_path, capsys):
--- a/dappledrum/simulation/trace_digests.py
+++ b/dappledrum/simulation/trace_digests.py
@@ -19,7 +19,7 @@
 import msgspec
 
 from dappledrum.simulation.day_file import load
-from dappledrum.simulation.experiment import play
+from dappledrum.simulation.experiment import run_experiment
 from dappledrum.simulation.trace import MessageTrace
 from dappledrum.simulation.virtual_time import run
 
@@ -88,7 +88,7 @@
 def _compute(one: Play, trace: MessageTrace) -> Digest:
     case = one.case
     day = load(DAYS / f"{case.day}.toml")
-    run(play(day, one.seed, case.machines, RESTART_S, case.until_s, trace))
+    run(run_experiment(day, one.seed, case.machines, RESTART_S, case.until_s, trace))
     return Digest(case.day, one.seed, trace.lines, trace.sha256)
 
 
