--- a/dappledrum/simulation/fault_scenarios.py
+++ b/dappledrum/simulation/fault_scenarios.py
@@ -1,5 +1,5 @@
-"""Faults that tests bring about in a simulated cluster: each is a coroutine that returns once the
-fault has ended, or once only the network is left to heal."""
+"""Fault scenarios for tests: each is a coroutine that injects faults into a simulated cluster, and
+returns once they have ended or only the network is left to heal."""
 
 from collections.abc import Awaitable, Callable
 
@@ -9,14 +9,14 @@
 
 
 def leading(cluster: SimulatedCluster) -> str:
-    """The controller that leads; there must be one when the fault begins."""
+    """The leader; asserts that there is one."""
     leader = cluster.leader()
     assert leader is not None, "no controller leads"
     return leader
 
 
 def in_turn(*faults: Fault) -> Fault:
-    """Some faults, one after the other."""
+    """Combine faults that follow one another."""
 
     async def each_in_turn(cluster: SimulatedCluster) -> None:
         for fault in faults:
@@ -29,12 +29,12 @@
 
 
 async def quiet(cluster: SimulatedCluster) -> None:
-    """Nothing goes wrong."""
+    """No fault."""
     await cluster.wait(1)
 
 
 async def leader_killed(cluster: SimulatedCluster) -> None:
-    """The leader crashes, and restarts."""
+    """The leader crashes and restarts."""
     await cluster.restart(leading(cluster))
 
 
@@ -44,21 +44,21 @@
 
 
 async def rolled(cluster: SimulatedCluster) -> None:
-    """Each controller is restarted in turn, as in an upgrade."""
+    """All controllers are restarted one after the other, as in an upgrade."""
     for member in cluster.members:
         await cluster.restart(member)
         await cluster.wait(6)
 
 
 async def leader_down_for_a_minute_twice(cluster: SimulatedCluster) -> None:
-    """A controller loses power while the others serve; then its successor does."""
+    """The leader is down for a minute, and then its successor is."""
     for _ in range(2):
         await cluster.restart(leading(cluster), after=60)
         await cluster.until_led()
 
 
 def pausing(which: str, seconds: float) -> Fault:
-    """Some controllers ("leader", "follower" or "all") are suspended while their clocks go on."""
+    """Some controllers ("leader", "follower" or "all") are frozen while their clocks continue."""
 
     async def fault(cluster: SimulatedCluster) -> None:
         leader = cluster.leader()
@@ -82,7 +82,7 @@
 
 
 def outage(seconds: float) -> Fault:
-    """The store answers nobody."""
+    """The store refuses all requests for some seconds."""
 
     async def fault(cluster: SimulatedCluster) -> None:
         cluster.store.out = True
@@ -93,17 +93,17 @@
 
 
 async def short_outage(cluster: SimulatedCluster) -> None:
-    """One that workers' leases survive."""
+    """An outage of the store that is shorter than the workers' leases."""
     await outage(5)(cluster)
 
 
 async def long_outage(cluster: SimulatedCluster) -> None:
-    """One that lasts for several leases."""
+    """An outage of the store that lasts for several leases."""
     await outage(25)(cluster)
 
 
 async def outage_and_all_killed(cluster: SimulatedCluster) -> None:
-    """All controllers crash in an outage, and restart in it."""
+    """All controllers crash and restart during an outage of the store."""
     cluster.store.out = True
     await cluster.wait(4)
     await all_killed(cluster)
@@ -112,7 +112,7 @@
 
 
 async def leader_refused_in_a_wave(cluster: SimulatedCluster) -> None:
-    """The store refuses the leader while half of the spot machines are taken."""
+    """The store refuses the leader while the cloud terminates half of the spot machines."""
     cluster.store.refused.add(leading(cluster))
     for name in [m.name for m in cluster.cloud.machines.values() if m.kind[2]][::2]:
         cluster.cloud.take(name)
@@ -120,17 +120,17 @@
     cluster.store.refused.clear()
 
 
-# links
+# network
 
 
 async def leader_cut_from_state(cluster: SimulatedCluster) -> None:
-    """Requests of the leader to the store are held back."""
+    """The leader and the store do not reach each other."""
     cluster.cut_off(leading(cluster), "state")
     await cluster.wait(25)
 
 
 async def leader_cut_from_workers(cluster: SimulatedCluster) -> None:
-    """Nothing passes between the leader and the workers."""
+    """The leader and the workers do not reach each other."""
     leader = leading(cluster)
     for name in list(cluster.cloud.machines):
         cluster.network.cut(leader, name)
@@ -138,7 +138,7 @@
 
 
 async def leader_cut_from_all(cluster: SimulatedCluster) -> None:
-    """Only users reach the leader."""
+    """The leader is cut off from everything but users."""
     leader = leading(cluster)
     cluster.isolate(leader)
     cluster.cut_off(leader, "cloud", *cluster.cloud.machines)
@@ -156,7 +156,7 @@
 
 
 async def answers_lost(cluster: SimulatedCluster) -> None:
-    """The store carries out the leader's requests, and its responses are lost."""
+    """The store executes the leader's requests, but its responses are lost."""
     cluster.network.answers_dropped.add(frozenset((leading(cluster), "state")))
     await cluster.wait(8)
 
@@ -169,23 +169,23 @@
 
 
 async def workers_refused(cluster: SimulatedCluster) -> None:
-    """The store serves the leader, and no worker reaches it."""
+    """The store serves the leader, but no worker reaches the leader."""
     await _leader_refused_by(cluster, *cluster.cloud.machines)
 
 
 async def peers_refused_in_an_outage(cluster: SimulatedCluster) -> None:
-    """No peer grants a lease, so the leader has to stop answering in time."""
+    """An outage in which no peer grants a lease, so the leader has to stop answering in time."""
     cluster.store.out = True
     others = cluster.others(leading(cluster))
     await _leader_refused_by(cluster, *("back-" + member for member in others))
     cluster.store.end_outage()
 
 
-# requests that are carried out late
+# late requests
 
 
 async def cloud_requests_arrive_late(cluster: SimulatedCluster) -> None:
-    """Rentals and returns are held back, and executed under the next leader."""
+    """Rentals and returns are held back, and executed while the next controller leads."""
     leader = leading(cluster)
     cluster.cut_off(leader, "cloud")
     await cluster.submit(job(800, beats=12, dueS=40.0))
@@ -198,7 +198,7 @@
 
 
 async def transactions_arrive_late(cluster: SimulatedCluster) -> None:
-    """The leader's writes are held back until another one leads, then all arrive."""
+    """The leader's writes are held back, and all arrive once another controller leads."""
     leader = leading(cluster)
     cluster.cut_off(leader, "state")
     await cluster.wait(8)
@@ -209,8 +209,7 @@
 
 
 async def heartbeats_arrive_late(cluster: SimulatedCluster) -> None:
-    """Heartbeats are held back, their machines begin a new session, then the old heartbeats
-    arrive."""
+    """Heartbeats are held back, and arrive after their workers have begun a new session."""
     for name in list(cluster.cloud.machines)[:3]:
         for member in cluster.members:
             cluster.network.cut(name, member)
@@ -223,14 +222,14 @@
 
 
 async def cloud_out(cluster: SimulatedCluster) -> None:
-    """The cloud answers nobody."""
+    """The cloud refuses all requests."""
     cluster.cloud.out = True
     await cluster.wait(20)
     cluster.cloud.out = False
 
 
 async def machines_hang(cluster: SimulatedCluster) -> None:
-    """Two machines are suspended, one of them for longer than its lease."""
+    """Two machines hang, one of them for longer than its lease."""
     hung = cluster.cloud.workers()[:2]
     for worker in hung:
         worker.hung = True
@@ -242,14 +241,14 @@
 
 
 async def machines_taken(cluster: SimulatedCluster) -> None:
-    """The cloud takes half of the machines."""
+    """The cloud terminates half of the machines."""
     for name in list(cluster.cloud.machines)[::2]:
         cluster.cloud.take(name)
     await cluster.wait(2)
 
 
 async def boots_stall(cluster: SimulatedCluster) -> None:
-    """No rented machine finishes booting for a while."""
+    """Half of the machines are terminated, and machines rented in the next 22 s never boot."""
     cluster.cloud.stalled = 1.0
     await machines_taken(cluster)
     await cluster.wait(20)
--- a/dappledrum/simulation/ground_truth.py
+++ b/dappledrum/simulation/ground_truth.py
@@ -1,7 +1,7 @@
-"""Compares what leaders consider proven with what is on the machines.
+"""Compares the conclusions of leaders with the actual state of the machines.
 
-A loop of a leader would only log a failed assertion and go on, so wrong conclusions are collected
-and checked in the end.
+A leader's loop would only log a failed assertion and continue, so wrong conclusions are collected,
+and the test checks them at its end.
 """
 
 import asyncio
@@ -20,17 +20,17 @@
 
 
 class GroundTruth:
-    """Which machines have terminated, and wrong conclusions about any of them."""
+    """Knows which machines have terminated, and collects wrong conclusions of leaders."""
 
     def __init__(self) -> None:
         self.clouds: list[CloudService] = []
         self.terminated_at: dict[str, float] = {}
-        self.began_at: dict[Reconciler, float] = {}  # of each term
-        self.proofs = 0
-        self.wrong: list[str] = []
+        self.began_at: dict[Reconciler, float] = {}  # start of each term, by its reconciler
+        self.proofs = 0  # checked conclusions that an attempt has terminated
+        self.wrong: list[str] = []  # descriptions of wrong conclusions
 
     def check_terminated(self, machine: str, task: str, attempt: int, why: str) -> None:
-        """A leader considers an attempt terminated on a machine."""
+        """Check a leader's conclusion that an attempt on a machine has terminated."""
         self.proofs += 1
         if self._is_on_machine(machine, task, attempt):
             self.wrong.append(f"{task} is on {machine}, not terminated: {why}")
@@ -45,14 +45,14 @@
         return False
 
     def check_alive(self, reconciler: Reconciler, machine: Machine) -> None:
-        """A leader has processed a heartbeat of a machine."""
+        """Check, after a heartbeat, that a machine terminated before this term is not up."""
         terminated = self.terminated_at.get(machine.name)
         if machine.up and terminated is not None and terminated < self.began_at[reconciler]:
             self.wrong.append(f"{machine.name} has terminated and counts as up")
 
     def check_never_started(self, machine: Machine, lost_before: set[Placement]) -> None:
-        """A machine may be considered unreachable, and attempts that its heartbeats do not show
-        never started."""
+        """Check attempts that a leader has just given up as never started, because heartbeats of
+        an unreachable machine do not report them."""
         if not machine.reachability.unreachable:
             return
         for placement in machine.placements.values():
@@ -65,7 +65,7 @@
 
 @contextmanager
 def compared_with_ground_truth() -> Iterator[GroundTruth]:
-    """Observe all leaders and clouds until the end of the block."""
+    """Compare all leaders with all clouds until the end of the `with` block."""
     truth = GroundTruth()
     begin, process = Reconciler.__init__, Reconciler.process_heartbeat
     lose = AttemptEnds.lose
--- a/dappledrum/simulation/history_recording.py
+++ b/dappledrum/simulation/history_recording.py
@@ -1,4 +1,4 @@
-"""Records requests of users and their responses as events of the history."""
+"""Converts users' requests and their responses to events of the history."""
 
 import json
 
@@ -16,7 +16,7 @@
     controller: str | None,
     cloud: CloudService,
 ) -> Question | None:
-    """A user's request, or None if it is not about a job."""
+    """The event of a user's request; None if it is not about a job."""
     match path.removeprefix("/").split("/"):
         case ["submissions"] if body:
             return _submission(number, at, body, controller, cloud)
@@ -40,7 +40,7 @@
 
 
 def answer(number: int, at: float, reply: Reply | None) -> Answer:
-    """The response that a user got, if any."""
+    """The event of the response to a user, or of its absence."""
     if reply is None:
         return Answer(number, at, None)
     if reply.status not in ACCEPTED:
--- a/dappledrum/simulation/invalid_requests.py
+++ b/dappledrum/simulation/invalid_requests.py
@@ -1,5 +1,6 @@
-"""Invalid requests, and what each controller has to answer: submissions that can never run or lack
-a field, repeated ones that differ from the first, polls and cancellations of unknown jobs.
+"""Invalid requests with the answers that every controller must give: submissions that can never
+run or lack a field, repeated ones that differ from the first, polls and cancellations of unknown
+jobs.
 """
 
 import asyncio
@@ -11,8 +12,8 @@
 from dappledrum.simulation.users import sent_form
 
 ABSENT = object()  # a field that is left out
-#: Method, path, changes of a submission (None: another body),
-#: and what is answered when the controller can decide.
+#: Method, path, changes to a valid submission (None: the body is not JSON), and the status
+#: when the controller can decide.
 INVALID_REQUESTS: list[tuple[str, str, dict[str, Any] | None, int]] = [
     ("POST", "/submissions", {"vcpus": 400.0}, 422),
     ("POST", "/submissions", {"crew": "nobody"}, 422),
@@ -26,7 +27,7 @@
     ("GET", "/submissions/j-000950", None, 404),
     ("POST", "/submissions/j-000950/cancel", None, 404),
 ]
-#: How a submission of an accepted job may differ from the first one.
+#: Changes with which the submission of an accepted job is repeated.
 REPEATED_CHANGES: tuple[dict[str, Any], ...] = (
     {},
     {"vcpus": ABSENT},
@@ -36,20 +37,21 @@
 
 
 def encoded_submission(number: int, changes: dict[str, Any]) -> bytes:
-    """A submission as it is sent, changed."""
+    """Encode a submission with some fields changed or left out."""
     spec = job(number, **changes)
     return sent_form({key: value for key, value in spec.items() if value is not ABSENT})
 
 
 class InvalidRequests:
-    """Requests about a finished, a running and an unknown job, and jobs that can never run."""
+    """Sends invalid requests about a finished, a running and an unknown job, and checks the
+    answers."""
 
     def __init__(self, cluster: SimulatedCluster) -> None:
         self.cluster = cluster
         self.longest_s = 0.0  # the slowest response
 
     async def prepare(self) -> None:
-        """Submit a job that finishes at once, and one that runs for long."""
+        """Submit a short job and a long one, and wait for the end of the short one."""
         await self.cluster.submit(job(960, beats=1, runS=1.0, dueS=None))
         await self.cluster.submit(job(961, beats=1, runS=300.0, expectedS=300.0, dueS=None))
         await self.cluster.until(lambda: "ended/j-000960" in self.cluster.store.keys)
@@ -57,7 +59,7 @@
     async def ask(
         self, member: str, method: str, path: str, body: bytes = b""
     ) -> tuple[Response, str | None]:
-        """Send one request to one controller; the response, and the job's state in it."""
+        """Send one request to one controller; returns the response and the job's state in it."""
         controller = self.cluster.controllers[member]
         asked = asyncio.get_running_loop().time()
         response = await controller.serve(Request(method, path, body))
@@ -68,8 +70,10 @@
         return response, state
 
     async def check(self, member: str, undecided: tuple[int, ...] = ()) -> None:
-        """Send all invalid requests to one controller, and check the responses; `undecided`: the
-        statuses that may be answered instead, with a time after which to retry."""
+        """Send all invalid requests to one controller, and check the responses.
+
+        `undecided` are the statuses that are allowed instead when the controller can't decide.
+        """
         for method, path, changes, status in INVALID_REQUESTS:
             body = b"{" if changes is None else encoded_submission(950, changes)
             response, _ = await self.ask(member, method, path, body)
@@ -88,6 +92,6 @@
     def _check_response(
         response: Response, statuses: set[int], undecided: tuple[int, ...], request: object
     ) -> None:
-        """The response is the protocol's, or names a time after which to retry."""
+        """Check the status, and that a 503 has a `Retry-After` of 1 to 30 s."""
         assert response.status in {*statuses, *undecided}, (response, request)
         assert response.status != 503 or response.retry_after in range(1, 31), (response, request)
--- a/dappledrum/simulation/key_value_store.py
+++ b/dappledrum/simulation/key_value_store.py
@@ -203,7 +203,7 @@
 
     async def _watch(self, source: str, options: dict[str, str]) -> Reply:
         loop = asyncio.get_running_loop()
-        from_revision, end = (
+        newer_than, end = (
             int(options["from"]),
             loop.time() + int(options.get("waitMs", "0")) / 1000,
         )
@@ -211,9 +211,7 @@
             events = []
             if not self.out and source not in self.refused:
                 self._expire()
-                newer = bisect.bisect_right(
-                    self.log, from_revision, key=lambda event: event["stamp"]
-                )
+                newer = bisect.bisect_right(self.log, newer_than, key=lambda event: event["stamp"])
                 events = [
                     event
                     for event in self.log[newer:]
--- a/dappledrum/simulation/network_partitions.py
+++ b/dappledrum/simulation/network_partitions.py
@@ -1,10 +1,10 @@
-"""What network partitions cost: whole controllers in a simulated cluster, in virtual time.
+"""Measures the effects of network partitions on a simulated cluster, in virtual time.
 
     python3 -m dappledrum.simulation.network_partitions [SEEDS]
 
-For each partition of 45 s, with and without `--reach`: seconds without a leader, the longest time
-in which no heartbeat of a machine was answered (median, 99th percentile, maximum), and sessions
-that ended.
+Prints for each partition of 45 s, with and without `--reach`: seconds without a leader, the
+longest time in which no heartbeat of a machine was answered (median, 99th percentile, maximum),
+and sessions that ended.
 """
 
 import asyncio
@@ -22,7 +22,7 @@
 
 
 def after(member: str, places: int) -> str:
-    """The controller so many places later in the workers' list."""
+    """The controller that is so many places later in the workers' list, cyclically."""
     return FIVE[(FIVE.index(member) + places) % len(FIVE)]
 
 
@@ -34,7 +34,7 @@
 
 
 def leader_from_state(cluster: SimulatedCluster, leader: str) -> None:
-    """The store and the leader do not reach each other."""
+    """The leader and the store do not reach each other."""
     cluster.cut_off(leader, "state")
 
 
@@ -69,7 +69,8 @@
 
 
 def outage_without_one(cluster: SimulatedCluster, leader: str) -> None:
-    """One controller is down, and for a third of the time, which exceeds a lease, the store."""
+    """A follower is down, and the store has an outage for a third of the time, longer than a
+    lease."""
     cluster.kill(after(leader, 2))
     cluster.store.out = True
     asyncio.get_running_loop().call_later(PARTITION_S / 3, cluster.store.end_outage)
@@ -89,7 +90,8 @@
 async def run_partition(
     partition: Callable[[SimulatedCluster, str], None], seed: int, reach: bool
 ) -> tuple[float, list[float], int]:
-    """Seconds without a leader, the longest gap of each machine, sessions that ended."""
+    """Run one partition; returns the seconds without a leader, the longest gap of each machine
+    and the number of ended sessions."""
     cluster = SimulatedCluster(seed=seed, members=FIVE, lease_s=15.0, reach=reach)
     await cluster.until(lambda: cluster.leader() is not None)
     for number in range(3):
@@ -114,7 +116,7 @@
 
 
 def main(seeds: int) -> None:
-    """Print one line for each partition and setting."""
+    """Print one line for each partition, with and without `--reach`."""
     logging.disable(logging.CRITICAL)
     print("cut, reach: no leader (most, s); longest gap of a machine (s); sessions ended")
     for partition in PARTITIONS:
--- a/dappledrum/simulation/scenario.py
+++ b/dappledrum/simulation/scenario.py
@@ -1,9 +1,10 @@
-"""One scenario over five whole controllers: users, faults that a test brings about, and the end
-at which every accepted job must have finished, and be the same at each controller.
+"""Runs scenarios in a simulated cluster of five complete controllers: users submit jobs, the test
+injects faults, and in the end every accepted job must have finished and be the same at each
+controller.
 
-A test brings about faults in the body of `async with running_scenario(seed)`; users, moments and
-machines are drawn from the seed, and the invariants are checked at each step. `run_day` is
-smaller: any simulated cluster, and a few jobs before and after one fault.
+A test injects faults in the body of `async with running_scenario(seed)`; users, times and machines
+are drawn from the seed, and the invariants are checked on each step. `run_day` is smaller: any
+simulated cluster, one fault, and a few jobs before and after it.
 """
 
 import asyncio
@@ -29,13 +30,13 @@
 
 
 def call_later(seconds: float, callback: Callable[..., object], *arguments: object) -> None:
-    """Call something after so many seconds of virtual time."""
+    """Call a function after some seconds of virtual time."""
     asyncio.get_running_loop().call_later(seconds, callback, *arguments)
 
 
 @dataclass
 class Scenario:
-    """A simulated cluster with faults, and the jobs that the test itself submitted."""
+    """A simulated cluster, and the jobs that the test itself submitted."""
 
     cluster: SimulatedCluster
     rng: random.Random
@@ -46,14 +47,14 @@
         return [member for member in FIVE if member != self.cluster.leader()]
 
     async def submit_long(self, *numbers: int, **changes: Any) -> None:  # noqa: ANN401 - any field
-        """Submit jobs whose three tasks end after 2 s, 25 s and 60 s."""
+        """Submit jobs whose three tasks run for 2 s, 25 s and 60 s."""
         for number in numbers:
             spec = job(900 + number, beats=3, runS=[2.0, 25.0, 60.0], expectedS=60.0, dueS=None)
             self.names.append(spec["id"])
             assert await self.cluster.submit(spec | changes, 60) in (200, 201)
 
     async def cancel(self, number: int, member: str) -> None:
-        """Cancel one of these jobs at a controller that must answer at once."""
+        """Cancel one of these jobs at a controller that must answer the first request."""
         path = f"/submissions/j-{900 + number:06d}/cancel"
         reply = await self.cluster._ask("POST", path, b"", member)
         assert reply is not None, f"{member} does not answer"
@@ -61,18 +62,18 @@
         assert b'"cancelled"' in reply.body
 
     def machines_of(self, number: int) -> set[str]:
-        """Machines on which tasks of one of these jobs run."""
+        """Machines that run tasks of one of these jobs."""
         name = f"j-{900 + number:06d}"
         running = self.cluster.rules.running.items()
         return {machine for (job_id, _), where in running if job_id == name for machine in where}
 
     async def until_led(self, *besides: str) -> None:
-        """Wait until a controller leads that is none of these."""
+        """Wait until a controller other than these leads."""
         await self.cluster.until(lambda: self.cluster.leader() not in (None, *besides), most=60)
 
 
 def end_faults(cluster: SimulatedCluster) -> None:
-    """End everything that a test may have left broken; the invariants' quiet time begins."""
+    """End all faults that a test may have left; from now on the invariants expect progress."""
     end_all(cluster)
 
 
@@ -83,10 +84,10 @@
     users: int = USERS,
     **of_cluster: Any,  # noqa: ANN401 - any field of the cluster
 ) -> AsyncIterator[Scenario]:
-    """A scenario in which the body of the `async with` brings about faults.
+    """Run a scenario in which the body of the `async with` injects faults.
 
     After the body all faults end; then every accepted job must finish, and be the same at each
-    controller. Nothing more is checked when the body has failed.
+    controller. If the body raises, nothing more is checked.
     """
     cluster = SimulatedCluster(seed=seed, members=FIVE, lease_s=LEASE_S, **of_cluster)
     cluster.cloud.most = machines + 4
@@ -120,8 +121,8 @@
     jobs: int = 6,
     **changes: Any,  # noqa: ANN401 - any field of the jobs
 ) -> None:
-    """Submit jobs, bring about a fault while they run, submit one more, and wait for the end of
-    all."""
+    """Submit jobs, inject a fault while they run, submit one more, and wait until all have
+    finished."""
     await cluster.until_led()
     names = await cluster.accept_jobs(jobs, **changes)
     await cluster.until(lambda: cluster.rules.starts >= 4)
@@ -136,7 +137,7 @@
 
 
 async def cluster_with_long_jobs(**settings: Any) -> SimulatedCluster:  # noqa: ANN401 - any field of a cluster
-    """Five controllers, and machines with work that lasts longer than any fault."""
+    """A cluster of five controllers whose running tasks outlast any fault."""
     cluster = await led_cluster(members=FIVE, **settings)
     await cluster.accept_jobs(3, beats=6, runS=200.0, expectedS=200.0, dueS=400.0)
     await cluster.until(lambda: len(cluster.rules.running) == 18)
@@ -145,12 +146,12 @@
 
 
 def sessions(cluster: SimulatedCluster) -> dict[str, int]:
-    """The sessions of all workers: one that has lost its lease is in a later one."""
+    """The session of each worker; it increases when the worker's lease expires."""
     return {worker.name: worker.session for worker in cluster.cloud.workers()}
 
 
 async def wait_without_lost_leases(cluster: SimulatedCluster, seconds: float) -> None:
-    """Let time pass, in which no worker's lease may expire."""
+    """Let time pass, and check that no worker's lease expires."""
     before = sessions(cluster)
     await cluster.wait(seconds)
     lost = [name for name, session in sessions(cluster).items() if session > before.get(name, 1)]
--- a/dappledrum/simulation/test_fault_combinations.py
+++ b/dappledrum/simulation/test_fault_combinations.py
@@ -6,11 +6,11 @@
 import pytest
 
 from dappledrum.simulation.fault_combinations import (
-    CHANGES_OF_LEADER,
-    DRAWN,
+    DEFAULT_KINDS,
+    LEADER_CHANGES,
     draw_faults,
     main,
-    play,
+    run_combination,
 )
 from dappledrum.simulation.virtual_time import run
 
@@ -43,7 +43,7 @@
 
 def test_pairs_and_triples_name_all_kinds():
     triples = [kinds for _, kinds in TRIPLES]
-    assert {kind for kinds in (*DOZEN, *triples) for kind in kinds} == set(DRAWN)
+    assert {kind for kinds in (*DOZEN, *triples) for kind in kinds} == set(DEFAULT_KINDS)
 
 
 def test_triples_have_all_changes_of_leader():
@@ -54,18 +54,18 @@
             drawn.remove(kind.partition(":")[0])
         changes.update(drawn)
         assert len(drawn) == 1
-    assert changes == set(CHANGES_OF_LEADER)
+    assert changes == set(LEADER_CHANGES)
 
 
 @pytest.mark.parametrize(("seed", "kinds"), list(enumerate(DOZEN)))
 def test_two_troubles_meet(seed, kinds):
     """Rules are checked in each step, and every accepted job is known and over in the end."""
-    run(play(seed, kinds, exactly=True))
+    run(run_combination(seed, kinds, exactly=True))
 
 
 @pytest.mark.parametrize(("seed", "kinds"), TRIPLES)
 def test_a_change_of_leader_meets_two_troubles(seed, kinds):
-    run(play(seed, kinds, exactly=True, triple=True))
+    run(run_combination(seed, kinds, exactly=True, triple=True))
 
 
 def test_a_kind_that_is_not_known_is_named(capsys):
--- a/dappledrum/simulation/trace.py
+++ b/dappledrum/simulation/trace.py
@@ -1,4 +1,4 @@
-"""A trace of the messages that pass the simulated network, and its digest.
+"""A trace of the messages in the simulated network, and its digest.
 
 Each line describes one event of one message, in columns separated by tabs:
 
@@ -27,12 +27,12 @@
     """What happened to a message."""
 
     REQUEST_SENT = "request-sent"
-    #: Reached the receiver; also late, or again as a copy, when no sender waits any more.
+    #: Reached the receiver; possibly late or as a copy, when no sender waits for the answer.
     REQUEST_DELIVERED = "request-delivered"
-    RESPONSE_SENT = "response-sent"  # it may be lost on its way
+    RESPONSE_SENT = "response-sent"  # it may still be lost
     RESPONSE_DELIVERED = "response-delivered"
-    #: The sender was told that there is no response. Not written for a sender that stopped waiting
-    #: by itself or whose process has ended: that is not a message.
+    #: The sender got an error instead of a response. Not written for a sender that stopped waiting
+    #: by itself or whose process has ended, since no message is involved.
     REQUEST_FAILED = "request-failed"
 
 
@@ -61,11 +61,11 @@
         return self._hash.hexdigest()
 
     def resume(self) -> None:
-        """Record messages again, at the beginning of a further simulation."""
+        """Record messages again, at the start of the next simulation."""
         self._stopped = False
 
     def stop(self) -> None:
-        """Record nothing more: the order in which remaining tasks are cancelled at the end of a
+        """Stop recording: the order in which remaining tasks are cancelled at the end of a
         simulation is not repeatable."""
         self._stopped = True
 
--- a/dappledrum/simulation/trace_digests.py
+++ b/dappledrum/simulation/trace_digests.py
@@ -3,9 +3,9 @@
     PYTHONHASHSEED=0 python3 -m dappledrum.simulation.trace_digests [--write] [--jobs N]
                                                                   [--traces DIR] [--day NAME]...
 
-Each play runs in a process of its own. Every play that differs is printed, and the exit status is
-1 if any does. `--write` replaces the committed digests, `--traces` keeps the traces themselves, to
-find the first line that differs.
+Each run of a day with a seed has its own process. Every run with another digest is printed, and
+the exit status is 1 if there is any. `--write` replaces the committed digests, `--traces` keeps the
+traces themselves, to find the first line that differs.
 """
 
 import argparse
@@ -25,19 +25,19 @@
 
 FIXTURE = Path(__file__).with_name("trace_digests.json")
 DAYS = Path(__file__).parents[2] / "days"
-SEEDS = 3  # of each day, counted from its own
-RESTART_S = 0.3  # how long an ended controller stays away, as in the experiment command
+SEEDS = 3  # seeds per day, from the one in its file on
+RESTART_S = 0.3  # restart delay of crashed controllers; the default of the experiment command
 
 
 class Case(msgspec.Struct, frozen=True):
-    """A day at a fixed size."""
+    """A day with a fixed number of machines and a fixed duration."""
 
-    day: str  # name of its file
+    day: str  # file name without `.toml`
     machines: int
     until_s: float  # jobs are submitted until then
 
 
-#: All troubles of each day begin and end before `until_s`; the last case is the smallest.
+#: All faults of each day start and end before `until_s`; the last case is the smallest.
 CASES = (
     Case("storm", 6, 345.0),
     Case("lost-answers", 6, 270.0),
@@ -49,7 +49,7 @@
 
 
 class Play(msgspec.Struct, frozen=True):
-    """A case with one of its seeds."""
+    """One run of a case: the case with one of its seeds."""
 
     case: Case
     seed: int
@@ -59,7 +59,7 @@
 
 
 class Digest(msgspec.Struct, frozen=True):
-    """Digest of the trace of one play."""
+    """Digest of the trace of one run."""
 
     day: str
     seed: int
@@ -68,7 +68,7 @@
 
 
 def plays(cases: tuple[Case, ...] = CASES) -> list[Play]:
-    """All plays of these cases."""
+    """All runs of these cases."""
     return [Play(case, seed) for case in cases for seed in _seeds(case)]
 
 
@@ -78,7 +78,7 @@
 
 
 def compute(one: Play, traces: Path | None = None) -> Digest:
-    """Run a play, and keep its trace in a directory if one is given."""
+    """Compute the digest of a run; keeps the trace in a directory if one is given."""
     if traces is None:
         return _compute(one, MessageTrace())
     with (traces / f"{one.case.day}-{one.seed}.trace").open("wb") as file:
@@ -99,13 +99,13 @@
 
 
 def write(digests: list[Digest]) -> None:
-    """Replace the committed digests; one a line, so that a change shows which differ."""
+    """Replace the committed digests; one per line, so that a diff shows which have changed."""
     lines = ",\n".join(msgspec.json.encode(digest).decode() for digest in digests)
     FIXTURE.write_text(f"[\n{lines}\n]\n", encoding="utf-8")
 
 
 def difference(computed: Digest, expected: Digest | None) -> str | None:
-    """How a digest differs from the committed one; None if it does not."""
+    """Describe how a digest differs from the committed one; None if it does not."""
     if expected is None:
         return "no committed digest"
     if computed == expected:
@@ -123,14 +123,14 @@
 def compute_all(
     wanted: list[Play], jobs: int, traces: Path | None
 ) -> Iterator[tuple[Play, Future[Digest]]]:
-    """Run plays in processes of their own, so many at once; yields them finished, in order."""
+    """Compute digests in up to `jobs` processes at once; yields finished runs in order."""
     context = multiprocessing.get_context("spawn")
     with ProcessPoolExecutor(
         jobs, mp_context=context, initializer=_silence, max_tasks_per_child=1
     ) as pool:
         futures = [(one, pool.submit(compute, one, traces)) for one in wanted]
         for one, future in futures:
-            future.exception()  # waits
+            future.exception()  # wait for the result
             yield one, future
 
 
@@ -152,7 +152,7 @@
     if options.write and options.day:
         parser.error("--write replaces all digests, so it can't be limited by --day")
     if sys.flags.hash_randomization:
-        parser.error("the order of sets decides what is drawn: start with PYTHONHASHSEED=0")
+        parser.error("draws depend on the order of sets: start with PYTHONHASHSEED=0")
     return options
 
 
--- a/dappledrum/simulation/users.py
+++ b/dappledrum/simulation/users.py
@@ -1,7 +1,8 @@
-"""Users that ask at all controllers within milliseconds, and the order of what they are told.
+"""Users that send requests to all controllers within milliseconds, and a check that answers never
+go back in time.
 
-An answer may not be older than one that ended before its question began, at whichever controller;
-of answers that overlap in time nothing is said.
+An answer must not show an older state than any answer that was received before its request was
+sent, whichever controllers gave them. Answers whose requests overlap in time may differ.
 """
 
 import asyncio
@@ -23,7 +24,10 @@
 
 
 class Answer(NamedTuple):
-    """What one user was told of a job, and when the question began and the answer ended."""
+    """The answer to one request about a job, with the times of the request and of the answer.
+
+    `level` orders the states: `UNKNOWN`, `ACCEPTED`, `FINAL`.
+    """
 
     asked: float
     answered: float
@@ -34,13 +38,14 @@
 
 @dataclass
 class AnswerOrder:
-    """Checks the answers about each job against all that ended before their questions began."""
+    """Checks that no answer about a job is older than the answers received before its request,
+    and that final states agree."""
 
     answers: dict[str, list[Answer]] = field(default_factory=dict)
     broken: list[str] = field(default_factory=list)
 
     def note(self, name: str, answer: Answer) -> None:
-        """One more answer."""
+        """Check a further answer against all earlier ones."""
         told = self.answers.setdefault(name, [])
         for before in told:
             if before.answered < answer.asked and before.level > answer.level:
@@ -51,7 +56,7 @@
         told.append(answer)
 
     def level(self, name: str) -> int:
-        """The newest that anybody was told of a job."""
+        """The highest level in any answer about a job."""
         return max((answer.level for answer in self.answers.get(name, ())), default=UNKNOWN)
 
 
@@ -60,12 +65,13 @@
 
 
 def sent_form(spec: dict[str, Any]) -> bytes:
-    """A submission as it goes over the wire."""
+    """Encode a submission, without the fields that only the simulation uses."""
     return json.dumps({k: v for k, v in spec.items() if k not in ("runS", "broken")}).encode()
 
 
 class ImpatientUser:
-    """Submits one job, and looks at it closely around its acceptance, cancellation and end."""
+    """Submits one job, and polls it every few milliseconds around its acceptance, cancellation
+    and end."""
 
     def __init__(
         self,
@@ -82,11 +88,11 @@
         self.cancels = False
 
     def alive(self) -> list[str]:
-        """Controllers that can be asked."""
+        """Controllers that accept requests."""
         return [m for m in self.cluster.members if m in self.cluster.network.services]
 
     async def _request(self, method: str, path: str, body: bytes, member: str) -> Reply | None:
-        """Ask one controller; the history is told when the question began and what came of it."""
+        """Send one request to one controller, and record it and its answer in the history."""
         history = self.cluster.rules.history
         asked, number = _now(), history.next_number()
         question = history_recording.question(
@@ -105,7 +111,7 @@
         return reply
 
     def _note(self, reply: Reply, asked: float, member: str) -> None:
-        """Note an answer for the order of all of them."""
+        """Add an answer to the checked order; other errors than a refusal say nothing."""
         level, state = UNKNOWN, None
         if reply.status in (OK, CREATED):
             state = json.loads(reply.body)["stance"]
@@ -115,22 +121,23 @@
         self.order.note(self.name, Answer(asked, _now(), member, level, state))
 
     async def poll(self, member: str) -> Reply | None:
-        """Ask one controller."""
+        """Request the job's state from one controller."""
         return await self._request("GET", f"/submissions/{self.name}", b"", member)
 
     async def submit(self, member: str) -> Reply | None:
-        """Send the job to one controller, for the first time or again."""
+        """Submit the job to one controller, for the first time or again."""
         self.cluster.rules.submitted(self.spec, _now())
         return await self._request("POST", "/submissions", sent_form(self.spec), member)
 
     async def cancel(self, member: str) -> Reply | None:
-        """Cancel it at one controller."""
+        """Cancel the job at one controller."""
         self.cancels = True
         self.cluster.rules.cancel_asked(self.name)
         return await self._request("POST", f"/submissions/{self.name}/cancel", b"", member)
 
     async def until(self, ask: Callable[[str], Awaitable[Reply | None]], *good: int) -> str | None:
-        """Ask until a controller gives one of these answers; the state told."""
+        """Repeat a request at drawn controllers until it has one of these statuses; returns the
+        job's state in the answer."""
         while True:
             reply = await ask(self.rng.choice(self.alive() or list(self.cluster.members)))
             if reply is not None and reply.status in good:
@@ -138,7 +145,8 @@
             await asyncio.sleep(self.rng.uniform(0.05, 1.0))
 
     async def look(self, span: float) -> None:
-        """Ask all controllers every few milliseconds, and sometimes submit again."""
+        """Poll all controllers every few milliseconds for some seconds, and sometimes submit
+        again."""
         questions: list[asyncio.Future[Reply | None]] = []
         end = _now() + span
         while _now() < end:
@@ -149,7 +157,7 @@
         await asyncio.gather(*questions)
 
     async def until_tasks_end(self, share: float = 1.0, most: float = 90.0) -> None:
-        """Wait until so many of its tasks have completed, as only the world knows."""
+        """Wait until a share of the job's tasks has completed on the workers."""
         end = _now() + most
         facts = self.cluster.rules.jobs[self.name]
         while len(facts.done) < share * self.spec["beats"] and _now() < end:
@@ -171,8 +179,11 @@
             await asyncio.sleep(0.001)
 
     async def meet_end(self, written: bool, after: float) -> str:
-        """Submit; cancel, ask and submit again at once, so long after the last task has completed
-        or after the leader is about to write the end; the final state."""
+        """Submit the job, and cancel, poll and submit again around its end; the final state.
+
+        The cancellation starts `after` seconds after the last task has completed, or (`written`)
+        after the leader is about to write the end.
+        """
         await asyncio.sleep(self.rng.uniform(0, 8))
         await self.until(self.submit, OK, CREATED)
         await (self.until_end_is_written() if written else self.until_tasks_end())
@@ -184,11 +195,12 @@
         return str(state)
 
     async def run(self, cancels: float = 0.4, span: float = 0.12) -> str:
-        """Submit, look, wait for the end or cancel, look again; the final state."""
+        """Submit the job, poll closely, wait for its end or cancel it, and poll closely again;
+        returns the final state."""
         await asyncio.sleep(self.rng.uniform(0, 8))
         asked = []
         if self.rng.random() < 0.5:
-            asked.append(asyncio.ensure_future(self.look(span)))  # from before it is accepted
+            asked.append(asyncio.ensure_future(self.look(span)))  # before acceptance
             await asyncio.sleep(self.rng.uniform(0, span))
         await self.until(self.submit, OK, CREATED)
         at_once = self.rng.random() < cancels / 2
@@ -217,8 +229,11 @@
     accepted_after: list[float],
     cancelled: float,
 ) -> str | None:
-    """Submits a job of one task; cancels that share of them within some seconds, and asks about
-    the others every few seconds; the final state."""
+    """Submit a job of one task, and cancel it with the given probability within 12 s, or else poll
+    it every few seconds; returns the final state.
+
+    Appends the seconds until acceptance to `accepted_after`.
+    """
     run_s = rng.uniform(2, 15)
     spec = job(number, beats=1, vcpus=0.5, memGb=0.5, runS=run_s, expectedS=8.0, dueS=None)
     began = _now()
@@ -237,8 +252,8 @@
 async def wandering_latency(
     cluster: SimulatedCluster, rng: random.Random, hosts: Iterable[str], most: float
 ) -> None:
-    """Let the way to the store and back take longer or shorter from one request to the
-    next, so that a later one may overtake an earlier one; until cancelled."""
+    """Vary the latency between these hosts and the store every few milliseconds, so that a later
+    request may overtake an earlier one; runs until cancelled."""
     members = list(hosts)
     slow = cluster.network.slow
     try:
--- a/dappledrum/simulation/virtual_time.py
+++ b/dappledrum/simulation/virtual_time.py
@@ -1,5 +1,5 @@
-"""An event loop whose time jumps to the next timer, so a day passes in seconds and always in the
-same way."""
+"""An event loop with virtual time, which jumps to the next timer, so that long simulations take
+seconds and are repeatable."""
 
 import asyncio
 import contextvars
@@ -21,21 +21,22 @@
     def select(self, timeout: float | None = None) -> list[Any]:
         assert self.loop is not None
         if timeout is None:
-            raise RuntimeError("every task waits for something that never comes")
+            raise RuntimeError("deadlock: all tasks wait, and no timer is set")
         self.loop.virtual += max(timeout, 0.0)
         return super().select(0)
 
 
-#: Which controller's process a callback belongs to; everything it starts inherits it.
+#: The controller's process that a callback belongs to; inherited by everything that it starts.
 PROCESS: contextvars.ContextVar[str | None] = contextvars.ContextVar("process", default=None)
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """Waits take no real time, and single processes can stand still while time goes on."""
+    """An event loop in which waits take no real time, and in which single processes can be frozen
+    while time passes."""
 
     def __init__(self) -> None:
         self.virtual = 0.0
-        # What each frozen process would have done: whether it was a timer, and the callback.
+        # Deferred callbacks of each frozen process: whether it is a timer, handle, callback.
         self.frozen: dict[str, list[tuple[bool, asyncio.Handle, Callable[[], Any]]]] = {}
         selector = _Selector()
         super().__init__(selector)
@@ -45,11 +46,11 @@
         return self.virtual
 
     def freeze(self, process: str) -> None:
-        """Nothing of this process runs any more."""
+        """Defer all callbacks of this process."""
         self.frozen.setdefault(process, [])
 
     def thaw(self, process: str) -> None:
-        """It goes on: first with what has arrived, then with all that has come due."""
+        """Resume this process: first with what has arrived, then with the timers that expired."""
         for _, handle, callback in sorted(self.frozen.pop(process, []), key=lambda item: item[0]):
             if not handle.cancelled():
                 callback()
@@ -102,7 +103,7 @@
 
 
 class SkewedClock(Clock):
-    """A clock that is off: its rate for the steady time, a constant for the time of day."""
+    """A clock with a rate error in its steady time, and a constant error in its time of day."""
 
     def __init__(self, rate: float = 0.0, off: timedelta = timedelta(0)) -> None:
         self.rate = rate
@@ -122,8 +123,8 @@
         try:
             return await main
         finally:
-            # A test that fails while a process stands still would never end: nothing of that
-            # process can be cancelled.
+            # A test that fails while a process is frozen would never end, because tasks of a
+            # frozen process can't be cancelled.
             loop = asyncio.get_running_loop()
             assert isinstance(loop, VirtualLoop)
             for process in list(loop.frozen):
--- a/dappledrum/simulation/workloads.py
+++ b/dappledrum/simulation/workloads.py
@@ -1,8 +1,8 @@
-"""Five whole controllers with jobs, for tests of concurrent faults: the set-up, what a test does
-to machines and jobs, and the final checks.
+"""Simulated clusters of five controllers with jobs, for tests of concurrent faults: the set-up,
+actions on machines and jobs, and the final checks.
 
 `long_running_jobs` has jobs that outlast any fault, of which the test cancels some;
-`start_short_jobs` has jobs that end by themselves.
+`start_short_jobs` has jobs that finish by themselves.
 """
 
 import random
@@ -21,7 +21,7 @@
 from dappledrum.simulation.scenario import LEASE_S, call_later, end_faults, now
 
 CHECK_INTERVAL_S = 0.25
-#: How far clocks may differ, with the interval between two checks of a cluster.
+#: Bound on the difference of clocks plus the interval between two checks of a cluster.
 MAX_CLOCK_DIFFERENCE = timedelta(seconds=0.5)
 
 
@@ -63,7 +63,7 @@
             terminated = self.terminated_at.get(machine.name)
             if terminated is None or terminated > began - MAX_CLOCK_DIFFERENCE.total_seconds():
                 continue
-            # The cloud's list may show it for a while, and a record say that it boots.
+            # The cloud's list may still show it, and a record may say that it boots.
             reported = machine.listed_at is not None or machine.rented_at != machine.seen_at
             counted = machine.name in planned and not reported
             if machine.up or (counted and not machine.placements):
@@ -76,7 +76,7 @@
 
     cluster: SimulatedCluster
     rng: random.Random
-    names: list[str] = field(default_factory=list)  # jobs that end by themselves
+    names: list[str] = field(default_factory=list)  # jobs that finish by themselves
     cancelled: set[int] = field(default_factory=set)
 
     def leader(self) -> Leader:
@@ -98,7 +98,7 @@
         return [member for member in FIVE if member != self.cluster.leader()]
 
     def sessions(self) -> dict[str, int]:
-        """The session of each worker: a new one has lost all its tasks."""
+        """The session of each worker; a worker in a new session has lost all its tasks."""
         return {worker.name: worker.session for worker in self.cluster.cloud.workers()}
 
     def running(self, number: int) -> list[int]:
@@ -106,14 +106,14 @@
         return [task for name, task in self.cluster.rules.running if name == job_name(number)]
 
     async def submit(self, number: int, tries: int = 40, **changes: Any) -> str:  # noqa: ANN401
-        """Submit a job that must have finished in the end; its name."""
+        """Submit a job that must finish before the test ends; returns its name."""
         spec = job(number, **({"dueS": None} | changes))
         self.names.append(spec["id"])
         assert await self.cluster.submit(spec, tries) in (200, 201)
         return str(spec["id"])
 
     async def cancel(self, number: int, member: str) -> None:
-        """Cancel a job at a controller that must answer at once."""
+        """Cancel a job at a controller that must answer the first request."""
         self.cancelled.add(number)
         path = f"/submissions/{job_name(number)}/cancel"
         reply = await self.cluster._ask("POST", path, b"", member)
@@ -122,23 +122,23 @@
         assert b'"cancelled"' in reply.body
 
     def hang(self, worker: Worker, seconds: float) -> None:
-        """Suspend a machine for so long."""
+        """Let a machine hang for some seconds."""
         worker.hung = True
         call_later(seconds, setattr, worker, "hung", False)
 
     async def finish(self, timeout_s: float) -> float:
-        """Wait for the end of all jobs, when all faults but late copies have ended; how long it
-        took."""
+        """Wait until all jobs have finished, after all faults but late copies have ended; returns
+        the seconds waited."""
         self.cluster.rules.faults_over_at = now()
         return await self.cluster.finish(self.names, timeout_s)
 
 
 @asynccontextmanager
 async def long_running_jobs(seed: int, jobs: int = 4) -> AsyncIterator[LoadedCluster]:
-    """Jobs of three tasks that outlast any fault, while the body of the `async with` runs.
+    """Run jobs of three tasks that outlast any fault, during the body of the `async with`.
 
-    After the body all faults end; then the jobs that it has cancelled must be so and have no task
-    left, and the others run, until they are cancelled here.
+    After the body all faults end. Then the jobs cancelled by the body must be cancelled and have no
+    running task, and the others must still run; they are cancelled here.
     """
     cluster = SimulatedCluster(members=FIVE, seed=seed, lease_s=LEASE_S)
     work = LoadedCluster(cluster, cluster.rng)
@@ -163,8 +163,8 @@
 async def start_short_jobs(
     seed: int, copies: tuple[str, ...] = (), machines: int = 8, jobs: int = 5
 ) -> LoadedCluster:
-    """Some machines, and jobs of six tasks of which some have started; requests to the paths in
-    `copies` are repeated, from 1 s to three leases late."""
+    """Start machines, and jobs of six tasks of which some have started; requests to the paths in
+    `copies` are duplicated, with a delay of 1 s to three leases."""
     cluster = TerminationCheckingCluster(seed=seed, members=FIVE, lease_s=LEASE_S)
     work = LoadedCluster(cluster, random.Random(seed))
     for _ in range(machines):
