--- a/dappledrum/simulation/faults/__init__.py
+++ b/dappledrum/simulation/faults/__init__.py
@@ -1,7 +1,7 @@
-"""Faults that days and drawn scenarios bring about, one typed class for each kind.
+"""Faults for day files and drawn combinations, with one class for each kind.
 
-A fault is written `{ at_s = 60.0, kind = "node_crash", … }` as in `days/*.toml`. A kind takes
-only its own options; a value that it can't use is a `FaultError` that names the kind and the
+A fault is written `{ at_s = 60.0, kind = "node_crash", … }` as in `days/*.toml`. Each kind has its
+own options; an unknown option or a value out of range raises FaultError with the kind and the
 option.
 """
 
@@ -15,10 +15,10 @@
 
 
 class FaultError(Exception):
-    """A fault can't be brought about; the text names its kind and what is wrong with it."""
+    """Invalid options of a fault; the text names the kind and what is wrong."""
 
 
-#: By the name that a day's file gives it.
+#: Fault classes by their kind in day files.
 KINDS: dict[str, type[Fault]] = {
     str(kind.__struct_config__.tag): kind
     for kind in (
@@ -46,12 +46,12 @@
 
 
 def convert(options: dict[str, Any]) -> Fault:
-    """The fault that these options describe, or FaultError."""
+    """Convert the options of a day file to a fault; raises FaultError."""
     kind = options.get("kind")
     if not isinstance(kind, str):
         raise FaultError(f"no `kind` in {options}")
     if kind not in KINDS:
-        raise FaultError(f"kind `{kind}` is not known over the stand-ins, only {', '.join(KINDS)}")
+        raise FaultError(f"kind `{kind}` is not known to the simulation, only {', '.join(KINDS)}")
     try:
         return msgspec.convert(options, KINDS[kind])
     except msgspec.ValidationError as error:
@@ -59,7 +59,7 @@
 
 
 def end_all(cluster: SimulatedCluster) -> None:
-    """End every fault that still lasts; the rules' quiet time begins."""
+    """End all faults, restart all controllers, and let the invariants expect progress again."""
     network = cluster.network
     network.heal()
     network.copies = network.late_writes = network.late_commands = network.watcher = None
--- a/dappledrum/simulation/faults/base.py
+++ b/dappledrum/simulation/faults/base.py
@@ -1,4 +1,4 @@
-"""What all faults share: options with their ranges, and when a fault begins and ends."""
+"""Base classes of faults, and the types of their options with their ranges."""
 
 import asyncio
 from collections.abc import Callable
@@ -15,23 +15,26 @@
 
 
 class Fault(msgspec.Struct, kw_only=True, forbid_unknown_fields=True, tag_field="kind"):
-    """Something that goes wrong at some time of a day."""
+    """A fault that starts at a given time of a day."""
 
     at_s: Seconds
 
     @property
     def kind(self) -> str:
-        """Its name in a day's file."""
+        """Its name in day files."""
         return str(self.__struct_config__.tag)
 
     @property
     def lasts_s(self) -> float:
-        """For how long it goes on."""
+        """Duration in seconds."""
         return 0.0
 
-    def begin(self, cluster: SimulatedCluster, back: float) -> None:
-        """Let it begin; processes that it ends are there again after `back` seconds or after
-        their own time, whichever is longer."""
+    def begin(self, cluster: SimulatedCluster, restart_delay_s: float) -> None:
+        """Inject the fault now.
+
+        Controllers that it kills restart after `restart_delay_s`, or after the fault's own
+        duration if that is longer.
+        """
         raise NotImplementedError
 
 
@@ -45,6 +48,6 @@
         return self.for_s
 
 
-def later(seconds: float, act: Callable[..., object], *arguments: object) -> None:
-    """Call something after so many seconds."""
-    asyncio.get_running_loop().call_later(seconds, act, *arguments)
+def call_later(seconds: float, callback: Callable[..., object], *arguments: object) -> None:
+    """Call a function after some seconds of virtual time."""
+    asyncio.get_running_loop().call_later(seconds, callback, *arguments)
--- a/dappledrum/simulation/invalid_requests.py
+++ b/dappledrum/simulation/invalid_requests.py
@@ -9,7 +9,7 @@
 
 from dappledrum.http.messages import Request, Response
 from dappledrum.simulation.cluster import SimulatedCluster, job
-from dappledrum.simulation.users import sent_form
+from dappledrum.simulation.users import encode_submission
 
 ABSENT = object()  # a field that is left out
 #: Method, path, changes to a valid submission (None: the body is not JSON), and the status
@@ -39,7 +39,7 @@
 def encoded_submission(number: int, changes: dict[str, Any]) -> bytes:
     """Encode a submission with some fields changed or left out."""
     spec = job(number, **changes)
-    return sent_form({key: value for key, value in spec.items() if value is not ABSENT})
+    return encode_submission({key: value for key, value in spec.items() if value is not ABSENT})
 
 
 class InvalidRequests:
@@ -61,9 +61,9 @@
     ) -> tuple[Response, str | None]:
         """Send one request to one controller; returns the response and the job's state in it."""
         controller = self.cluster.controllers[member]
-        asked = asyncio.get_running_loop().time()
+        sent_at = asyncio.get_running_loop().time()
         response = await controller.serve(Request(method, path, body))
-        self.longest_s = max(self.longest_s, asyncio.get_running_loop().time() - asked)
+        self.longest_s = max(self.longest_s, asyncio.get_running_loop().time() - sent_at)
         state = None
         if response.status in (200, 201):
             state = json.loads(response.body)["stance"]
--- a/dappledrum/simulation/test_experiment.py
+++ b/dappledrum/simulation/test_experiment.py
@@ -1,4 +1,4 @@
-"""Days in files over the stand-ins."""
+"""The experiment command with day files."""
 
 import msgspec
 import pytest
@@ -33,7 +33,7 @@
 """
 
 
-def test_a_day_with_every_kind_of_trouble(tmp_path):
+def test_a_day_with_every_kind_of_fault_is_reported(tmp_path):
     day, report = tmp_path / "day.toml", tmp_path / "report.json"
     day.write_text(DAY)
     options = ["--machines", "10", "--seeds", "1", "--until", "180", "--report", str(report)]
@@ -41,8 +41,8 @@
     told = msgspec.json.decode(report.read_text(), type=Report)
     assert [one.kind for one in told.faults]
     assert {o.kind for o in told.faults} == KINDS.keys()
-    # An end of all for 20 s, longer than the workers' leases; an outage of 4 s, of which the
-    # leader's lease lasts 3 at the most; and handing over.
+    # All controllers are down for 20 s, longer than the workers' leases; the store has an outage
+    # of 4 s, of which the leader's lease bridges at most 3 s; and leaders change.
     assert 21 <= told.no_leader_s < 36
     assert told.sessions_ended > 5
     down = next(one for one in told.faults if one.kind == "node_down")
@@ -56,14 +56,14 @@
     ("text", "why"),
     [
         ("nonsense", "Expected"),
-        ('name = "x"\nfaults = [{ at_s = 1.0, kind = "flood" }]', "not known over the stand-ins"),
+        ('name = "x"\nfaults = [{ at_s = 1.0, kind = "flood" }]', "not known to the simulation"),
         ('name = "x"\nfaults = [{ at_s = -1.0, kind = "node_crash" }]', "at_s"),
         ('name = "x"\nfaults = [{ at_s = 1.0, kind = "node_crash", hall = "a" }]', "hall"),
         ('name = "x"\nfaults = [{ at_s = 1.0, kind = "node_cut", mode = "drop" }]', "drop"),
         ('name = "x"\nfaults = [{ at_s = 1.0, kind = "late_writes", share = 1.5 }]', "share"),
     ],
 )
-def test_a_day_that_cannot_be_played_is_refused(tmp_path, capsys, text, why):
+def test_an_invalid_day_file_is_refused_with_the_reason(tmp_path, capsys, text, why):
     day = tmp_path / "day.toml"
     day.write_text(text)
     with pytest.raises(SystemExit):
--- a/dappledrum/simulation/test_trace.py
+++ b/dappledrum/simulation/test_trace.py
@@ -143,11 +143,11 @@
 
 
 def test_the_smallest_day_has_the_committed_digest():
-    one = trace_digests.plays(trace_digests.CASES[-1:])[0]
-    expected = trace_digests.committed()[one.case.day, one.seed]
-    assert trace_digests.difference(trace_digests.compute(one), expected) is None
+    seeded = trace_digests.seeded_cases(trace_digests.CASES[-1:])[0]
+    expected = trace_digests.committed()[seeded.case.day, seeded.seed]
+    assert trace_digests.difference(trace_digests.compute(seeded), expected) is None
 
 
 def test_every_play_has_a_committed_digest():
-    wanted = {(one.case.day, one.seed) for one in trace_digests.plays()}
+    wanted = {(seeded.case.day, seeded.seed) for seeded in trace_digests.seeded_cases()}
     assert trace_digests.committed().keys() == wanted
--- a/dappledrum/simulation/trace_digests.py
+++ b/dappledrum/simulation/trace_digests.py
@@ -4,8 +4,8 @@
                                                                   [--traces DIR] [--day NAME]...
 
 Each run of a day with a seed has its own process. Every run with another digest is printed, and
-the exit status is 1 if there is any. `--write` replaces the committed digests, `--traces` keeps the
-traces themselves, to find the first line that differs.
+the exit status is 1 if there is any. `--write` replaces the committed digests, `--traces` keeps
+the traces themselves, to find the first line that differs.
 """
 
 import argparse
@@ -48,7 +48,7 @@
 )
 
 
-class Play(msgspec.Struct, frozen=True):
+class SeededCase(msgspec.Struct, frozen=True):
     """One run of a case: the case with one of its seeds."""
 
     case: Case
@@ -67,9 +67,9 @@
     sha256: str
 
 
-def plays(cases: tuple[Case, ...] = CASES) -> list[Play]:
+def seeded_cases(cases: tuple[Case, ...] = CASES) -> list[SeededCase]:
     """All runs of these cases."""
-    return [Play(case, seed) for case in cases for seed in _seeds(case)]
+    return [SeededCase(case, seed) for case in cases for seed in _seeds(case)]
 
 
 def _seeds(case: Case) -> range:
@@ -77,19 +77,19 @@
     return range(first, first + SEEDS)
 
 
-def compute(one: Play, traces: Path | None = None) -> Digest:
+def compute(seeded: SeededCase, traces: Path | None = None) -> Digest:
     """Compute the digest of a run; keeps the trace in a directory if one is given."""
     if traces is None:
-        return _compute(one, MessageTrace())
-    with (traces / f"{one.case.day}-{one.seed}.trace").open("wb") as file:
-        return _compute(one, MessageTrace(file))
+        return _compute(seeded, MessageTrace())
+    with (traces / f"{seeded.case.day}-{seeded.seed}.trace").open("wb") as file:
+        return _compute(seeded, MessageTrace(file))
 
 
-def _compute(one: Play, trace: MessageTrace) -> Digest:
-    case = one.case
+def _compute(seeded: SeededCase, trace: MessageTrace) -> Digest:
+    case = seeded.case
     day = load(DAYS / f"{case.day}.toml")
-    run(run_experiment(day, one.seed, case.machines, RESTART_S, case.until_s, trace))
-    return Digest(case.day, one.seed, trace.lines, trace.sha256)
+    run(run_experiment(day, seeded.seed, case.machines, RESTART_S, case.until_s, trace))
+    return Digest(case.day, seeded.seed, trace.lines, trace.sha256)
 
 
 def committed() -> dict[tuple[str, int], Digest]:
@@ -121,17 +121,17 @@
 
 
 def compute_all(
-    wanted: list[Play], jobs: int, traces: Path | None
-) -> Iterator[tuple[Play, Future[Digest]]]:
+    wanted: list[SeededCase], jobs: int, traces: Path | None
+) -> Iterator[tuple[SeededCase, Future[Digest]]]:
     """Compute digests in up to `jobs` processes at once; yields finished runs in order."""
     context = multiprocessing.get_context("spawn")
     with ProcessPoolExecutor(
         jobs, mp_context=context, initializer=_silence, max_tasks_per_child=1
     ) as pool:
-        futures = [(one, pool.submit(compute, one, traces)) for one in wanted]
-        for one, future in futures:
+        futures = [(seeded, pool.submit(compute, seeded, traces)) for seeded in wanted]
+        for seeded, future in futures:
             future.exception()  # wait for the result
-            yield one, future
+            yield seeded, future
 
 
 def _options(argv: list[str] | None) -> argparse.Namespace:
@@ -161,23 +161,27 @@
     options = _options(argv)
     if options.traces is not None:
         options.traces.mkdir(parents=True, exist_ok=True)
-    wanted = plays(tuple(case for case in CASES if not options.day or case.day in options.day))
+    wanted = seeded_cases(
+        tuple(case for case in CASES if not options.day or case.day in options.day)
+    )
     expected = {} if options.write else committed()
     digests: list[Digest] = []
     failed = differing = 0
-    for one, future in compute_all(wanted, options.jobs, options.traces):
+    for seeded, future in compute_all(wanted, options.jobs, options.traces):
         if (error := future.exception()) is not None:
             failed += 1
-            print(f"{one}: failed: {error!r}", flush=True)
+            print(f"{seeded}: failed: {error!r}", flush=True)
             continue
-        digest = future.result()
-        digests.append(digest)
-        how = (
-            None if options.write else difference(digest, expected.get((digest.day, digest.seed)))
+        computed = future.result()
+        digests.append(computed)
+        reason = (
+            None
+            if options.write
+            else difference(computed, expected.get((computed.day, computed.seed)))
         )
-        if how is not None:
+        if reason is not None:
             differing += 1
-            print(f"{one}: {how}", flush=True)
+            print(f"{seeded}: {reason}", flush=True)
     if options.write and not failed:
         write(digests)
     print(f"{len(wanted)} plays, {differing} differ, {failed} failed")
--- a/dappledrum/simulation/users.py
+++ b/dappledrum/simulation/users.py
@@ -44,16 +44,16 @@
     answers: dict[str, list[Answer]] = field(default_factory=dict)
     broken: list[str] = field(default_factory=list)
 
-    def note(self, name: str, answer: Answer) -> None:
+    def add(self, name: str, answer: Answer) -> None:
         """Check a further answer against all earlier ones."""
-        told = self.answers.setdefault(name, [])
-        for before in told:
+        earlier_answers = self.answers.setdefault(name, [])
+        for before in earlier_answers:
             if before.answered < answer.asked and before.level > answer.level:
                 self.broken.append(f"{name}: {before}, then {answer}")
             both_final = before.level == answer.level == FINAL
             if both_final and before.state != answer.state:
                 self.broken.append(f"{name}: {before} and {answer}")
-        told.append(answer)
+        earlier_answers.append(answer)
 
     def level(self, name: str) -> int:
         """The highest level in any answer about a job."""
@@ -64,7 +64,7 @@
     return asyncio.get_running_loop().time()
 
 
-def sent_form(spec: dict[str, Any]) -> bytes:
+def encode_submission(spec: dict[str, Any]) -> bytes:
     """Encode a submission, without the fields that only the simulation uses."""
     return json.dumps({k: v for k, v in spec.items() if k not in ("runS", "broken")}).encode()
 
@@ -85,7 +85,7 @@
         self.spec = spec
         self.name = str(spec["id"])
         self.rng = rng
-        self.cancels = False
+        self.has_cancelled = False
 
     def alive(self) -> list[str]:
         """Controllers that accept requests."""
@@ -107,10 +107,10 @@
             self.cluster.rules.record(history_recording.answer(number, _now(), None))
             return None
         self.cluster.rules.record(history_recording.answer(number, _now(), reply))
-        self._note(reply, asked, member)
+        self._check_answer(reply, asked, member)
         return reply
 
-    def _note(self, reply: Reply, asked: float, member: str) -> None:
+    def _check_answer(self, reply: Reply, asked: float, member: str) -> None:
         """Add an answer to the checked order; other errors than a refusal say nothing."""
         level, state = UNKNOWN, None
         if reply.status in (OK, CREATED):
@@ -118,7 +118,7 @@
             level = FINAL if state in FINAL_STATES else ACCEPTED
         elif reply.status not in (BAD_REQUEST, NOT_FOUND, UNPROCESSABLE):
             return
-        self.order.note(self.name, Answer(asked, _now(), member, level, state))
+        self.order.add(self.name, Answer(asked, _now(), member, level, state))
 
     async def poll(self, member: str) -> Reply | None:
         """Request the job's state from one controller."""
@@ -127,45 +127,47 @@
     async def submit(self, member: str) -> Reply | None:
         """Submit the job to one controller, for the first time or again."""
         self.cluster.rules.submitted(self.spec, _now())
-        return await self._request("POST", "/submissions", sent_form(self.spec), member)
+        return await self._request("POST", "/submissions", encode_submission(self.spec), member)
 
     async def cancel(self, member: str) -> Reply | None:
         """Cancel the job at one controller."""
-        self.cancels = True
+        self.has_cancelled = True
         self.cluster.rules.cancel_asked(self.name)
         return await self._request("POST", f"/submissions/{self.name}/cancel", b"", member)
 
-    async def until(self, ask: Callable[[str], Awaitable[Reply | None]], *good: int) -> str | None:
+    async def until(
+        self, ask: Callable[[str], Awaitable[Reply | None]], *accepted_statuses: int
+    ) -> str | None:
         """Repeat a request at drawn controllers until it has one of these statuses; returns the
         job's state in the answer."""
         while True:
             reply = await ask(self.rng.choice(self.alive() or list(self.cluster.members)))
-            if reply is not None and reply.status in good:
+            if reply is not None and reply.status in accepted_statuses:
                 return str(json.loads(reply.body)["stance"])
             await asyncio.sleep(self.rng.uniform(0.05, 1.0))
 
-    async def look(self, span: float) -> None:
+    async def poll_closely(self, duration_s: float) -> None:
         """Poll all controllers every few milliseconds for some seconds, and sometimes submit
         again."""
-        questions: list[asyncio.Future[Reply | None]] = []
-        end = _now() + span
+        requests: list[asyncio.Future[Reply | None]] = []
+        end = _now() + duration_s
         while _now() < end:
             for member in self.alive():
                 ask = self.submit if self.rng.random() < 0.15 else self.poll
-                questions.append(asyncio.ensure_future(ask(member)))
+                requests.append(asyncio.ensure_future(ask(member)))
             await asyncio.sleep(self.rng.uniform(0.001, 0.02))
-        await asyncio.gather(*questions)
+        await asyncio.gather(*requests)
 
-    async def until_tasks_end(self, share: float = 1.0, most: float = 90.0) -> None:
+    async def until_tasks_end(self, share: float = 1.0, timeout_s: float = 90.0) -> None:
         """Wait until a share of the job's tasks has completed on the workers."""
-        end = _now() + most
+        end = _now() + timeout_s
         facts = self.cluster.rules.jobs[self.name]
         while len(facts.done) < share * self.spec["beats"] and _now() < end:
             await asyncio.sleep(0.003)
 
-    async def until_end_is_written(self, most: float = 90.0) -> None:
+    async def until_end_is_written(self, timeout_s: float = 90.0) -> None:
         """Wait until the leader is about to write the job's end."""
-        end = _now() + most
+        end = _now() + timeout_s
         while _now() < end:
             leaders = [
                 controller.leader
@@ -189,36 +191,36 @@
         await (self.until_end_is_written() if written else self.until_tasks_end())
         await asyncio.sleep(after)
         cancelling = asyncio.ensure_future(self.until(self.cancel, OK))
-        await self.look(0.05)
+        await self.poll_closely(0.05)
         state = await cancelling
-        await self.look(0.02)
+        await self.poll_closely(0.02)
         return str(state)
 
-    async def run(self, cancels: float = 0.4, span: float = 0.12) -> str:
+    async def run(self, cancel_share: float = 0.4, duration_s: float = 0.12) -> str:
         """Submit the job, poll closely, wait for its end or cancel it, and poll closely again;
         returns the final state."""
         await asyncio.sleep(self.rng.uniform(0, 8))
-        asked = []
+        polls = []
         if self.rng.random() < 0.5:
-            asked.append(asyncio.ensure_future(self.look(span)))  # before acceptance
-            await asyncio.sleep(self.rng.uniform(0, span))
+            polls.append(asyncio.ensure_future(self.poll_closely(duration_s)))  # before acceptance
+            await asyncio.sleep(self.rng.uniform(0, duration_s))
         await self.until(self.submit, OK, CREATED)
-        at_once = self.rng.random() < cancels / 2
-        asked.append(asyncio.ensure_future(self.look(span)))
+        at_once = self.rng.random() < cancel_share / 2
+        polls.append(asyncio.ensure_future(self.poll_closely(duration_s)))
         if at_once:
-            await asyncio.sleep(self.rng.uniform(0, span))
+            await asyncio.sleep(self.rng.uniform(0, duration_s))
             await self.until(self.cancel, OK)
-            asked.append(asyncio.ensure_future(self.look(span)))
+            polls.append(asyncio.ensure_future(self.poll_closely(duration_s)))
         else:
             await self.until_tasks_end()
             await asyncio.sleep(self.rng.uniform(0, 0.1))
-            if self.rng.random() < cancels:
-                asked.append(asyncio.ensure_future(self.until(self.cancel, OK)))
-            asked.append(asyncio.ensure_future(self.look(2 * span)))
-        await asyncio.gather(*asked)
+            if self.rng.random() < cancel_share:
+                polls.append(asyncio.ensure_future(self.until(self.cancel, OK)))
+            polls.append(asyncio.ensure_future(self.poll_closely(2 * duration_s)))
+        await asyncio.gather(*polls)
         while (state := await self.until(self.poll, OK)) not in FINAL_STATES:
             await asyncio.sleep(self.rng.uniform(0.02, 0.5))
-        await self.look(span)
+        await self.poll_closely(duration_s)
         return str(state)
 
 
@@ -227,7 +229,7 @@
     number: int,
     rng: random.Random,
     accepted_after: list[float],
-    cancelled: float,
+    cancel_share: float,
 ) -> str | None:
     """Submit a job of one task, and cancel it with the given probability within 12 s, or else poll
     it every few seconds; returns the final state.
@@ -240,7 +242,7 @@
     if await cluster.submit(spec, 60) not in (OK, CREATED):
         return None
     accepted_after.append(_now() - began)
-    if rng.random() < cancelled:
+    if rng.random() < cancel_share:
         await asyncio.sleep(rng.uniform(0, 12))
         return await cluster.cancel(spec["id"], 60)
     while True:
@@ -250,19 +252,19 @@
 
 
 async def wandering_latency(
-    cluster: SimulatedCluster, rng: random.Random, hosts: Iterable[str], most: float
+    cluster: SimulatedCluster, rng: random.Random, hosts: Iterable[str], max_delay_s: float
 ) -> None:
     """Vary the latency between these hosts and the store every few milliseconds, so that a later
     request may overtake an earlier one; runs until cancelled."""
     members = list(hosts)
-    slow = cluster.network.slow
+    extra_delay = cluster.network.slow
     try:
         while True:
             for member in members:
                 for pair in ((member, "state"), ("state", member)):
-                    slow[pair] = rng.uniform(0, most) if rng.random() < 0.5 else 0.0
+                    extra_delay[pair] = rng.uniform(0, max_delay_s) if rng.random() < 0.5 else 0.0
             await asyncio.sleep(rng.uniform(0.002, 0.02))
     finally:
         for member in members:
-            slow.pop((member, "state"), None)
-            slow.pop(("state", member), None)
+            extra_delay.pop((member, "state"), None)
+            extra_delay.pop(("state", member), None)
--- a/dappledrum/simulation/virtual_time.py
+++ b/dappledrum/simulation/virtual_time.py
@@ -22,7 +22,7 @@
         assert self.loop is not None
         if timeout is None:
             raise RuntimeError("deadlock: all tasks wait, and no timer is set")
-        self.loop.virtual += max(timeout, 0.0)
+        self.loop.virtual_time += max(timeout, 0.0)
         return super().select(0)
 
 
@@ -35,7 +35,7 @@
     while time passes."""
 
     def __init__(self) -> None:
-        self.virtual = 0.0
+        self.virtual_time = 0.0
         # Deferred callbacks of each frozen process: whether it is a timer, handle, callback.
         self.frozen: dict[str, list[tuple[bool, asyncio.Handle, Callable[[], Any]]]] = {}
         selector = _Selector()
@@ -43,7 +43,7 @@
         selector.loop = self
 
     def time(self) -> float:
-        return self.virtual
+        return self.virtual_time
 
     def freeze(self, process: str) -> None:
         """Defer all callbacks of this process."""
@@ -60,15 +60,22 @@
         process = context.get(PROCESS)
         if process is None:
             return super().call_soon(callback, *args, context=context)
-        cell: list[asyncio.Handle] = []
+        handle_cell: list[asyncio.Handle] = []
 
-        def again() -> None:
+        def reschedule() -> None:
             self.call_soon(callback, *args, context=context)
 
         handle = super().call_soon(
-            self._gate, False, process, cell, again, callback, *args, context=context
+            self._run_or_defer,
+            False,
+            process,
+            handle_cell,
+            reschedule,
+            callback,
+            *args,
+            context=context,
         )
-        cell.append(handle)
+        handle_cell.append(handle)
         return handle
 
     def call_at(self, when: float, callback: Any, *args: Any, context: Any = None) -> Any:  # noqa: ANN401
@@ -76,28 +83,36 @@
         process = context.get(PROCESS)
         if process is None:
             return super().call_at(when, callback, *args, context=context)
-        cell: list[asyncio.Handle] = []
+        handle_cell: list[asyncio.Handle] = []
 
-        def again() -> None:
+        def reschedule() -> None:
             self.call_soon(callback, *args, context=context)
 
         handle = super().call_at(
-            when, self._gate, True, process, cell, again, callback, *args, context=context
+            when,
+            self._run_or_defer,
+            True,
+            process,
+            handle_cell,
+            reschedule,
+            callback,
+            *args,
+            context=context,
         )
-        cell.append(handle)
+        handle_cell.append(handle)
         return handle
 
-    def _gate(
+    def _run_or_defer(
         self,
         timer: bool,
         process: str,
-        cell: list[asyncio.Handle],
-        again: Callable[[], Any],
+        handle_cell: list[asyncio.Handle],
+        reschedule: Callable[[], Any],
         callback: Callable[..., Any],
         *args: Any,  # noqa: ANN401
     ) -> None:
         if process in self.frozen:
-            self.frozen[process].append((timer, cell[0], again))
+            self.frozen[process].append((timer, handle_cell[0], reschedule))
         else:
             callback(*args)
 
@@ -105,21 +120,21 @@
 class SkewedClock(Clock):
     """A clock with a rate error in its steady time, and a constant error in its time of day."""
 
-    def __init__(self, rate: float = 0.0, off: timedelta = timedelta(0)) -> None:
+    def __init__(self, rate: float = 0.0, offset: timedelta = timedelta(0)) -> None:
         self.rate = rate
-        self.off = off
+        self.offset = offset
 
     def now(self) -> timedelta:
         return super().now() * (1 + self.rate)
 
     def utc_now(self) -> datetime:
-        return EPOCH + super().now() + self.off
+        return EPOCH + super().now() + self.offset
 
 
 def run(main: Coroutine[Any, Any, Any]) -> Any:  # noqa: ANN401 - whatever the coroutine returns
     """Run a coroutine in virtual time."""
 
-    async def whole() -> Any:  # noqa: ANN401
+    async def run_and_thaw() -> Any:  # noqa: ANN401
         try:
             return await main
         finally:
@@ -131,4 +146,4 @@
                 loop.thaw(process)
 
     with asyncio.Runner(loop_factory=VirtualLoop) as runner:
-        return runner.run(whole())
+        return runner.run(run_and_thaw())
--- a/dappledrum/simulation/workloads.py
+++ b/dappledrum/simulation/workloads.py
@@ -137,8 +137,8 @@
 async def long_running_jobs(seed: int, jobs: int = 4) -> AsyncIterator[LoadedCluster]:
     """Run jobs of three tasks that outlast any fault, during the body of the `async with`.
 
-    After the body all faults end. Then the jobs cancelled by the body must be cancelled and have no
-    running task, and the others must still run; they are cancelled here.
+    After the body all faults end. Then the jobs cancelled by the body must be cancelled and have
+    no running task, and the others must still run; they are cancelled here.
     """
     cluster = SimulatedCluster(members=FIVE, seed=seed, lease_s=LEASE_S)
     work = LoadedCluster(cluster, cluster.rng)
