--- a/dappledrum/simulation/test_costs.py
+++ b/dappledrum/simulation/test_costs.py
@@ -1,5 +1,6 @@
-"""Unit costs, counted in calls of Python functions: what has been won must not creep back. No
-clock; a change that makes one of them dearer on purpose says so here."""
+"""Guards against performance regressions in hot paths, measured in calls of Python functions
+instead of time. A change that makes one of them more expensive on purpose raises its limit here.
+"""
 
 import gc
 from datetime import timedelta
@@ -19,7 +20,7 @@
 from dappledrum.workers.reconciler import Reconciler
 from dappledrum.workers.reconciliation_context import ReconciliationContext, ReconciliationObserver
 
-SPOT, ORDINARY = InstanceKind("small", "a", True), InstanceKind("small", "a", False)
+SPOT, ON_DEMAND = InstanceKind("small", "a", True), InstanceKind("small", "a", False)
 SIZE = Size(1.0, 0.0, 1.0)
 
 
@@ -27,13 +28,13 @@
     return timedelta(seconds=value)
 
 
-def plan(free, busy, tasks, due, offers=()):
-    """A plan for one bag, and its calls; the busy machines are so until 100 s later."""
+def plan_bag(free, busy, tasks, due, offers=()):
+    """Plan one bag; returns the plan and the number of calls. Busy machines are free in 100 s."""
     timelines = []
     for index in range(free + busy):
-        one = MachineTimeline(
+        timeline = MachineTimeline(
             f"m{index}",
-            SPOT if index % 2 else ORDINARY,
+            SPOT if index % 2 else ON_DEMAND,
             Size(4.0, 0.0, 16.0),
             seconds(1000),
             seconds(990),
@@ -42,16 +43,16 @@
             seconds(60),
         )
         if index >= free:
-            one.reserve(seconds(1000), seconds(1100), SIZE, 4)
-        timelines.append(one)
+            timeline.reserve(seconds(1000), seconds(1100), SIZE, 4)
+        timelines.append(timeline)
     bag = Bag("j-1", SIZE, tasks, 0, tasks, seconds(9), seconds(due), "i", 0.1, lambda kind: True)
     planner = Planner(seconds(1000), timelines, offers, 0.3, TeamCapacity({}))
     return planner.plan, calls(lambda: planner.run([bag]))
 
 
 def test_calls_of_the_garbage_collector_do_not_count():
-    """The limit on a plan for what is late was exceeded in some processes that had run property
-    tests before."""
+    """Hypothesis registers such callbacks: after property tests in the same process, the limit on
+    the plan for late work was exceeded."""
 
     def allocate():
         return [[] for _ in range(20_000)]
@@ -65,50 +66,50 @@
     assert gc.isenabled()
 
 
-def test_a_plan_that_finds_room_at_once_costs_no_more_for_machines_that_are_busy():
-    few, cost = plan(8, 20, 16, 1100)
-    many, more = plan(8, 400, 16, 1100)
+def test_calls_of_a_plan_with_enough_free_machines_hardly_grow_with_busy_machines():
+    few, cost = plan_bag(8, 20, 16, 1100)
+    many, more = plan_bag(8, 400, 16, 1100)
     assert sum(count for _, _, count in few.starts) == 16
     assert [count for _, _, count in few.starts] == [count for _, _, count in many.starts]
-    # To sort machines into their order by room takes two calls a machine, before the first bag.
+    # Sorting machines by free capacity takes two calls per machine, before the first bag.
     assert (more - cost) / 380 < 2
 
 
-def test_a_plan_for_what_is_late_looks_at_each_machine_once_and_cheaply():
-    """Nine tenths of a leader's time went into this, at nine calls a machine and kind."""
+def test_a_plan_for_late_work_takes_few_calls_per_machine():
+    """With nine calls per machine and kind, this took nine tenths of a leader's time."""
     offers = [
         Offer(kind, Size(4.0, 0.0, 16.0), 0.1, seconds(30), 1.0, seconds(60), 50)
-        for kind in (SPOT, ORDINARY)
+        for kind in (SPOT, ON_DEMAND)
     ]
-    few, cost = plan(0, 100, 40, 1005, offers)
-    many, more = plan(0, 400, 40, 1005, offers)
+    few, cost = plan_bag(0, 100, 40, 1005, offers)
+    many, more = plan_bag(0, 400, 40, 1005, offers)
     assert few.late
     assert many.late
     assert (more - cost) / 300 < 6
     assert cost < 1_300
 
 
-def test_a_heartbeat_costs_no_more_for_all_the_other_machines():
-    async def one(machines):
+def test_calls_of_a_heartbeat_do_not_grow_with_the_number_of_machines():
+    async def count_calls(machines):
         registry = MachineRegistry()
         limits = WorkerLimits(1.0, 10.0, 30.0)
         context = ReconciliationContext({}, registry, limits, Clock(), 5)
         ledger = Ledger(registry, context.clock)
         reconciler = Reconciler(context, Estimates(), ledger, Mock(spec=ReconciliationObserver))
 
-        def comes(name, tick):
+        def receive_heartbeat(name, tick):
             heartbeat = WorkerHeartbeat(name, "10.1.0.1:1", "small", "a", True, 1, tick, 5)
             machine = reconciler.process_heartbeat(heartbeat)
             return reconciler.commands.of_records(machine, heartbeat)
 
         for index in range(machines):
-            comes(f"m{index}", 1)
-        return calls(lambda: comes("m0", 2))
+            receive_heartbeat(f"m{index}", 1)
+        return calls(lambda: receive_heartbeat("m0", 2))
 
-    assert run(one(2)) == run(one(300)) < 40
+    assert run(count_calls(2)) == run(count_calls(300)) < 40
 
 
-def test_machines_are_not_counted_while_all_are_heard():
+def test_machines_are_rarely_counted_unless_heartbeats_are_missing():
     async def main():
         cluster = SimulatedCluster(seed=1)
         cluster.cloud.add(("small", "a", True))
@@ -119,18 +120,18 @@
         count = silent_zones.count_machines
         silent_zones.count_machines = lambda: counted.append(1) or count()
         await cluster.wait(10)
-        assert 3 <= len(counted) <= 12, "40 times, at each look"
+        assert 3 <= len(counted) <= 12, "a count at each check would be 40"
         counted.clear()
         for worker in cluster.cloud.workers():
             worker.hung = True
         await cluster.wait(4)
-        assert len(counted) > 8, "it looks closely where nothing comes"
-        assert silent_zones.silent_since, "it looks closely where nothing comes"
+        assert len(counted) > 8, "machines are counted often while heartbeats are missing"
+        assert silent_zones.silent_since, "the zone counts as silent"
 
     run(main())
 
 
-def test_the_table(capsys):
+def test_the_command_prints_a_row_for_each_package(capsys):
     assert main(["--machines", "6", "--until", "20", "--end", "12"]) == 0
     rows = capsys.readouterr().out.splitlines()
     assert "6 machines" in rows[0]
--- a/dappledrum/simulation/test_days.py
+++ b/dappledrum/simulation/test_days.py
@@ -1,4 +1,4 @@
-"""Each kind of fault brings about what it says, and a bad value is named."""
+"""Each kind of fault has its effect and ends; errors in day files name the kind and the option."""
 
 import asyncio
 import json
@@ -14,13 +14,13 @@
 from dappledrum.simulation.faults import KINDS, convert, end_all
 from dappledrum.simulation.virtual_time import run
 
-BACK_S = 1.0
+RESTART_DELAY_S = 1.0
 SECOND = timedelta(seconds=1)
 
 
-def play(check):
-    """Let a check act on a world with a leader, five busy machines in two zones, and a service
-    that goes on running there."""
+def run_check(check):
+    """Run a check in a simulated cluster with a leader, and a service on five machines in two
+    zones."""
 
     async def main():
         cluster = SimulatedCluster(seed=3)
@@ -38,14 +38,14 @@
 
 
 def begin(cluster, kind, **options):
-    """Let a fault begin now."""
+    """Inject a fault now."""
     fault = convert({"kind": kind, "at_s": 0.0} | options)
-    fault.begin(cluster, BACK_S)
+    fault.begin(cluster, RESTART_DELAY_S)
     return fault
 
 
-async def answered(cluster, source, target, method="GET", path="/inspect", body=None):
-    """The status of one request, or None."""
+async def request_status(cluster, source, target, method="GET", path="/inspect", body=None):
+    """The status of the answer to one request; None without an answer."""
     try:
         return (
             await cluster.network.caller(source, target).request(method, path, body, SECOND)
@@ -57,12 +57,12 @@
 @pytest.mark.parametrize(
     ("kind", "options", "away_s"),
     [
-        ("node_crash", {}, BACK_S),
+        ("node_crash", {}, RESTART_DELAY_S),
         ("node_crash", {"for_s": 5.0}, 5.0),
         ("node_down", {"for_s": 9.0}, 9.0),
     ],
 )
-def test_controllers_end_and_come_back(kind, options, away_s):
+def test_a_crashed_controller_restarts_after_its_delay(kind, options, away_s):
     async def check(cluster):
         leader = cluster.leader()
         begin(cluster, kind, busiest=True, **options)
@@ -72,10 +72,10 @@
         await cluster.wait(0.5)
         assert cluster.alive(leader)
 
-    play(check)
+    run_check(check)
 
 
-def test_a_roll_restarts_one_after_the_other():
+def test_a_rolling_restart_restarts_one_controller_at_a_time():
     async def check(cluster):
         begin(cluster, "node_roll", every_s=4.0)
         for member in cluster.members:
@@ -84,18 +84,18 @@
             await cluster.wait(3.5)
         assert all(cluster.alive(member) for member in cluster.members)
 
-    play(check)
+    run_check(check)
 
 
-def test_a_frozen_controller_answers_when_it_goes_on():
+def test_a_frozen_controller_answers_once_it_resumes():
     async def check(cluster):
         leader = cluster.leader()
         begin(cluster, "node_freeze", busiest=True, for_s=5.0)
-        assert await answered(cluster, "user", leader, path="/ready") is None
+        assert await request_status(cluster, "user", leader, path="/ready") is None
         await cluster.wait(5)
-        assert await answered(cluster, "user", leader, path="/ready") == 200
+        assert await request_status(cluster, "user", leader, path="/ready") == 200
 
-    play(check)
+    run_check(check)
 
 
 @pytest.mark.parametrize(
@@ -109,7 +109,7 @@
     ],
 )
 @pytest.mark.parametrize("mode", ["hold", "refuse"])
-def test_a_cut_takes_what_it_names(options, lost, mode):
+def test_a_cut_affects_exactly_the_named_links(options, lost, mode):
     async def check(cluster):
         leader = cluster.leader()
         begin(cluster, "node_cut", busiest=True, for_s=3.0, mode=mode, **options)
@@ -120,56 +120,58 @@
             "peer": (peer, "/ready"),
         }
         for name, (target, path) in targets.items():
-            status = await answered(cluster, leader, target, path=path)
+            status = await request_status(cluster, leader, target, path=path)
             assert (status == 200) is (name not in lost), name
         await cluster.wait(3)
         for target, path in targets.values():
-            assert await answered(cluster, leader, target, path=path) == 200
+            assert await request_status(cluster, leader, target, path=path) == 200
 
-    play(check)
+    run_check(check)
 
 
-def test_a_transfer_gives_leadership_to_another_process_that_runs():
+def test_a_leader_transfer_makes_another_controller_lead_without_a_crash():
     async def check(cluster):
         leader = cluster.leader()
         begin(cluster, "leader_transfer")
         await cluster.until(lambda: cluster.leader() not in (None, leader), most=2)
         assert cluster.alive(leader)
 
-    play(check)
+    run_check(check)
 
 
 @pytest.mark.parametrize(
     ("kind", "target", "path"),
     [("state_outage", "state", "/keys?prefix=leader"), ("cloud_outage", "cloud", "/catalog")],
 )
-def test_an_outage_refuses_everybody(kind, target, path):
+def test_requests_are_refused_during_an_outage(kind, target, path):
     async def check(cluster):
         begin(cluster, kind, for_s=2.0)
-        assert await answered(cluster, "user", target, path=path) == 503
+        assert await request_status(cluster, "user", target, path=path) == 503
         await cluster.wait(2)
-        assert await answered(cluster, "user", target, path=path) == 200
+        assert await request_status(cluster, "user", target, path=path) == 200
 
-    play(check)
+    run_check(check)
 
 
 @pytest.mark.parametrize(("at_once", "after_s"), [(True, 2.0), (False, 12.0)])
-def test_transactions_without_an_answer_are_carried_out(at_once, after_s):
+def test_transactions_without_an_answer_are_executed(at_once, after_s):
     async def check(cluster):
         begin(cluster, "late_writes", share=1.0, for_s=2.0, at_once=at_once)
         body = json.dumps({"guards": [], "then": [{"write": "a", "value": 1}]}).encode()
-        asked = asyncio.ensure_future(answered(cluster, "user", "state", "POST", "/multi", body))
+        request = asyncio.ensure_future(
+            request_status(cluster, "user", "state", "POST", "/multi", body)
+        )
         await asyncio.sleep(0.25)
         assert ("a" in cluster.store.keys) is at_once
-        assert await asked is None
+        assert await request is None
         await cluster.wait(after_s)
         assert "a" in cluster.store.keys
         assert cluster.network.late_writes is None
 
-    play(check)
+    run_check(check)
 
 
-def test_machines_die_and_stay_listed():
+def test_machines_that_failed_stay_listed_for_a_while():
     async def check(cluster):
         before = set(cluster.cloud.machines)
         begin(cluster, "machine_die", count=2)
@@ -179,17 +181,17 @@
         await cluster.wait(31)
         assert not set(dead) & set(cluster.cloud.machines)
 
-    play(check)
+    run_check(check)
 
 
-def test_machines_hang():
+def test_machines_hang_and_resume():
     async def check(cluster):
         begin(cluster, "machine_hang", count=2, for_s=3.0)
         assert sum(worker.hung for worker in cluster.cloud.workers()) == 2
         await cluster.wait(3.25)
         assert not any(worker.hung for worker in cluster.cloud.workers())
 
-    play(check)
+    run_check(check)
 
 
 @pytest.mark.parametrize(
@@ -203,30 +205,31 @@
     ],
 )
 @pytest.mark.parametrize("kind", ["machine_deaf", "machine_mute"])
-def test_machines_that_are_reached_one_way_only(kind, chosen, count):
+def test_the_chosen_machines_are_reached_one_way_only(kind, chosen, count):
     async def check(cluster):
         fault = begin(cluster, kind, for_s=9.0, **chosen)
         to_worker = {
-            w.name: await answered(cluster, "drummer-0", w.name) for w in cluster.cloud.workers()
+            w.name: await request_status(cluster, "drummer-0", w.name)
+            for w in cluster.cloud.workers()
         }
         lost = [name for name, status in to_worker.items() if status != 200]
-        heard = {pair[0] for pair in cluster.network.muted} | {
+        affected = {pair[0] for pair in cluster.network.muted} | {
             pair[1] for pair in cluster.network.blocked
         }
-        assert len(heard) == count
+        assert len(affected) == count
         assert len(lost) == (count if kind == "machine_deaf" else 0)
-        for name in heard:
-            assert await answered(cluster, name, "drummer-0", path="/ready") is None
+        for name in affected:
+            assert await request_status(cluster, name, "drummer-0", path="/ready") is None
             if fault.zone is not None:
                 assert cluster.cloud.machines[name].kind[1] == fault.zone
         await cluster.wait(9)
         assert not cluster.network.muted
         assert not cluster.network.blocked
 
-    play(check)
+    run_check(check)
 
 
-def test_an_unreachable_machine_sends_heartbeats_and_a_silent_one_does_not():
+def test_an_unreachable_machine_sends_heartbeats_and_a_silent_one_gets_no_answers():
     async def check(cluster):
         heartbeats = []
         names = [worker.name for worker in cluster.cloud.workers()]
@@ -244,27 +247,25 @@
         for worker in cluster.cloud.workers():
             assert (worker.answered == served[worker.name]) is (worker.name in mute)
 
-    play(check)
+    run_check(check)
 
 
-def test_copies_of_heartbeats_arrive_anywhere():
+def test_heartbeats_are_duplicated():
     async def check(cluster):
         begin(cluster, "late_reports", share=1.0, for_s=3.0)
         await cluster.wait(3)
         assert cluster.network.copied > 5
         assert cluster.network.copies is None
 
-    play(check)
-
+    run_check(check)
 
-def test_copies_are_kept_for_the_next_leader():
-    """Each arrives there once, and none before."""
 
+def test_each_copy_for_the_next_leader_arrives_there_once_and_none_before():
     async def check(cluster):
-        late, deliver = [], cluster.network._late
+        late_targets, deliver = [], cluster.network._late
 
         def record(source, target, *arguments):
-            late.append(target)
+            late_targets.append(target)
             return deliver(source, target, *arguments)
 
         cluster.network._late = record
@@ -272,19 +273,19 @@
         await cluster.wait(5)
         kept = len(cluster.network.copies_for_next_leader)
         assert kept == cluster.network.copied > 5
-        assert not late
+        assert not late_targets
         former = cluster.leader()
         cluster.kill(former)
         await cluster.until(lambda: cluster.leader() not in (None, former))
         await cluster.wait(3)
-        assert late == [cluster.leader()] * kept
+        assert late_targets == [cluster.leader()] * kept
         assert not cluster.network.copies_for_next_leader
 
-    play(check)
+    run_check(check)
 
 
-def test_direct_commands_are_held_up_and_executed_once():
-    """Nothing of the service sends any: a stop by hand, which its machine executes late."""
+def test_direct_commands_are_executed_late_and_once():
+    """Controllers send none here, so the test sends a stop, which the machine executes late."""
 
     async def check(cluster):
         worker = cluster.cloud.workers()[0]
@@ -293,22 +294,22 @@
         command = json.dumps({"baton": worker.token, "set": worker.session, "calls": [call]})
         begin(cluster, "late_commands", share=1.0, for_s=1.0)
         sent = ("drummer-0", worker.name, "POST", "/do")
-        assert await answered(cluster, *sent, command.encode()) is None
+        assert await request_status(cluster, *sent, command.encode()) is None
         assert attempt.state == "running"
         await cluster.wait(16)
         assert attempt.cause == "stopped"
-        assert await answered(cluster, *sent, b'{"calls": []}') == 400
+        assert await request_status(cluster, *sent, b'{"calls": []}') == 400
         for baton, session, status in ((0, 0, 200), (0, 1, 409), (-1, 0, 409), (1, 0, 200)):
             body = {"baton": worker.token + baton, "set": worker.session + session, "calls": []}
-            assert await answered(cluster, *sent, json.dumps(body).encode()) == status
+            assert await request_status(cluster, *sent, json.dumps(body).encode()) == status
 
-    play(check)
+    run_check(check)
 
 
 @pytest.mark.parametrize("hang_s", [0.0, 4.0])
-def test_users_cancel_what_has_long_to_go(hang_s):
+def test_users_cancel_only_jobs_with_much_work_left(hang_s):
     async def check(cluster):
-        await cluster.submit(job(2, beats=1, vcpus=0.5, runS=4.0))  # is over soon
+        await cluster.submit(job(2, beats=1, vcpus=0.5, runS=4.0))  # finishes soon
         await cluster.submit(job(3, beats=1, vcpus=0.5, runS=60.0))
         await cluster.until(lambda: {"j-000002", "j-000003"} <= running(cluster))
         fault = begin(cluster, "cancel_now", count=5, hang_s=hang_s)
@@ -323,16 +324,16 @@
     def running(cluster):
         return {name for name, _ in cluster.rules.running}
 
-    play(check)
+    run_check(check)
 
 
 def cancelled(cluster):
-    """Jobs whose users have asked to cancel them."""
+    """Jobs whose cancellation was requested."""
     rules = cluster.rules
     return {name for name, facts in rules.jobs.items() if rules.called_off(facts)}
 
 
-def test_users_cancel_at_the_end():
+def test_users_cancel_jobs_when_their_last_task_ends():
     async def check(cluster):
         begin(cluster, "cancel_at_end", share=1.0, for_s=60.0)
         names = [f"j-{number:06d}" for number in range(2, 6)]
@@ -344,52 +345,55 @@
         assert all(len(cluster.rules.jobs[name].done) == 2 for name in names)
         await cluster.finish(names)
 
-    play(check)
+    run_check(check)
 
 
-def test_odd_requests():
+def test_users_repeat_submissions_cancel_finished_jobs_and_send_invalid_ones():
     async def check(cluster):
         assert await cluster.submit(job(2, beats=1, vcpus=0.5, runS=1.0)) == 201
         await cluster.finish(["j-000002"])
-        asked, told = [], cluster.rules.invalid_answered
+        paths, original = [], cluster.rules.invalid_answered
         cluster.network.watcher = lambda sent: (
-            asked.append(sent.path) if sent.source == "user" else None
+            paths.append(sent.path) if sent.source == "user" else None
+        )
+        cluster.rules.invalid_answered = lambda *answer: (
+            statuses.add(answer[2]),
+            original(*answer),
         )
-        cluster.rules.invalid_answered = lambda *answer: (statuses.add(answer[2]), told(*answer))
         statuses = set()
         begin(cluster, "odd_requests", for_s=30.0)
         await cluster.wait(30)
-        assert "/submissions/j-000002/cancel" in asked
-        assert asked.count("/submissions") > len(cluster.rules.jobs) - 2  # repeated ones, too
+        assert "/submissions/j-000002/cancel" in paths
+        assert paths.count("/submissions") > len(cluster.rules.jobs) - 2  # some are repeated
         assert {400, 422} <= statuses
         await cluster.wait(5)
         assert not cluster.invalid_request_tasks
         assert not cluster.extra_user_tasks
 
-    play(check)
+    run_check(check)
 
 
-def test_users_look_closely():
+def test_users_poll_all_controllers_around_each_change_of_a_job():
     async def check(cluster):
-        events, asked = [], []
+        events, polled = [], []
         begin(cluster, "close_looks", for_s=60.0)
         cluster.rules.listeners.append(lambda name, event: events.append(event))
         cluster.network.watcher = lambda sent: (
-            asked.append(sent.target) if sent.path == "/submissions/j-000002" else None
+            polled.append(sent.target) if sent.path == "/submissions/j-000002" else None
         )
         assert await cluster.submit(job(2, beats=1, vcpus=0.5, runS=1.0)) == 201
         await cluster.wait(0.05)
-        assert set(asked) == set(cluster.members)
+        assert set(polled) == set(cluster.members)
         await cluster.finish(["j-000002"])
         await cluster.cancel("j-000001")
         await cluster.wait(0.05)
         assert set(events) == set(JobEvent)
-        assert len(asked) >= 3 * 2 * len(cluster.members)
+        assert len(polled) >= 3 * 2 * len(cluster.members)
 
-    play(check)
+    run_check(check)
 
 
-def test_a_user_that_fails_breaks_the_rules():
+def test_an_exception_of_a_simulated_user_breaks_an_invariant():
     async def check(cluster):
         async def fail():
             raise ValueError("of a user")
@@ -399,21 +403,21 @@
         assert len(cluster.rules.broken) == 1
         assert "of a user" in cluster.rules.broken.pop()
 
-    play(check)
+    run_check(check)
 
 
 @pytest.mark.parametrize("kind", sorted(KINDS))
-def test_every_trouble_ends_when_all_are_ended(kind):
+def test_end_all_ends_every_kind_of_fault(kind):
     options = {"for_s": 500.0, "share": 0.5, "count": 1, "every_s": 1.0, "hang_s": 500.0}
     options["for_next"] = True
     if kind in ("machine_deaf", "machine_mute"):
         del options["count"]
-    taken = {
+    supported = {
         name: value for name, value in options.items() if name in KINDS[kind].__struct_fields__
     }
 
     async def check(cluster):
-        begin(cluster, kind, **taken)
+        begin(cluster, kind, **supported)
         await cluster.wait(8)
         end_all(cluster)
         await cluster.wait(20)
@@ -436,15 +440,16 @@
         assert all(cluster.alive(member) for member in cluster.members)
         assert cluster.leader() is not None
 
-    play(check)
+    run_check(check)
 
 
 DAYS = Path(__file__).parents[2] / "days"
-BENCH_ONLY = {"cuts-one-zone", "cuts-overlapping", "cuts-three-zones"}  # connections reset
+#: Days with cuts that reset connections, which the simulation does not support.
+BENCH_ONLY = {"cuts-one-zone", "cuts-overlapping", "cuts-three-zones"}
 
 
 @pytest.mark.parametrize("day", sorted(day.stem for day in DAYS.glob("*.toml")))
-def test_own_days_can_be_read(day):
+def test_days_of_the_repository_can_be_loaded(day):
     if day in BENCH_ONLY:
         with pytest.raises(DayError, match=r"node_cut.*reset.*mode"):
             load(DAYS / f"{day}.toml")
@@ -509,14 +514,16 @@
         ('kind = "close_looks", count = 1, for_s = 1.0', "close_looks.*count"),
     ],
 )
-def test_a_bad_value_is_an_error_that_names_kind_and_option(tmp_path, options, named):
+def test_an_invalid_option_is_an_error_that_names_the_kind_and_the_option(
+    tmp_path, options, named
+):
     day = tmp_path / "day.toml"
     day.write_text(f'name = "x"\nfaults = [{{ at_s = 1.0, {options} }}]')
     with pytest.raises(DayError, match=named):
         load(day)
 
 
-def test_a_time_before_the_day_is_refused(tmp_path):
+def test_a_negative_start_time_is_refused(tmp_path):
     day = tmp_path / "day.toml"
     day.write_text('name = "x"\nfaults = [{ at_s = -1.0, kind = "machine_mute", for_s = 1.0 }]')
     with pytest.raises(DayError, match=r"machine_mute.*at_s"):
--- a/dappledrum/simulation/test_experiment.py
+++ b/dappledrum/simulation/test_experiment.py
@@ -38,18 +38,18 @@
     day.write_text(DAY)
     options = ["--machines", "10", "--seeds", "1", "--until", "180", "--report", str(report)]
     assert main([str(day), *options]) == 0
-    told = msgspec.json.decode(report.read_text(), type=Report)
-    assert [one.kind for one in told.faults]
-    assert {o.kind for o in told.faults} == KINDS.keys()
+    result = msgspec.json.decode(report.read_text(), type=Report)
+    assert [effects.kind for effects in result.faults]
+    assert {fault.kind for fault in result.faults} == KINDS.keys()
     # All controllers are down for 20 s, longer than the workers' leases; the store has an outage
     # of 4 s, of which the leader's lease bridges at most 3 s; and leaders change.
-    assert 21 <= told.no_leader_s < 36
-    assert told.sessions_ended > 5
-    down = next(one for one in told.faults if one.kind == "node_down")
+    assert 21 <= result.no_leader_s < 36
+    assert result.sessions_ended > 5
+    down = next(effects for effects in result.faults if effects.kind == "node_down")
     assert down.back_s is not None
     assert 15 < down.back_s < 25
-    assert told.tasks_wanted == told.jobs * 20
-    assert told.accepted == told.jobs
+    assert result.tasks_wanted == result.jobs * 20
+    assert result.accepted == result.jobs
 
 
 @pytest.mark.parametrize(
--- a/dappledrum/simulation/test_fault_combinations.py
+++ b/dappledrum/simulation/test_fault_combinations.py
@@ -1,5 +1,5 @@
-"""Two or three faults that meet, of all kinds; a fixed dozen and a half here, as many as time
-allows by `python3 -m dappledrum.simulation.fault_combinations`."""
+"""A fixed selection of concurrent faults, which covers all kinds. More are drawn by
+`python3 -m dappledrum.simulation.fault_combinations`."""
 
 import random
 
@@ -14,8 +14,8 @@
 )
 from dappledrum.simulation.virtual_time import run
 
-#: With each the kinds that meet; between them and the triples they name all.
-DOZEN = (
+#: Pairs of kinds; together with those of `TRIPLES` they cover all kinds.
+PAIRS = (
     ("node_cut", "state_outage"),
     ("late_writes", "node_crash"),
     ("late_writes", "state_outage"),
@@ -30,7 +30,7 @@
     ("node_cut", "late_writes"),
 )
 
-#: Seeds, and the kinds that meet a change of leader.
+#: Seeds, and pairs of kinds that are combined with a change of leader.
 TRIPLES = (
     (107, ("cancel_now", "machine_hang")),
     (200, ("cancel_at_end", "late_writes:at_once")),
@@ -41,12 +41,12 @@
 )
 
 
-def test_pairs_and_triples_name_all_kinds():
+def test_pairs_and_triples_cover_all_kinds():
     triples = [kinds for _, kinds in TRIPLES]
-    assert {kind for kinds in (*DOZEN, *triples) for kind in kinds} == set(DEFAULT_KINDS)
+    assert {kind for kinds in (*PAIRS, *triples) for kind in kinds} == set(DEFAULT_KINDS)
 
 
-def test_triples_have_all_changes_of_leader():
+def test_triples_cover_all_changes_of_leader():
     changes = set()
     for seed, kinds in TRIPLES:
         drawn = [fault.kind for fault in draw_faults(kinds, True, random.Random(seed))]
@@ -57,24 +57,24 @@
     assert changes == set(LEADER_CHANGES)
 
 
-@pytest.mark.parametrize(("seed", "kinds"), list(enumerate(DOZEN)))
-def test_two_troubles_meet(seed, kinds):
-    """Rules are checked in each step, and every accepted job is known and over in the end."""
+@pytest.mark.parametrize(("seed", "kinds"), list(enumerate(PAIRS)))
+def test_all_jobs_finish_after_two_concurrent_faults(seed, kinds):
+    """The invariants hold on each step, and at the end every accepted job is known and finished."""
     run(run_combination(seed, kinds, exactly=True))
 
 
 @pytest.mark.parametrize(("seed", "kinds"), TRIPLES)
-def test_a_change_of_leader_meets_two_troubles(seed, kinds):
+def test_all_jobs_finish_after_two_faults_and_a_change_of_leader(seed, kinds):
     run(run_combination(seed, kinds, exactly=True, triple=True))
 
 
-def test_a_kind_that_is_not_known_is_named(capsys):
+def test_an_unknown_kind_is_named_in_the_error(capsys):
     with pytest.raises(SystemExit):
         main(["--kinds", "node_cut,flood"])
     assert "flood" in capsys.readouterr().err
 
 
-def test_triples_are_drawn_of_the_kinds_named(capsys):
+def test_the_command_draws_triples_from_the_given_kinds(capsys):
     kinds = "odd_requests,late_reports:for_next"
     assert main(["--from", "5", "--count", "1", "--triples", "--kinds", kinds]) == 0
     assert "1 draws, 0 failed: []" in capsys.readouterr().out
--- a/dappledrum/simulation/test_history_recording.py
+++ b/dappledrum/simulation/test_history_recording.py
@@ -1,5 +1,4 @@
-"""Whatever a user of the stand-ins asks is recorded, and a controller that tells something wrong
-ends the test."""
+"""All requests of simulated users are recorded, and a wrong answer of a controller is detected."""
 
 import json
 
@@ -10,10 +9,10 @@
 from dappledrum.simulation.virtual_time import run
 
 NAME = "j-000001"
-LIAR = "drummer-1"
+FAULTY_CONTROLLER = "drummer-1"
 
 
-async def world_with_a_job():
+async def cluster_with_a_job():
     cluster = SimulatedCluster(seed=1)
     cluster.cloud.add(("small", "a", False))
     await cluster.until(lambda: cluster.leader() is not None)
@@ -22,56 +21,58 @@
     return cluster
 
 
-def lie(cluster, status, **body):
-    """One controller answers all its users with this."""
+def answer_wrongly(cluster, status, **body):
+    """Let one controller answer all its users with a fixed status and body."""
 
     async def answer(source, method, path, request):
         return Reply(status, json.dumps({"id": NAME} | body).encode())
 
-    cluster.network.services[LIAR] = answer
+    cluster.network.services[FAULTY_CONTROLLER] = answer
 
 
-async def ask(cluster):
-    await cluster.poll(NAME, LIAR)
+async def poll(cluster):
+    await cluster.poll(NAME, FAULTY_CONTROLLER)
 
 
 async def submit(cluster):
-    await cluster.submit(job(1, beats=2), 1, LIAR)
+    await cluster.submit(job(1, beats=2), 1, FAULTY_CONTROLLER)
 
 
-async def by_hand(cluster):
-    await cluster._ask("POST", f"/submissions/{NAME}/cancel", b"", LIAR)
+async def cancel(cluster):
+    await cluster._ask("POST", f"/submissions/{NAME}/cancel", b"", FAULTY_CONTROLLER)
 
 
-async def submit_what_lacks_a_field(cluster):
-    await cluster._ask("POST", "/submissions", b'{"id":"j-000009","crew":"blue"}', LIAR)
+async def submit_without_a_field(cluster):
+    await cluster._ask(
+        "POST", "/submissions", b'{"id":"j-000009","crew":"blue"}', FAULTY_CONTROLLER
+    )
 
 
-async def submit_what_fits_nowhere(cluster):
-    await cluster.submit(job(9, vcpus=64.0), 1, LIAR)
+async def submit_too_large_job(cluster):
+    await cluster.submit(job(9, vcpus=64.0), 1, FAULTY_CONTROLLER)
 
 
-LIES = [
-    (ask, 404, {}, "forgotten"),
-    (ask, 200, {"stance": "done"}, "not_done"),
-    (ask, 200, {"stance": "cancelled"}, "went_back"),
-    (ask, 200, {"stance": "running", "done": 1}, "invented"),
+WRONG_ANSWERS = [
+    (poll, 404, {}, "forgotten"),
+    (poll, 200, {"stance": "done"}, "not_done"),
+    (poll, 200, {"stance": "cancelled"}, "went_back"),
+    (poll, 200, {"stance": "running", "done": 1}, "invented"),
     (submit, 422, {}, "forgotten"),
     (submit, 400, {}, "forgotten"),
     (submit, 201, {"stance": "pending"}, "forgotten"),
-    (by_hand, 404, {}, "forgotten"),
-    (by_hand, 200, {"stance": "running"}, "went_back"),
-    (submit_what_lacks_a_field, 201, {"stance": "pending"}, "accepted_incomplete"),
-    (submit_what_fits_nowhere, 201, {"stance": "pending"}, "accepted_unfit"),
-    (submit_what_fits_nowhere, 200, {"stance": "pending"}, "accepted_unfit"),
+    (cancel, 404, {}, "forgotten"),
+    (cancel, 200, {"stance": "running"}, "went_back"),
+    (submit_without_a_field, 201, {"stance": "pending"}, "accepted_incomplete"),
+    (submit_too_large_job, 201, {"stance": "pending"}, "accepted_unfit"),
+    (submit_too_large_job, 200, {"stance": "pending"}, "accepted_unfit"),
 ]
 
 
-@pytest.mark.parametrize(("request_by", "status", "body", "rule"), LIES)
-def test_a_wrong_answer_of_one_controller_ends_the_test(request_by, status, body, rule):
+@pytest.mark.parametrize(("request_by", "status", "body", "rule"), WRONG_ANSWERS)
+def test_a_wrong_answer_of_one_controller_breaks_an_invariant(request_by, status, body, rule):
     async def main():
-        cluster = await world_with_a_job()
-        lie(cluster, status, **body)
+        cluster = await cluster_with_a_job()
+        answer_wrongly(cluster, status, **body)
         await request_by(cluster)
         with pytest.raises(AssertionError, match=rule):
             await cluster.wait(0.25)
@@ -79,10 +80,10 @@
     run(main())
 
 
-def test_a_job_that_is_left_waiting_beside_room_ends_the_test():
+def test_a_job_that_waits_although_capacity_is_free_breaks_an_invariant():
     async def main():
-        cluster = await world_with_a_job()
-        cluster.rules.submitted(job(2, vcpus=1.0))  # the service knows nothing of it
+        cluster = await cluster_with_a_job()
+        cluster.rules.submitted(job(2, vcpus=1.0))  # unknown to the controllers
         cluster.rules.submit_answer(cluster.now(), "j-000002", 201, "pending")
         cluster.rules.faults_over_at = cluster.now() + 5
         await cluster.wait(94)
@@ -92,17 +93,17 @@
     run(main())
 
 
-@pytest.mark.parametrize("unwell", ["hung", "faulty", "to be taken"])
-def test_a_machine_that_is_not_well_has_no_room(unwell):
+@pytest.mark.parametrize("problem", ["hung", "faulty", "to be taken"])
+def test_an_unhealthy_machine_has_no_free_capacity(problem):
     async def main():
-        cluster = await world_with_a_job()
+        cluster = await cluster_with_a_job()
         worker = cluster.cloud.workers()[0]
         assert [
             (capacity.machine, capacity.free.cpus) for capacity in cluster.cloud.free_machines()
         ] == [(worker.name, 2.0)]
-        worker.hung = unwell == "hung"
-        worker.reclaim_at = 500.0 if unwell == "to be taken" else None
-        if unwell == "faulty":
+        worker.hung = problem == "hung"
+        worker.reclaim_at = 500.0 if problem == "to be taken" else None
+        if problem == "faulty":
             cluster.timing.faulty.add(worker.name)
         assert not cluster.cloud.free_machines()
 
--- a/dappledrum/simulation/test_users.py
+++ b/dappledrum/simulation/test_users.py
@@ -1,4 +1,4 @@
-"""The world's users tell the rules when their questions began."""
+"""The invariants learn from simulated users when each request was sent."""
 
 import asyncio
 
@@ -14,8 +14,9 @@
 
 
 @pytest.mark.parametrize("question", ["poll", "submission"])
-def test_an_older_answer_counts_by_when_its_question_began(question):
-    """All but cancellations take a second, and are answered as before the cancellation."""
+def test_an_answer_is_judged_by_the_time_at_which_its_request_was_sent(question):
+    """A request sent before a cancellation may still be answered with the earlier state, a later
+    one may not. Here all requests but cancellations take a second and get the earlier state."""
 
     async def ask(_method, path, _body=None, _member=None):
         if path.endswith("/cancel"):
@@ -27,17 +28,17 @@
         cluster = SimulatedCluster()
         cluster._request = ask
 
-        def begin():
+        def start_request():
             asked = cluster.poll(NAME) if question == "poll" else cluster.submit(job(1))
             return asyncio.ensure_future(asked)
 
         await cluster.submit(job(1))
-        on_its_way = begin()
+        pending_request = start_request()
         await asyncio.sleep(0.5)
         await cluster.cancel(NAME)
-        await on_its_way
+        await pending_request
         assert not cluster.rules.broken
-        await begin()
+        await start_request()
         assert "went_back" in cluster.rules.broken[0]
 
     run(main())
