--- a/dappledrum/simulation/network.py
+++ b/dappledrum/simulation/network.py
@@ -142,7 +142,7 @@
         response = service(request.sender, request.method, request.path, request.body)
         return response if self.trace is None else self.trace.serve(request, response)
 
-    def _duplicate(self, source: str, target: str, method: str, path: str, body: bytes) -> None:
+    def _copy(self, source: str, target: str, method: str, path: str, body: bytes) -> None:
         """Draw whether a request is duplicated, and when and where the copy arrives."""
         copies = self.copies
         if copies is None or not path.startswith(copies.paths):
@@ -235,7 +235,7 @@
         if pair in network.cuts or forward in network.blocked:
             network.held_requests.append((self.source, self.target, method, path, body))
             await asyncio.sleep(NO_RESPONSE_S)
-        network._duplicate(self.source, self.target, method, path, body)
+        network._copy(self.source, self.target, method, path, body)
         for delay in self._delays(path, body):
             asyncio.get_running_loop().create_task(
                 network._late(self.source, self.target, method, path, body, delay),
