--- a/dappledrum/controller/test_cancellations_in_outage.py
+++ b/dappledrum/controller/test_cancellations_in_outage.py
@@ -111,7 +111,7 @@
         cluster.network.watcher = stop
         cluster.kill(former)
         await work.cancel(0, peers[0])
-        await cluster.until(lambda: cluster.store.out, most=10)
+        await cluster.until(lambda: cluster.store.out, timeout_s=10)
         cluster.network.watcher = None
         await cluster.wait(CANCEL_S + 10)
         assert cluster.controllers[scans[0]].elector.answering_term() is None
@@ -219,7 +219,7 @@
         cluster.store.refused.add(leader)
         await work.cancel(0, work.others()[0])
         cluster.store.out = True
-        await cluster.until(lambda: not work.running(0), most=CANCEL_S / 2)
+        await cluster.until(lambda: not work.running(0), timeout_s=CANCEL_S / 2)
         assert cluster.store.keys["job/j-000000"][0]["cancelled"] is True
         cluster.store.refused.clear()
         cluster.store.end_outage()
--- a/dappledrum/controller/test_crash_points.py
+++ b/dappledrum/controller/test_crash_points.py
@@ -103,7 +103,7 @@
         cluster.kill(leader)
         await cluster.wait(2)
         assert cluster.leader() is None
-        await cluster.until_led(most=2)
+        await cluster.until_led(timeout_s=2)
         cluster.start(leader)
 
 
@@ -143,5 +143,5 @@
     for _ in range(5):
         await cluster.restart_all(cluster.rng.uniform(0, 1))
         await cluster.wait(cluster.rng.choice((0.0, 0.005, 0.02, 0.5, 4.0)))
-    await cluster.until_led(most=6)
+    await cluster.until_led(timeout_s=6)
     await cluster.finish(names)
--- a/dappledrum/controller/test_end_to_end.py
+++ b/dappledrum/controller/test_end_to_end.py
@@ -186,9 +186,9 @@
     await cluster.accept(
         job(2, crew="red", builds=["small"], beats=2, urgency="best_effort", dueS=20.0)
     )
-    await cluster.until(lambda: cluster.running("j-000002") == 2, most=30)
+    await cluster.until(lambda: cluster.running("j-000002") == 2, timeout_s=30)
     await cluster.accept(job(3, builds=["small"], beats=1, urgency="prod", dueS=20.0))
-    await cluster.until(lambda: cluster.running("j-000003") == 1, most=30)
+    await cluster.until(lambda: cluster.running("j-000003") == 1, timeout_s=30)
     assert not cluster.rules.broken
 
 
@@ -202,7 +202,7 @@
             for number in range(40)
         )
     )
-    await cluster.finish(names, most=400)
+    await cluster.finish(names, timeout_s=400)
     rate = (cluster.store.writes - writes) / (now() - began)
     assert rate < cluster.params.state.write_rps
 
--- a/dappledrum/controller/test_idle_machines.py
+++ b/dappledrum/controller/test_idle_machines.py
@@ -26,7 +26,7 @@
     cluster = SimulatedCluster(seed=21)
     await cluster.until(lambda: cluster.leader() is not None)
     await cluster.submit(job(1, beats=12, **BEST_EFFORT))
-    await cluster.until(lambda: running(cluster, "j-000001") >= 4, most=60)
+    await cluster.until(lambda: running(cluster, "j-000001") >= 4, timeout_s=60)
     await cluster.finish(["j-000001"])
     assert all(machine.kind[2] for machine in cluster.cloud.machines.values())
 
@@ -36,10 +36,10 @@
     cluster.cloud.most = 2
     await cluster.until(lambda: cluster.leader() is not None)
     await cluster.submit(job(1, beats=40, **BEST_EFFORT | {"runS": 300.0, "builds": ["small"]}))
-    await cluster.until(lambda: running(cluster, "j-000001") >= 3, most=90)
+    await cluster.until(lambda: running(cluster, "j-000001") >= 3, timeout_s=90)
     before = running(cluster, "j-000001")
     await cluster.submit(job(2, beats=2, vcpus=3.0, builds=["small"], dueS=40.0))
-    took = await cluster.finish(["j-000002"], most=60)
+    took = await cluster.finish(["j-000002"], timeout_s=60)
     assert took < 40
     assert running(cluster, "j-000001") < before + 1
     assert await cluster.cancel("j-000001") == "cancelled"
@@ -119,7 +119,7 @@
     await assert_no_machine_retires(cluster, 15)
     assert len(cluster.rules.running) <= 4, "the spot machine is drained before it is reclaimed"
     cluster.cloud.most = 10
-    await cluster.finish(["j-000001"], most=600)
+    await cluster.finish(["j-000001"], timeout_s=600)
 
 
 async def test_on_demand_machines_are_kept_while_late_work_waits_for_their_type():
--- a/dappledrum/controller/test_largest.py
+++ b/dappledrum/controller/test_largest.py
@@ -29,4 +29,4 @@
     assert cluster.rules.jobs["j-000001"].begun_at < 240
     await cluster.wait(1)
     assert ("1", 1) not in order(), "a job that has started is no longer ranked first"
-    await cluster.finish(["j-000001", "j-000002"], most=400)
+    await cluster.finish(["j-000001", "j-000002"], timeout_s=400)
--- a/dappledrum/controller/test_late_and_duplicate_heartbeats.py
+++ b/dappledrum/controller/test_late_and_duplicate_heartbeats.py
@@ -101,7 +101,7 @@
         return machine is None or not machine.placements
 
     copying = asyncio.ensure_future(again())
-    await cluster.until(given_up, most=(2 if takeover else 1) * LEASE_S + 4)
+    await cluster.until(given_up, timeout_s=(2 if takeover else 1) * LEASE_S + 4)
     assert now() - died > LEASE_S - 5, "not before it was proven"
     copying.cancel()
 
@@ -142,7 +142,7 @@
     # One that has shown nothing in this term is awaited like any that has not come yet.
     assert not still & {view.machine for view in timelines if not view.booting}
     assert takeover or unreachable(cluster) & still
-    await cluster.finish(work.names, most=300)
+    await cluster.finish(work.names, timeout_s=300)
     assert not set(chosen) & {m.name for m in leader.registry if m.placements}
     assert await cluster.poll(service) == "running"
     assert len(work.running(20)) == 2
@@ -153,7 +153,7 @@
     last = job(99, beats=20, dueS=None)
     assert await cluster.submit(last) == 201
     assert await cluster.cancel(service) == "cancelled"
-    await cluster.finish([last["id"], service], most=100)
+    await cluster.finish([last["id"], service], timeout_s=100)
 
 
 async def test_no_machine_counts_as_unreachable_when_all_of_them_are():
@@ -187,7 +187,7 @@
     for worker in cluster.cloud.workers()[::2]:
         worker.controller = member
     cluster.isolate(member)
-    await cluster.until(lambda: cluster.leader() not in (None, member), most=8)
+    await cluster.until(lambda: cluster.leader() not in (None, member), timeout_s=8)
     await cluster.wait(5)
     began = now()
     assert await status("/ready") == 503
@@ -203,7 +203,7 @@
     cluster.rules.faults_over_at = now()
     await cluster.wait(2)
     assert await status("/ready") == 200
-    await cluster.finish(work.names, most=200)
+    await cluster.finish(work.names, timeout_s=200)
 
 
 @pytest.mark.parametrize("young", [False, True])
--- a/dappledrum/jobs/test_garbage.py
+++ b/dappledrum/jobs/test_garbage.py
@@ -47,7 +47,7 @@
         cluster.network.watcher = accept_between_lists
         cluster.cloud.out = True  # keeps the job from running until another controller leads
         await cluster.restart(cluster.leader(), 0.3)
-        await cluster.until(lambda: bool(stored_keys(cluster, "job/")), most=10)
+        await cluster.until(lambda: bool(stored_keys(cluster, "job/")), timeout_s=10)
         cluster.network.watcher = None
         await cluster.wait(5)
         assert spec_keys
--- a/dappledrum/leader/test_job_loader.py
+++ b/dappledrum/leader/test_job_loader.py
@@ -36,11 +36,11 @@
         if new_leader:
             cluster.kill(cluster.leader())
         cluster.store._multi({"guards": [], "then": [put]})
-        await cluster.until(lambda: cluster.leader() is not None, most=10)
+        await cluster.until(lambda: cluster.leader() is not None, timeout_s=10)
         await cluster.wait(1)
         valid_job = job(1, dueS=None)
         assert await cluster.submit(valid_job) == 201
-        await cluster.finish([valid_job["id"]], most=60)
+        await cluster.finish([valid_job["id"]], timeout_s=60)
         leader = cluster.controllers[cluster.leader()]
         assert "j-000077" not in leader.leader.jobs
         known = leader.elector.term.cancellations_known_at
@@ -72,7 +72,7 @@
 
         cluster.controllers[successor].store.scan = scan_without_jobs
         cluster.controllers[former_leader].elector.transfer_leadership(successor, "a test")
-        await cluster.until(lambda: cluster.leader() == successor, most=10)
-        await cluster.until(lambda: cluster.leader() not in (None, successor), most=120)
+        await cluster.until(lambda: cluster.leader() == successor, timeout_s=10)
+        await cluster.until(lambda: cluster.leader() not in (None, successor), timeout_s=120)
 
     run(main())
--- a/dappledrum/membership/test_outages.py
+++ b/dappledrum/membership/test_outages.py
@@ -93,7 +93,7 @@
     async def main():
         cluster = await cluster_with_long_jobs(seed=5)
         leader, _ = partition_into_two_sides(cluster)
-        await cluster.until(lambda: cluster.leader() not in (None, leader), most=10)
+        await cluster.until(lambda: cluster.leader() not in (None, leader), timeout_s=10)
         overlap = 0.0
         while cluster.controllers[leader].elector.valid_term() is not None:
             # The former leader still answers workers, so no leader may give up placements yet.
@@ -105,7 +105,7 @@
             await cluster.wait(0.25)
             overlap += 0.25
         assert overlap > 2
-        await cluster.until(lambda: others_have_stopped(cluster), most=40)
+        await cluster.until(lambda: others_have_stopped(cluster), timeout_s=40)
         cluster.network.heal()
         cluster.store.refused.clear()
         await cluster.wait(15)
@@ -123,7 +123,7 @@
         took = await cluster.until(lambda: cluster.leader() is not None)
         assert took < 5
         await asyncio.sleep(0)
-        await cluster.finish([f"j-{n:06d}" for n in range(3)], most=400)
+        await cluster.finish([f"j-{n:06d}" for n in range(3)], timeout_s=400)
 
     run(main())
 
--- a/dappledrum/membership/test_partitions.py
+++ b/dappledrum/membership/test_partitions.py
@@ -179,7 +179,7 @@
     await asyncio.sleep(when)
     isolated = leader if who == "leader" else successor
     cluster.isolate(isolated)
-    await cluster.until(lambda: cluster.leader() not in (None, isolated), most=12)
+    await cluster.until(lambda: cluster.leader() not in (None, isolated), timeout_s=12)
     await wait_without_lost_leases(cluster, 10)
     cluster.network.heal()
     await wait_without_lost_leases(cluster, 10)
--- a/dappledrum/recovery/test_last_answers.py
+++ b/dappledrum/recovery/test_last_answers.py
@@ -84,7 +84,7 @@
         assert max(at for at, _ in losses) < restarted_at + LEASE_S + 2.5
         for worker in cluster.cloud.workers():
             worker.hung = False
-        await cluster.finish([f"j-{n:06d}" for n in range(6)], most=400)
+        await cluster.finish([f"j-{n:06d}" for n in range(6)], timeout_s=400)
 
     run(main())
 
@@ -122,7 +122,7 @@
             await cluster.wait(rng.uniform(1, LEASE_S + 2))
             cluster.network.heal()
             await cluster.wait(2)
-        await cluster.finish([f"j-{n:06d}" for n in range(6)], most=600)
+        await cluster.finish([f"j-{n:06d}" for n in range(6)], timeout_s=600)
 
     run(main())
 
@@ -141,12 +141,12 @@
         for worker in cluster.cloud.workers()[::2]:  # these reach only the former leader
             for member in others:
                 cluster.network.cut(member, worker.name)
-        await cluster.until(lambda: cluster.leader() not in (None, leader), most=10)
+        await cluster.until(lambda: cluster.leader() not in (None, leader), timeout_s=10)
         assert cluster.controllers[leader].elector.valid_term() is not None
         await cluster.wait(5)
         cluster.network.heal()
         cluster.store.refused.clear()
-        await cluster.finish([f"j-{n:06d}" for n in range(6)], most=400)
+        await cluster.finish([f"j-{n:06d}" for n in range(6)], timeout_s=400)
 
     run(main())
 
@@ -165,10 +165,10 @@
             for member in FIVE:
                 cluster.network.cut(member, worker.name)
         cluster.store.refused.add(leader)
-        await cluster.until(lambda: cluster.leader() not in (None, leader), most=10)
+        await cluster.until(lambda: cluster.leader() not in (None, leader), timeout_s=10)
         await cluster.wait(LEASE_S - 4)
         cluster.network.heal()
         cluster.store.refused.clear()
-        await cluster.finish([f"j-{n:06d}" for n in range(6)], most=400)
+        await cluster.finish([f"j-{n:06d}" for n in range(6)], timeout_s=400)
 
     run(main())
--- a/dappledrum/recovery/test_progress.py
+++ b/dappledrum/recovery/test_progress.py
@@ -27,14 +27,14 @@
         cluster.network.services.pop(working[0].name)
         working[0].hung = True
         await cluster.restart_all(1.0)
-        await cluster.until(lambda: len(recovery_outcomes(caplog)) == 2, most=40)
+        await cluster.until(lambda: len(recovery_outcomes(caplog)) == 2, timeout_s=40)
         assert f"{len(working) - 1} machines back within" in recovery_outcomes(caplog)[1]
         assert (
             f"{lost_tasks} for the machine is silent for longer than its lease"
             in recovery_outcomes(caplog)[1]
         )
         working[0].hung = False
-        await cluster.finish(["j-000001"], most=400)
+        await cluster.finish(["j-000001"], timeout_s=400)
         assert len(recovery_outcomes(caplog)) == 2
 
     caplog.set_level("INFO")
--- a/dappledrum/recovery/test_return_times.py
+++ b/dappledrum/recovery/test_return_times.py
@@ -102,6 +102,6 @@
         await cluster.wait(8)
         assert up >= 20
         assert cluster.cloud.next - rented <= 13
-        await cluster.finish(job_ids, most=600)
+        await cluster.finish(job_ids, timeout_s=600)
 
     run(main())
--- a/dappledrum/simulation/cluster.py
+++ b/dappledrum/simulation/cluster.py
@@ -385,19 +385,19 @@
             self.leader()
             assert not self.rules.broken, self.rules.broken
 
-    async def until(self, check: Callable[[], bool], most: float = 120.0) -> float:
+    async def until(self, check: Callable[[], bool], timeout_s: float = 120.0) -> float:
         """Wait until a condition holds, checked every 0.25 s; returns the seconds waited."""
         began = asyncio.get_running_loop().time()
         while not check():
-            assert asyncio.get_running_loop().time() - began < most, (
+            assert asyncio.get_running_loop().time() - began < timeout_s, (
                 "the condition did not hold in time"
             )
             await self.wait(0.25)
         return asyncio.get_running_loop().time() - began
 
-    async def until_led(self, most: float = 120.0) -> float:
+    async def until_led(self, timeout_s: float = 120.0) -> float:
         """Wait until a controller leads; returns the seconds waited."""
-        return await self.until(lambda: self.leader() is not None, most)
+        return await self.until(lambda: self.leader() is not None, timeout_s)
 
     def running(self, name: str) -> int:
         """Number of running tasks of a job."""
@@ -495,12 +495,12 @@
             await asyncio.sleep(1)
         return None
 
-    async def finish(self, names: list[str], most: float = 240.0) -> float:
+    async def finish(self, names: list[str], timeout_s: float = 240.0) -> float:
         """Poll until all jobs are done or cancelled; returns the seconds waited."""
         began = asyncio.get_running_loop().time()
         left = list(names)
         while left:
-            assert asyncio.get_running_loop().time() - began < most, (
+            assert asyncio.get_running_loop().time() - began < timeout_s, (
                 f"not finished in time: {left}"
             )
             await self.wait(1.0)
--- a/dappledrum/simulation/crash_points.py
+++ b/dappledrum/simulation/crash_points.py
@@ -147,7 +147,7 @@
     names.append(await _reach_each_step(cluster, rng))
     cluster.network.watcher = None
     await cluster.wait(2)
-    await cluster.finish(names, most=400)
+    await cluster.finish(names, timeout_s=400)
     return crash_points.crashes.total()
 
 
--- a/dappledrum/simulation/experiment.py
+++ b/dappledrum/simulation/experiment.py
@@ -154,7 +154,7 @@
     starts = cluster.rules.starts
     accepted = [name for name, status in zip(names, statuses, strict=True) if status is not None]
     cluster.rules.faults_over_at = asyncio.get_running_loop().time()
-    await cluster.finish(accepted, most=600)
+    await cluster.finish(accepted, timeout_s=600)
     if trace is not None:
         trace.stop()
     waits = [
--- a/dappledrum/simulation/fault_combinations.py
+++ b/dappledrum/simulation/fault_combinations.py
@@ -187,7 +187,7 @@
     while cluster.extra_user_tasks or not all(user_task.done() for user_task in users):
         await cluster.wait(1)
     names = [name for user_task in users if (name := user_task.result()) is not None]
-    await cluster.finish(names, most=600)
+    await cluster.finish(names, timeout_s=600)
     for name in names:  # every controller must give the same final answer
         for member in FIVE:
             await cluster.poll(name, member)
--- a/dappledrum/simulation/scenario.py
+++ b/dappledrum/simulation/scenario.py
@@ -69,7 +69,9 @@
 
     async def until_led(self, *besides: str) -> None:
         """Wait until a controller other than these leads."""
-        await self.cluster.until(lambda: self.cluster.leader() not in (None, *besides), most=60)
+        await self.cluster.until(
+            lambda: self.cluster.leader() not in (None, *besides), timeout_s=60
+        )
 
 
 def end_faults(cluster: SimulatedCluster) -> None:
@@ -108,7 +110,7 @@
         await cluster.wait(1)
     accepted = [name for task in user_tasks if (name := task.result()) is not None]
     names = accepted + scenario.names
-    await cluster.finish(names, most=500)
+    await cluster.finish(names, timeout_s=500)
     for name in names:
         for member in FIVE:
             await cluster.poll(name, member)
--- a/dappledrum/simulation/test_days.py
+++ b/dappledrum/simulation/test_days.py
@@ -133,7 +133,7 @@
     async def check(cluster):
         leader = cluster.leader()
         begin(cluster, "leader_transfer")
-        await cluster.until(lambda: cluster.leader() not in (None, leader), most=2)
+        await cluster.until(lambda: cluster.leader() not in (None, leader), timeout_s=2)
         assert cluster.alive(leader)
 
     run_check(check)
--- a/dappledrum/simulation/workloads.py
+++ b/dappledrum/simulation/workloads.py
@@ -157,7 +157,7 @@
             assert not work.running(number), f"tasks of {job_name(number)}, which is cancelled"
         else:
             assert await cluster.cancel(job_name(number)) == "cancelled"
-    await cluster.finish([job_name(number) for number in range(jobs)], most=60)
+    await cluster.finish([job_name(number) for number in range(jobs)], timeout_s=60)
 
 
 async def start_short_jobs(
--- a/dappledrum/store/test_guards.py
+++ b/dappledrum/store/test_guards.py
@@ -90,7 +90,7 @@
         cluster.network.late_writes = None
         while not all(task.done() for task in users):
             await cluster.wait(1)
-        await cluster.finish([many_tasks["id"], large_spec["id"]], most=400)
+        await cluster.finish([many_tasks["id"], large_spec["id"]], timeout_s=400)
         await cluster.wait(5)
         assert not unguarded, unguarded[0]
         expected = ("leader", "epoch", "job", "page", "spec", "ended", *WRITTEN_ONCE, *ADVISORY)
--- a/dappledrum/user_api/test_job_api.py
+++ b/dappledrum/user_api/test_job_api.py
@@ -159,7 +159,7 @@
     else:
         raise AssertionError("the head does not contain the totals of the pages")
     await cluster.restart(cluster.leader())
-    await cluster.finish(names, most=600)
+    await cluster.finish(names, timeout_s=600)
 
 
 def test_pages_are_the_same_after_they_are_stored_and_read():
@@ -253,7 +253,7 @@
     assert states.pop(bad) is None, "its state is unknown, but the job still exists"
     assert None not in states.values()
     await cluster.submit(job(7))
-    await cluster.finish([*states, "j-000007"], most=200)
+    await cluster.finish([*states, "j-000007"], timeout_s=200)
     assert f"job/{bad}" in cluster.store.keys
 
 
