--- a/dappledrum/controller/test_cancellations_in_outage.py
+++ b/dappledrum/controller/test_cancellations_in_outage.py
@@ -82,7 +82,7 @@
         for number in (0, 1):
             work.cancelled.add(number)
             path = f"/submissions/{job_name(number)}/cancel"
-            asked = asyncio.ensure_future(cluster._ask("POST", path, b"", peers[0]))
+            asked = asyncio.ensure_future(cluster.send_user_request("POST", path, b"", peers[0]))
             await cluster.wait(0.1)
             asked.cancel()
         cluster.network.watcher = None
--- a/dappledrum/controller/test_concurrent_leadership_faults.py
+++ b/dappledrum/controller/test_concurrent_leadership_faults.py
@@ -43,7 +43,7 @@
     cluster, name = scenario.cluster, f"j-{900 + number:06d}"
     cluster.rules.cancel_asked(name)
     for _ in range(200):
-        reply = await cluster._ask("POST", f"/submissions/{name}/cancel", b"", member)
+        reply = await cluster.send_user_request("POST", f"/submissions/{name}/cancel", b"", member)
         if reply is not None and reply.status == 200:
             break
         await cluster.wait(0.1)
--- a/dappledrum/controller/test_crash_points.py
+++ b/dappledrum/controller/test_crash_points.py
@@ -33,7 +33,7 @@
         cluster.start(member)
     await cluster.wait(1.2)
     assert [await cluster.readiness(member) for member in FIVE] == [200] * 5
-    reply = await cluster._ask("GET", "/submissions/j-000001")
+    reply = await cluster.send_user_request("GET", "/submissions/j-000001")
     assert reply.status == 503
     alone = FIVE[0]
     cluster.cut_from_peers(alone)
--- a/dappledrum/controller/test_late_and_duplicate_heartbeats.py
+++ b/dappledrum/controller/test_late_and_duplicate_heartbeats.py
@@ -182,7 +182,7 @@
     sessions = work.sessions()
 
     async def status(path):
-        return (await cluster._ask("GET", path, None, member)).status
+        return (await cluster.send_user_request("GET", path, None, member)).status
 
     for worker in cluster.cloud.workers()[::2]:
         worker.controller = member
--- a/dappledrum/controller/test_lost_responses.py
+++ b/dappledrum/controller/test_lost_responses.py
@@ -43,8 +43,8 @@
         self.lost = dict.fromkeys(kinds, 0)
         self.waits = []  # of users, for answers to requests that are carried out
         self.reads = []
-        self.ask = self.cluster._ask
-        self.cluster._ask = self.checked
+        self.ask = self.cluster.send_user_request
+        self.cluster.send_user_request = self.checked
         self.cluster.network.watcher = self.watch
 
     def watch(self, sent):
@@ -72,7 +72,7 @@
         key = self.cluster.store.keys.get(f"job/{name}")
         if place == "job" and key is not None and self.rng.random() < 0.3:
             body = json.dumps(key[0]["spec"]).encode()
-            again = self.cluster._ask("POST", "/submissions", body, member)
+            again = self.cluster.send_user_request("POST", "/submissions", body, member)
             self.reads.append(asyncio.ensure_future(again))
 
     async def checked(self, method, path, body=None, member=None):
--- a/dappledrum/dependencies/test_dependencies.py
+++ b/dappledrum/dependencies/test_dependencies.py
@@ -140,13 +140,13 @@
     await cluster.finish([name(5)])
     for bad in ("j-000001", ["x"], [1], {"a": 1}):
         body = json.dumps(dependent_job(6) | {"waitsOn": bad}).encode()
-        reply = await cluster._ask("POST", "/submissions", body)
+        reply = await cluster.send_user_request("POST", "/submissions", body)
         assert reply is not None
         assert reply.status == 400
         assert b"waitsOn" in reply.body
     body = json.dumps(dependent_job(7) | {"waitsOn": None}).encode()
     cluster.rules.submitted(dependent_job(7))
-    assert (await cluster._ask("POST", "/submissions", body)).status == 201
+    assert (await cluster.send_user_request("POST", "/submissions", body)).status == 201
 
 
 async def test_submissions_fail_quickly_while_dependencies_cannot_be_read():
--- a/dappledrum/membership/test_partitions.py
+++ b/dappledrum/membership/test_partitions.py
@@ -32,7 +32,9 @@
         await cluster.wait(0.5)
     assert cluster.leader() == others[3]
     for member in others[:3]:
-        reply = await cluster._ask("POST", "/hello", json.dumps(heartbeat).encode(), member)
+        reply = await cluster.send_user_request(
+            "POST", "/hello", json.dumps(heartbeat).encode(), member
+        )
         assert reply.status == 421
         assert json.loads(reply.body).get("conductor") != leader
 
@@ -56,7 +58,7 @@
     assert cluster.leader() == fifth
     for member in cluster.others(fifth):
         assert await cluster.poll("j-000001", member) == "running"
-        ready = await cluster._ask("GET", "/ready", None, member)
+        ready = await cluster.send_user_request("GET", "/ready", None, member)
         assert json.loads(ready.body) == {"state": f"through {fifth}"}
 
 
--- a/dappledrum/simulation/cluster.py
+++ b/dappledrum/simulation/cluster.py
@@ -405,7 +405,7 @@
 
     async def readiness(self, member: str) -> int | None:
         """The status of a controller's readiness check, if it answers."""
-        reply = await self._ask("GET", "/ready", None, member)
+        reply = await self.send_user_request("GET", "/ready", None, member)
         return None if reply is None else reply.status
 
     # users
@@ -423,7 +423,7 @@
         if not task.cancelled() and (error := task.exception()) is not None:
             self.rules.broken.append(f"a user failed: {error!r}")
 
-    async def _ask(
+    async def send_user_request(
         self, method: str, path: str, body: bytes | None = None, member: str | None = None
     ) -> Reply | None:
         """Send one request as a user, and record it and its answer in the history; without a
@@ -461,7 +461,7 @@
             {key: value for key, value in spec.items() if key not in ("runS", "broken")}
         ).encode()
         for _ in range(tries):
-            reply = await self._ask("POST", "/submissions", body, member)
+            reply = await self.send_user_request("POST", "/submissions", body, member)
             if reply is not None and reply.status in (*ACCEPTED, *REFUSED):
                 return reply.status
             await asyncio.sleep(1)
@@ -481,7 +481,7 @@
 
     async def poll(self, name: str, member: str | None = None) -> str | None:
         """Request a job's state once; None without a successful answer."""
-        reply = await self._ask("GET", f"/submissions/{name}", None, member)
+        reply = await self.send_user_request("GET", f"/submissions/{name}", None, member)
         if reply is None or reply.status != 200:
             return None
         return str(json.loads(reply.body)["stance"])
@@ -489,7 +489,9 @@
     async def cancel(self, name: str, tries: int = 40, member: str | None = None) -> str | None:
         """Cancel a job, retrying every second until a request succeeds; the job's state."""
         for _ in range(tries):
-            reply = await self._ask("POST", f"/submissions/{name}/cancel", b"", member)
+            reply = await self.send_user_request(
+                "POST", f"/submissions/{name}/cancel", b"", member
+            )
             if reply is not None and reply.status == 200:
                 return str(json.loads(reply.body)["stance"])
             await asyncio.sleep(1)
--- a/dappledrum/simulation/scenario.py
+++ b/dappledrum/simulation/scenario.py
@@ -56,7 +56,7 @@
     async def cancel(self, number: int, member: str) -> None:
         """Cancel one of these jobs at a controller that must answer the first request."""
         path = f"/submissions/j-{900 + number:06d}/cancel"
-        reply = await self.cluster._ask("POST", path, b"", member)
+        reply = await self.cluster.send_user_request("POST", path, b"", member)
         assert reply is not None, f"{member} does not answer"
         assert reply.status == 200
         assert b'"cancelled"' in reply.body
--- a/dappledrum/simulation/test_history_recording.py
+++ b/dappledrum/simulation/test_history_recording.py
@@ -39,11 +39,11 @@
 
 
 async def cancel(cluster):
-    await cluster._ask("POST", f"/submissions/{NAME}/cancel", b"", FAULTY_CONTROLLER)
+    await cluster.send_user_request("POST", f"/submissions/{NAME}/cancel", b"", FAULTY_CONTROLLER)
 
 
 async def submit_without_a_field(cluster):
-    await cluster._ask(
+    await cluster.send_user_request(
         "POST", "/submissions", b'{"id":"j-000009","crew":"blue"}', FAULTY_CONTROLLER
     )
 
--- a/dappledrum/simulation/workloads.py
+++ b/dappledrum/simulation/workloads.py
@@ -116,7 +116,7 @@
         """Cancel a job at a controller that must answer the first request."""
         self.cancelled.add(number)
         path = f"/submissions/{job_name(number)}/cancel"
-        reply = await self.cluster._ask("POST", path, b"", member)
+        reply = await self.cluster.send_user_request("POST", path, b"", member)
         assert reply is not None, f"{member} does not answer"
         assert reply.status == 200
         assert b'"cancelled"' in reply.body
--- a/dappledrum/user_api/test_job_api.py
+++ b/dappledrum/user_api/test_job_api.py
@@ -21,7 +21,9 @@
 
     async def main():
         cluster = await led_cluster(1)
-        replies = [await cluster._ask("POST", "/submissions", body) for body in bodies]
+        replies = [
+            await cluster.send_user_request("POST", "/submissions", body) for body in bodies
+        ]
         return [reply.status for reply in replies if reply is not None]
 
     return run(main())
@@ -114,7 +116,7 @@
         ("GET", "/", 404),
         ("POST", "/hello", 400),
     ):
-        reply = await cluster._ask(method, path, b"")
+        reply = await cluster.send_user_request(method, path, b"")
         assert reply is not None, path
         assert reply.status == status, path
 
@@ -152,7 +154,7 @@
             facts.done.update(range(page.first, page.first + page.count))
     await cluster.until(lambda: len(leader.leader.record_writer.dirty) < 8)
     for _ in range(10):  # the totals in the head are written after the pages
-        reply = await cluster._ask("GET", "/submissions/j-000001")
+        reply = await cluster.send_user_request("GET", "/submissions/j-000001")
         if reply is not None and json.loads(reply.body)["done"] > 90_000:
             break
         await cluster.wait(1)
