--- a/dappledrum/controller/test_concurrent_limit_faults.py
+++ b/dappledrum/controller/test_concurrent_limit_faults.py
@@ -163,7 +163,7 @@
 
     async with running_scenario(seed, users=6) as scenario:
         cluster, rng = scenario.cluster, scenario.rng
-        cluster.cloud.most = len(cluster.cloud.machines)
+        cluster.cloud.max_machines = len(cluster.cloud.machines)
         slow_links(scenario)
         for number in range(24):
             small = {"beats": rng.choice((1, 3, 12)), "vcpus": rng.choice((0.5, 1.0, 4.0))}
@@ -252,7 +252,7 @@
         cluster, rng = scenario.cluster, scenario.rng
         cluster.cloud.slow = 0.1
         cluster.cloud.lag_s = 15.0
-        cluster.cloud.most = 30
+        cluster.cloud.max_machines = 30
 
         def lag(sent):
             if sent.path != "/multi":
@@ -284,7 +284,7 @@
 
     async with running_scenario(seed, users=0) as scenario:
         cluster, rng = scenario.cluster, scenario.rng
-        cluster.cloud.most = len(cluster.cloud.machines)
+        cluster.cloud.max_machines = len(cluster.cloud.machines)
         for model in cluster.cloud.types:
             model["readyS"] = 100.0
         await cluster.wait(35)  # the catalog is read every 30 s
@@ -351,7 +351,7 @@
     async with running_scenario(seed, users=0) as scenario:
         cluster, rng = scenario.cluster, scenario.rng
         cluster.cloud.add(("large", "a", False))
-        cluster.cloud.most = len(cluster.cloud.machines)
+        cluster.cloud.max_machines = len(cluster.cloud.machines)
         for number in range(MACHINES):  # half of each machine is free after 20 s
             await scenario.submit_long(
                 number, beats=2, runS=[20.0, 260.0], expectedS=500.0, dueS=520.0, builds=["small"]
--- a/dappledrum/controller/test_concurrent_user_requests.py
+++ b/dappledrum/controller/test_concurrent_user_requests.py
@@ -249,7 +249,7 @@
     their ends."""
 
     cluster = SimulatedCluster(seed, members=FIVE, rps=rps, write_rps=write_rps, limited=True)
-    cluster.cloud.most = 30
+    cluster.cloud.max_machines = 30
     for _ in range(12):
         cluster.cloud.add(("small", cluster.rng.choice(("a", "b")), True))
     await cluster.until(lambda: cluster.leader() is not None)
@@ -291,7 +291,7 @@
     while some users repeated theirs at all controllers."""
 
     cluster = SimulatedCluster(seed, members=FIVE, rps=250.0, write_rps=35.0, limited=True)
-    cluster.cloud.most = 30
+    cluster.cloud.max_machines = 30
     for _ in range(12):
         cluster.cloud.add(("small", cluster.rng.choice(("a", "b")), True))
     await cluster.until(lambda: cluster.leader() is not None)
--- a/dappledrum/controller/test_end_to_end.py
+++ b/dappledrum/controller/test_end_to_end.py
@@ -177,7 +177,7 @@
 
 async def test_a_team_gets_its_guarantee_from_borrowers_and_urgent_work_goes_first():
     cluster = SimulatedCluster(seed=12, teams=(Team("blue"), Team("red", cpus=8.0)))
-    cluster.cloud.most = 3
+    cluster.cloud.max_machines = 3
     await cluster.until_led()
     await cluster.accept(
         job(1, beats=60, builds=["small"], runS=60.0, expectedS=60.0, urgency="best_effort")
--- a/dappledrum/controller/test_idle_machines.py
+++ b/dappledrum/controller/test_idle_machines.py
@@ -33,7 +33,7 @@
 
 async def test_best_effort_work_with_checkpoints_is_preempted_for_work_that_would_be_late():
     cluster = SimulatedCluster(seed=22)
-    cluster.cloud.most = 2
+    cluster.cloud.max_machines = 2
     await cluster.until(lambda: cluster.leader() is not None)
     await cluster.submit(job(1, beats=40, **BEST_EFFORT | {"runS": 300.0, "builds": ["small"]}))
     await cluster.until(lambda: running(cluster, "j-000001") >= 3, timeout_s=90)
@@ -69,7 +69,7 @@
     cluster = SimulatedCluster(seed=44)
     large = next(kind for kind in cluster.cloud.types if kind["label"] == "large")
     large["marketPrice"] = None  # no spot machine of this type
-    cluster.cloud.most = 20
+    cluster.cloud.max_machines = 20
     await cluster.until(lambda: cluster.leader() is not None)
     await cluster.submit(job(0, beats=12, vcpus=4.0, loaners=False, dueS=40.0, runS=20.0))
     await cluster.finish(["j-000000"])
@@ -92,7 +92,7 @@
     cluster = SimulatedCluster(seed=45)
     for kind in (("small", "a", False), ("small", "a", False), ("large", "a", True)):
         cluster.cloud.add(kind)
-    cluster.cloud.most = len(cluster.cloud.machines)
+    cluster.cloud.max_machines = len(cluster.cloud.machines)
     await cluster.until(lambda: cluster.leader() is not None)
     assert await cluster.submit(spec) == 201
     await cluster.until(lambda: len(cluster.rules.running) >= running)
@@ -118,7 +118,7 @@
     taken.reclaim_at = cluster.now() + 30
     await assert_no_machine_retires(cluster, 15)
     assert len(cluster.rules.running) <= 4, "the spot machine is drained before it is reclaimed"
-    cluster.cloud.most = 10
+    cluster.cloud.max_machines = 10
     await cluster.finish(["j-000001"], timeout_s=600)
 
 
--- a/dappledrum/controller/test_large.py
+++ b/dappledrum/controller/test_large.py
@@ -31,7 +31,7 @@
     records that are too large, and failovers that lose or repeat tasks."""
 
     cluster = SimulatedCluster(seed=5, members=FIVE)
-    cluster.cloud.most = 240
+    cluster.cloud.max_machines = 240
     await cluster.until(lambda: cluster.leader() is not None)
     names = []
     for number in range(12):
@@ -49,7 +49,7 @@
     being idle at the end of a billed interval."""
 
     cluster = SimulatedCluster(seed=6)
-    cluster.cloud.most = 3
+    cluster.cloud.max_machines = 3
     on_demand = [cluster.cloud.add(("large", "a", False)) for _ in range(3)]
     await cluster.until(lambda: cluster.leader() is not None)
     names = []
@@ -60,7 +60,7 @@
         await cluster.wait(2)
         if number == 20:
             assert all(name in cluster.cloud.machines for name in on_demand)
-            cluster.cloud.most = 40
+            cluster.cloud.max_machines = 40
     assert not any(name in cluster.cloud.machines for name in on_demand)
     assert any(machine.kind[2] for machine in cluster.cloud.machines.values())
     await cluster.finish(names)
--- a/dappledrum/controller/test_largest.py
+++ b/dappledrum/controller/test_largest.py
@@ -10,7 +10,10 @@
     of its tasks comes first."""
 
     cluster = SimulatedCluster(seed=6)
-    max_machines, cluster.cloud.most = cluster.cloud.most, 0  # so that all tasks stay ready
+    max_machines, cluster.cloud.max_machines = (
+        cluster.cloud.max_machines,
+        0,
+    )  # so that all tasks stay ready
     await cluster.until(lambda: cluster.leader() is not None)
     await cluster.submit(job(1, beats=30, dueS=5.0, urgency="best_effort"))
     await cluster.wait(60)
@@ -24,7 +27,7 @@
     assert order() == [("2", 9), ("1", 30)]
     await cluster.wait(MAX_WAIT_UNSTARTED.total_seconds() - 50)
     assert order() == [("1", 1), ("2", 9)]
-    cluster.cloud.most = max_machines
+    cluster.cloud.max_machines = max_machines
     await cluster.until(lambda: cluster.rules.jobs["j-000001"].begun_at is not None)
     assert cluster.rules.jobs["j-000001"].begun_at < 240
     await cluster.wait(1)
--- a/dappledrum/controller/test_late_and_duplicate_heartbeats.py
+++ b/dappledrum/controller/test_late_and_duplicate_heartbeats.py
@@ -71,7 +71,7 @@
     knew nothing of the order of its heartbeats."""
 
     cluster = TerminationCheckingCluster(seed=2, members=FIVE, lease_s=LEASE_S)
-    cluster.cloud.most = 3
+    cluster.cloud.max_machines = 3
     for _ in range(2):
         cluster.cloud.add(("small", "a", True))
     await cluster.until(lambda: cluster.leader() is not None)
--- a/dappledrum/controller/test_small_jobs.py
+++ b/dappledrum/controller/test_small_jobs.py
@@ -50,7 +50,10 @@
     """Guards against slow plans: with one bag per job, a plan for 800 jobs took two seconds."""
 
     cluster = SimulatedCluster(seed=15)
-    max_machines, cluster.cloud.most = cluster.cloud.most, 0  # so that all tasks stay ready
+    max_machines, cluster.cloud.max_machines = (
+        cluster.cloud.max_machines,
+        0,
+    )  # so that all tasks stay ready
     await cluster.until(lambda: cluster.leader() is not None)
     await cluster.wait(1)
     for number in range(40):
@@ -66,7 +69,7 @@
         sizes[bag.image, bag.total == 9] += bag.ready
     assert sizes == {("img-1", False): 20, ("img-2", False): 20, ("img-1", True): 9}
     assert len(bags) <= 7
-    cluster.cloud.most = max_machines
+    cluster.cloud.max_machines = max_machines
     await cluster.finish([f"j-{n:06d}" for n in [*range(40), 100]])
 
 
--- a/dappledrum/controller/test_upgrade.py
+++ b/dappledrum/controller/test_upgrade.py
@@ -27,7 +27,7 @@
 def old_cluster(seed):
     members = tuple(f"drummer-{n}" for n in range(3))
     cluster = SimulatedCluster(seed=seed, members=members, next=REDUCED_LIMITS, old=set(members))
-    cluster.cloud.most = 30
+    cluster.cloud.max_machines = 30
     return cluster
 
 
--- a/dappledrum/dispatch/test_dispatcher.py
+++ b/dappledrum/dispatch/test_dispatcher.py
@@ -28,7 +28,7 @@
 
     async def main():
         cluster = SimulatedCluster(seed=3)
-        cluster.cloud.most = 0  # nothing can start, so all tasks wait
+        cluster.cloud.max_machines = 0  # nothing can start, so all tasks wait
         await cluster.until(lambda: cluster.leader() is not None)
         for number in range(8):
             assert await cluster.submit(job(number, beats=9, dueS=300.0 + number)) == 201
--- a/dappledrum/gangs/test_gangs.py
+++ b/dappledrum/gangs/test_gangs.py
@@ -210,7 +210,7 @@
 def test_gangs_that_do_not_fit_together_take_turns():
     async def main():
         cluster = SimulatedCluster(seed=63)
-        cluster.cloud.most = 4
+        cluster.cloud.max_machines = 4
         await cluster.until(lambda: cluster.leader() is not None)
         names = []
         for number in range(4):
@@ -225,7 +225,7 @@
 def test_team_limits_count_whole_gangs_and_prod_preempts_whole_gangs():
     async def main():
         cluster = SimulatedCluster(seed=64, teams=(Team("blue"), Team("red", cpus_max=8.0)))
-        cluster.cloud.most = 2
+        cluster.cloud.max_machines = 2
         await cluster.until(lambda: cluster.leader() is not None)
         assert await cluster.submit(gang_job(1, crew="red", beats=5)) == 422
         await submit_and_start(
--- a/dappledrum/membership/test_service_under_partitions.py
+++ b/dappledrum/membership/test_service_under_partitions.py
@@ -118,7 +118,7 @@
     """Run a simulated cluster through these phases, and check how long each worker waits."""
     cluster = await cluster_with_long_jobs(seed=7)
     # No new machines, since the drawn links do not cover them.
-    cluster.cloud.most = len(cluster.cloud.machines)
+    cluster.cloud.max_machines = len(cluster.cloud.machines)
     for phase in drawn:
         cut_links(cluster, phase)
         for number in phase.killed:
--- a/dappledrum/recovery/test_return_times.py
+++ b/dappledrum/recovery/test_return_times.py
@@ -37,7 +37,7 @@
 
     async def main():
         cluster = SimulatedCluster(seed=1, members=FIVE, lease_s=12.0)
-        cluster.cloud.most = 200
+        cluster.cloud.max_machines = 200
         for _ in range(30):
             cluster.cloud.add(("small", "a", True))
         await cluster.until(lambda: cluster.leader() is not None)
@@ -87,7 +87,7 @@
 
     async def main():
         cluster = SimulatedCluster(seed=seed, members=FIVE, lease_s=12.0)
-        cluster.cloud.most = 200
+        cluster.cloud.max_machines = 200
         await cluster.until(lambda: cluster.leader() is not None)
         job_ids = []
         for number in range(8):
--- a/dappledrum/scale/run.py
+++ b/dappledrum/scale/run.py
@@ -86,7 +86,7 @@
         self.cloud = RemoteCloud(
             self._types(), self.rules, timing, self.rng, LIST_LAG_S, self.hosts
         )
-        self.cloud.most = options.workers
+        self.cloud.max_machines = options.workers
         self.cloud_server = served(self.cloud)
         network = SocketNetwork({**self.controllers.public, "state": addresses["state"]})
         self.state_link: SocketLink = network.caller("meter", "state")
--- a/dappledrum/simulation/experiment.py
+++ b/dappledrum/simulation/experiment.py
@@ -120,7 +120,7 @@
     if trace is not None:
         trace.resume()
         cluster.network.trace = trace  # set before any controller runs
-    cluster.cloud.most = machines
+    cluster.cloud.max_machines = machines
     for _ in range(machines):
         cluster.cloud.add(("small", "a", True))
     await cluster.until(lambda: cluster.leader() is not None)
--- a/dappledrum/simulation/fault_combinations.py
+++ b/dappledrum/simulation/fault_combinations.py
@@ -168,7 +168,7 @@
         kinds if exactly else tuple(rng.choice(kinds or DEFAULT_KINDS) for _ in range(2))
     )
     cluster = SimulatedCluster(seed=seed, members=FIVE)
-    cluster.cloud.most = MACHINES + 4
+    cluster.cloud.max_machines = MACHINES + 4
     for _ in range(MACHINES):
         cluster.cloud.add(("small", rng.choice(("a", "b")), rng.random() < 0.8))
     faults = draw_faults(chosen_kinds, triple, rng)
--- a/dappledrum/simulation/fleet.py
+++ b/dappledrum/simulation/fleet.py
@@ -429,7 +429,7 @@
         # The list may still show these.
         self.recently_terminated: list[RentedMachine] = []
         self.answers: dict[str, list[str]] = {}  # machines by rental request: retries get the same
-        self.most = 12
+        self.max_machines = 12
         self.out = False
         self.stalled = 0.0  # share of new machines that never boot
         self.slow = 1.0  # factor on boot times
@@ -453,7 +453,7 @@
     def _rent(self, request: dict[str, Any]) -> Reply:
         if request["hire"] in self.answers:
             return json_reply(200, {"drums": self.answers[request["hire"]]})
-        count = min(request["number"], self.most - len(self.machines))
+        count = min(request["number"], self.max_machines - len(self.machines))
         if count <= 0:
             return json_reply(503, {"error": "no capacity"})
         names = [
--- a/dappledrum/simulation/scenario.py
+++ b/dappledrum/simulation/scenario.py
@@ -92,7 +92,7 @@
     controller. If the body raises, nothing more is checked.
     """
     cluster = SimulatedCluster(seed=seed, members=FIVE, lease_s=LEASE_S, **of_cluster)
-    cluster.cloud.most = machines + 4
+    cluster.cloud.max_machines = machines + 4
     rng = random.Random(f"meeting {seed}")
     for _ in range(machines):
         cluster.cloud.add(("small", rng.choice(("a", "b")), rng.random() < 0.8))
--- a/dappledrum/simulation/test_days.py
+++ b/dappledrum/simulation/test_days.py
@@ -24,7 +24,7 @@
 
     async def main():
         cluster = SimulatedCluster(seed=3)
-        cluster.cloud.most = 5
+        cluster.cloud.max_machines = 5
         for index in range(5):
             cluster.cloud.add(("small", "ab"[index % 2], True))
         await cluster.until(lambda: cluster.leader() is not None)
--- a/dappledrum/simulation/workloads.py
+++ b/dappledrum/simulation/workloads.py
@@ -169,7 +169,7 @@
     work = LoadedCluster(cluster, random.Random(seed))
     for _ in range(machines):
         cluster.cloud.add(("small", "a", True))
-    cluster.cloud.most = machines + 4
+    cluster.cloud.max_machines = machines + 4
     await cluster.until(lambda: cluster.leader() is not None)
     if copies:
         cluster.network.copies = Copies(0.6, 1.0, 3 * LEASE_S, cluster.members, copies)
--- a/dappledrum/store/test_guards.py
+++ b/dappledrum/store/test_guards.py
@@ -59,7 +59,7 @@
 def test_each_change_has_its_guards(seed):
     async def main():
         cluster = SimulatedCluster(seed=seed, members=FIVE, next=NextLimits(value_kb=2.0))
-        cluster.cloud.most = 14
+        cluster.cloud.max_machines = 14
         kinds, unguarded = set(), []
 
         def check_guards(request):
