--- a/dappledrum/controller/test_concurrent_faults.py
+++ b/dappledrum/controller/test_concurrent_faults.py
@@ -67,7 +67,7 @@
             if turn % 3 == 2 and cluster.leader() is not None:
                 await cluster.restart(cluster.leader(), 0.3)
             if turn == 4 and workers:
-                cluster.cloud.take(rng.choice(workers).name)
+                cluster.cloud.terminate(rng.choice(workers).name)
             await cluster.wait(rng.uniform(2, 6))
 
 
--- a/dappledrum/controller/test_concurrent_leadership_faults.py
+++ b/dappledrum/controller/test_concurrent_leadership_faults.py
@@ -118,7 +118,7 @@
     hanging, taken = rng.sample(cluster.cloud.workers(), 2)
     hanging.hung = True
     call_later(rng.uniform(LEASE_S + 0.5, LEASE_S + 4), setattr, hanging, "hung", False)
-    call_later(rng.uniform(0, 3), cluster.cloud.take, taken.name)
+    call_later(rng.uniform(0, 3), cluster.cloud.terminate, taken.name)
 
 
 @SEEDS
@@ -150,7 +150,7 @@
                 cluster.controllers[former].elector.transfer_leadership(
                     rng.choice(scenario.others()), "a test"
                 )
-            cluster.cloud.take(rng.choice(cluster.cloud.workers()).name)
+            cluster.cloud.terminate(rng.choice(cluster.cloud.workers()).name)
             while cluster.leader() is None:
                 await cluster.wait(0.02)
             delay = rng.choice((0.0, 0.05, 0.4))
--- a/dappledrum/controller/test_concurrent_limit_faults.py
+++ b/dappledrum/controller/test_concurrent_limit_faults.py
@@ -224,7 +224,7 @@
         inside = cluster.leader() if leads else rng.choice(scenario.others())
         workers = cluster.cloud.workers()
         for worker in rng.sample(workers, 2):
-            call_later(rng.uniform(0, LEASE_S), cluster.cloud.take, worker.name)
+            call_later(rng.uniform(0, LEASE_S), cluster.cloud.terminate, worker.name)
         for worker in rng.sample(workers, 2):
             call_later(rng.uniform(0, LEASE_S), setattr, worker, "hung", True)
         await cut_zone_off(scenario, zone, inside)
--- a/dappledrum/controller/test_large.py
+++ b/dappledrum/controller/test_large.py
@@ -11,7 +11,7 @@
 async def spot_machines_reclaimed(cluster):
     """Reclaim a third of the spot machines at the same time."""
     for name in [m.name for m in cluster.cloud.machines.values() if m.kind[2]][::3]:
-        cluster.cloud.take(name)
+        cluster.cloud.terminate(name)
     await cluster.wait(5)
 
 
--- a/dappledrum/controller/test_late_and_duplicate_heartbeats.py
+++ b/dappledrum/controller/test_late_and_duplicate_heartbeats.py
@@ -25,7 +25,7 @@
         await cluster.restart_all(rng.uniform(0, 1))
     elif what in ("die", "taken"):
         for worker in rng.sample(workers, min(2, len(workers))):
-            cluster.cloud.take(worker.name)
+            cluster.cloud.terminate(worker.name)
         if cluster.leader() is not None:
             await cluster.restart(cluster.leader(), 0.1)
     elif what == "hang" and workers:
--- a/dappledrum/gangs/test_gangs.py
+++ b/dappledrum/gangs/test_gangs.py
@@ -183,7 +183,7 @@
         await submit_and_start(cluster, gang_job(1, beats=8, vcpus=3.0, runS=20.0, expectedS=20.0))
         await cluster.wait(6)
         taken = next(iter(cluster.rules.running.values()))
-        cluster.cloud.take(next(iter(taken)))
+        cluster.cloud.terminate(next(iter(taken)))
         await cluster.finish(["j-000001"])
         assert cluster.rules.starts > 8
 
--- a/dappledrum/membership/test_service_under_partitions.py
+++ b/dappledrum/membership/test_service_under_partitions.py
@@ -126,7 +126,7 @@
         for number in phase.frozen - phase.killed:
             cluster.freeze(FIVE[number])
         for worker in cluster.cloud.workers()[: phase.reclaimed_machines]:
-            cluster.cloud.take(worker.name)
+            cluster.cloud.terminate(worker.name)
         started_at = asyncio.get_running_loop().time()
         while (now := asyncio.get_running_loop().time()) < started_at + phase_s:
             await cluster.wait(0.25)
--- a/dappledrum/scale/run.py
+++ b/dappledrum/scale/run.py
@@ -248,7 +248,7 @@
     async def _loss(self) -> None:
         names = sorted(self.cloud.machines)
         for name in self.rng.sample(names, max(1, len(names) // 10)):
-            self.cloud.take(name)
+            self.cloud.terminate(name)
 
     async def _end_leader(self) -> None:
         leader = await self.meter.leader()
--- a/dappledrum/simulation/crash_points.py
+++ b/dappledrum/simulation/crash_points.py
@@ -167,7 +167,7 @@
     if leader is not None:
         cluster.store.refused.add(leader)
     for name in list(cluster.cloud.machines)[::3]:
-        cluster.cloud.take(name)
+        cluster.cloud.terminate(name)
     await cluster.wait(rng.uniform(5, 8))
     cluster.store.refused.clear()
     late = job(900, dueS=None)
--- a/dappledrum/simulation/fault_scenarios.py
+++ b/dappledrum/simulation/fault_scenarios.py
@@ -115,7 +115,7 @@
     """The store refuses the leader while the cloud terminates half of the spot machines."""
     cluster.store.refused.add(leading(cluster))
     for name in [m.name for m in cluster.cloud.machines.values() if m.kind[2]][::2]:
-        cluster.cloud.take(name)
+        cluster.cloud.terminate(name)
     await cluster.wait(20)
     cluster.store.refused.clear()
 
@@ -243,7 +243,7 @@
 async def machines_taken(cluster: SimulatedCluster) -> None:
     """The cloud terminates half of the machines."""
     for name in list(cluster.cloud.machines)[::2]:
-        cluster.cloud.take(name)
+        cluster.cloud.terminate(name)
     await cluster.wait(2)
 
 
--- a/dappledrum/simulation/faults/machines.py
+++ b/dappledrum/simulation/faults/machines.py
@@ -24,7 +24,7 @@
         workers = cluster.cloud.workers()
         for worker in cluster.rng.sample(workers, min(self.count, len(workers))):
             worker.vanish()
-            call_later(LISTED_AFTER_FAILURE_S, cluster.cloud.take, worker.name)
+            call_later(LISTED_AFTER_FAILURE_S, cluster.cloud.terminate, worker.name)
 
 
 class MachineHang(LastingFault, tag="machine_hang"):
--- a/dappledrum/simulation/fleet.py
+++ b/dappledrum/simulation/fleet.py
@@ -446,7 +446,7 @@
             return self._rent(json.loads(body))
         if path == "/rentals/return":
             for name in json.loads(body)["drums"]:
-                self.take(name)
+                self.terminate(name)
             return json_reply(200)
         return self._list()
 
@@ -489,7 +489,7 @@
             name, kind, size, self.network, self.rules, self.timing, self.controllers, self.rng
         )
 
-    def take(self, name: str) -> None:
+    def terminate(self, name: str) -> None:
         """Terminate a machine with all its tasks; ignored if it is not rented."""
         machine = self.machines.pop(name, None)
         if machine is not None:
--- a/dappledrum/simulation/ground_truth.py
+++ b/dappledrum/simulation/ground_truth.py
@@ -69,7 +69,7 @@
     truth = GroundTruth()
     begin, process = Reconciler.__init__, Reconciler.process_heartbeat
     lose = AttemptEnds.lose
-    open_cloud, remove = CloudService.__init__, CloudService.take
+    open_cloud, remove = CloudService.__init__, CloudService.terminate
 
     def begun(reconciler: Reconciler, *parts: Any, **more: Any) -> None:  # noqa: ANN401 - passed on
         begin(reconciler, *parts, **more)
@@ -109,6 +109,6 @@
         patch.object(Reconciler, "process_heartbeat", processed),
         patch.object(AttemptEnds, "lose", lost),
         patch.object(CloudService, "__init__", opened),
-        patch.object(CloudService, "take", removed),
+        patch.object(CloudService, "terminate", removed),
     ):
         yield truth
--- a/dappledrum/simulation/workloads.py
+++ b/dappledrum/simulation/workloads.py
@@ -37,13 +37,13 @@
         super().__post_init__()
         self.terminated_at: dict[str, float] = {}
         self.kept_after_termination: list[str] = []
-        terminate = self.cloud.take
+        terminate = self.cloud.terminate
 
         def terminate_and_record(name: str) -> None:
             self.terminated_at.setdefault(name, now())
             terminate(name)
 
-        self.cloud.take = terminate_and_record  # type: ignore[method-assign]
+        self.cloud.terminate = terminate_and_record  # type: ignore[method-assign]
 
     async def wait(self, seconds: float) -> None:
         """Let time pass, and check the leader's machines on the way."""
