--- a/dappledrum/controller/test_end_to_end.py
+++ b/dappledrum/controller/test_end_to_end.py
@@ -225,7 +225,7 @@
     for name in taken:
         machine = cluster.cloud.machines.pop(name, None)  # and no list says so
         if machine is not None:
-            machine.worker.vanish()
+            machine.worker.terminate()
     await cluster.finish(["j-000001", "j-000002"])
     assert now() - began < 75
 
--- a/dappledrum/controller/test_late_and_duplicate_heartbeats.py
+++ b/dappledrum/controller/test_late_and_duplicate_heartbeats.py
@@ -82,7 +82,7 @@
     dead = next(worker for worker in cluster.cloud.workers() if worker.attempts)
     seen = heartbeats_of(cluster, dead.name)
     await cluster.wait(4)
-    dead.vanish()
+    dead.terminate()
     died = now()
     if takeover:
         await cluster.restart(cluster.leader(), 0.1)
@@ -225,7 +225,7 @@
         cluster.kill(cluster.leader())
         await cluster.wait(1)
     for worker in old:
-        worker.vanish()
+        worker.terminate()
         await cluster.wait(0.2)
         cluster.cloud.machines[worker.name].worker = worker.begin_anew()
     await cluster.wait(2)
--- a/dappledrum/scale/fleet.py
+++ b/dappledrum/scale/fleet.py
@@ -18,7 +18,7 @@
         self.kind = kind
         self.host = host
 
-    def vanish(self) -> None:
+    def terminate(self) -> None:
         """The machine is gone."""
         self.host.send(Vanish(self.name))
 
--- a/dappledrum/scale/hollow.py
+++ b/dappledrum/scale/hollow.py
@@ -119,7 +119,7 @@
         worker = self.workers.pop(name, None)
         if worker is not None:
             self.sessions_of_gone += worker.session - 1
-            worker.vanish()
+            worker.terminate()
             await self.network.forget(name)
 
     def _cut(self, zone: str, for_s: float) -> None:
--- a/dappledrum/simulation/faults/machines.py
+++ b/dappledrum/simulation/faults/machines.py
@@ -23,7 +23,7 @@
     def begin(self, cluster: SimulatedCluster, restart_delay_s: float) -> None:
         workers = cluster.cloud.workers()
         for worker in cluster.rng.sample(workers, min(self.count, len(workers))):
-            worker.vanish()
+            worker.terminate()
             call_later(LISTED_AFTER_FAILURE_S, cluster.cloud.terminate, worker.name)
 
 
--- a/dappledrum/simulation/fleet.py
+++ b/dappledrum/simulation/fleet.py
@@ -142,7 +142,7 @@
             self.rng,
         )
 
-    def vanish(self) -> None:
+    def terminate(self) -> None:
         """Terminate the machine."""
         self.network.services.pop(self.name, None)
         for task in self.tasks:
@@ -495,7 +495,7 @@
         if machine is not None:
             machine.terminated_at = Worker.now()
             if machine.worker is not None:
-                machine.worker.vanish()
+                machine.worker.terminate()
             oldest = Worker.now() - MAX_LIST_LAGS * self.lag_s
             self.recently_terminated = [
                 one for one in self.recently_terminated if one.terminated_at > oldest
