--- a/dappledrum/controller/test_late_and_duplicate_heartbeats.py
+++ b/dappledrum/controller/test_late_and_duplicate_heartbeats.py
@@ -227,7 +227,7 @@
     for worker in old:
         worker.terminate()
         await cluster.wait(0.2)
-        cluster.cloud.machines[worker.name].worker = worker.begin_anew()
+        cluster.cloud.machines[worker.name].worker = worker.restarted()
     await cluster.wait(2)
     for member in FIVE:
         if not cluster.alive(member):
--- a/dappledrum/simulation/fleet.py
+++ b/dappledrum/simulation/fleet.py
@@ -129,7 +129,7 @@
             self._execute(call)
         return json_reply(200, self._next_heartbeat())
 
-    def begin_anew(self) -> "Worker":
+    def restarted(self) -> "Worker":
         """Restart the worker's process, whose tasks are gone; returns the new worker."""
         return Worker(
             self.name,
