--- a/dappledrum/membership/test_service_under_partitions.py
+++ b/dappledrum/membership/test_service_under_partitions.py
@@ -136,7 +136,7 @@
                     continue
                 max_gap = MAX_ANSWER_DELAY_S + FAILED_ATTEMPT_S * phase.count_unanswering(group)
                 if now - started_at > max_gap:
-                    gap = now - worker.answered
+                    gap = now - worker.answered_at
                     assert gap <= max_gap, (
                         f"{worker.name} has had no answer for {gap:.1f} s"
                         f" of {now - started_at:.1f} in {phase}, {cluster.leader()} leads"
--- a/dappledrum/scale/hollow.py
+++ b/dappledrum/scale/hollow.py
@@ -132,7 +132,7 @@
         recent = Worker.now() - self.settings.lease_s
         return Counters(
             len(self.workers),
-            sum(1 for w in self.workers.values() if w.token and w.answered > recent),
+            sum(1 for w in self.workers.values() if w.token and w.answered_at > recent),
             self.rules.running,
             self.sessions_of_gone + sum(w.session - 1 for w in self.workers.values()),
             self.network.traffic,
--- a/dappledrum/simulation/experiment.py
+++ b/dappledrum/simulation/experiment.py
@@ -92,7 +92,7 @@
             fault.begin(cluster, self.restart_delay_s)
         self.leaderless_s += SAMPLE_INTERVAL_S * (cluster.leader() is None)
         for worker in cluster.cloud.workers():
-            gap = now - worker.answered
+            gap = now - worker.answered_at
             self.longest_gaps[worker.name] = max(self.longest_gaps.get(worker.name, 0.0), gap)
             self.sessions[worker.name] = worker.session
         for effects, started_at, last_machine in self.observed:
--- a/dappledrum/simulation/fleet.py
+++ b/dappledrum/simulation/fleet.py
@@ -99,7 +99,7 @@
         self.changed = asyncio.Event()
         self.hung = False
         self.lease_renewed_at = self.now()
-        self.answered = self.now()  # last answered heartbeat; unchanged by a new session
+        self.answered_at = self.now()  # last answered heartbeat; unchanged by a new session
         self.last_token_change = -1e9
         self.tasks = [
             asyncio.get_running_loop().create_task(coroutine)
@@ -238,7 +238,7 @@
             return
         self._update_token(answer["baton"])
         self.lease_renewed_at = max(self.lease_renewed_at, sent)
-        self.answered = self.now()
+        self.answered_at = self.now()
         for call in answer["calls"]:
             self._execute(call)
 
--- a/dappledrum/simulation/network_partitions.py
+++ b/dappledrum/simulation/network_partitions.py
@@ -110,7 +110,7 @@
         now = asyncio.get_running_loop().time()
         for worker in cluster.cloud.workers():
             if worker.name in gaps:
-                gaps[worker.name] = max(gaps[worker.name], now - worker.answered)
+                gaps[worker.name] = max(gaps[worker.name], now - worker.answered_at)
     ended = sum(w.session - sessions.get(w.name, w.session) for w in cluster.cloud.workers())
     return leaderless, list(gaps.values()), ended
 
--- a/dappledrum/simulation/test_days.py
+++ b/dappledrum/simulation/test_days.py
@@ -242,10 +242,10 @@
         await cluster.wait(4)
         begin(cluster, "machine_mute", count=1, for_s=4.0)
         mute = {name for name, _ in cluster.network.muted}
-        served = {worker.name: worker.answered for worker in cluster.cloud.workers()}
+        served = {worker.name: worker.answered_at for worker in cluster.cloud.workers()}
         await cluster.wait(3.75)
         for worker in cluster.cloud.workers():
-            assert (worker.answered == served[worker.name]) is (worker.name in mute)
+            assert (worker.answered_at == served[worker.name]) is (worker.name in mute)
 
     run_check(check)
 
