--- a/dappledrum/controller/test_cancellations_in_outage.py
+++ b/dappledrum/controller/test_cancellations_in_outage.py
@@ -34,7 +34,7 @@
         await work.cancel(0, peers[0])
         if seed % 2:
             await work.cancel(1, peers[1])
-        cluster.store.out = True
+        cluster.store.in_outage = True
         await cluster.wait(CANCEL_S + 25)
         assert controller.elector.answering_term() is not None
         assert not work.running(0)
@@ -55,7 +55,7 @@
         confirming = work.others()[0]
         await work.cancel(0, confirming)
         began = now()
-        cluster.store.out = True
+        cluster.store.in_outage = True
         if how == "crashed":
             cluster.kill(confirming)
         elif how == "restarted":
@@ -88,7 +88,7 @@
         cluster.network.watcher = None
         assert await cluster.poll(job_name(0), peers[1]) == "cancelled"
         assert await cluster.submit(job(1, beats=3), 1, peers[2]) == 200
-        cluster.store.out = True
+        cluster.store.in_outage = True
         cluster.kill(peers[0])
         await cluster.wait(1)
         cluster.start(peers[0])
@@ -106,12 +106,12 @@
         def stop(sent):
             if sent.target == "state" and sent.path.startswith("/keys?prefix=job/"):
                 scans.append(sent.source)
-                cluster.store.out = True
+                cluster.store.in_outage = True
 
         cluster.network.watcher = stop
         cluster.kill(former)
         await work.cancel(0, peers[0])
-        await cluster.until(lambda: cluster.store.out, timeout_s=10)
+        await cluster.until(lambda: cluster.store.in_outage, timeout_s=10)
         cluster.network.watcher = None
         await cluster.wait(CANCEL_S + 10)
         assert cluster.controllers[scans[0]].elector.answering_term() is None
@@ -139,7 +139,7 @@
         cluster, controller, sessions = work.cluster, work.leading_controller(), work.sessions()
         cluster.store.refused.add(cluster.leader())
         await work.cancel(0, work.others()[0])
-        cluster.store.out = True
+        cluster.store.in_outage = True
         for worker in cluster.cloud.workers():
             work.hang(worker, work.rng.uniform(4, 6))
         await cluster.wait(4)
@@ -159,7 +159,7 @@
         cluster, controller = work.cluster, work.leading_controller()
         cluster.store.refused.add(cluster.leader())
         await work.cancel(0, work.others()[0])
-        cluster.store.out = True
+        cluster.store.in_outage = True
         cluster.drop_answers([worker.name for worker in cluster.cloud.workers()][::2])
         await cluster.wait(CANCEL_S + 15)
         assert controller.elector.answering_term() is not None
@@ -218,7 +218,7 @@
         cluster, leader = work.cluster, work.cluster.leader()
         cluster.store.refused.add(leader)
         await work.cancel(0, work.others()[0])
-        cluster.store.out = True
+        cluster.store.in_outage = True
         await cluster.until(lambda: not work.running(0), timeout_s=CANCEL_S / 2)
         assert cluster.store.keys["job/j-000000"][0]["cancelled"] is True
         cluster.store.refused.clear()
@@ -235,7 +235,7 @@
 
     async with long_running_jobs(6, JOBS) as work:
         elector = work.leading_controller().elector
-        work.cluster.store.out = True
+        work.cluster.store.in_outage = True
         await work.cluster.wait(3 * CANCEL_S)
         assert elector.answering_term() is not None
         assert elector.clock.now() - elector.term.cancellations_known_at < timedelta(seconds=3)
--- a/dappledrum/controller/test_concurrent_faults.py
+++ b/dappledrum/controller/test_concurrent_faults.py
@@ -153,7 +153,7 @@
         await scenario.until_led()
         await scenario.cancel(1, back)
         if rng.random() < 0.5:
-            cluster.store.out = True
+            cluster.store.in_outage = True
         await cluster.wait(rng.uniform(0, 2))
         for member in FIVE:
             if not cluster.alive(member):
@@ -184,7 +184,7 @@
         await cluster.wait(rng.uniform(0, 3))
         cluster.network.slow.clear()
         await cluster.wait(rng.uniform(0, 1))
-        cluster.store.out = True
+        cluster.store.in_outage = True
         await cluster.wait(CANCEL_S + rng.uniform(0, 15))
         cluster.store.refused.clear()
         cluster.store.end_outage()
--- a/dappledrum/controller/test_concurrent_leadership_faults.py
+++ b/dappledrum/controller/test_concurrent_leadership_faults.py
@@ -290,7 +290,7 @@
                 await change_leader(scenario, step, rng.choice(scenario.others()))
             elif outage:
                 await cluster.restart(rng.choice(FIVE), 0.1)
-            if turn % 4 == 1 and not cluster.store.out:
+            if turn % 4 == 1 and not cluster.store.in_outage:
                 await confirm(scenario, cancelled, rng.choice(FIVE))
                 cancelled += 1
             await cluster.wait(max(0.1, 12 + rng.uniform(-3, 3) - (now() - began)))
@@ -378,7 +378,7 @@
         await cluster.wait(rng.uniform(0, 0.5))
         await scenario.cancel(0, confirming)  # the leader cannot read it
         member = leader if leads else confirming
-        cluster.store.out = True
+        cluster.store.in_outage = True
         await cluster.wait(rng.uniform(0, 0.3))
         await cluster.restart(member, rng.choice((0.1, 0.3)))
         await cluster.wait(CANCEL_S + rng.uniform(0, 10))
--- a/dappledrum/controller/test_concurrent_user_requests.py
+++ b/dappledrum/controller/test_concurrent_user_requests.py
@@ -152,7 +152,7 @@
         await invalid.prepare()
         for member in FIVE:
             cluster.kill(member)
-        cluster.cloud.out = True
+        cluster.cloud.in_outage = True
         del cluster.store.keys["catalog"]
         for member in FIVE:
             cluster.start(member)
@@ -168,7 +168,7 @@
                 member, "POST", "/submissions", encoded_submission(960, {"vcpus": 400.0})
             )
             assert (response.status, state) == (200, "done")
-        cluster.cloud.out = False
+        cluster.cloud.in_outage = False
         await cluster.wait(8)
         for member in FIVE:
             await invalid.check(member)
@@ -183,7 +183,7 @@
         cluster, rng = scenario.cluster, scenario.rng
         invalid = InvalidRequests(cluster)
         await invalid.prepare()
-        cluster.store.out = True
+        cluster.store.in_outage = True
         invalid.longest_s = 0.0
         until = now() + rng.uniform(5, 20)
         while now() < until:
--- a/dappledrum/controller/test_crash_points.py
+++ b/dappledrum/controller/test_crash_points.py
@@ -24,7 +24,7 @@
     then, took them back so slowly that users found nobody for 10 s more."""
     cluster = await led_cluster(3, members=FIVE)
     await cluster.wait(3)
-    cluster.store.out = True
+    cluster.store.in_outage = True
     await cluster.wait(2)
     for member in FIVE:
         cluster.kill(member)
--- a/dappledrum/controller/test_end_to_end.py
+++ b/dappledrum/controller/test_end_to_end.py
@@ -63,7 +63,7 @@
     await cluster.until(lambda: len(cluster.rules.running) >= 8)
     await cluster.wait(2)
     running = set(cluster.rules.running)
-    cluster.store.out = True
+    cluster.store.in_outage = True
     await cluster.wait(cluster.lease_s * 2.5)
     assert running <= set(cluster.rules.running)
     cluster.store.end_outage()
@@ -114,7 +114,7 @@
 
 async def test_a_submission_in_an_outage_is_refused_at_once():
     cluster = await led_cluster(7)
-    cluster.store.out = True
+    cluster.store.in_outage = True
     await cluster.wait(2)
     spec = job(1)
     cluster.rules.submitted(spec)
@@ -129,7 +129,7 @@
     """Readiness once depended on the first read of the catalog: all stayed unready when only the
     cloud had answered it. Without peer heartbeats no peer is known that could serve instead."""
     cluster = await led_cluster(9, reach=False)
-    cluster.store.out = True
+    cluster.store.in_outage = True
     await cluster.wait(1)
     await fault_scenarios.all_killed(cluster)
     await cluster.wait(3)
@@ -251,7 +251,7 @@
     cluster = await led_cluster(20, lease_s=30.0)
     leader = cluster.leader()
     other = cluster.others(leader)[0]
-    cluster.store.out = True
+    cluster.store.in_outage = True
     await cluster.wait(4)
     assert cluster.controllers[leader].elector.valid_term() is not None
     await cluster.restart(other, 0.2)
@@ -265,7 +265,7 @@
 async def test_an_unreachable_store_is_logged_once_and_when_it_is_reached_again(caplog):
     cluster = await led_cluster(21)
     caplog.clear()
-    cluster.store.out = True
+    cluster.store.in_outage = True
     await cluster.wait(6)
     during = [r for r in caplog.records if "does not serve" in r.getMessage()]
     assert len(during) == len(cluster.members)
--- a/dappledrum/controller/test_late_and_duplicate_heartbeats.py
+++ b/dappledrum/controller/test_late_and_duplicate_heartbeats.py
@@ -31,7 +31,7 @@
     elif what == "hang" and workers:
         work.hang(rng.choice(workers), rng.uniform(2, 1.5 * LEASE_S))
     else:
-        cluster.store.out = True
+        cluster.store.in_outage = True
         await cluster.wait(rng.uniform(1, 5))
         cluster.store.end_outage()
 
@@ -247,10 +247,10 @@
         cluster.isolate(rng.choice(FIVE))
         if cluster.leader() is not None and turn % 2:
             await cluster.restart(cluster.leader(), rng.uniform(0, 0.5))
-        cluster.store.out = turn == 3
+        cluster.store.in_outage = turn == 3
         asked = asyncio.ensure_future(work.submit(200 + turn, beats=4, tries=60))
         await cluster.wait(rng.uniform(2, 12))
-        if cluster.store.out:
+        if cluster.store.in_outage:
             cluster.store.end_outage()
         cluster.network.heal()
         await cluster.wait(rng.uniform(0, 4))
--- a/dappledrum/controller/test_upgrade.py
+++ b/dappledrum/controller/test_upgrade.py
@@ -85,7 +85,7 @@
 
 async def outage_during_upgrade(cluster):
     await cluster.upgrade(cluster.members[0])
-    cluster.store.out = True
+    cluster.store.in_outage = True
     await cluster.wait(5)
     cluster.store.end_outage()
     await one_by_one(cluster)
--- a/dappledrum/dependencies/test_dependencies.py
+++ b/dappledrum/dependencies/test_dependencies.py
@@ -153,7 +153,7 @@
     cluster = await ready_cluster(37)
     assert await cluster.submit(dependent_job(1, beats=1)) == 201
     await cluster.finish([name(1)])
-    cluster.store.out = True
+    cluster.store.in_outage = True
     await cluster.wait(2)
     cluster.rules.submitted(dependent_job(2, 1))
     began = now()
--- a/dappledrum/jobs/test_garbage.py
+++ b/dappledrum/jobs/test_garbage.py
@@ -45,7 +45,7 @@
 
         spec_keys = []
         cluster.network.watcher = accept_between_lists
-        cluster.cloud.out = True  # keeps the job from running until another controller leads
+        cluster.cloud.in_outage = True  # keeps the job from running until another controller leads
         await cluster.restart(cluster.leader(), 0.3)
         await cluster.until(lambda: bool(stored_keys(cluster, "job/")), timeout_s=10)
         cluster.network.watcher = None
@@ -53,7 +53,7 @@
         assert spec_keys
         assert stored_keys(cluster, "spec/") == spec_keys
         await cluster.restart(cluster.leader(), 0.3)
-        cluster.cloud.out = False
+        cluster.cloud.in_outage = False
         await cluster.finish([spec["id"]])
 
     run(main())
@@ -110,7 +110,7 @@
         then = [{"write": key, "value": {}}]
         if live:
             spec = job(9, builds=["small"] + [f"{n:04d}" * 10 for n in range(30)], dueS=None)
-            cluster.cloud.out = True
+            cluster.cloud.in_outage = True
             accept_immediately(cluster, cluster.controllers[cluster.leader()], spec)
         else:
             cluster.store._multi({"guards": [], "then": then})
--- a/dappledrum/membership/test_outages.py
+++ b/dappledrum/membership/test_outages.py
@@ -26,7 +26,7 @@
         else:
             others = [m for m in FIVE if m != missing]
             cluster.cut_off(missing, "state", *others, *("back-" + m for m in others))
-        cluster.store.out = True
+        cluster.store.in_outage = True
         await wait_without_lost_leases(cluster, 15)
         cluster.store.end_outage()
         if how == "frozen":
@@ -47,7 +47,7 @@
         cluster = await cluster_with_long_jobs(seed=4)
         leader = cluster.leader()
         cluster.kill(next(m for m in FIVE if m != leader))
-        cluster.store.out = True
+        cluster.store.in_outage = True
         await cluster.wait(13)
         assert cluster.controllers[leader].elector.valid_term() is not None
         await cluster.wait(6)
--- a/dappledrum/recovery/test_last_answers.py
+++ b/dappledrum/recovery/test_last_answers.py
@@ -69,7 +69,7 @@
 
     async def main():
         cluster = await start_busy_cluster(clusters, 1)
-        cluster.store.out = True
+        cluster.store.in_outage = True
         await cluster.wait(1)
         hang_every_nth_worker(cluster, 2)
         await cluster.restart_all(3.0)
@@ -114,7 +114,7 @@
                 await cluster.wait(rng.uniform(2, 8))
                 cluster.thaw(leader)
             else:
-                cluster.store.out = True
+                cluster.store.in_outage = True
                 await cluster.wait(rng.uniform(1, 3))
                 await cluster.restart(rng.choice(FIVE), 0.3)
                 await cluster.wait(rng.uniform(1, 6))
--- a/dappledrum/simulation/crash_points.py
+++ b/dappledrum/simulation/crash_points.py
@@ -159,7 +159,7 @@
         leader = cluster.leader()
         if leader is not None:
             await cluster.restart(leader, rng.uniform(0, 4))
-    cluster.store.out = True
+    cluster.store.in_outage = True
     await cluster.wait(rng.uniform(2, 4))
     cluster.store.end_outage()
     await cluster.wait(rng.uniform(14, 16))  # the term must be old enough for a transfer
--- a/dappledrum/simulation/fault_combinations.py
+++ b/dappledrum/simulation/fault_combinations.py
@@ -180,7 +180,7 @@
         user_rng = random.Random(f"{seed} {number}")
         users.append(asyncio.ensure_future(user(cluster, submission(number, user_rng), user_rng)))
     await _inject(cluster, faults, restart_delay_s)
-    assert not cluster.store.out, description
+    assert not cluster.store.in_outage, description
     assert not cluster.store.refused, description
     assert not cluster.network.late_writes, description
     end_all(cluster)
--- a/dappledrum/simulation/fault_scenarios.py
+++ b/dappledrum/simulation/fault_scenarios.py
@@ -85,7 +85,7 @@
     """The store refuses all requests for some seconds."""
 
     async def fault(cluster: SimulatedCluster) -> None:
-        cluster.store.out = True
+        cluster.store.in_outage = True
         await cluster.wait(seconds)
         cluster.store.end_outage()
 
@@ -104,7 +104,7 @@
 
 async def outage_and_all_killed(cluster: SimulatedCluster) -> None:
     """All controllers crash and restart during an outage of the store."""
-    cluster.store.out = True
+    cluster.store.in_outage = True
     await cluster.wait(4)
     await all_killed(cluster)
     await cluster.wait(12)
@@ -175,7 +175,7 @@
 
 async def peers_refused_in_an_outage(cluster: SimulatedCluster) -> None:
     """An outage in which no peer grants a lease, so the leader has to stop answering in time."""
-    cluster.store.out = True
+    cluster.store.in_outage = True
     others = cluster.others(leading(cluster))
     await _leader_refused_by(cluster, *("back-" + member for member in others))
     cluster.store.end_outage()
@@ -223,9 +223,9 @@
 
 async def cloud_out(cluster: SimulatedCluster) -> None:
     """The cloud refuses all requests."""
-    cluster.cloud.out = True
+    cluster.cloud.in_outage = True
     await cluster.wait(20)
-    cluster.cloud.out = False
+    cluster.cloud.in_outage = False
 
 
 async def machines_hang(cluster: SimulatedCluster) -> None:
--- a/dappledrum/simulation/faults/__init__.py
+++ b/dappledrum/simulation/faults/__init__.py
@@ -65,9 +65,9 @@
     network.copies = network.late_writes = network.late_commands = network.watcher = None
     network.copies_for_next_leader.clear()
     cluster.store.refused.clear()
-    if cluster.store.out:
+    if cluster.store.in_outage:
         cluster.store.end_outage()
-    cluster.cloud.out = False
+    cluster.cloud.in_outage = False
     for worker in cluster.cloud.workers():
         worker.hung = False
     for member in cluster.members:
--- a/dappledrum/simulation/faults/key_value_store.py
+++ b/dappledrum/simulation/faults/key_value_store.py
@@ -11,7 +11,7 @@
     """The store answers all requests with 503."""
 
     def begin(self, cluster: SimulatedCluster, restart_delay_s: float) -> None:
-        cluster.store.out = True
+        cluster.store.in_outage = True
         call_later(self.for_s, cluster.store.end_outage)
 
 
--- a/dappledrum/simulation/faults/machines.py
+++ b/dappledrum/simulation/faults/machines.py
@@ -86,8 +86,8 @@
     """The cloud answers all requests with 503."""
 
     def begin(self, cluster: SimulatedCluster, restart_delay_s: float) -> None:
-        cluster.cloud.out = True
-        call_later(self.for_s, setattr, cluster.cloud, "out", False)
+        cluster.cloud.in_outage = True
+        call_later(self.for_s, setattr, cluster.cloud, "in_outage", False)
 
 
 class LateReports(LastingFault, tag="late_reports"):
--- a/dappledrum/simulation/fleet.py
+++ b/dappledrum/simulation/fleet.py
@@ -430,7 +430,7 @@
         self.recently_terminated: list[RentedMachine] = []
         self.answers: dict[str, list[str]] = {}  # machines by rental request: retries get the same
         self.max_machines = 12
-        self.out = False
+        self.in_outage = False
         self.stalled = 0.0  # share of new machines that never boot
         self.slow = 1.0  # factor on boot times
         self.next = 0  # number of the newest machine
@@ -438,7 +438,7 @@
     async def __call__(self, source: str, method: str, path: str, body: bytes) -> Reply:
         """Handle one request."""
         await asyncio.sleep(0.05)
-        if self.out:
+        if self.in_outage:
             return json_reply(503, {"error": "trouble"})
         if path == "/catalog":
             return json_reply(200, {"builds": self.types})
--- a/dappledrum/simulation/key_value_store.py
+++ b/dappledrum/simulation/key_value_store.py
@@ -37,7 +37,7 @@
 class KeyValueStore:
     """A store in memory.
 
-    `out` simulates an outage; hosts in `refused` get 503 while others are served.
+    `in_outage` simulates an outage; hosts in `refused` get 503 while others are served.
     """
 
     def __init__(self) -> None:
@@ -46,7 +46,7 @@
         self.holds: dict[int, tuple[float, float]] = {}  # when it expires, its duration
         self.log: list[dict[str, Any]] = []  # all changes, as events of watches
         self.changed = asyncio.Event()
-        self.out = False
+        self.in_outage = False
         self.refused: set[str] = set()
         self.last_lease = 1
         self.writes = 0
@@ -63,14 +63,14 @@
 
     def end_outage(self) -> None:
         """End the outage, and renew every lease for its full duration."""
-        self.out = False
+        self.in_outage = False
         now = asyncio.get_running_loop().time()
         self.holds = {
             lease: (now + duration_s, duration_s) for lease, (_, duration_s) in self.holds.items()
         }
 
     def _expire(self) -> None:
-        if self.out:
+        if self.in_outage:
             return
         now = asyncio.get_running_loop().time()
         for lease, (end, _) in list(self.holds.items()):
@@ -112,7 +112,7 @@
 
     def _refusal(self, source: str) -> Reply | None:
         """The answer that refuses a request in an outage or above the rate; None: serve it."""
-        if self.out or source in self.refused:
+        if self.in_outage or source in self.refused:
             return json_reply(503, {"error": "trouble"})
         if not self.request_budget.take(1, self.rps):
             self.over_rate += 1
@@ -209,7 +209,7 @@
         )
         while True:
             events = []
-            if not self.out and source not in self.refused:
+            if not self.in_outage and source not in self.refused:
                 self._expire()
                 newer = bisect.bisect_right(self.log, newer_than, key=lambda event: event["stamp"])
                 events = [
--- a/dappledrum/simulation/network_partitions.py
+++ b/dappledrum/simulation/network_partitions.py
@@ -72,7 +72,7 @@
     """A follower is down, and the store has an outage for a third of the time, longer than a
     lease."""
     cluster.kill(after(leader, 2))
-    cluster.store.out = True
+    cluster.store.in_outage = True
     asyncio.get_running_loop().call_later(PARTITION_S / 3, cluster.store.end_outage)
 
 
@@ -106,7 +106,7 @@
     leaderless = 0.0
     for _ in range(int(PARTITION_S / CHECK_INTERVAL_S)):
         await cluster.wait(CHECK_INTERVAL_S)
-        leaderless += CHECK_INTERVAL_S * (cluster.leader() is None and not cluster.store.out)
+        leaderless += CHECK_INTERVAL_S * (cluster.leader() is None and not cluster.store.in_outage)
         now = asyncio.get_running_loop().time()
         for worker in cluster.cloud.workers():
             if worker.name in gaps:
--- a/dappledrum/simulation/test_days.py
+++ b/dappledrum/simulation/test_days.py
@@ -422,9 +422,9 @@
         end_all(cluster)
         await cluster.wait(20)
         network = cluster.network
-        assert not (cluster.store.out)
+        assert not (cluster.store.in_outage)
         assert not (cluster.store.refused)
-        assert not (cluster.cloud.out)
+        assert not (cluster.cloud.in_outage)
         assert not (network.late_writes)
         assert not (network.late_commands)
         assert not (network.copies)
