--- a/dappledrum/controller/test_cancellations_in_outage.py
+++ b/dappledrum/controller/test_cancellations_in_outage.py
@@ -124,10 +124,10 @@
 
     async with long_running_jobs(seed) as work:
         cluster = work.cluster
-        cluster.network.slow[(cluster.leader(), "state")] = 2.5
+        cluster.network.extra_latency_s[(cluster.leader(), "state")] = 2.5
         await work.cancel(0, work.others()[0])
         for member in FIVE:
-            cluster.network.slow[(member, "state")] = 2.5
+            cluster.network.extra_latency_s[(member, "state")] = 2.5
         await cluster.wait(CANCEL_S + 20)
 
 
--- a/dappledrum/controller/test_concurrent_faults.py
+++ b/dappledrum/controller/test_concurrent_faults.py
@@ -173,8 +173,8 @@
         cluster, rng = scenario.cluster, scenario.rng
         await scenario.submit_long(0, 1, 2)
         for member in FIVE:
-            cluster.network.slow[(member, "state")] = slow
-            cluster.network.slow[("state", member)] = slow / 4
+            cluster.network.extra_latency_s[(member, "state")] = slow
+            cluster.network.extra_latency_s[("state", member)] = slow / 4
         await cluster.wait(rng.uniform(2, 10))
         cancelled = [asyncio.ensure_future(cluster.cancel("j-000900", 60))]
         await cluster.wait(rng.uniform(0, 4))
@@ -182,7 +182,7 @@
             cluster.store.refused.add(cluster.leader())
         cancelled.append(asyncio.ensure_future(cluster.cancel("j-000901", 60)))
         await cluster.wait(rng.uniform(0, 3))
-        cluster.network.slow.clear()
+        cluster.network.extra_latency_s.clear()
         await cluster.wait(rng.uniform(0, 1))
         cluster.store.in_outage = True
         await cluster.wait(CANCEL_S + rng.uniform(0, 15))
--- a/dappledrum/controller/test_concurrent_leadership_faults.py
+++ b/dappledrum/controller/test_concurrent_leadership_faults.py
@@ -336,7 +336,7 @@
             await scenario.until_led()
             former = cluster.leader()
             slow = [worker.name for worker in cluster.cloud.workers()[turn % 2 :: 2]]
-            cluster.network.slow.update({(former, name): held for name in slow})
+            cluster.network.extra_latency_s.update({(former, name): held for name in slow})
             numbers = [10 * turn + number for number in range(4)]
             await scenario.submit_long(*numbers[:2], crew="red")
             await scenario.submit_long(*numbers[2:], vcpus=0.5)
--- a/dappledrum/controller/test_concurrent_limit_faults.py
+++ b/dappledrum/controller/test_concurrent_limit_faults.py
@@ -152,8 +152,8 @@
     for member in FIVE:
         for other in ("user", "state", "cloud", *workers):
             span = rng.choice((0.1, 0.4, 1.5)) if other != "state" else rng.choice((0.05, 0.3))
-            cluster.network.slow[(member, other)] = span * rng.random()
-            cluster.network.slow[(other, member)] = span * rng.random()
+            cluster.network.extra_latency_s[(member, other)] = span * rng.random()
+            cluster.network.extra_latency_s[(other, member)] = span * rng.random()
 
 
 @SEEDS
@@ -182,7 +182,7 @@
             if number == 12:
                 await change_leader(scenario)
         await cluster.wait(rng.uniform(20, 40))
-        cluster.network.slow.clear()
+        cluster.network.extra_latency_s.clear()
         cluster.rules.faults_over_at = (
             now()
         )  # from here on no job may be left waiting beside free capacity
--- a/dappledrum/membership/test_outages.py
+++ b/dappledrum/membership/test_outages.py
@@ -143,7 +143,7 @@
             leader = cluster.leader()
             # Requests to the store take long enough for elections to overlap.
             for member in FIVE:
-                cluster.network.slow[(member, "state")] = cluster.rng.uniform(0, 0.1)
+                cluster.network.extra_latency_s[(member, "state")] = cluster.rng.uniform(0, 0.1)
             await cluster.restart(leader, 5.0)
             await cluster.wait(3)
             for member in FIVE:
--- a/dappledrum/simulation/network.py
+++ b/dappledrum/simulation/network.py
@@ -83,7 +83,9 @@
         self.blocked: set[tuple[str, str]] = set()  # one way: requests held back, answers lost
         #: The first host can't open connections to the second, which may open them to the first.
         self.muted: set[tuple[str, str]] = set()
-        self.slow: dict[tuple[str, str], float] = {}  # extra seconds from one host to another
+        self.extra_latency_s: dict[
+            tuple[str, str], float
+        ] = {}  # extra seconds from one host to another
         #: Called with each request as it arrives. Returns None to execute it normally, or the
         #: seconds after which it is executed without an answer to its sender.
         self.watcher: Callable[[Sent], float | None] | None = None
@@ -108,7 +110,7 @@
         self.refusing.clear()
         self.blocked.clear()
         self.muted.clear()
-        self.slow.clear()
+        self.extra_latency_s.clear()
         self._deliver_held()
 
     def mend(self, pairs: set[frozenset[str]]) -> None:
@@ -231,7 +233,9 @@
         pair = frozenset((self.source, self.target))
         forward = (host(self.source), host(self.target))
         backward = (forward[1], forward[0])
-        await asyncio.sleep(network.rng.uniform(0.0005, 0.004) + network.slow.get(forward, 0.0))
+        await asyncio.sleep(
+            network.rng.uniform(0.0005, 0.004) + network.extra_latency_s.get(forward, 0.0)
+        )
         if pair in network.cuts or forward in network.blocked:
             network.held_requests.append((self.source, self.target, method, path, body))
             await asyncio.sleep(NO_RESPONSE_S)
@@ -254,7 +258,9 @@
         reply = await asyncio.shield(serving)
         if path == "/hello" and reply.status == 200:
             network._deliver_kept_copies(self.target, reply.body)
-        await asyncio.sleep(network.rng.uniform(0.0005, 0.004) + network.slow.get(backward, 0.0))
+        await asyncio.sleep(
+            network.rng.uniform(0.0005, 0.004) + network.extra_latency_s.get(backward, 0.0)
+        )
         if pair in network.cuts or pair in network.answers_dropped or backward in network.blocked:
             await asyncio.sleep(NO_RESPONSE_S)
         if self.ended:
--- a/dappledrum/simulation/users.py
+++ b/dappledrum/simulation/users.py
@@ -257,7 +257,7 @@
     """Vary the latency between these hosts and the store every few milliseconds, so that a later
     request may overtake an earlier one; runs until cancelled."""
     members = list(hosts)
-    extra_delay = cluster.network.slow
+    extra_delay = cluster.network.extra_latency_s
     try:
         while True:
             for member in members:
