--- a/dappledrum/controller/test_concurrent_limit_faults.py
+++ b/dappledrum/controller/test_concurrent_limit_faults.py
@@ -250,7 +250,7 @@
 
     async with running_scenario(seed, machines=2, users=4) as scenario:
         cluster, rng = scenario.cluster, scenario.rng
-        cluster.cloud.slow = 0.1
+        cluster.cloud.boot_time_factor = 0.1
         cluster.cloud.lag_s = 15.0
         cluster.cloud.max_machines = 30
 
--- a/dappledrum/controller/test_slow_boots.py
+++ b/dappledrum/controller/test_slow_boots.py
@@ -11,21 +11,21 @@
 
 def boot_times_multiplied(factor):
     async def fault(cluster):
-        cluster.cloud.slow = factor
+        cluster.cloud.boot_time_factor = factor
         await machines_taken(cluster)
         await cluster.wait(40)
-        cluster.cloud.slow = 1.0
+        cluster.cloud.boot_time_factor = 1.0
 
     fault.__name__ = f"boots_times_{factor}"
     return fault
 
 
 async def stalled_boots_and_leader_killed(cluster):
-    cluster.cloud.stalled = 0.5
+    cluster.cloud.failing_boot_share = 0.5
     await machines_taken(cluster)
     await leader_killed(cluster)
     await cluster.wait(20)
-    cluster.cloud.stalled = 0.0
+    cluster.cloud.failing_boot_share = 0.0
 
 
 async def list_of_machines_lags(cluster):
@@ -51,7 +51,7 @@
 
 async def test_few_machines_are_rented_while_all_boots_are_slow():
     cluster = SimulatedCluster(seed=52)
-    cluster.cloud.slow = 8.0
+    cluster.cloud.boot_time_factor = 8.0
     await cluster.until(lambda: cluster.leader() is not None)
     await cluster.submit(job(1, beats=12, dueS=30.0))
     await cluster.until(lambda: len(cluster.cloud.machines) >= 1)
--- a/dappledrum/simulation/fault_scenarios.py
+++ b/dappledrum/simulation/fault_scenarios.py
@@ -249,7 +249,7 @@
 
 async def boots_stall(cluster: SimulatedCluster) -> None:
     """Half of the machines are terminated, and machines rented in the next 22 s never boot."""
-    cluster.cloud.stalled = 1.0
+    cluster.cloud.failing_boot_share = 1.0
     await machines_taken(cluster)
     await cluster.wait(20)
-    cluster.cloud.stalled = 0.0
+    cluster.cloud.failing_boot_share = 0.0
--- a/dappledrum/simulation/fleet.py
+++ b/dappledrum/simulation/fleet.py
@@ -431,8 +431,8 @@
         self.answers: dict[str, list[str]] = {}  # machines by rental request: retries get the same
         self.max_machines = 12
         self.in_outage = False
-        self.stalled = 0.0  # share of new machines that never boot
-        self.slow = 1.0  # factor on boot times
+        self.failing_boot_share = 0.0  # share of new machines that never boot
+        self.boot_time_factor = 1.0  # factor on boot times
         self.next = 0  # number of the newest machine
 
     async def __call__(self, source: str, method: str, path: str, body: bytes) -> Reply:
@@ -467,10 +467,12 @@
         self.next += 1
         name = f"host-{self.next:06d}"
         model = next(t for t in self.types if t["label"] == kind[0])
-        machine = RentedMachine(name, kind, Worker.now(), self.rng.random() >= self.stalled)
+        machine = RentedMachine(
+            name, kind, Worker.now(), self.rng.random() >= self.failing_boot_share
+        )
         self.machines[name] = machine
         if machine.completes_boot:
-            delay = model["readyS"] * self.rng.uniform(0.6, 1.5) * self.slow
+            delay = model["readyS"] * self.rng.uniform(0.6, 1.5) * self.boot_time_factor
             asyncio.get_running_loop().call_later(delay, self._finish_boot, machine, model)
         return name
 
