--- a/dappledrum/controller/test_concurrent_leadership_faults.py
+++ b/dappledrum/controller/test_concurrent_leadership_faults.py
@@ -228,7 +228,7 @@
 def no_worker(cluster):
     """Nothing passes between controllers and machines, new ones too."""
     for member in FIVE:
-        for number in range(1, cluster.cloud.next + 40):
+        for number in range(1, cluster.cloud.last_number + 40):
             cluster.network.cut(member, f"host-{number:06d}")
 
 
--- a/dappledrum/controller/test_end_to_end.py
+++ b/dappledrum/controller/test_end_to_end.py
@@ -149,10 +149,10 @@
     await cluster.accept(job(1, beats=6, vcpus=4.0, builds=["small"], dueS=60.0))
     await cluster.until(lambda: len(cluster.cloud.machines) >= 2)
     await cluster.wait(3)
-    rented = cluster.cloud.next
+    rented = cluster.cloud.last_number
     await cluster.restart(cluster.leader())
     await cluster.until(lambda: cluster.rules.starts > 0)
-    assert cluster.cloud.next <= rented + 1
+    assert cluster.cloud.last_number <= rented + 1
     await cluster.finish(["j-000001"])
 
 
--- a/dappledrum/controller/test_paused_processes.py
+++ b/dappledrum/controller/test_paused_processes.py
@@ -57,7 +57,7 @@
     cluster = await led_cluster(37)
     names = await cluster.accept_jobs(3, runS=30.0, expectedS=30.0, dueS=55.0)
     await cluster.until(lambda: len(cluster.rules.running) == 12)
-    machines, rented = set(cluster.cloud.machines), cluster.cloud.next
+    machines, rented = set(cluster.cloud.machines), cluster.cloud.last_number
     for _ in range(3):
         leader = cluster.leader()
         cluster.freeze(leader)
@@ -66,7 +66,7 @@
         await cluster.wait(1.5)
         assert cluster.leader() == leader
     assert set(cluster.cloud.machines) == machines
-    assert cluster.cloud.next == rented
+    assert cluster.cloud.last_number == rented
     await cluster.finish(names)
     assert cluster.rules.starts == 12
 
--- a/dappledrum/controller/test_slow_boots.py
+++ b/dappledrum/controller/test_slow_boots.py
@@ -56,9 +56,9 @@
     await cluster.submit(job(1, beats=12, dueS=30.0))
     await cluster.until(lambda: len(cluster.cloud.machines) >= 1)
     await cluster.wait(8)
-    rented = cluster.cloud.next
+    rented = cluster.cloud.last_number
     await cluster.wait(50)
-    assert cluster.cloud.next <= rented + 3
+    assert cluster.cloud.last_number <= rented + 3
     await cluster.finish(["j-000001"])
 
 
--- a/dappledrum/recovery/test_return_times.py
+++ b/dappledrum/recovery/test_return_times.py
@@ -54,7 +54,7 @@
         )
         await cluster.submit(long_job)
         await cluster.wait(100)
-        up, rented = len(cluster.cloud.workers()), cluster.cloud.next
+        up, rented = len(cluster.cloud.workers()), cluster.cloud.last_number
         assert up >= 30
         for worker in cluster.cloud.workers():
             worker.hung = True
@@ -62,15 +62,15 @@
         await cluster.until(lambda: cluster.leader() is not None)
         assert await cluster.submit(job(2, beats=30, dueS=50.0)) == 201
         await cluster.wait(2.5)
-        assert cluster.cloud.next == rented, "the machines may return at any moment"
+        assert cluster.cloud.last_number == rented, "the machines may return at any moment"
         if machines_return:
             for worker in cluster.cloud.workers():
                 worker.hung = False
             await cluster.finish(["j-000001", "j-000002"])
-            assert cluster.cloud.next <= rented + 3
+            assert cluster.cloud.last_number <= rented + 3
         else:
             await cluster.wait(20)
-            assert cluster.cloud.next > rented + 5, "the machines do not return"
+            assert cluster.cloud.last_number > rented + 5, "the machines do not return"
             for worker in cluster.cloud.workers():
                 worker.hung = False
             await cluster.finish(["j-000001", "j-000002"])
@@ -96,12 +96,12 @@
             assert await cluster.submit(spec) == 201
         await cluster.until(lambda: cluster.rules.starts >= 200)
         await cluster.wait(6)
-        rented, up = cluster.cloud.next, len(cluster.cloud.workers())
+        rented, up = cluster.cloud.last_number, len(cluster.cloud.workers())
         await cluster.restart_all(8.0)
         await cluster.until(lambda: cluster.leader() is not None)
         await cluster.wait(8)
         assert up >= 20
-        assert cluster.cloud.next - rented <= 13
+        assert cluster.cloud.last_number - rented <= 13
         await cluster.finish(job_ids, timeout_s=600)
 
     run(main())
--- a/dappledrum/simulation/experiment.py
+++ b/dappledrum/simulation/experiment.py
@@ -88,7 +88,7 @@
         while self.pending_faults and self.pending_faults[0].at_s <= now:
             fault = self.pending_faults.pop(0)
             effects = FaultEffects(fault.at_s, fault.kind, running)
-            self.observed.append((effects, now, cluster.cloud.next))
+            self.observed.append((effects, now, cluster.cloud.last_number))
             fault.begin(cluster, self.restart_delay_s)
         self.leaderless_s += SAMPLE_INTERVAL_S * (cluster.leader() is None)
         for worker in cluster.cloud.workers():
@@ -97,7 +97,7 @@
             self.sessions[worker.name] = worker.session
         for effects, started_at, last_machine in self.observed:
             if now - started_at <= RENTED_WITHIN_S:
-                effects.rented = cluster.cloud.next - last_machine
+                effects.rented = cluster.cloud.last_number - last_machine
         if self.observed:  # until the next fault
             effects, started_at, _ = self.observed[-1]
             if running < effects.running_before * RECOVERED_SHARE:
@@ -175,7 +175,7 @@
         sum(session - 1 for session in sampler.sessions.values()),
         starts,
         len(names) * TASKS_PER_JOB,
-        cluster.cloud.next - machines,
+        cluster.cloud.last_number - machines,
         round(cluster.store.requests / until_s, 1),
         round(cluster.store.writes / until_s, 1),
         round(max(waits, default=0.0), 2),
--- a/dappledrum/simulation/fleet.py
+++ b/dappledrum/simulation/fleet.py
@@ -433,7 +433,7 @@
         self.in_outage = False
         self.failing_boot_share = 0.0  # share of new machines that never boot
         self.boot_time_factor = 1.0  # factor on boot times
-        self.next = 0  # number of the newest machine
+        self.last_number = 0  # number of the newest machine
 
     async def __call__(self, source: str, method: str, path: str, body: bytes) -> Reply:
         """Handle one request."""
@@ -464,8 +464,8 @@
 
     def add(self, kind: tuple[str, str, bool]) -> str:
         """Rent a machine, which starts to boot; returns its name."""
-        self.next += 1
-        name = f"host-{self.next:06d}"
+        self.last_number += 1
+        name = f"host-{self.last_number:06d}"
         model = next(t for t in self.types if t["label"] == kind[0])
         machine = RentedMachine(
             name, kind, Worker.now(), self.rng.random() >= self.failing_boot_share
