--- a/dappledrum/controller/test_upgrade.py
+++ b/dappledrum/controller/test_upgrade.py
@@ -26,7 +26,9 @@
 
 def old_cluster(seed):
     members = tuple(f"drummer-{n}" for n in range(3))
-    cluster = SimulatedCluster(seed=seed, members=members, next=REDUCED_LIMITS, old=set(members))
+    cluster = SimulatedCluster(
+        seed=seed, members=members, next=REDUCED_LIMITS, on_previous_version=set(members)
+    )
     cluster.cloud.max_machines = 30
     return cluster
 
@@ -58,14 +60,16 @@
 
 
 async def leader_last(cluster):
-    while len(cluster.old) > 1:
-        await cluster.upgrade(next(m for m in sorted(cluster.old) if m != cluster.leader()))
+    while len(cluster.on_previous_version) > 1:
+        await cluster.upgrade(
+            next(m for m in sorted(cluster.on_previous_version) if m != cluster.leader())
+        )
         await cluster.wait(3)
     await one_by_one(cluster)
 
 
 async def all_at_once(cluster):
-    cluster.old.clear()
+    cluster.on_previous_version.clear()
     await cluster.restart_all()
 
 
@@ -116,7 +120,7 @@
     await cluster.until(lambda: cluster.leader() is not None)
     await submit_jobs_to_old_version(cluster)
     await upgrade(cluster)
-    assert not cluster.old
+    assert not cluster.on_previous_version
     assert not cluster.store.too_large
     cluster.drop_limits()
     # Dependencies on jobs of the old version, which are live or have ended.
@@ -155,7 +159,7 @@
     await cluster.finish([job_name(3), job_name(4)])
     assert 0 < len(cluster.store.too_large) < 12
     assert await cluster.cancel(job_name(2)) == "cancelled"
-    cluster.old.clear()
+    cluster.on_previous_version.clear()
     cluster.start(missing)
     await cluster.finish([job_name(1)])
     await cluster.wait(25)
--- a/dappledrum/gangs/test_gangs.py
+++ b/dappledrum/gangs/test_gangs.py
@@ -250,7 +250,7 @@
 def test_gangs_are_accepted_once_all_controllers_support_them():
     async def main():
         members = tuple(f"drummer-{n}" for n in range(3))
-        cluster = SimulatedCluster(seed=65, members=members, old={"drummer-2"})
+        cluster = SimulatedCluster(seed=65, members=members, on_previous_version={"drummer-2"})
         await cluster.until(lambda: cluster.leader() is not None)
         reply = await cluster.submit(gang_job(1), tries=3, member="drummer-0")
         assert reply is None  # 503: an older leader could not read the record
--- a/dappledrum/membership/test_partitions.py
+++ b/dappledrum/membership/test_partitions.py
@@ -202,7 +202,7 @@
 
 async def test_peers_of_the_previous_version_get_no_heartbeats():
     """Two of three controllers don't support heartbeats: leadership and work are unaffected."""
-    cluster = await led_cluster(7, old={"drummer-1", "drummer-2"})
+    cluster = await led_cluster(7, on_previous_version={"drummer-1", "drummer-2"})
     await cluster.accept(job(1, beats=4, runS=20.0))
     await cluster.wait(5)
     for controller in cluster.controllers.values():
--- a/dappledrum/simulation/cluster.py
+++ b/dappledrum/simulation/cluster.py
@@ -141,7 +141,7 @@
     next: NextLimits | None = None
     reach: bool = True
     # Controllers that run the previous version, without job dependencies.
-    old: set[str] = field(default_factory=set)
+    on_previous_version: set[str] = field(default_factory=set)
     rng: random.Random = field(init=False)
     controllers: dict[str, Controller] = field(default_factory=dict)
     processes: dict[str, asyncio.Task[None]] = field(default_factory=dict)
@@ -199,7 +199,7 @@
         peer_clients = {peer.member: self._link(member, "back-" + peer.member) for peer in peers}
         environment = Environment(
             settings,
-            Tuning(peer_heartbeats_enabled=self.reach and member not in self.old),
+            Tuning(peer_heartbeats_enabled=self.reach and member not in self.on_previous_version),
             clock,
             random.Random(self.rng.random()),
         )
@@ -234,7 +234,7 @@
 
     def _params(self, member: str) -> Params:
         """Settings as a controller reads them; the previous version ignores `next` limits."""
-        if member not in self.old:
+        if member not in self.on_previous_version:
             return self.params
         return msgspec.structs.replace(
             self.params, state=msgspec.structs.replace(self.params.state, next=None)
@@ -242,7 +242,7 @@
 
     def _peer_handler(self, controller: Controller, member: str) -> Handler:
         """The handler of peer requests; the previous version refuses kinds unknown to it."""
-        if member not in self.old:
+        if member not in self.on_previous_version:
             return controller.serve_peer
 
         async def refuse(request: Request) -> Response:
@@ -255,7 +255,7 @@
 
     def _store_client(self, member: str) -> HttpClient:
         link = self._link(member, "state")
-        return PreviousVersionClient(link) if member in self.old else link
+        return PreviousVersionClient(link) if member in self.on_previous_version else link
 
     async def restart_all(self, after: float = 3.0) -> None:
         """Kill all controllers at once, and start them again after some seconds."""
@@ -267,7 +267,7 @@
 
     async def upgrade(self, member: str, after: float = 3.0) -> None:
         """Kill a controller, and start it again with the current version."""
-        self.old.discard(member)
+        self.on_previous_version.discard(member)
         await self.restart(member, after)
 
     def drop_limits(self) -> None:
