--- a/dappledrum/controller/test_concurrent_leadership_faults.py
+++ b/dappledrum/controller/test_concurrent_leadership_faults.py
@@ -281,7 +281,7 @@
         for turn in range(10):
             began = now()
             if outage and turn in (3, 6):
-                call_later(rng.uniform(0, 2), setattr, cluster.store, "out", True)
+                call_later(rng.uniform(0, 2), setattr, cluster.store, "in_outage", True)
                 call_later(12 + rng.uniform(0, 10), cluster.store.end_outage)
             leader = cluster.leader()
             if leader is not None:
