--- a/dappledrum/controller/test_crash_points.py
+++ b/dappledrum/controller/test_crash_points.py
@@ -120,7 +120,7 @@
     await cluster.wait(1)
     for hold in [h for k, (_, _, h) in state.keys.items() if k == "leader"]:
         state._end(hold)
-    state.holds[99] = (now() + 3, 3.0)
+    state.leases[99] = (now() + 3, 3.0)
     body = {
         "guards": [],
         "then": [
@@ -131,7 +131,7 @@
     state._multi(body)
     assert state.keys["leader"][2] == 99
     await cluster.wait(0.75)
-    assert 99 not in state.holds
+    assert 99 not in state.leases
     assert cluster.leader() is not None
     assert cluster.controllers[cluster.leader()].elector.term.epoch == epoch + 2
 
--- a/dappledrum/dependencies/test_dependencies.py
+++ b/dappledrum/dependencies/test_dependencies.py
@@ -195,8 +195,8 @@
         value, _, hold = cluster.store.keys[f"job/{name(number)}"]
         value["spec"]["waitsOn"] = needs
         cluster.rules.jobs[name(number)].spec["waitsOn"] = []
-        cluster.store.tally += 1
-        cluster.store.keys[f"job/{name(number)}"] = (value, cluster.store.tally, hold)
+        cluster.store.revision += 1
+        cluster.store.keys[f"job/{name(number)}"] = (value, cluster.store.revision, hold)
     await cluster.wait(12)
     for member in cluster.members:
         cluster.start(member)
--- a/dappledrum/simulation/key_value_store.py
+++ b/dappledrum/simulation/key_value_store.py
@@ -41,9 +41,9 @@
     """
 
     def __init__(self) -> None:
-        self.tally = 0
+        self.revision = 0
         self.keys: dict[str, tuple[Any, int, int | None]] = {}  # value, version, lease
-        self.holds: dict[int, tuple[float, float]] = {}  # when it expires, its duration
+        self.leases: dict[int, tuple[float, float]] = {}  # when it expires, its duration
         self.log: list[dict[str, Any]] = []  # all changes, as events of watches
         self.changed = asyncio.Event()
         self.in_outage = False
@@ -65,26 +65,26 @@
         """End the outage, and renew every lease for its full duration."""
         self.in_outage = False
         now = asyncio.get_running_loop().time()
-        self.holds = {
-            lease: (now + duration_s, duration_s) for lease, (_, duration_s) in self.holds.items()
+        self.leases = {
+            lease: (now + duration_s, duration_s) for lease, (_, duration_s) in self.leases.items()
         }
 
     def _expire(self) -> None:
         if self.in_outage:
             return
         now = asyncio.get_running_loop().time()
-        for lease, (end, _) in list(self.holds.items()):
+        for lease, (end, _) in list(self.leases.items()):
             if end < now:
                 self._end(lease)
 
     def _end(self, lease: int) -> None:
-        del self.holds[lease]
+        del self.leases[lease]
         keys = [key for key, (_, _, attached) in self.keys.items() if attached == lease]
         if keys:
-            self.tally += 1
+            self.revision += 1
             for key in keys:
                 del self.keys[key]
-                self.log.append({"remove": key, "stamp": self.tally})
+                self.log.append({"remove": key, "stamp": self.revision})
             self._notify_watches()
 
     def _notify_watches(self) -> None:
@@ -121,7 +121,7 @@
 
     def _get(self, key: str) -> Reply:
         if key not in self.keys:
-            return json_reply(404, {"tally": self.tally})
+            return json_reply(404, {"tally": self.revision})
         value, version, lease = self.keys[key]
         return json_reply(200, {"key": key, "value": value, "stamp": version, "hold": lease})
 
@@ -135,7 +135,7 @@
         pairs = [
             {"key": k, "value": self.keys[k][0], "stamp": self.keys[k][1]} for k in names[:page]
         ]
-        return json_reply(200, {"pairs": pairs, "more": len(names) > page, "tally": self.tally})
+        return json_reply(200, {"pairs": pairs, "more": len(names) > page, "tally": self.revision})
 
     def _handle_lease(self, method: str, route: str, body: bytes) -> Reply:
         now = asyncio.get_running_loop().time()
@@ -143,15 +143,15 @@
         if len(parts) == 2:
             duration_s = json.loads(body)["lifeMs"] / 1000
             self.last_lease += 1
-            self.holds[self.last_lease] = (now + duration_s, duration_s)
+            self.leases[self.last_lease] = (now + duration_s, duration_s)
             return json_reply(200, {"hold": self.last_lease})
         lease = int(parts[2])
-        if lease not in self.holds:
+        if lease not in self.leases:
             return json_reply(404)
         if method == "DELETE":
             self._end(lease)
         else:
-            self.holds[lease] = (now + self.holds[lease][1], self.holds[lease][1])
+            self.leases[lease] = (now + self.leases[lease][1], self.leases[lease][1])
         return json_reply(200)
 
     def _multi(self, body: dict[str, Any]) -> Reply:
@@ -165,10 +165,10 @@
             if self.keys.get(g["key"], (None, 0, None))[1] != g["stamp"]
         ]
         if failed:
-            return json_reply(409, {"failed": failed, "tally": self.tally})
+            return json_reply(409, {"failed": failed, "tally": self.revision})
         if changes:
             self._apply(changes)
-        return json_reply(200, {"tally": self.tally})
+        return json_reply(200, {"tally": self.revision})
 
     def _transaction_refusal(self, changes: list[dict[str, Any]], guards: int) -> Reply | None:
         """The answer that refuses a transaction whatever its guards; None: check the guards."""
@@ -184,21 +184,21 @@
             if len(value) > self.value_bytes:
                 self.too_large.append(change["write"])
                 return json_reply(400, {"error": "the value is too large"})
-            if change.get("hold") is not None and change["hold"] not in self.holds:
+            if change.get("hold") is not None and change["hold"] not in self.leases:
                 return json_reply(400, {"error": "no such lease"})
         return None
 
     def _apply(self, changes: list[dict[str, Any]]) -> None:
         """Apply the changes of a transaction under one revision."""
-        self.tally += 1
+        self.revision += 1
         for change in changes:
             if "write" in change:
-                self.keys[change["write"]] = (change["value"], self.tally, change.get("hold"))
+                self.keys[change["write"]] = (change["value"], self.revision, change.get("hold"))
                 self.log.append(
-                    {"write": change["write"], "value": change["value"], "stamp": self.tally}
+                    {"write": change["write"], "value": change["value"], "stamp": self.revision}
                 )
             elif self.keys.pop(change["remove"], None) is not None:
-                self.log.append({"remove": change["remove"], "stamp": self.tally})
+                self.log.append({"remove": change["remove"], "stamp": self.revision})
         self._notify_watches()
 
     async def _watch(self, source: str, options: dict[str, str]) -> Reply:
@@ -218,7 +218,7 @@
                     if (event.get("write") or event["remove"]).startswith(options["prefix"])
                 ]
             if events or loop.time() >= end:
-                return json_reply(200, {"tally": self.tally, "events": events})
+                return json_reply(200, {"tally": self.revision, "events": events})
             try:
                 async with asyncio.timeout(min(0.05, max(end - loop.time(), 0.001))):
                     await self.changed.wait()
--- a/dappledrum/store/test_hedged_commit.py
+++ b/dappledrum/store/test_hedged_commit.py
@@ -58,7 +58,7 @@
         """Write a key as another controller would; returns the revision."""
         body = {"guards": [], "then": [{"write": key, "value": value}]}
         assert self.service._multi(body).status == 200
-        return self.service.tally
+        return self.service.revision
 
     def delay_next(self, *seconds):
         """The next transactions get no response and are executed after these delays."""
--- a/dappledrum/user_api/test_job_api.py
+++ b/dappledrum/user_api/test_job_api.py
@@ -246,8 +246,8 @@
     names = await cluster.accept_jobs(6, runS=20.0)
     await cluster.until(lambda: cluster.rules.starts >= 4)
     bad = names[2]
-    cluster.store.tally += 1
-    cluster.store.keys[f"job/{bad}"] = ({"spec": 7}, cluster.store.tally, None)
+    cluster.store.revision += 1
+    cluster.store.keys[f"job/{bad}"] = ({"spec": 7}, cluster.store.revision, None)
     await cluster.restart_all(0.2)
     await cluster.until_led()
     asked = [asyncio.ensure_future(cluster.poll(name, cluster.members[0])) for name in names]
