--- a/dappledrum/controller/test_crash_points.py
+++ b/dappledrum/controller/test_crash_points.py
@@ -119,7 +119,7 @@
     cluster.kill(leader)
     await cluster.wait(1)
     for hold in [h for k, (_, _, h) in state.keys.items() if k == "leader"]:
-        state._end(hold)
+        state.end_lease(hold)
     state.leases[99] = (now() + 3, 3.0)
     body = {
         "guards": [],
@@ -128,7 +128,7 @@
             {"write": "epoch", "value": {"epoch": epoch + 1}},
         ],
     }
-    state._multi(body)
+    state.run_transaction(body)
     assert state.keys["leader"][2] == 99
     await cluster.wait(0.75)
     assert 99 not in state.leases
--- a/dappledrum/jobs/test_garbage.py
+++ b/dappledrum/jobs/test_garbage.py
@@ -22,7 +22,9 @@
     puts = controller.job_api._new_job_writes(msgspec.convert(sent, Spec))
     assert len(puts) > 1
     then = [{"write": p.key, "value": msgspec.json.decode(bytes(p.value))} for p in puts]
-    reply = cluster.store._multi({"guards": [{"key": puts[0].key, "stamp": 0}], "then": then})
+    reply = cluster.store.run_transaction(
+        {"guards": [{"key": puts[0].key, "stamp": 0}], "then": then}
+    )
     assert reply.status == 200
 
 
@@ -73,7 +75,7 @@
         await cluster.until(lambda: len(cluster.rules.running) > 20)
         await cluster.wait(3)
         stale = RowsRecord("host-", ["a"], [("999", 1, 0, [0, 1, 1])])
-        cluster.store._multi(
+        cluster.store.run_transaction(
             {
                 "guards": [],
                 "then": [{"write": "rows/j-000008/0/5", "value": msgspec.to_builtins(stale)}],
@@ -113,7 +115,7 @@
             cluster.cloud.in_outage = True
             accept_immediately(cluster, cluster.controllers[cluster.leader()], spec)
         else:
-            cluster.store._multi({"guards": [], "then": then})
+            cluster.store.run_transaction({"guards": [], "then": then})
         leader.record_writer.garbage[key] = None
         leader.record_writer.wake.set()
         await cluster.wait(3)
--- a/dappledrum/leader/test_job_loader.py
+++ b/dappledrum/leader/test_job_loader.py
@@ -35,7 +35,7 @@
         put = {"write": "job/j-000077", "value": record | INVALID_RECORDS[invalid_part]}
         if new_leader:
             cluster.kill(cluster.leader())
-        cluster.store._multi({"guards": [], "then": [put]})
+        cluster.store.run_transaction({"guards": [], "then": [put]})
         await cluster.until(lambda: cluster.leader() is not None, timeout_s=10)
         await cluster.wait(1)
         valid_job = job(1, dueS=None)
--- a/dappledrum/simulation/key_value_store.py
+++ b/dappledrum/simulation/key_value_store.py
@@ -75,9 +75,9 @@
         now = asyncio.get_running_loop().time()
         for lease, (end, _) in list(self.leases.items()):
             if end < now:
-                self._end(lease)
+                self.end_lease(lease)
 
-    def _end(self, lease: int) -> None:
+    def end_lease(self, lease: int) -> None:
         del self.leases[lease]
         keys = [key for key, (_, _, attached) in self.keys.items() if attached == lease]
         if keys:
@@ -103,7 +103,7 @@
         if route == "/watch":
             return await self._watch(source, options)
         if route == "/multi":
-            return self._multi(json.loads(body))
+            return self.run_transaction(json.loads(body))
         if route.startswith("/holds"):
             return self._handle_lease(method, route, body)
         if route == "/keys":
@@ -149,12 +149,12 @@
         if lease not in self.leases:
             return json_reply(404)
         if method == "DELETE":
-            self._end(lease)
+            self.end_lease(lease)
         else:
             self.leases[lease] = (now + self.leases[lease][1], self.leases[lease][1])
         return json_reply(200)
 
-    def _multi(self, body: dict[str, Any]) -> Reply:
+    def run_transaction(self, body: dict[str, Any]) -> Reply:
         changes = body.get("then", [])
         refusal = self._transaction_refusal(changes, len(body["guards"]))
         if refusal is not None:
--- a/dappledrum/store/test_hedged_commit.py
+++ b/dappledrum/store/test_hedged_commit.py
@@ -57,7 +57,7 @@
     def write(self, key, value):
         """Write a key as another controller would; returns the revision."""
         body = {"guards": [], "then": [{"write": key, "value": value}]}
-        assert self.service._multi(body).status == 200
+        assert self.service.run_transaction(body).status == 200
         return self.service.revision
 
     def delay_next(self, *seconds):
