--- a/dappledrum/controller/test_concurrent_faults.py
+++ b/dappledrum/controller/test_concurrent_faults.py
@@ -63,7 +63,7 @@
                 else:
                     pairs = {frozenset((m, worker.name)) for m in FIVE}
                     cluster.network.cuts |= pairs
-                    call_later(span, cluster.network.mend, pairs)
+                    call_later(span, cluster.network.heal_links, pairs)
             if turn % 3 == 2 and cluster.leader() is not None:
                 await cluster.restart(cluster.leader(), 0.3)
             if turn == 4 and workers:
--- a/dappledrum/controller/test_concurrent_leadership_faults.py
+++ b/dappledrum/controller/test_concurrent_leadership_faults.py
@@ -107,7 +107,7 @@
     """A heartbeat arrives once more, at every controller."""
     for member in FIVE:
         asyncio.get_running_loop().create_task(
-            cluster.network._late(sent.source, member, "POST", "/hello", sent.body, after),
+            cluster.network.deliver_later(sent.source, member, "POST", "/hello", sent.body, after),
             context=contextvars.Context(),
         )
 
@@ -216,7 +216,7 @@
             await scenario.until_led()
             rng.shuffle(held)
             for sent in held:
-                await cluster.network._late(
+                await cluster.network.deliver_later(
                     sent.source, cluster.leader(), "POST", "/hello", sent.body
                 )
             delivered += len(held)
--- a/dappledrum/controller/test_late_and_duplicate_heartbeats.py
+++ b/dappledrum/controller/test_late_and_duplicate_heartbeats.py
@@ -54,14 +54,14 @@
 
 def heartbeats_of(cluster, name):
     """The list of all heartbeats that this worker sends from now on."""
-    seen, copy = [], cluster.network._copy
+    seen, copy = [], cluster.network.maybe_duplicate
 
     def keep(source, target, method, path, body):
         if path == "/hello" and source == name:
             seen.append(body)
         copy(source, target, method, path, body)
 
-    cluster.network._copy = keep
+    cluster.network.maybe_duplicate = keep
     return seen
 
 
@@ -93,7 +93,9 @@
     async def again():
         """In order, one a second, as though it still reported."""
         for body in (seen * 20)[:60]:
-            await cluster.network._late(dead.name, cluster.leader(), "POST", "/hello", body)
+            await cluster.network.deliver_later(
+                dead.name, cluster.leader(), "POST", "/hello", body
+            )
             await asyncio.sleep(1)
 
     def given_up():
--- a/dappledrum/simulation/faults/controllers.py
+++ b/dappledrum/simulation/faults/controllers.py
@@ -108,7 +108,7 @@
             for target in self._targets(cluster, member):
                 pairs |= {frozenset((member, target)), frozenset(("back-" + member, target))}
         (cluster.network.cuts if self.mode == "hold" else cluster.network.refusing).update(pairs)
-        call_later(self.for_s, cluster.network.mend, pairs)
+        call_later(self.for_s, cluster.network.heal_links, pairs)
 
     def _targets(self, cluster: SimulatedCluster, member: str) -> list[str]:
         """Hosts that a controller is cut off from."""
--- a/dappledrum/simulation/network.py
+++ b/dappledrum/simulation/network.py
@@ -113,7 +113,7 @@
         self.extra_latency_s.clear()
         self._deliver_held()
 
-    def mend(self, pairs: set[frozenset[str]]) -> None:
+    def heal_links(self, pairs: set[frozenset[str]]) -> None:
         """End the cuts and refusals between these pairs of hosts only."""
         self.cuts -= pairs
         self.refusing -= pairs
@@ -129,10 +129,10 @@
             self.late_deliveries += 1
             if target in self.services:
                 asyncio.get_running_loop().create_task(
-                    self._late(source, target, method, path, body)
+                    self.deliver_later(source, target, method, path, body)
                 )
 
-    async def _late(
+    async def deliver_later(
         self, source: str, target: str, method: str, path: str, body: bytes, delay_s: float = 0.0
     ) -> None:
         await asyncio.sleep(delay_s)
@@ -144,7 +144,9 @@
         response = service(request.sender, request.method, request.path, request.body)
         return response if self.trace is None else self.trace.serve(request, response)
 
-    def _copy(self, source: str, target: str, method: str, path: str, body: bytes) -> None:
+    def maybe_duplicate(
+        self, source: str, target: str, method: str, path: str, body: bytes
+    ) -> None:
         """Draw whether a request is duplicated, and when and where the copy arrives."""
         copies = self.copies
         if copies is None or not path.startswith(copies.paths):
@@ -159,7 +161,8 @@
             target = self.rng.choice(copies.targets)
         delay_s = self.rng.uniform(copies.min_delay_s, copies.max_delay_s)
         asyncio.get_running_loop().create_task(
-            self._late(source, target, method, path, body, delay_s), context=contextvars.Context()
+            self.deliver_later(source, target, method, path, body, delay_s),
+            context=contextvars.Context(),
         )
 
     def _deliver_kept_copies(self, controller: str, answer: bytes) -> None:
@@ -172,7 +175,7 @@
         kept, self.copies_for_next_leader = self.copies_for_next_leader, []
         for source, body in kept:
             asyncio.get_running_loop().create_task(
-                self._late(source, controller, "POST", "/hello", body),
+                self.deliver_later(source, controller, "POST", "/hello", body),
                 context=contextvars.Context(),
             )
 
@@ -239,10 +242,10 @@
         if pair in network.cuts or forward in network.blocked:
             network.held_requests.append((self.source, self.target, method, path, body))
             await asyncio.sleep(NO_RESPONSE_S)
-        network._copy(self.source, self.target, method, path, body)
+        network.maybe_duplicate(self.source, self.target, method, path, body)
         for delay in self._delays(path, body):
             asyncio.get_running_loop().create_task(
-                network._late(self.source, self.target, method, path, body, delay),
+                network.deliver_later(self.source, self.target, method, path, body, delay),
                 context=contextvars.Context(),
             )
             await asyncio.sleep(NO_RESPONSE_S)
--- a/dappledrum/simulation/test_days.py
+++ b/dappledrum/simulation/test_days.py
@@ -262,13 +262,13 @@
 
 def test_each_copy_for_the_next_leader_arrives_there_once_and_none_before():
     async def check(cluster):
-        late_targets, deliver = [], cluster.network._late
+        late_targets, deliver = [], cluster.network.deliver_later
 
         def record(source, target, *arguments):
             late_targets.append(target)
             return deliver(source, target, *arguments)
 
-        cluster.network._late = record
+        cluster.network.deliver_later = record
         begin(cluster, "late_reports", share=1.0, for_s=3.0, for_next=True)
         await cluster.wait(5)
         kept = len(cluster.network.copies_for_next_leader)
