--- a/dappledrum/simulation/fleet.py
+++ b/dappledrum/simulation/fleet.py
@@ -432,7 +432,7 @@
         self.max_machines = 12
         self.in_outage = False
         self.failing_boot_share = 0.0  # share of new machines that never boot
-        self.boot_time_factor = 1.0  # factor on boot times
+        self.boot_time_factor = 1.0
         self.last_number = 0  # number of the newest machine
 
     async def __call__(self, source: str, method: str, path: str, body: bytes) -> Reply:
--- a/dappledrum/simulation/key_value_store.py
+++ b/dappledrum/simulation/key_value_store.py
@@ -78,6 +78,7 @@
                 self.end_lease(lease)
 
     def end_lease(self, lease: int) -> None:
+        """End a lease, and remove the keys attached to it."""
         del self.leases[lease]
         keys = [key for key, (_, _, attached) in self.keys.items() if attached == lease]
         if keys:
@@ -155,6 +156,7 @@
         return json_reply(200)
 
     def run_transaction(self, body: dict[str, Any]) -> Reply:
+        """Execute a transaction if its guards hold."""
         changes = body.get("then", [])
         refusal = self._transaction_refusal(changes, len(body["guards"]))
         if refusal is not None:
--- a/dappledrum/simulation/network.py
+++ b/dappledrum/simulation/network.py
@@ -83,9 +83,7 @@
         self.blocked: set[tuple[str, str]] = set()  # one way: requests held back, answers lost
         #: The first host can't open connections to the second, which may open them to the first.
         self.muted: set[tuple[str, str]] = set()
-        self.extra_latency_s: dict[
-            tuple[str, str], float
-        ] = {}  # extra seconds from one host to another
+        self.extra_latency_s: dict[tuple[str, str], float] = {}  # from one host to another
         #: Called with each request as it arrives. Returns None to execute it normally, or the
         #: seconds after which it is executed without an answer to its sender.
         self.watcher: Callable[[Sent], float | None] | None = None
@@ -135,6 +133,7 @@
     async def deliver_later(
         self, source: str, target: str, method: str, path: str, body: bytes, delay_s: float = 0.0
     ) -> None:
+        """Deliver a request after a delay; nobody receives the answer."""
         await asyncio.sleep(delay_s)
         if target in self.services:
             await self._serve(self.services[target], Request(source, target, method, path, body))
