--- a/dappledrum/controller/test_end_to_end.py
+++ b/dappledrum/controller/test_end_to_end.py
@@ -162,7 +162,9 @@
     cluster = await led_cluster(11)
     await cluster.accept(job(1, beats=8, dueS=30.0))
     await cluster.finish(["j-000001"])
-    await cluster.until(lambda: min(m.since for m in cluster.cloud.machines.values()) + 34 < now())
+    await cluster.until(
+        lambda: min(m.rented_at for m in cluster.cloud.machines.values()) + 34 < now()
+    )
     names = {worker.name for worker in cluster.cloud.workers()}
     leader = cluster.leader()
     for member in cluster.members:
--- a/dappledrum/controller/test_slow_boots.py
+++ b/dappledrum/controller/test_slow_boots.py
@@ -77,5 +77,5 @@
     name = cluster.cloud.add(("small", "a", True))
     with pytest.raises(CloudError):
         await cloud.return_machines([name], lambda: False)
-    assert "r-old" not in cluster.cloud.answers
+    assert "r-old" not in cluster.cloud.rentals
     assert name in cluster.cloud.machines
--- a/dappledrum/simulation/fleet.py
+++ b/dappledrum/simulation/fleet.py
@@ -379,7 +379,7 @@
 
     name: str
     kind: tuple[str, str, bool]
-    since: float
+    rented_at: float
     completes_boot: bool
     worker: Worker | None = None
     up_at: float = math.inf
@@ -387,7 +387,7 @@
 
     def listed_row(self, at: float) -> dict[str, Any] | None:
         """The machine's row in the cloud's list at some time, or None if it is not listed."""
-        if not self.since <= at < self.terminated_at:
+        if not self.rented_at <= at < self.terminated_at:
             return None
         return {
             "id": self.name,
@@ -396,7 +396,7 @@
             "hall": self.kind[1],
             "loaners": self.kind[2],
             "stance": "running" if self.up_at <= at else "booting",
-            "since": self.since,
+            "since": self.rented_at,
         }
 
 
@@ -428,7 +428,7 @@
         self.machines: dict[str, RentedMachine] = {}
         # The list may still show these.
         self.recently_terminated: list[RentedMachine] = []
-        self.answers: dict[str, list[str]] = {}  # machines by rental request: retries get the same
+        self.rentals: dict[str, list[str]] = {}  # machines by rental request: retries get the same
         self.max_machines = 12
         self.in_outage = False
         self.failing_boot_share = 0.0  # share of new machines that never boot
@@ -451,15 +451,15 @@
         return self._list()
 
     def _rent(self, request: dict[str, Any]) -> Reply:
-        if request["hire"] in self.answers:
-            return json_reply(200, {"drums": self.answers[request["hire"]]})
+        if request["hire"] in self.rentals:
+            return json_reply(200, {"drums": self.rentals[request["hire"]]})
         count = min(request["number"], self.max_machines - len(self.machines))
         if count <= 0:
             return json_reply(503, {"error": "no capacity"})
         names = [
             self.add((request["build"], request["hall"], request["loaners"])) for _ in range(count)
         ]
-        self.answers[request["hire"]] = names
+        self.rentals[request["hire"]] = names
         return json_reply(200, {"drums": names})
 
     def add(self, kind: tuple[str, str, bool]) -> str:
