--- a/dappledrum/controller/test_concurrent_user_requests.py
+++ b/dappledrum/controller/test_concurrent_user_requests.py
@@ -69,7 +69,7 @@
         if fault == "refused":
             disturbances.append(refuse_one_after_another(cluster, rng))
         if fault == "lists in parts":
-            cluster.store.list_most = 2
+            cluster.store.max_page_keys = 2
         if fault in ("slow", "lists in parts"):
             disturbances.append(wandering_latency(cluster, rng, FIVE, 0.25))
         running = [asyncio.ensure_future(one) for one in disturbances]
--- a/dappledrum/simulation/key_value_store.py
+++ b/dappledrum/simulation/key_value_store.py
@@ -59,7 +59,7 @@
         self.write_budget = TokenBucket()
         self.request_budget = TokenBucket()
         self.over_rate = 0  # requests refused with 429
-        self.list_most = 1000  # keys in one page of a list
+        self.max_page_keys = 1000  # keys in one page of a list
 
     def end_outage(self) -> None:
         """End the outage, and renew every lease for its full duration."""
@@ -130,7 +130,7 @@
         prefix, after, page = (
             options["prefix"],
             options.get("from", ""),
-            min(int(options.get("page", "1000")), self.list_most),
+            min(int(options.get("page", "1000")), self.max_page_keys),
         )
         names = sorted(key for key in self.keys if key.startswith(prefix) and key > after)
         pairs = [
