--- a/dappledrum/controller/test_concurrent_user_requests.py
+++ b/dappledrum/controller/test_concurrent_user_requests.py
@@ -16,7 +16,7 @@
     AnswerOrder,
     ImpatientUser,
     one_task_user,
-    wandering_latency,
+    vary_latency,
 )
 
 SEEDS = pytest.mark.parametrize("seed", range(3))
@@ -71,7 +71,7 @@
         if fault == "lists in parts":
             cluster.store.max_page_keys = 2
         if fault in ("slow", "lists in parts"):
-            disturbances.append(wandering_latency(cluster, rng, FIVE, 0.25))
+            disturbances.append(vary_latency(cluster, rng, FIVE, 0.25))
         running = [asyncio.ensure_future(one) for one in disturbances]
         states = await finished(scenario, order, [user.run() for user in users])
         for one in running:
@@ -104,7 +104,7 @@
         cluster, order = scenario.cluster, AnswerOrder()
         users = impatient(scenario, order, seed, 16)
         most = 0.04 if written else 0.5
-        racing = [user.meet_end(written, user.rng.uniform(0, most)) for user in users]
+        racing = [user.race_end(written, user.rng.uniform(0, most)) for user in users]
         followers = [follow(scenario, order, user) for user in users[::3]]
         states = (await finished(scenario, order, racing + followers))[: len(users)]
         assert set(states) == {"done", "cancelled"}
--- a/dappledrum/simulation/users.py
+++ b/dappledrum/simulation/users.py
@@ -180,7 +180,7 @@
                 return
             await asyncio.sleep(0.001)
 
-    async def meet_end(self, written: bool, after: float) -> str:
+    async def race_end(self, written: bool, after: float) -> str:
         """Submit the job, and cancel, poll and submit again around its end; the final state.
 
         The cancellation starts `after` seconds after the last task has completed, or (`written`)
@@ -251,7 +251,7 @@
             return state
 
 
-async def wandering_latency(
+async def vary_latency(
     cluster: SimulatedCluster, rng: random.Random, hosts: Iterable[str], max_delay_s: float
 ) -> None:
     """Vary the latency between these hosts and the store every few milliseconds, so that a later
