--- a/dappledrum/controller/test_large.py
+++ b/dappledrum/controller/test_large.py
@@ -3,7 +3,7 @@
 import pytest
 
 from dappledrum.simulation.cluster import SimulatedCluster, job
-from dappledrum.simulation.fault_scenarios import leader_killed, rolled, short_outage
+from dappledrum.simulation.fault_scenarios import leader_killed, rolling_restart, short_outage
 
 FIVE = tuple(f"drummer-{index}" for index in range(5))
 
@@ -23,7 +23,7 @@
 @pytest.mark.long
 @pytest.mark.parametrize(
     "fault",
-    [leader_killed, rolled, short_outage, spot_machines_reclaimed_and_leader_killed],
+    [leader_killed, rolling_restart, short_outage, spot_machines_reclaimed_and_leader_killed],
     ids=lambda f: f.__name__,
 )
 async def test_a_large_cluster_with_a_fault_keeps_the_invariants(fault):
--- a/dappledrum/controller/test_paused_processes.py
+++ b/dappledrum/controller/test_paused_processes.py
@@ -6,13 +6,18 @@
 import pytest
 
 from dappledrum.simulation.cluster import SimulatedCluster, led_cluster
-from dappledrum.simulation.fault_scenarios import machines_taken, pausing, rolled, short_outage
+from dappledrum.simulation.fault_scenarios import (
+    freezing,
+    machines_terminated,
+    rolling_restart,
+    short_outage,
+)
 from dappledrum.simulation.scenario import run_day
 from dappledrum.simulation.virtual_time import PROCESS, VirtualLoop, run
 from dappledrum.timing.clock import Clock
 from dappledrum.timing.timeouts import PauseDetector, PauseTolerantTimeout
 
-PAUSES = [pausing(w, s) for w in ("leader", "follower", "all") for s in (2, 7, 30)]
+PAUSES = [freezing(w, s) for w in ("leader", "follower", "all") for s in (2, 7, 30)]
 
 
 @pytest.mark.parametrize("fault", PAUSES, ids=lambda t: t.__name__)
@@ -20,13 +25,15 @@
     await run_day(SimulatedCluster(seed=31), fault, runS=15.0)
 
 
-@pytest.mark.parametrize("other", [short_outage, machines_taken, rolled], ids=lambda t: t.__name__)
+@pytest.mark.parametrize(
+    "other", [short_outage, machines_terminated, rolling_restart], ids=lambda t: t.__name__
+)
 async def test_a_day_with_a_pause_of_the_leader_and_another_fault_keeps_the_invariants(other):
     cluster = SimulatedCluster(seed=32)
 
     async def both(cluster):
-        await pausing("leader", 5)(cluster)
-        pause = asyncio.get_running_loop().create_task(pausing("leader", 7)(cluster))
+        await freezing("leader", 5)(cluster)
+        pause = asyncio.get_running_loop().create_task(freezing("leader", 7)(cluster))
         await other(cluster)
         await pause
 
--- a/dappledrum/controller/test_slow_boots.py
+++ b/dappledrum/controller/test_slow_boots.py
@@ -5,14 +5,14 @@
 from dappledrum.fleet.cloud_client import CloudClient, CloudError
 from dappledrum.fleet.messages import RentalRequest
 from dappledrum.simulation.cluster import SimulatedCluster, job
-from dappledrum.simulation.fault_scenarios import leader_killed, machines_taken
+from dappledrum.simulation.fault_scenarios import leader_killed, machines_terminated
 from dappledrum.simulation.scenario import run_day
 
 
 def boot_times_multiplied(factor):
     async def fault(cluster):
         cluster.cloud.boot_time_factor = factor
-        await machines_taken(cluster)
+        await machines_terminated(cluster)
         await cluster.wait(40)
         cluster.cloud.boot_time_factor = 1.0
 
@@ -22,7 +22,7 @@
 
 async def stalled_boots_and_leader_killed(cluster):
     cluster.cloud.failing_boot_share = 0.5
-    await machines_taken(cluster)
+    await machines_terminated(cluster)
     await leader_killed(cluster)
     await cluster.wait(20)
     cluster.cloud.failing_boot_share = 0.0
@@ -30,7 +30,7 @@
 
 async def list_of_machines_lags(cluster):
     cluster.cloud.lag_s = 40.0
-    await machines_taken(cluster)
+    await machines_terminated(cluster)
     await leader_killed(cluster)
     await cluster.wait(30)
     cluster.cloud.lag_s = 4.0
--- a/dappledrum/simulation/fault_scenarios.py
+++ b/dappledrum/simulation/fault_scenarios.py
@@ -28,7 +28,7 @@
 # controllers
 
 
-async def quiet(cluster: SimulatedCluster) -> None:
+async def no_fault(cluster: SimulatedCluster) -> None:
     """No fault."""
     await cluster.wait(1)
 
@@ -43,7 +43,7 @@
     await cluster.restart_all()
 
 
-async def rolled(cluster: SimulatedCluster) -> None:
+async def rolling_restart(cluster: SimulatedCluster) -> None:
     """All controllers are restarted one after the other, as in an upgrade."""
     for member in cluster.members:
         await cluster.restart(member)
@@ -57,7 +57,7 @@
         await cluster.until_led()
 
 
-def pausing(which: str, seconds: float) -> Fault:
+def freezing(which: str, seconds: float) -> Fault:
     """Some controllers ("leader", "follower" or "all") are frozen while their clocks continue."""
 
     async def fault(cluster: SimulatedCluster) -> None:
@@ -111,7 +111,7 @@
     cluster.store.end_outage()
 
 
-async def leader_refused_in_a_wave(cluster: SimulatedCluster) -> None:
+async def leader_refused_while_machines_terminate(cluster: SimulatedCluster) -> None:
     """The store refuses the leader while the cloud terminates half of the spot machines."""
     cluster.store.refused.add(leading(cluster))
     for name in [m.name for m in cluster.cloud.machines.values() if m.kind[2]][::2]:
@@ -221,7 +221,7 @@
 # machines
 
 
-async def cloud_out(cluster: SimulatedCluster) -> None:
+async def cloud_outage(cluster: SimulatedCluster) -> None:
     """The cloud refuses all requests."""
     cluster.cloud.in_outage = True
     await cluster.wait(20)
@@ -240,16 +240,16 @@
         worker.hung = False
 
 
-async def machines_taken(cluster: SimulatedCluster) -> None:
+async def machines_terminated(cluster: SimulatedCluster) -> None:
     """The cloud terminates half of the machines."""
     for name in list(cluster.cloud.machines)[::2]:
         cluster.cloud.terminate(name)
     await cluster.wait(2)
 
 
-async def boots_stall(cluster: SimulatedCluster) -> None:
+async def boots_fail(cluster: SimulatedCluster) -> None:
     """Half of the machines are terminated, and machines rented in the next 22 s never boot."""
     cluster.cloud.failing_boot_share = 1.0
-    await machines_taken(cluster)
+    await machines_terminated(cluster)
     await cluster.wait(20)
     cluster.cloud.failing_boot_share = 0.0
