--- a/dappledrum/simulation/test_fault_combinations.py
+++ b/dappledrum/simulation/test_fault_combinations.py
@@ -59,7 +59,7 @@
 
 @pytest.mark.parametrize(("seed", "kinds"), list(enumerate(PAIRS)))
 def test_all_jobs_finish_after_two_concurrent_faults(seed, kinds):
-    """The invariants hold on each step, and at the end all accepted jobs are known and finished."""
+    """The invariants hold on each step; at the end all accepted jobs are known and finished."""
     run(run_combination(seed, kinds, exactly=True))
 
 
