--- a/dappledrum/simulation/faults/users.py
+++ b/dappledrum/simulation/faults/users.py
@@ -33,6 +33,7 @@
 ODD_REQUEST_INTERVAL_S = (0.1, 0.8)
 MAX_TRIES = 3
 TOO_MANY_CPUS = 1e6
+#: Fields that a submission may lack, that are chosen here, or that only the simulation uses.
 OPTIONAL_FIELDS = (
     "id",
     "builds",
@@ -41,7 +42,7 @@
     "waitsOn",
     "runS",
     "broken",
-)  # or used only here
+)
 
 
 class CancelNow(Fault, tag="cancel_now"):
--- a/dappledrum/simulation/ground_truth.py
+++ b/dappledrum/simulation/ground_truth.py
@@ -67,25 +67,25 @@
 def compared_with_ground_truth() -> Iterator[GroundTruth]:
     """Compare all leaders with all clouds until the end of the `with` block."""
     truth = GroundTruth()
-    begin, process = Reconciler.__init__, Reconciler.process_heartbeat
-    lose = AttemptEnds.lose
-    open_cloud, remove = CloudService.__init__, CloudService.terminate
+    original_init, original_process = Reconciler.__init__, Reconciler.process_heartbeat
+    original_lose = AttemptEnds.lose
+    original_cloud_init, original_terminate = CloudService.__init__, CloudService.terminate
 
-    def begun(reconciler: Reconciler, *parts: Any, **more: Any) -> None:  # noqa: ANN401 - passed on
-        begin(reconciler, *parts, **more)
+    def init_and_record(reconciler: Reconciler, *args: Any, **kwargs: Any) -> None:  # noqa: ANN401
+        original_init(reconciler, *args, **kwargs)
         truth.began_at[reconciler] = asyncio.get_running_loop().time()
 
-    def processed(reconciler: Reconciler, heartbeat: WorkerHeartbeat) -> Machine | None:
+    def process_and_check(reconciler: Reconciler, heartbeat: WorkerHeartbeat) -> Machine | None:
         known = reconciler.registry.get(heartbeat.machine)
         placements = known.placements.values() if known is not None else ()
         lost_before = {placement for placement in placements if placement.lost}
-        machine = process(reconciler, heartbeat)
+        machine = original_process(reconciler, heartbeat)
         if machine is not None:
             truth.check_alive(reconciler, machine)
             truth.check_never_started(machine, lost_before)
         return machine
 
-    def lost(
+    def check_and_lose(
         ends: AttemptEnds,
         machine: Machine,
         placement: Placement,
@@ -94,21 +94,21 @@
     ) -> None:
         task = placement.name
         truth.check_terminated(machine.name, task, placement.attempt, reason)
-        lose(ends, machine, placement, reason, category)
+        original_lose(ends, machine, placement, reason, category)
 
-    def opened(cloud: CloudService, *parts: Any, **more: Any) -> None:  # noqa: ANN401 - passed on
-        open_cloud(cloud, *parts, **more)
+    def cloud_init_and_record(cloud: CloudService, *args: Any, **kwargs: Any) -> None:  # noqa: ANN401
+        original_cloud_init(cloud, *args, **kwargs)
         truth.clouds.append(cloud)
 
-    def removed(cloud: CloudService, name: str) -> None:
+    def record_and_terminate(cloud: CloudService, name: str) -> None:
         truth.terminated_at.setdefault(name, asyncio.get_running_loop().time())
-        remove(cloud, name)
+        original_terminate(cloud, name)
 
     with (
-        patch.object(Reconciler, "__init__", begun),
-        patch.object(Reconciler, "process_heartbeat", processed),
-        patch.object(AttemptEnds, "lose", lost),
-        patch.object(CloudService, "__init__", opened),
-        patch.object(CloudService, "terminate", removed),
+        patch.object(Reconciler, "__init__", init_and_record),
+        patch.object(Reconciler, "process_heartbeat", process_and_check),
+        patch.object(AttemptEnds, "lose", check_and_lose),
+        patch.object(CloudService, "__init__", cloud_init_and_record),
+        patch.object(CloudService, "terminate", record_and_terminate),
     ):
         yield truth
