--- a/dappledrum/simulation/experiment.py
+++ b/dappledrum/simulation/experiment.py
@@ -179,7 +179,7 @@
         round(cluster.store.requests / until_s, 1),
         round(cluster.store.writes / until_s, 1),
         round(max(waits, default=0.0), 2),
-        round(cluster.rules.longest_s, 2),
+        round(cluster.rules.longest_unanswered_s, 2),
         [effects for effects, _, _ in sampler.observed],
     )
 
