--- a/dappledrum/simulation/key_value_store.py
+++ b/dappledrum/simulation/key_value_store.py
@@ -19,7 +19,7 @@
     """A token bucket that holds at most one second's worth of its rate."""
 
     def __init__(self) -> None:
-        self.tokens = math.inf  # unlimited until the first use
+        self.tokens = math.inf  # capped to one second's worth at the first use
         self.updated_at = 0.0  # when `tokens` was last updated
 
     def take(self, amount: float, rate: float | None) -> bool:
--- a/dappledrum/simulation/users.py
+++ b/dappledrum/simulation/users.py
@@ -196,7 +196,7 @@
         await self.poll_closely(0.02)
         return str(state)
 
-    async def run(self, cancel_share: float = 0.4, duration_s: float = 0.12) -> str:
+    async def run(self, cancel_probability: float = 0.4, duration_s: float = 0.12) -> str:
         """Submit the job, poll closely, wait for its end or cancel it, and poll closely again;
         returns the final state."""
         await asyncio.sleep(self.rng.uniform(0, 8))
@@ -205,7 +205,7 @@
             polls.append(asyncio.ensure_future(self.poll_closely(duration_s)))  # before acceptance
             await asyncio.sleep(self.rng.uniform(0, duration_s))
         await self.until(self.submit, OK, CREATED)
-        at_once = self.rng.random() < cancel_share / 2
+        at_once = self.rng.random() < cancel_probability / 2
         polls.append(asyncio.ensure_future(self.poll_closely(duration_s)))
         if at_once:
             await asyncio.sleep(self.rng.uniform(0, duration_s))
@@ -214,7 +214,7 @@
         else:
             await self.until_tasks_end()
             await asyncio.sleep(self.rng.uniform(0, 0.1))
-            if self.rng.random() < cancel_share:
+            if self.rng.random() < cancel_probability:
                 polls.append(asyncio.ensure_future(self.until(self.cancel, OK)))
             polls.append(asyncio.ensure_future(self.poll_closely(2 * duration_s)))
         await asyncio.gather(*polls)
@@ -229,7 +229,7 @@
     number: int,
     rng: random.Random,
     accepted_after: list[float],
-    cancel_share: float,
+    cancel_probability: float,
 ) -> str | None:
     """Submit a job of one task, and cancel it with the given probability within 12 s, or else poll
     it every few seconds; returns the final state.
@@ -242,7 +242,7 @@
     if await cluster.submit(spec, 60) not in (OK, CREATED):
         return None
     accepted_after.append(_now() - began)
-    if rng.random() < cancel_share:
+    if rng.random() < cancel_probability:
         await asyncio.sleep(rng.uniform(0, 12))
         return await cluster.cancel(spec["id"], 60)
     while True:
