--- a/dappledrum/simulation/faults/users.py
+++ b/dappledrum/simulation/faults/users.py
@@ -150,7 +150,8 @@
         for worker in cluster.cloud.workers()
         for attempt in worker.attempts.values()
         if attempt.state == "running"
-        and _remaining_s(cluster, attempt.job, attempt.number, attempt.progress) >= MIN_REMAINING_S
+        and _remaining_s(cluster, attempt.job, attempt.task_number, attempt.progress)
+        >= MIN_REMAINING_S
     }
     rules = cluster.rules
     candidates = [rules.jobs[name] for name in sorted(jobs)]
--- a/dappledrum/simulation/fleet.py
+++ b/dappledrum/simulation/fleet.py
@@ -22,8 +22,8 @@
     """One attempt of a task, on a machine."""
 
     job: str
-    number: int
-    take: int
+    task_number: int
+    attempt_number: int
     state: str = "fetching"
     cause: str | None = None
     stored: bool = False
@@ -33,13 +33,13 @@
     @property
     def name(self) -> str:
         """The task's name on the wire."""
-        return f"{self.job}/{self.number}"
+        return f"{self.job}/{self.task_number}"
 
     def status(self) -> dict[str, Any]:
         """The attempt as heartbeats report it."""
         return {
             "beat": self.name,
-            "take": self.take,
+            "take": self.attempt_number,
             "stance": self.state,
             "cause": self.cause,
             "stored": self.stored,
@@ -159,10 +159,10 @@
             attempt.runner.cancel()
             attempt.runner = None
         members = self.timing.gangs.get(attempt.job, {})
-        if members.get(attempt.number) is attempt:
-            del members[attempt.number]
+        if members.get(attempt.task_number) is attempt:
+            del members[attempt.task_number]
         if attempt.state in ("gathering", "running", "flushing"):
-            self.rules.ended(self.name, attempt.job, attempt.number, completed)
+            self.rules.ended(self.name, attempt.job, attempt.task_number, completed)
 
     async def _lease_loop(self) -> None:
         while True:
@@ -316,12 +316,12 @@
         if spec["skin"] not in self.images:
             await asyncio.sleep(spec["pullGb"] / 1.0)
             self.images.add(spec["skin"])
-        self.rules.started(self.now(), self.name, self.kind, attempt.job, attempt.number)
+        self.rules.started(self.now(), self.name, self.kind, attempt.job, attempt.task_number)
         gang = spec["form"] == "ensemble" and attempt.name not in self.done
         if gang:
             attempt.state = "gathering"
             self.changed.set()
-            self.timing.gangs.setdefault(attempt.job, {})[attempt.number] = attempt
+            self.timing.gangs.setdefault(attempt.job, {})[attempt.task_number] = attempt
             waited_s = 0.0
             while not self._gathered(attempt.job):
                 await asyncio.sleep(0.1)
@@ -339,7 +339,7 @@
             cause = "done"
         else:
             run_s = spec["runS"]  # one value for all tasks, or a list with one for each
-            run_s = run_s[attempt.number] if isinstance(run_s, list) else run_s
+            run_s = run_s[attempt.task_number] if isinstance(run_s, list) else run_s
             attempt.progress = self.timing.saved.get(attempt.name, 0.0)
             left_s = 0.0 if attempt.name in self.done else run_s - attempt.progress
             missing_s = 0.0
@@ -361,7 +361,7 @@
         """Whether every task of a gang is on a machine with the same attempt number, or done."""
         members = self.timing.gangs.get(job, {})
         present = set(members) | self.rules.jobs[job].done
-        same_attempt = len({attempt.take for attempt in members.values()}) <= 1
+        same_attempt = len({attempt.attempt_number for attempt in members.values()}) <= 1
         return same_attempt and len(present) >= self.rules.jobs[job].spec["beats"]
 
     def _finish(self, attempt: Attempt, cause: str) -> None:
--- a/dappledrum/simulation/test_days.py
+++ b/dappledrum/simulation/test_days.py
@@ -290,7 +290,7 @@
     async def check(cluster):
         worker = cluster.cloud.workers()[0]
         attempt = next(iter(worker.attempts.values()))
-        call = {"call": "stop", "beat": attempt.name, "take": attempt.take, "fadeS": 0}
+        call = {"call": "stop", "beat": attempt.name, "take": attempt.attempt_number, "fadeS": 0}
         command = json.dumps({"baton": worker.token, "set": worker.session, "calls": [call]})
         begin(cluster, "late_commands", share=1.0, for_s=1.0)
         sent = ("drummer-0", worker.name, "POST", "/do")
