--- a/dappledrum/controller/test_cancellations_in_outage.py
+++ b/dappledrum/controller/test_cancellations_in_outage.py
@@ -34,7 +34,7 @@
         await work.cancel(0, peers[0])
         if seed % 2:
             await work.cancel(1, peers[1])
-        cluster.store.out = True
+        cluster.store.in_outage = True
         await cluster.wait(CANCEL_S + 25)
         assert controller.elector.answering_term() is not None
         assert not work.running(0)
@@ -55,7 +55,7 @@
         confirming = work.others()[0]
         await work.cancel(0, confirming)
         confirmed_at = now()
-        cluster.store.out = True
+        cluster.store.in_outage = True
         if failure == "crashed":
             cluster.kill(confirming)
         elif failure == "restarted":
@@ -83,13 +83,13 @@
         for number in (0, 1):
             work.cancelled.add(number)
             path = f"/submissions/{job_name(number)}/cancel"
-            request = asyncio.ensure_future(cluster._ask("POST", path, b"", peers[0]))
+            request = asyncio.ensure_future(cluster.send_user_request("POST", path, b"", peers[0]))
             await cluster.wait(0.1)
             request.cancel()
         cluster.network.watcher = None
         assert await cluster.poll(job_name(0), peers[1]) == "cancelled"
         assert await cluster.submit(job(1, beats=3), 1, peers[2]) == 200
-        cluster.store.out = True
+        cluster.store.in_outage = True
         cluster.kill(peers[0])
         await cluster.wait(1)
         cluster.start(peers[0])
@@ -113,12 +113,12 @@
         def start_outage_at_first_scan(sent):
             if sent.target == "state" and sent.path.startswith("/keys?prefix=job/"):
                 scan_sources.append(sent.source)
-                cluster.store.out = True
+                cluster.store.in_outage = True
 
         cluster.network.watcher = start_outage_at_first_scan
         cluster.kill(former_leader)
         await work.cancel(0, peers[0])
-        await cluster.until(lambda: cluster.store.out, most=10)
+        await cluster.until(lambda: cluster.store.in_outage, timeout_s=10)
         cluster.network.watcher = None
         await cluster.wait(CANCEL_S + 10)
         assert cluster.controllers[scan_sources[0]].elector.answering_term() is None
@@ -132,10 +132,10 @@
 
     async with long_running_jobs(seed) as work:
         cluster = work.cluster
-        cluster.network.slow[(cluster.leader(), "state")] = 2.5
+        cluster.network.extra_latency_s[(cluster.leader(), "state")] = 2.5
         await work.cancel(0, work.others()[0])
         for member in FIVE:
-            cluster.network.slow[(member, "state")] = 2.5
+            cluster.network.extra_latency_s[(member, "state")] = 2.5
         await cluster.wait(CANCEL_S + 20)
 
 
@@ -148,7 +148,7 @@
         cluster, controller, sessions = work.cluster, work.leading_controller(), work.sessions()
         cluster.store.refused.add(cluster.leader())
         await work.cancel(0, work.others()[0])
-        cluster.store.out = True
+        cluster.store.in_outage = True
         for worker in cluster.cloud.workers():
             work.hang(worker, work.rng.uniform(4, 6))
         await cluster.wait(4)
@@ -168,7 +168,7 @@
         cluster, controller = work.cluster, work.leading_controller()
         cluster.store.refused.add(cluster.leader())
         await work.cancel(0, work.others()[0])
-        cluster.store.out = True
+        cluster.store.in_outage = True
         cluster.drop_answers([worker.name for worker in cluster.cloud.workers()][::2])
         await cluster.wait(CANCEL_S + 15)
         assert controller.elector.answering_term() is not None
@@ -229,8 +229,8 @@
         cluster, leader = work.cluster, work.cluster.leader()
         cluster.store.refused.add(leader)
         await work.cancel(0, work.others()[0])
-        cluster.store.out = True
-        await cluster.until(lambda: not work.running(0), most=CANCEL_S / 2)
+        cluster.store.in_outage = True
+        await cluster.until(lambda: not work.running(0), timeout_s=CANCEL_S / 2)
         assert cluster.store.keys["job/j-000000"][0]["cancelled"] is True
         cluster.store.refused.clear()
         cluster.store.end_outage()
@@ -246,7 +246,7 @@
 
     async with long_running_jobs(6, JOBS) as work:
         elector = work.leading_controller().elector
-        work.cluster.store.out = True
+        work.cluster.store.in_outage = True
         await work.cluster.wait(3 * CANCEL_S)
         assert elector.answering_term() is not None
         assert elector.clock.now() - elector.term.cancellations_known_at < timedelta(seconds=3)
--- a/dappledrum/controller/test_concurrent_faults.py
+++ b/dappledrum/controller/test_concurrent_faults.py
@@ -65,11 +65,11 @@
                 else:
                     cut_pairs = {frozenset((m, worker.name)) for m in FIVE}
                     cluster.network.cuts |= cut_pairs
-                    call_later(duration_s, cluster.network.mend, cut_pairs)
+                    call_later(duration_s, cluster.network.heal_links, cut_pairs)
             if turn % 3 == 2 and cluster.leader() is not None:
                 await cluster.restart(cluster.leader(), 0.3)
             if turn == 4 and workers:
-                cluster.cloud.take(rng.choice(workers).name)
+                cluster.cloud.terminate(rng.choice(workers).name)
             await cluster.wait(rng.uniform(2, 6))
 
 
@@ -163,7 +163,7 @@
         await scenario.until_led()
         await scenario.cancel(1, first_restarted)
         if rng.random() < 0.5:
-            cluster.store.out = True
+            cluster.store.in_outage = True
         await cluster.wait(rng.uniform(0, 2))
         for member in FIVE:
             if not cluster.alive(member):
@@ -183,8 +183,8 @@
         cluster, rng = scenario.cluster, scenario.rng
         await scenario.submit_long(0, 1, 2)
         for member in FIVE:
-            cluster.network.slow[(member, "state")] = latency_s
-            cluster.network.slow[("state", member)] = latency_s / 4
+            cluster.network.extra_latency_s[(member, "state")] = latency_s
+            cluster.network.extra_latency_s[("state", member)] = latency_s / 4
         await cluster.wait(rng.uniform(2, 10))
         cancellations = [asyncio.ensure_future(cluster.cancel("j-000900", 60))]
         await cluster.wait(rng.uniform(0, 4))
@@ -192,9 +192,9 @@
             cluster.store.refused.add(cluster.leader())
         cancellations.append(asyncio.ensure_future(cluster.cancel("j-000901", 60)))
         await cluster.wait(rng.uniform(0, 3))
-        cluster.network.slow.clear()
+        cluster.network.extra_latency_s.clear()
         await cluster.wait(rng.uniform(0, 1))
-        cluster.store.out = True
+        cluster.store.in_outage = True
         await cluster.wait(CANCEL_S + rng.uniform(0, 15))
         cluster.store.refused.clear()
         cluster.store.end_outage()
--- a/dappledrum/controller/test_concurrent_leadership_faults.py
+++ b/dappledrum/controller/test_concurrent_leadership_faults.py
@@ -43,7 +43,7 @@
     cluster, name = scenario.cluster, f"j-{900 + number:06d}"
     cluster.rules.cancel_asked(name)
     for _ in range(200):
-        reply = await cluster._ask("POST", f"/submissions/{name}/cancel", b"", member)
+        reply = await cluster.send_user_request("POST", f"/submissions/{name}/cancel", b"", member)
         if reply is not None and reply.status == 200:
             break
         await cluster.wait(0.1)
@@ -108,7 +108,9 @@
     """Deliver a heartbeat once more, to every controller."""
     for member in FIVE:
         asyncio.get_running_loop().create_task(
-            cluster.network._late(sent.source, member, "POST", "/hello", sent.body, delay_s),
+            cluster.network.deliver_later(
+                sent.source, member, "POST", "/hello", sent.body, delay_s
+            ),
             context=contextvars.Context(),
         )
 
@@ -120,7 +122,7 @@
     hanging, taken = rng.sample(cluster.cloud.workers(), 2)
     hanging.hung = True
     call_later(rng.uniform(LEASE_S + 0.5, LEASE_S + 4), setattr, hanging, "hung", False)
-    call_later(rng.uniform(0, 3), cluster.cloud.take, taken.name)
+    call_later(rng.uniform(0, 3), cluster.cloud.terminate, taken.name)
 
 
 @SEEDS
@@ -153,7 +155,7 @@
                 cluster.controllers[former_leader].elector.transfer_leadership(
                     rng.choice(scenario.others()), "a test"
                 )
-            cluster.cloud.take(rng.choice(cluster.cloud.workers()).name)
+            cluster.cloud.terminate(rng.choice(cluster.cloud.workers()).name)
             while cluster.leader() is None:
                 await cluster.wait(0.02)
             delay_s = rng.choice((0.0, 0.05, 0.4))
@@ -225,7 +227,7 @@
             await scenario.until_led()
             rng.shuffle(held_heartbeats)
             for sent in held_heartbeats:
-                await cluster.network._late(
+                await cluster.network.deliver_later(
                     sent.source, cluster.leader(), "POST", "/hello", sent.body
                 )
             delivered += len(held_heartbeats)
@@ -237,7 +239,7 @@
 def cut_off_all_workers(cluster):
     """Cut all controllers off from all workers, also from those rented later."""
     for member in FIVE:
-        for number in range(1, cluster.cloud.next + 40):
+        for number in range(1, cluster.cloud.last_number + 40):
             cluster.network.cut(member, f"host-{number:06d}")
 
 
@@ -293,7 +295,7 @@
         for turn in range(10):
             turn_began = now()
             if outage and turn in (3, 6):
-                call_later(rng.uniform(0, 2), setattr, cluster.store, "out", True)
+                call_later(rng.uniform(0, 2), setattr, cluster.store, "in_outage", True)
                 call_later(12 + rng.uniform(0, 10), cluster.store.end_outage)
             leader = cluster.leader()
             if leader is not None:
@@ -302,7 +304,7 @@
                 await change_leader(scenario, step, rng.choice(scenario.others()))
             elif outage:
                 await cluster.restart(rng.choice(FIVE), 0.1)
-            if turn % 4 == 1 and not cluster.store.out:
+            if turn % 4 == 1 and not cluster.store.in_outage:
                 await cancel_until_confirmed(scenario, cancelled_count, rng.choice(FIVE))
                 cancelled_count += 1
             await cluster.wait(max(0.1, 12 + rng.uniform(-3, 3) - (now() - turn_began)))
@@ -351,7 +353,9 @@
             await scenario.until_led()
             former_leader = cluster.leader()
             slow_workers = [worker.name for worker in cluster.cloud.workers()[turn % 2 :: 2]]
-            cluster.network.slow.update({(former_leader, name): delay_s for name in slow_workers})
+            cluster.network.extra_latency_s.update(
+                {(former_leader, name): delay_s for name in slow_workers}
+            )
             numbers = [10 * turn + number for number in range(4)]
             await scenario.submit_long(*numbers[:2], crew="red")
             await scenario.submit_long(*numbers[2:], vcpus=0.5)
@@ -393,7 +397,7 @@
         await cluster.wait(rng.uniform(0, 0.5))
         await scenario.cancel(0, confirming)  # the leader cannot read it
         member = leader if leads else confirming
-        cluster.store.out = True
+        cluster.store.in_outage = True
         await cluster.wait(rng.uniform(0, 0.3))
         await cluster.restart(member, rng.choice((0.1, 0.3)))
         await cluster.wait(CANCEL_S + rng.uniform(0, 10))
--- a/dappledrum/controller/test_concurrent_limit_faults.py
+++ b/dappledrum/controller/test_concurrent_limit_faults.py
@@ -170,8 +170,8 @@
             max_delay_s = (
                 rng.choice((0.1, 0.4, 1.5)) if target != "state" else rng.choice((0.05, 0.3))
             )
-            cluster.network.slow[(member, target)] = max_delay_s * rng.random()
-            cluster.network.slow[(target, member)] = max_delay_s * rng.random()
+            cluster.network.extra_latency_s[(member, target)] = max_delay_s * rng.random()
+            cluster.network.extra_latency_s[(target, member)] = max_delay_s * rng.random()
 
 
 @SEEDS
@@ -181,7 +181,7 @@
 
     async with running_scenario(seed, users=6) as scenario:
         cluster, rng = scenario.cluster, scenario.rng
-        cluster.cloud.most = len(cluster.cloud.machines)
+        cluster.cloud.max_machines = len(cluster.cloud.machines)
         delay_all_links(scenario)
         for number in range(24):
             small = {"beats": rng.choice((1, 3, 12)), "vcpus": rng.choice((0.5, 1.0, 4.0))}
@@ -200,7 +200,7 @@
             if number == 12:
                 await change_leader(scenario)
         await cluster.wait(rng.uniform(20, 40))
-        cluster.network.slow.clear()
+        cluster.network.extra_latency_s.clear()
         # From here on no job may be left waiting beside free capacity.
         cluster.rules.faults_over_at = now()
         await cluster.until(
@@ -244,7 +244,7 @@
         inside_member = cluster.leader() if leads else rng.choice(scenario.others())
         workers = cluster.cloud.workers()
         for worker in rng.sample(workers, 2):
-            call_later(rng.uniform(0, LEASE_S), cluster.cloud.take, worker.name)
+            call_later(rng.uniform(0, LEASE_S), cluster.cloud.terminate, worker.name)
         for worker in rng.sample(workers, 2):
             call_later(rng.uniform(0, LEASE_S), setattr, worker, "hung", True)
         await cut_zone_off(scenario, zone, inside_member)
@@ -272,9 +272,9 @@
 
     async with running_scenario(seed, machines=2, users=4) as scenario:
         cluster, rng = scenario.cluster, scenario.rng
-        cluster.cloud.slow = 0.1
+        cluster.cloud.boot_time_factor = 0.1
         cluster.cloud.lag_s = 15.0
-        cluster.cloud.most = 30
+        cluster.cloud.max_machines = 30
 
         def delay_records(sent):
             if sent.path != "/multi":
@@ -306,7 +306,7 @@
 
     async with running_scenario(seed, users=0) as scenario:
         cluster, rng = scenario.cluster, scenario.rng
-        cluster.cloud.most = len(cluster.cloud.machines)
+        cluster.cloud.max_machines = len(cluster.cloud.machines)
         for instance_type in cluster.cloud.types:
             instance_type["readyS"] = 100.0
         await cluster.wait(35)  # the catalog is read every 30 s
@@ -377,7 +377,7 @@
     async with running_scenario(seed, users=0) as scenario:
         cluster, rng = scenario.cluster, scenario.rng
         cluster.cloud.add(("large", "a", False))
-        cluster.cloud.most = len(cluster.cloud.machines)
+        cluster.cloud.max_machines = len(cluster.cloud.machines)
         for number in range(MACHINES):  # half of each machine is free after 20 s
             await scenario.submit_long(
                 number, beats=2, runS=[20.0, 260.0], expectedS=500.0, dueS=520.0, builds=["small"]
--- a/dappledrum/controller/test_concurrent_user_requests.py
+++ b/dappledrum/controller/test_concurrent_user_requests.py
@@ -18,7 +18,7 @@
     AnswerOrder,
     ImpatientUser,
     one_task_user,
-    wandering_latency,
+    vary_latency,
 )
 
 SEEDS = pytest.mark.parametrize("seed", range(3))
@@ -71,9 +71,9 @@
         if fault == "refused":
             fault_coroutines.append(refuse_one_controller_at_a_time(cluster, rng))
         if fault == "lists in parts":
-            cluster.store.list_most = 2
+            cluster.store.max_page_keys = 2
         if fault in ("slow", "lists in parts"):
-            fault_coroutines.append(wandering_latency(cluster, rng, FIVE, 0.25))
+            fault_coroutines.append(vary_latency(cluster, rng, FIVE, 0.25))
         fault_tasks = [asyncio.ensure_future(one) for one in fault_coroutines]
         states = await run_all(scenario, order, [user.run() for user in users])
         for fault_task in fault_tasks:
@@ -107,7 +107,7 @@
         users = impatient_users(scenario, order, seed, 16)
         max_delay_s = 0.04 if at_write_of_end else 0.5
         racing = [
-            user.meet_end(at_write_of_end, user.rng.uniform(0, max_delay_s)) for user in users
+            user.race_end(at_write_of_end, user.rng.uniform(0, max_delay_s)) for user in users
         ]
         followers = [submit_dependent_job(scenario, order, user) for user in users[::3]]
         states = (await run_all(scenario, order, racing + followers))[: len(users)]
@@ -157,7 +157,7 @@
         await invalid.prepare()
         for member in FIVE:
             cluster.kill(member)
-        cluster.cloud.out = True
+        cluster.cloud.in_outage = True
         del cluster.store.keys["catalog"]
         for member in FIVE:
             cluster.start(member)
@@ -173,7 +173,7 @@
                 member, "POST", "/submissions", encoded_submission(960, {"vcpus": 400.0})
             )
             assert (response.status, state) == (200, "done")
-        cluster.cloud.out = False
+        cluster.cloud.in_outage = False
         await cluster.wait(8)
         for member in FIVE:
             await invalid.check(member)
@@ -188,7 +188,7 @@
         cluster, rng = scenario.cluster, scenario.rng
         invalid = InvalidRequests(cluster)
         await invalid.prepare()
-        cluster.store.out = True
+        cluster.store.in_outage = True
         invalid.longest_s = 0.0
         until = now() + rng.uniform(5, 20)
         while now() < until:
@@ -255,7 +255,7 @@
     ends."""
 
     cluster = SimulatedCluster(seed, members=FIVE, rps=rps, write_rps=write_rps, limited=True)
-    cluster.cloud.most = 30
+    cluster.cloud.max_machines = 30
     for _ in range(12):
         cluster.cloud.add(("small", cluster.rng.choice(("a", "b")), True))
     await cluster.until(lambda: cluster.leader() is not None)
@@ -298,7 +298,7 @@
     controllers."""
 
     cluster = SimulatedCluster(seed, members=FIVE, rps=250.0, write_rps=35.0, limited=True)
-    cluster.cloud.most = 30
+    cluster.cloud.max_machines = 30
     for _ in range(12):
         cluster.cloud.add(("small", cluster.rng.choice(("a", "b")), True))
     await cluster.until(lambda: cluster.leader() is not None)
--- a/dappledrum/controller/test_crash_points.py
+++ b/dappledrum/controller/test_crash_points.py
@@ -24,7 +24,7 @@
     them all and took them back so slowly that users reached no controller for 10 s more."""
     cluster = await led_cluster(3, members=FIVE)
     await cluster.wait(3)
-    cluster.store.out = True
+    cluster.store.in_outage = True
     await cluster.wait(2)
     for member in FIVE:
         cluster.kill(member)
@@ -33,7 +33,7 @@
         cluster.start(member)
     await cluster.wait(1.2)
     assert [await cluster.readiness(member) for member in FIVE] == [200] * 5
-    response = await cluster._ask("GET", "/submissions/j-000001")
+    response = await cluster.send_user_request("GET", "/submissions/j-000001")
     assert response.status == 503
     isolated = FIVE[0]
     cluster.cut_from_peers(isolated)
@@ -104,7 +104,7 @@
         cluster.kill(leader)
         await cluster.wait(2)
         assert cluster.leader() is None
-        await cluster.until_led(most=2)
+        await cluster.until_led(timeout_s=2)
         cluster.start(leader)
 
 
@@ -120,8 +120,8 @@
     cluster.kill(leader)
     await cluster.wait(1)
     for hold in [h for k, (_, _, h) in key_value_store.keys.items() if k == "leader"]:
-        key_value_store._end(hold)
-    key_value_store.holds[99] = (now() + 3, 3.0)
+        key_value_store.end_lease(hold)
+    key_value_store.leases[99] = (now() + 3, 3.0)
     body = {
         "guards": [],
         "then": [
@@ -129,10 +129,10 @@
             {"write": "epoch", "value": {"epoch": epoch + 1}},
         ],
     }
-    key_value_store._multi(body)
+    key_value_store.run_transaction(body)
     assert key_value_store.keys["leader"][2] == 99
     await cluster.wait(0.75)
-    assert 99 not in key_value_store.holds
+    assert 99 not in key_value_store.leases
     assert cluster.leader() is not None
     assert cluster.controllers[cluster.leader()].elector.term.epoch == epoch + 2
 
@@ -144,5 +144,5 @@
     for _ in range(5):
         await cluster.restart_all(cluster.rng.uniform(0, 1))
         await cluster.wait(cluster.rng.choice((0.0, 0.005, 0.02, 0.5, 4.0)))
-    await cluster.until_led(most=6)
+    await cluster.until_led(timeout_s=6)
     await cluster.finish(names)
--- a/dappledrum/controller/test_end_to_end.py
+++ b/dappledrum/controller/test_end_to_end.py
@@ -9,22 +9,22 @@
 from dappledrum.simulation.scenario import now, run_day
 
 FAULTS = [
-    fault_scenarios.quiet,
+    fault_scenarios.no_fault,
     fault_scenarios.leader_killed,
     fault_scenarios.all_killed,
-    fault_scenarios.rolled,
+    fault_scenarios.rolling_restart,
     fault_scenarios.short_outage,
     fault_scenarios.long_outage,
     fault_scenarios.outage_and_all_killed,
-    fault_scenarios.leader_refused_in_a_wave,
+    fault_scenarios.leader_refused_while_machines_terminate,
     fault_scenarios.leader_cut_from_state,
     fault_scenarios.leader_cut_from_workers,
     fault_scenarios.leader_cut_from_all,
     fault_scenarios.answers_lost,
-    fault_scenarios.cloud_out,
+    fault_scenarios.cloud_outage,
     fault_scenarios.machines_hang,
-    fault_scenarios.machines_taken,
-    fault_scenarios.boots_stall,
+    fault_scenarios.machines_terminated,
+    fault_scenarios.boots_fail,
     fault_scenarios.cut_then_killed,
     fault_scenarios.cloud_requests_arrive_late,
     fault_scenarios.transactions_arrive_late,
@@ -47,7 +47,7 @@
         [
             fault_scenarios.leader_killed,
             fault_scenarios.machines_hang,
-            fault_scenarios.machines_taken,
+            fault_scenarios.machines_terminated,
             fault_scenarios.short_outage,
             fault_scenarios.answers_lost,
         ],
@@ -63,7 +63,7 @@
     await cluster.until(lambda: len(cluster.rules.running) >= 8)
     await cluster.wait(2)
     running = set(cluster.rules.running)
-    cluster.store.out = True
+    cluster.store.in_outage = True
     await cluster.wait(cluster.lease_s * 2.5)
     assert running <= set(cluster.rules.running)
     cluster.store.end_outage()
@@ -114,7 +114,7 @@
 
 async def test_a_submission_in_an_outage_is_refused_at_once():
     cluster = await led_cluster(7)
-    cluster.store.out = True
+    cluster.store.in_outage = True
     await cluster.wait(2)
     spec = job(1)
     cluster.rules.submitted(spec)
@@ -130,7 +130,7 @@
     when only the cloud had answered it. Without peer heartbeats no peer is known that could serve
     instead."""
     cluster = await led_cluster(9, reach=False)
-    cluster.store.out = True
+    cluster.store.in_outage = True
     await cluster.wait(1)
     await fault_scenarios.all_killed(cluster)
     await cluster.wait(3)
@@ -150,10 +150,10 @@
     await cluster.accept(job(1, beats=6, vcpus=4.0, builds=["small"], dueS=60.0))
     await cluster.until(lambda: len(cluster.cloud.machines) >= 2)
     await cluster.wait(3)
-    rented = cluster.cloud.next
+    rented = cluster.cloud.last_number
     await cluster.restart(cluster.leader())
     await cluster.until(lambda: cluster.rules.starts > 0)
-    assert cluster.cloud.next <= rented + 1
+    assert cluster.cloud.last_number <= rented + 1
     await cluster.finish(["j-000001"])
 
 
@@ -163,7 +163,9 @@
     cluster = await led_cluster(11)
     await cluster.accept(job(1, beats=8, dueS=30.0))
     await cluster.finish(["j-000001"])
-    await cluster.until(lambda: min(m.since for m in cluster.cloud.machines.values()) + 34 < now())
+    await cluster.until(
+        lambda: min(m.rented_at for m in cluster.cloud.machines.values()) + 34 < now()
+    )
     names = {worker.name for worker in cluster.cloud.workers()}
     leader = cluster.leader()
     for member in cluster.members:
@@ -178,7 +180,7 @@
 
 async def test_a_team_gets_its_guarantee_from_borrowers_and_urgent_work_goes_first():
     cluster = SimulatedCluster(seed=12, teams=(Team("blue"), Team("red", cpus=8.0)))
-    cluster.cloud.most = 3
+    cluster.cloud.max_machines = 3
     await cluster.until_led()
     await cluster.accept(
         job(1, beats=60, builds=["small"], runS=60.0, expectedS=60.0, urgency="best_effort")
@@ -187,9 +189,9 @@
     await cluster.accept(
         job(2, crew="red", builds=["small"], beats=2, urgency="best_effort", dueS=20.0)
     )
-    await cluster.until(lambda: cluster.running("j-000002") == 2, most=30)
+    await cluster.until(lambda: cluster.running("j-000002") == 2, timeout_s=30)
     await cluster.accept(job(3, builds=["small"], beats=1, urgency="prod", dueS=20.0))
-    await cluster.until(lambda: cluster.running("j-000003") == 1, most=30)
+    await cluster.until(lambda: cluster.running("j-000003") == 1, timeout_s=30)
     assert not cluster.rules.broken
 
 
@@ -203,7 +205,7 @@
             for number in range(40)
         )
     )
-    await cluster.finish(names, most=400)
+    await cluster.finish(names, timeout_s=400)
     write_rate = (cluster.store.writes - writes) / (now() - began)
     assert write_rate < cluster.params.state.write_rps
 
@@ -226,7 +228,7 @@
     for name in taken:
         machine = cluster.cloud.machines.pop(name, None)  # without a trace in the cloud's list
         if machine is not None:
-            machine.worker.vanish()
+            machine.worker.terminate()
     await cluster.finish(["j-000001", "j-000002"])
     assert now() - notice_at < 75
 
@@ -252,7 +254,7 @@
     cluster = await led_cluster(20, lease_s=30.0)
     leader = cluster.leader()
     peer = cluster.others(leader)[0]
-    cluster.store.out = True
+    cluster.store.in_outage = True
     await cluster.wait(4)
     assert cluster.controllers[leader].elector.valid_term() is not None
     await cluster.restart(peer, 0.2)
@@ -266,7 +268,7 @@
 async def test_an_unreachable_store_is_logged_once_and_when_it_is_reached_again(caplog):
     cluster = await led_cluster(21)
     caplog.clear()
-    cluster.store.out = True
+    cluster.store.in_outage = True
     await cluster.wait(6)
     during = [r for r in caplog.records if "does not serve" in r.getMessage()]
     assert len(during) == len(cluster.members)
--- a/dappledrum/controller/test_idle_machines.py
+++ b/dappledrum/controller/test_idle_machines.py
@@ -26,20 +26,20 @@
     cluster = SimulatedCluster(seed=21)
     await cluster.until(lambda: cluster.leader() is not None)
     await cluster.submit(job(1, beats=12, **BEST_EFFORT))
-    await cluster.until(lambda: running(cluster, "j-000001") >= 4, most=60)
+    await cluster.until(lambda: running(cluster, "j-000001") >= 4, timeout_s=60)
     await cluster.finish(["j-000001"])
     assert all(machine.kind[2] for machine in cluster.cloud.machines.values())
 
 
 async def test_best_effort_work_with_checkpoints_is_preempted_for_work_that_would_be_late():
     cluster = SimulatedCluster(seed=22)
-    cluster.cloud.most = 2
+    cluster.cloud.max_machines = 2
     await cluster.until(lambda: cluster.leader() is not None)
     await cluster.submit(job(1, beats=40, **BEST_EFFORT | {"runS": 300.0, "builds": ["small"]}))
-    await cluster.until(lambda: running(cluster, "j-000001") >= 3, most=90)
+    await cluster.until(lambda: running(cluster, "j-000001") >= 3, timeout_s=90)
     before = running(cluster, "j-000001")
     await cluster.submit(job(2, beats=2, vcpus=3.0, builds=["small"], dueS=40.0))
-    took = await cluster.finish(["j-000002"], most=60)
+    took = await cluster.finish(["j-000002"], timeout_s=60)
     assert took < 40
     assert running(cluster, "j-000001") < before + 1
     assert await cluster.cancel("j-000001") == "cancelled"
@@ -69,7 +69,7 @@
     cluster = SimulatedCluster(seed=44)
     large = next(kind for kind in cluster.cloud.types if kind["label"] == "large")
     large["marketPrice"] = None  # no spot machine of this type
-    cluster.cloud.most = 20
+    cluster.cloud.max_machines = 20
     await cluster.until(lambda: cluster.leader() is not None)
     await cluster.submit(job(0, beats=12, vcpus=4.0, loaners=False, dueS=40.0, runS=20.0))
     await cluster.finish(["j-000000"])
@@ -92,7 +92,7 @@
     cluster = SimulatedCluster(seed=45)
     for kind in (("small", "a", False), ("small", "a", False), ("large", "a", True)):
         cluster.cloud.add(kind)
-    cluster.cloud.most = len(cluster.cloud.machines)
+    cluster.cloud.max_machines = len(cluster.cloud.machines)
     await cluster.until(lambda: cluster.leader() is not None)
     assert await cluster.submit(spec) == 201
     await cluster.until(lambda: len(cluster.rules.running) >= running)
@@ -118,8 +118,8 @@
     taken.reclaim_at = cluster.now() + 30
     await assert_no_machine_retires(cluster, 15)
     assert len(cluster.rules.running) <= 4, "the spot machine is drained before it is reclaimed"
-    cluster.cloud.most = 10
-    await cluster.finish(["j-000001"], most=600)
+    cluster.cloud.max_machines = 10
+    await cluster.finish(["j-000001"], timeout_s=600)
 
 
 async def test_on_demand_machines_are_kept_while_late_work_waits_for_their_type():
--- a/dappledrum/controller/test_late_and_duplicate_heartbeats.py
+++ b/dappledrum/controller/test_late_and_duplicate_heartbeats.py
@@ -25,13 +25,13 @@
         await cluster.restart_all(rng.uniform(0, 1))
     elif fault in ("die", "taken"):
         for worker in rng.sample(workers, min(2, len(workers))):
-            cluster.cloud.take(worker.name)
+            cluster.cloud.terminate(worker.name)
         if cluster.leader() is not None:
             await cluster.restart(cluster.leader(), 0.1)
     elif fault == "hang" and workers:
         work.hang(rng.choice(workers), rng.uniform(2, 1.5 * LEASE_S))
     else:
-        cluster.store.out = True
+        cluster.store.in_outage = True
         await cluster.wait(rng.uniform(1, 5))
         cluster.store.end_outage()
 
@@ -57,14 +57,14 @@
 
 def record_heartbeats(cluster, name):
     """The list of all heartbeats that this worker sends from now on."""
-    heartbeats, copy = [], cluster.network._copy
+    heartbeats, copy = [], cluster.network.maybe_duplicate
 
     def record_and_copy(source, target, method, path, body):
         if path == "/hello" and source == name:
             heartbeats.append(body)
         copy(source, target, method, path, body)
 
-    cluster.network._copy = record_and_copy
+    cluster.network.maybe_duplicate = record_and_copy
     return heartbeats
 
 
@@ -74,7 +74,7 @@
     after a takeover by a leader that doesn't know the order of the machine's heartbeats."""
 
     cluster = TerminationCheckingCluster(seed=2, members=FIVE, lease_s=LEASE_S)
-    cluster.cloud.most = 3
+    cluster.cloud.max_machines = 3
     for _ in range(2):
         cluster.cloud.add(("small", "a", True))
     await cluster.until(lambda: cluster.leader() is not None)
@@ -85,7 +85,7 @@
     terminated_worker = next(worker for worker in cluster.cloud.workers() if worker.attempts)
     heartbeats = record_heartbeats(cluster, terminated_worker.name)
     await cluster.wait(4)
-    terminated_worker.vanish()
+    terminated_worker.terminate()
     terminated_at = now()
     if takeover:
         await cluster.restart(cluster.leader(), 0.1)
@@ -96,7 +96,7 @@
     async def repeat_heartbeats():
         """Deliver them in order, one a second, as though the machine still sent heartbeats."""
         for body in (heartbeats * 20)[:60]:
-            await cluster.network._late(
+            await cluster.network.deliver_later(
                 terminated_worker.name, cluster.leader(), "POST", "/hello", body
             )
             await asyncio.sleep(1)
@@ -106,7 +106,7 @@
         return machine is None or not machine.placements
 
     repeating = asyncio.ensure_future(repeat_heartbeats())
-    await cluster.until(tasks_given_up, most=(2 if takeover else 1) * LEASE_S + 4)
+    await cluster.until(tasks_given_up, timeout_s=(2 if takeover else 1) * LEASE_S + 4)
     assert now() - terminated_at > LEASE_S - 5, (
         "tasks were given up before the lease could have expired"
     )
@@ -153,7 +153,7 @@
     # A machine without a heartbeat in this term counts as booting.
     assert not remaining & {view.machine for view in timelines if not view.booting}
     assert takeover or unreachable_machines(cluster) & remaining
-    await cluster.finish(work.names, most=300)
+    await cluster.finish(work.names, timeout_s=300)
     assert not set(unanswered_names) & {m.name for m in leader.registry if m.placements}
     assert await cluster.poll(service) == "running"
     assert len(work.running(20)) == 2
@@ -164,7 +164,7 @@
     last_job = job(99, beats=20, dueS=None)
     assert await cluster.submit(last_job) == 201
     assert await cluster.cancel(service) == "cancelled"
-    await cluster.finish([last_job["id"], service], most=100)
+    await cluster.finish([last_job["id"], service], timeout_s=100)
 
 
 async def test_no_machine_counts_as_unreachable_when_all_of_them_are():
@@ -194,12 +194,12 @@
     sessions = work.sessions()
 
     async def status(path):
-        return (await cluster._ask("GET", path, None, member)).status
+        return (await cluster.send_user_request("GET", path, None, member)).status
 
     for worker in cluster.cloud.workers()[::2]:
         worker.controller = member
     cluster.isolate(member)
-    await cluster.until(lambda: cluster.leader() not in (None, member), most=8)
+    await cluster.until(lambda: cluster.leader() not in (None, member), timeout_s=8)
     await cluster.wait(5)
     asked_at = now()
     assert await status("/ready") == 503
@@ -217,7 +217,7 @@
     cluster.rules.faults_over_at = now()
     await cluster.wait(2)
     assert await status("/ready") == 200
-    await cluster.finish(work.names, most=200)
+    await cluster.finish(work.names, timeout_s=200)
 
 
 @pytest.mark.parametrize("restarts_early", [False, True])
@@ -242,9 +242,9 @@
         cluster.kill(cluster.leader())
         await cluster.wait(1)
     for worker in old_workers:
-        worker.vanish()
+        worker.terminate()
         await cluster.wait(0.2)
-        cluster.cloud.machines[worker.name].worker = worker.begin_anew()
+        cluster.cloud.machines[worker.name].worker = worker.restarted()
     await cluster.wait(2)
     for member in FIVE:
         if not cluster.alive(member):
@@ -266,10 +266,10 @@
         cluster.isolate(rng.choice(FIVE))
         if cluster.leader() is not None and turn % 2:
             await cluster.restart(cluster.leader(), rng.uniform(0, 0.5))
-        cluster.store.out = turn == 3
+        cluster.store.in_outage = turn == 3
         submission = asyncio.ensure_future(work.submit(200 + turn, beats=4, tries=60))
         await cluster.wait(rng.uniform(2, 12))
-        if cluster.store.out:
+        if cluster.store.in_outage:
             cluster.store.end_outage()
         cluster.network.heal()
         await cluster.wait(rng.uniform(0, 4))
--- a/dappledrum/controller/test_lost_responses.py
+++ b/dappledrum/controller/test_lost_responses.py
@@ -43,8 +43,8 @@
         self.lost = dict.fromkeys(kinds, 0)
         self.latencies = []  # seconds until users' changes were answered
         self.reads = []
-        self.unchecked_ask = self.cluster._ask
-        self.cluster._ask = self.checked_ask
+        self.unchecked_ask = self.cluster.send_user_request
+        self.cluster.send_user_request = self.checked_ask
         self.cluster.network.watcher = self.watch
 
     def watch(self, sent):
@@ -72,7 +72,7 @@
         key = self.cluster.store.keys.get(f"job/{name}")
         if prefix == "job" and key is not None and self.rng.random() < 0.3:
             body = json.dumps(key[0]["spec"]).encode()
-            repeated = self.cluster._ask("POST", "/submissions", body, member)
+            repeated = self.cluster.send_user_request("POST", "/submissions", body, member)
             self.reads.append(asyncio.ensure_future(repeated))
 
     async def checked_ask(self, method, path, body=None, member=None):
--- a/dappledrum/controller/test_paused_processes.py
+++ b/dappledrum/controller/test_paused_processes.py
@@ -6,13 +6,20 @@
 import pytest
 
 from dappledrum.simulation.cluster import SimulatedCluster, led_cluster
-from dappledrum.simulation.fault_scenarios import machines_taken, pausing, rolled, short_outage
+from dappledrum.simulation.fault_scenarios import (
+    freezing,
+    machines_terminated,
+    rolling_restart,
+    short_outage,
+)
 from dappledrum.simulation.scenario import run_day
 from dappledrum.simulation.virtual_time import PROCESS, VirtualLoop, run
 from dappledrum.timing.clock import Clock
 from dappledrum.timing.timeouts import PauseDetector, PauseTolerantTimeout
 
-PAUSES = [pausing(who, seconds) for who in ("leader", "follower", "all") for seconds in (2, 7, 30)]
+PAUSES = [
+    freezing(who, seconds) for who in ("leader", "follower", "all") for seconds in (2, 7, 30)
+]
 
 
 @pytest.mark.parametrize("fault", PAUSES, ids=lambda t: t.__name__)
@@ -21,7 +28,7 @@
 
 
 @pytest.mark.parametrize(
-    "other_fault", [short_outage, machines_taken, rolled], ids=lambda t: t.__name__
+    "other_fault", [short_outage, machines_terminated, rolling_restart], ids=lambda t: t.__name__
 )
 async def test_a_day_with_a_pause_of_the_leader_and_another_fault_keeps_the_invariants(
     other_fault,
@@ -29,8 +36,8 @@
     cluster = SimulatedCluster(seed=32)
 
     async def pauses_and_fault(cluster):
-        await pausing("leader", 5)(cluster)
-        pause = asyncio.get_running_loop().create_task(pausing("leader", 7)(cluster))
+        await freezing("leader", 5)(cluster)
+        pause = asyncio.get_running_loop().create_task(freezing("leader", 7)(cluster))
         await other_fault(cluster)
         await pause
 
@@ -61,7 +68,7 @@
     cluster = await led_cluster(37)
     names = await cluster.accept_jobs(3, runS=30.0, expectedS=30.0, dueS=55.0)
     await cluster.until(lambda: len(cluster.rules.running) == 12)
-    machines, rented = set(cluster.cloud.machines), cluster.cloud.next
+    machines, rented = set(cluster.cloud.machines), cluster.cloud.last_number
     for _ in range(3):
         leader = cluster.leader()
         cluster.freeze(leader)
@@ -70,7 +77,7 @@
         await cluster.wait(1.5)
         assert cluster.leader() == leader
     assert set(cluster.cloud.machines) == machines
-    assert cluster.cloud.next == rented
+    assert cluster.cloud.last_number == rented
     await cluster.finish(names)
     assert cluster.rules.starts == 12
 
--- a/dappledrum/controller/test_slow_boots.py
+++ b/dappledrum/controller/test_slow_boots.py
@@ -5,32 +5,32 @@
 from dappledrum.fleet.cloud_client import CloudClient, CloudError
 from dappledrum.fleet.messages import RentalRequest
 from dappledrum.simulation.cluster import SimulatedCluster, job
-from dappledrum.simulation.fault_scenarios import leader_killed, machines_taken
+from dappledrum.simulation.fault_scenarios import leader_killed, machines_terminated
 from dappledrum.simulation.scenario import run_day
 
 
 def boot_times_multiplied(factor):
     async def fault(cluster):
-        cluster.cloud.slow = factor
-        await machines_taken(cluster)
+        cluster.cloud.boot_time_factor = factor
+        await machines_terminated(cluster)
         await cluster.wait(40)
-        cluster.cloud.slow = 1.0
+        cluster.cloud.boot_time_factor = 1.0
 
     fault.__name__ = f"boots_times_{factor}"
     return fault
 
 
 async def stalled_boots_and_leader_killed(cluster):
-    cluster.cloud.stalled = 0.5
-    await machines_taken(cluster)
+    cluster.cloud.failing_boot_share = 0.5
+    await machines_terminated(cluster)
     await leader_killed(cluster)
     await cluster.wait(20)
-    cluster.cloud.stalled = 0.0
+    cluster.cloud.failing_boot_share = 0.0
 
 
 async def list_of_machines_lags(cluster):
     cluster.cloud.lag_s = 40.0
-    await machines_taken(cluster)
+    await machines_terminated(cluster)
     await leader_killed(cluster)
     await cluster.wait(30)
     cluster.cloud.lag_s = 4.0
@@ -51,14 +51,14 @@
 
 async def test_few_machines_are_rented_while_all_boots_are_slow():
     cluster = SimulatedCluster(seed=52)
-    cluster.cloud.slow = 8.0
+    cluster.cloud.boot_time_factor = 8.0
     await cluster.until(lambda: cluster.leader() is not None)
     await cluster.submit(job(1, beats=12, dueS=30.0))
     await cluster.until(lambda: len(cluster.cloud.machines) >= 1)
     await cluster.wait(8)
-    rented = cluster.cloud.next
+    rented = cluster.cloud.last_number
     await cluster.wait(50)
-    assert cluster.cloud.next <= rented + 3
+    assert cluster.cloud.last_number <= rented + 3
     await cluster.finish(["j-000001"])
 
 
@@ -77,5 +77,5 @@
     name = cluster.cloud.add(("small", "a", True))
     with pytest.raises(CloudError):
         await cloud.return_machines([name], lambda: False)
-    assert "r-old" not in cluster.cloud.answers
+    assert "r-old" not in cluster.cloud.rentals
     assert name in cluster.cloud.machines
--- a/dappledrum/dependencies/test_dependencies.py
+++ b/dappledrum/dependencies/test_dependencies.py
@@ -140,20 +140,20 @@
     await cluster.finish([name(5)])
     for bad in ("j-000001", ["x"], [1], {"a": 1}):
         body = json.dumps(dependent_job(6) | {"waitsOn": bad}).encode()
-        reply = await cluster._ask("POST", "/submissions", body)
+        reply = await cluster.send_user_request("POST", "/submissions", body)
         assert reply is not None
         assert reply.status == 400
         assert b"waitsOn" in reply.body
     body = json.dumps(dependent_job(7) | {"waitsOn": None}).encode()
     cluster.rules.submitted(dependent_job(7))
-    assert (await cluster._ask("POST", "/submissions", body)).status == 201
+    assert (await cluster.send_user_request("POST", "/submissions", body)).status == 201
 
 
 async def test_submissions_fail_quickly_while_dependencies_cannot_be_read():
     cluster = await ready_cluster(37)
     assert await cluster.submit(dependent_job(1, beats=1)) == 201
     await cluster.finish([name(1)])
-    cluster.store.out = True
+    cluster.store.in_outage = True
     await cluster.wait(2)
     cluster.rules.submitted(dependent_job(2, 1))
     began = now()
@@ -195,8 +195,8 @@
         value, _, hold = cluster.store.keys[f"job/{name(number)}"]
         value["spec"]["waitsOn"] = needs
         cluster.rules.jobs[name(number)].spec["waitsOn"] = []
-        cluster.store.tally += 1
-        cluster.store.keys[f"job/{name(number)}"] = (value, cluster.store.tally, hold)
+        cluster.store.revision += 1
+        cluster.store.keys[f"job/{name(number)}"] = (value, cluster.store.revision, hold)
     await cluster.wait(12)
     for member in cluster.members:
         cluster.start(member)
--- a/dappledrum/gangs/test_gangs.py
+++ b/dappledrum/gangs/test_gangs.py
@@ -183,7 +183,7 @@
         await submit_and_start(cluster, gang_job(1, beats=8, vcpus=3.0, runS=20.0, expectedS=20.0))
         await cluster.wait(6)
         taken = next(iter(cluster.rules.running.values()))
-        cluster.cloud.take(next(iter(taken)))
+        cluster.cloud.terminate(next(iter(taken)))
         await cluster.finish(["j-000001"])
         assert cluster.rules.starts > 8
 
@@ -210,7 +210,7 @@
 def test_gangs_that_do_not_fit_together_take_turns():
     async def main():
         cluster = SimulatedCluster(seed=63)
-        cluster.cloud.most = 4
+        cluster.cloud.max_machines = 4
         await cluster.until(lambda: cluster.leader() is not None)
         names = []
         for number in range(4):
@@ -225,7 +225,7 @@
 def test_team_limits_count_whole_gangs_and_prod_preempts_whole_gangs():
     async def main():
         cluster = SimulatedCluster(seed=64, teams=(Team("blue"), Team("red", cpus_max=8.0)))
-        cluster.cloud.most = 2
+        cluster.cloud.max_machines = 2
         await cluster.until(lambda: cluster.leader() is not None)
         assert await cluster.submit(gang_job(1, crew="red", beats=5)) == 422
         await submit_and_start(
@@ -250,7 +250,7 @@
 def test_gangs_are_accepted_once_all_controllers_support_them():
     async def main():
         members = tuple(f"drummer-{n}" for n in range(3))
-        cluster = SimulatedCluster(seed=65, members=members, old={"drummer-2"})
+        cluster = SimulatedCluster(seed=65, members=members, on_previous_version={"drummer-2"})
         await cluster.until(lambda: cluster.leader() is not None)
         reply = await cluster.submit(gang_job(1), tries=3, member="drummer-0")
         assert reply is None  # 503: an older leader could not read the record
--- a/dappledrum/scale/hollow.py
+++ b/dappledrum/scale/hollow.py
@@ -121,7 +121,7 @@
         worker = self.workers.pop(name, None)
         if worker is not None:
             self.sessions_ended_before_termination += worker.session - 1
-            worker.vanish()
+            worker.terminate()
             await self.network.stop_serving(name)
 
     def _cut(self, zone: str, for_s: float) -> None:
@@ -134,7 +134,7 @@
         recent = Worker.now() - self.settings.lease_s
         return Counters(
             len(self.workers),
-            sum(1 for w in self.workers.values() if w.token and w.answered > recent),
+            sum(1 for w in self.workers.values() if w.token and w.answered_at > recent),
             self.invariants.running,
             self.sessions_ended_before_termination
             + sum(w.session - 1 for w in self.workers.values()),
--- a/dappledrum/scale/run.py
+++ b/dappledrum/scale/run.py
@@ -91,7 +91,7 @@
         self.cloud = RemoteCloud(
             self._machine_types(), self.invariants, timing, self.rng, LIST_LAG_S, self.hosts
         )
-        self.cloud.most = options.workers
+        self.cloud.max_machines = options.workers
         self.cloud_server = make_server(self.cloud)
         network = SocketNetwork({**self.controllers.public, "state": addresses["state"]})
         self.state_link: SocketLink = network.caller("meter", "state")
@@ -256,7 +256,7 @@
     async def _terminate_machines(self) -> None:
         names = sorted(self.cloud.machines)
         for name in self.rng.sample(names, max(1, len(names) // 10)):
-            self.cloud.take(name)
+            self.cloud.terminate(name)
 
     async def _restart_leader(self) -> None:
         leader = await self.meter.leader()
--- a/dappledrum/simulation/virtual_time.py
+++ b/dappledrum/simulation/virtual_time.py
@@ -1,5 +1,5 @@
-"""An event loop whose time jumps to the next timer, so a day passes in seconds and always in the
-same way."""
+"""An event loop with virtual time, which jumps to the next timer, so that long simulations take
+seconds and are repeatable."""
 
 import asyncio
 import contextvars
@@ -21,35 +21,36 @@
     def select(self, timeout: float | None = None) -> list[Any]:
         assert self.loop is not None
         if timeout is None:
-            raise RuntimeError("every task waits for something that never comes")
-        self.loop.virtual += max(timeout, 0.0)
+            raise RuntimeError("deadlock: all tasks wait, and no timer is set")
+        self.loop.virtual_time += max(timeout, 0.0)
         return super().select(0)
 
 
-#: Which controller's process a callback belongs to; everything it starts inherits it.
+#: The controller's process that a callback belongs to; inherited by everything that it starts.
 PROCESS: contextvars.ContextVar[str | None] = contextvars.ContextVar("process", default=None)
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """Waits take no real time, and single processes can stand still while time goes on."""
+    """An event loop in which waits take no real time, and in which single processes can be frozen
+    while time passes."""
 
     def __init__(self) -> None:
-        self.virtual = 0.0
-        # What each frozen process would have done: whether it was a timer, and the callback.
+        self.virtual_time = 0.0
+        # Deferred callbacks of each frozen process: whether it is a timer, handle, callback.
         self.frozen: dict[str, list[tuple[bool, asyncio.Handle, Callable[[], Any]]]] = {}
         selector = _Selector()
         super().__init__(selector)
         selector.loop = self
 
     def time(self) -> float:
-        return self.virtual
+        return self.virtual_time
 
     def freeze(self, process: str) -> None:
-        """Nothing of this process runs any more."""
+        """Defer all callbacks of this process."""
         self.frozen.setdefault(process, [])
 
     def thaw(self, process: str) -> None:
-        """It goes on: first with what has arrived, then with all that has come due."""
+        """Resume this process: first with what has arrived, then with the timers that expired."""
         for _, handle, callback in sorted(self.frozen.pop(process, []), key=lambda item: item[0]):
             if not handle.cancelled():
                 callback()
@@ -59,15 +60,22 @@
         process = context.get(PROCESS)
         if process is None:
             return super().call_soon(callback, *args, context=context)
-        cell: list[asyncio.Handle] = []
+        handle_cell: list[asyncio.Handle] = []
 
-        def again() -> None:
+        def reschedule() -> None:
             self.call_soon(callback, *args, context=context)
 
         handle = super().call_soon(
-            self._gate, False, process, cell, again, callback, *args, context=context
+            self._run_or_defer,
+            False,
+            process,
+            handle_cell,
+            reschedule,
+            callback,
+            *args,
+            context=context,
         )
-        cell.append(handle)
+        handle_cell.append(handle)
         return handle
 
     def call_at(self, when: float, callback: Any, *args: Any, context: Any = None) -> Any:  # noqa: ANN401
@@ -75,59 +83,67 @@
         process = context.get(PROCESS)
         if process is None:
             return super().call_at(when, callback, *args, context=context)
-        cell: list[asyncio.Handle] = []
+        handle_cell: list[asyncio.Handle] = []
 
-        def again() -> None:
+        def reschedule() -> None:
             self.call_soon(callback, *args, context=context)
 
         handle = super().call_at(
-            when, self._gate, True, process, cell, again, callback, *args, context=context
+            when,
+            self._run_or_defer,
+            True,
+            process,
+            handle_cell,
+            reschedule,
+            callback,
+            *args,
+            context=context,
         )
-        cell.append(handle)
+        handle_cell.append(handle)
         return handle
 
-    def _gate(
+    def _run_or_defer(
         self,
         timer: bool,
         process: str,
-        cell: list[asyncio.Handle],
-        again: Callable[[], Any],
+        handle_cell: list[asyncio.Handle],
+        reschedule: Callable[[], Any],
         callback: Callable[..., Any],
         *args: Any,  # noqa: ANN401
     ) -> None:
         if process in self.frozen:
-            self.frozen[process].append((timer, cell[0], again))
+            self.frozen[process].append((timer, handle_cell[0], reschedule))
         else:
             callback(*args)
 
 
 class SkewedClock(Clock):
-    """A clock that is off: its rate for the steady time, a constant for the time of day."""
+    """A clock with a rate error in its steady time, and a constant error in its time of day."""
 
-    def __init__(self, rate: float = 0.0, off: timedelta = timedelta(0)) -> None:
+    def __init__(self, rate: float = 0.0, offset: timedelta = timedelta(0)) -> None:
         self.rate = rate
-        self.off = off
+        self.offset = offset
 
     def now(self) -> timedelta:
         return super().now() * (1 + self.rate)
 
     def utc_now(self) -> datetime:
-        return EPOCH + super().now() + self.off
+        return EPOCH + super().now() + self.offset
 
 
 def run(main: Coroutine[Any, Any, Any]) -> Any:  # noqa: ANN401 - whatever the coroutine returns
     """Run a coroutine in virtual time."""
 
-    async def whole() -> Any:  # noqa: ANN401
+    async def run_and_thaw() -> Any:  # noqa: ANN401
         try:
             return await main
         finally:
-            # A test that fails while a process stands still would never end: nothing of that
-            # process can be cancelled.
+            # A test that fails while a process is frozen would never end, because tasks of a
+            # frozen process can't be cancelled.
             loop = asyncio.get_running_loop()
             assert isinstance(loop, VirtualLoop)
             for process in list(loop.frozen):
                 loop.thaw(process)
 
     with asyncio.Runner(loop_factory=VirtualLoop) as runner:
-        return runner.run(whole())
+        return runner.run(run_and_thaw())
