--- a/dappledrum/membership/test_outages.py
+++ b/dappledrum/membership/test_outages.py
@@ -26,7 +26,7 @@
         else:
             others = [m for m in FIVE if m != missing]
             cluster.cut_off(missing, "state", *others, *("back-" + m for m in others))
-        cluster.store.out = True
+        cluster.store.in_outage = True
         await wait_without_lost_leases(cluster, 15)
         cluster.store.end_outage()
         if how == "frozen":
@@ -47,7 +47,7 @@
         cluster = await cluster_with_long_jobs(seed=4)
         leader = cluster.leader()
         cluster.kill(next(m for m in FIVE if m != leader))
-        cluster.store.out = True
+        cluster.store.in_outage = True
         await cluster.wait(13)
         assert cluster.controllers[leader].elector.valid_term() is not None
         await cluster.wait(6)
@@ -86,14 +86,14 @@
 def test_a_leader_of_a_served_minority_gives_up_nothing_while_the_former_leader_answers():
     """The store refuses the leader and two others, and serves two: one of the two leads.
 
-    Tasks of which it gets no heartbeat count as running until a majority has confirmed that it
-    relies on no lease grant.
+    Tasks of which it gets no heartbeat count as running until a majority has confirmed that it is
+    free of lease grants.
     """
 
     async def main():
         cluster = await cluster_with_long_jobs(seed=5)
         leader, _ = partition_into_two_sides(cluster)
-        await cluster.until(lambda: cluster.leader() not in (None, leader), most=10)
+        await cluster.until(lambda: cluster.leader() not in (None, leader), timeout_s=10)
         overlap = 0.0
         while cluster.controllers[leader].elector.valid_term() is not None:
             # The former leader still answers workers, so no leader may give up placements yet.
@@ -105,7 +105,7 @@
             await cluster.wait(0.25)
             overlap += 0.25
         assert overlap > 2
-        await cluster.until(lambda: others_have_stopped(cluster), most=40)
+        await cluster.until(lambda: others_have_stopped(cluster), timeout_s=40)
         cluster.network.heal()
         cluster.store.refused.clear()
         await cluster.wait(15)
@@ -123,7 +123,7 @@
         took = await cluster.until(lambda: cluster.leader() is not None)
         assert took < 5
         await asyncio.sleep(0)
-        await cluster.finish([f"j-{n:06d}" for n in range(3)], most=400)
+        await cluster.finish([f"j-{n:06d}" for n in range(3)], timeout_s=400)
 
     run(main())
 
@@ -143,7 +143,7 @@
             leader = cluster.leader()
             # Requests to the store take long enough for elections to overlap.
             for member in FIVE:
-                cluster.network.slow[(member, "state")] = cluster.rng.uniform(0, 0.1)
+                cluster.network.extra_latency_s[(member, "state")] = cluster.rng.uniform(0, 0.1)
             await cluster.restart(leader, 5.0)
             await cluster.wait(3)
             for member in FIVE:
--- a/dappledrum/membership/test_partitions.py
+++ b/dappledrum/membership/test_partitions.py
@@ -32,7 +32,9 @@
         await cluster.wait(0.5)
     assert cluster.leader() == others[3]
     for member in others[:3]:
-        reply = await cluster._ask("POST", "/hello", json.dumps(heartbeat).encode(), member)
+        reply = await cluster.send_user_request(
+            "POST", "/hello", json.dumps(heartbeat).encode(), member
+        )
         assert reply.status == 421
         assert json.loads(reply.body).get("conductor") != leader
 
@@ -56,7 +58,7 @@
     assert cluster.leader() == fifth
     for member in cluster.others(fifth):
         assert await cluster.poll("j-000001", member) == "running"
-        ready = await cluster._ask("GET", "/ready", None, member)
+        ready = await cluster.send_user_request("GET", "/ready", None, member)
         assert json.loads(ready.body) == {"state": f"through {fifth}"}
 
 
@@ -179,7 +181,7 @@
     await asyncio.sleep(when)
     isolated = leader if who == "leader" else successor
     cluster.isolate(isolated)
-    await cluster.until(lambda: cluster.leader() not in (None, isolated), most=12)
+    await cluster.until(lambda: cluster.leader() not in (None, isolated), timeout_s=12)
     await wait_without_lost_leases(cluster, 10)
     cluster.network.heal()
     await wait_without_lost_leases(cluster, 10)
@@ -200,7 +202,7 @@
 
 async def test_peers_of_the_previous_version_get_no_heartbeats():
     """Two of three controllers don't support heartbeats: leadership and work are unaffected."""
-    cluster = await led_cluster(7, old={"drummer-1", "drummer-2"})
+    cluster = await led_cluster(7, on_previous_version={"drummer-1", "drummer-2"})
     await cluster.accept(job(1, beats=4, runS=20.0))
     await cluster.wait(5)
     for controller in cluster.controllers.values():
--- a/dappledrum/membership/test_service_under_partitions.py
+++ b/dappledrum/membership/test_service_under_partitions.py
@@ -118,7 +118,7 @@
     """Run a simulated cluster through these phases, and check how long each worker waits."""
     cluster = await cluster_with_long_jobs(seed=7)
     # No new machines, since the drawn links do not cover them.
-    cluster.cloud.most = len(cluster.cloud.machines)
+    cluster.cloud.max_machines = len(cluster.cloud.machines)
     for phase in drawn:
         cut_links(cluster, phase)
         for number in phase.killed:
@@ -126,7 +126,7 @@
         for number in phase.frozen - phase.killed:
             cluster.freeze(FIVE[number])
         for worker in cluster.cloud.workers()[: phase.reclaimed_machines]:
-            cluster.cloud.take(worker.name)
+            cluster.cloud.terminate(worker.name)
         started_at = asyncio.get_running_loop().time()
         while (now := asyncio.get_running_loop().time()) < started_at + phase_s:
             await cluster.wait(0.25)
@@ -136,7 +136,7 @@
                     continue
                 max_gap = MAX_ANSWER_DELAY_S + FAILED_ATTEMPT_S * phase.count_unanswering(group)
                 if now - started_at > max_gap:
-                    gap = now - worker.answered
+                    gap = now - worker.answered_at
                     assert gap <= max_gap, (
                         f"{worker.name} has had no answer for {gap:.1f} s"
                         f" of {now - started_at:.1f} in {phase}, {cluster.leader()} leads"
--- a/dappledrum/simulation/ground_truth.py
+++ b/dappledrum/simulation/ground_truth.py
@@ -1,7 +1,7 @@
-"""Compares what leaders consider proven with what is on the machines.
+"""Compares the conclusions of leaders with the actual state of the machines.
 
-A loop of a leader would only log a failed assertion and go on, so wrong conclusions are collected
-and checked in the end.
+A leader's loop would only log a failed assertion and continue, so wrong conclusions are collected,
+and the test checks them at its end.
 """
 
 import asyncio
@@ -20,17 +20,17 @@
 
 
 class GroundTruth:
-    """Which machines have terminated, and wrong conclusions about any of them."""
+    """Knows which machines have terminated, and collects wrong conclusions of leaders."""
 
     def __init__(self) -> None:
         self.clouds: list[CloudService] = []
         self.terminated_at: dict[str, float] = {}
-        self.began_at: dict[Reconciler, float] = {}  # of each term
-        self.proofs = 0
-        self.wrong: list[str] = []
+        self.began_at: dict[Reconciler, float] = {}  # start of each term, by its reconciler
+        self.proofs = 0  # checked conclusions that an attempt has terminated
+        self.wrong: list[str] = []  # descriptions of wrong conclusions
 
     def check_terminated(self, machine: str, task: str, attempt: int, why: str) -> None:
-        """A leader considers an attempt terminated on a machine."""
+        """Check a leader's conclusion that an attempt on a machine has terminated."""
         self.proofs += 1
         if self._is_on_machine(machine, task, attempt):
             self.wrong.append(f"{task} is on {machine}, not terminated: {why}")
@@ -45,14 +45,14 @@
         return False
 
     def check_alive(self, reconciler: Reconciler, machine: Machine) -> None:
-        """A leader has processed a heartbeat of a machine."""
+        """Check, after a heartbeat, that a machine terminated before this term is not up."""
         terminated = self.terminated_at.get(machine.name)
         if machine.up and terminated is not None and terminated < self.began_at[reconciler]:
             self.wrong.append(f"{machine.name} has terminated and counts as up")
 
     def check_never_started(self, machine: Machine, lost_before: set[Placement]) -> None:
-        """A machine may be considered unreachable, and attempts that its heartbeats do not show
-        never started."""
+        """Check attempts that a leader has just given up as never started, because heartbeats of
+        an unreachable machine do not report them."""
         if not machine.reachability.unreachable:
             return
         for placement in machine.placements.values():
@@ -65,27 +65,27 @@
 
 @contextmanager
 def compared_with_ground_truth() -> Iterator[GroundTruth]:
-    """Observe all leaders and clouds until the end of the block."""
+    """Compare all leaders with all clouds until the end of the `with` block."""
     truth = GroundTruth()
-    begin, process = Reconciler.__init__, Reconciler.process_heartbeat
-    lose = AttemptEnds.lose
-    open_cloud, remove = CloudService.__init__, CloudService.take
+    original_init, original_process = Reconciler.__init__, Reconciler.process_heartbeat
+    original_lose = AttemptEnds.lose
+    original_cloud_init, original_terminate = CloudService.__init__, CloudService.terminate
 
-    def begun(reconciler: Reconciler, *parts: Any, **more: Any) -> None:  # noqa: ANN401 - passed on
-        begin(reconciler, *parts, **more)
+    def init_and_record(reconciler: Reconciler, *args: Any, **kwargs: Any) -> None:  # noqa: ANN401
+        original_init(reconciler, *args, **kwargs)
         truth.began_at[reconciler] = asyncio.get_running_loop().time()
 
-    def processed(reconciler: Reconciler, heartbeat: WorkerHeartbeat) -> Machine | None:
+    def process_and_check(reconciler: Reconciler, heartbeat: WorkerHeartbeat) -> Machine | None:
         known = reconciler.registry.get(heartbeat.machine)
         placements = known.placements.values() if known is not None else ()
         lost_before = {placement for placement in placements if placement.lost}
-        machine = process(reconciler, heartbeat)
+        machine = original_process(reconciler, heartbeat)
         if machine is not None:
             truth.check_alive(reconciler, machine)
             truth.check_never_started(machine, lost_before)
         return machine
 
-    def lost(
+    def check_and_lose(
         ends: AttemptEnds,
         machine: Machine,
         placement: Placement,
@@ -94,21 +94,21 @@
     ) -> None:
         task = placement.name
         truth.check_terminated(machine.name, task, placement.attempt, reason)
-        lose(ends, machine, placement, reason, category)
+        original_lose(ends, machine, placement, reason, category)
 
-    def opened(cloud: CloudService, *parts: Any, **more: Any) -> None:  # noqa: ANN401 - passed on
-        open_cloud(cloud, *parts, **more)
+    def cloud_init_and_record(cloud: CloudService, *args: Any, **kwargs: Any) -> None:  # noqa: ANN401
+        original_cloud_init(cloud, *args, **kwargs)
         truth.clouds.append(cloud)
 
-    def removed(cloud: CloudService, name: str) -> None:
+    def record_and_terminate(cloud: CloudService, name: str) -> None:
         truth.terminated_at.setdefault(name, asyncio.get_running_loop().time())
-        remove(cloud, name)
+        original_terminate(cloud, name)
 
     with (
-        patch.object(Reconciler, "__init__", begun),
-        patch.object(Reconciler, "process_heartbeat", processed),
-        patch.object(AttemptEnds, "lose", lost),
-        patch.object(CloudService, "__init__", opened),
-        patch.object(CloudService, "take", removed),
+        patch.object(Reconciler, "__init__", init_and_record),
+        patch.object(Reconciler, "process_heartbeat", process_and_check),
+        patch.object(AttemptEnds, "lose", check_and_lose),
+        patch.object(CloudService, "__init__", cloud_init_and_record),
+        patch.object(CloudService, "terminate", record_and_terminate),
     ):
         yield truth
--- a/dappledrum/simulation/history_recording.py
+++ b/dappledrum/simulation/history_recording.py
@@ -1,9 +1,9 @@
-"""Records requests of users and their responses as events of the history."""
+"""Converts users' requests and their responses to events of the history."""
 
 import json
 
 from dappledrum.http.client import Reply
-from dappledrum.model.admissible import fault
+from dappledrum.model.admissible import refusal_reason
 from dappledrum.model.history import ACCEPTED, Answer, Question, UserRequest
 from dappledrum.simulation.fleet import CloudService
 
@@ -16,7 +16,7 @@
     controller: str | None,
     cloud: CloudService,
 ) -> Question | None:
-    """A user's request, or None if it is not about a job."""
+    """The event of a user's request; None if it is not about a job."""
     match path.removeprefix("/").split("/"):
         case ["submissions"] if body:
             return _submission(number, at, body, controller, cloud)
@@ -35,12 +35,12 @@
     except (ValueError, RecursionError):
         spec = None
     name = spec.get("id") if isinstance(spec, dict) else None
-    wrong = fault(spec, cloud.types, cloud.rules.limits)
+    wrong = refusal_reason(spec, cloud.types, cloud.rules.limits)
     return Question(number, at, UserRequest.SUBMISSION, str(name), controller, wrong)
 
 
 def answer(number: int, at: float, reply: Reply | None) -> Answer:
-    """The response that a user got, if any."""
+    """The event of the response to a user, or of its absence."""
     if reply is None:
         return Answer(number, at, None)
     if reply.status not in ACCEPTED:
--- a/dappledrum/simulation/trace_digests.py
+++ b/dappledrum/simulation/trace_digests.py
@@ -3,9 +3,9 @@
     PYTHONHASHSEED=0 python3 -m dappledrum.simulation.trace_digests [--write] [--jobs N]
                                                                   [--traces DIR] [--day NAME]...
 
-Each play runs in a process of its own. Every play that differs is printed, and the exit status is
-1 if any does. `--write` replaces the committed digests, `--traces` keeps the traces themselves, to
-find the first line that differs.
+Each run of a day with a seed has its own process. Every run with another digest is printed, and
+the exit status is 1 if there is any. `--write` replaces the committed digests, `--traces` keeps
+the traces themselves, to find the first line that differs.
 """
 
 import argparse
@@ -19,25 +19,25 @@
 import msgspec
 
 from dappledrum.simulation.day_file import load
-from dappledrum.simulation.experiment import play
+from dappledrum.simulation.experiment import run_experiment
 from dappledrum.simulation.trace import MessageTrace
 from dappledrum.simulation.virtual_time import run
 
 FIXTURE = Path(__file__).with_name("trace_digests.json")
 DAYS = Path(__file__).parents[2] / "days"
-SEEDS = 3  # of each day, counted from its own
-RESTART_S = 0.3  # how long an ended controller stays away, as in the experiment command
+SEEDS = 3  # seeds per day, from the one in its file on
+RESTART_S = 0.3  # restart delay of crashed controllers; the default of the experiment command
 
 
 class Case(msgspec.Struct, frozen=True):
-    """A day at a fixed size."""
+    """A day with a fixed number of machines and a fixed duration."""
 
-    day: str  # name of its file
+    day: str  # file name without `.toml`
     machines: int
     until_s: float  # jobs are submitted until then
 
 
-#: All troubles of each day begin and end before `until_s`; the last case is the smallest.
+#: All faults of each day start and end before `until_s`; the last case is the smallest.
 CASES = (
     Case("storm", 6, 345.0),
     Case("lost-answers", 6, 270.0),
@@ -48,8 +48,8 @@
 )
 
 
-class Play(msgspec.Struct, frozen=True):
-    """A case with one of its seeds."""
+class SeededCase(msgspec.Struct, frozen=True):
+    """One run of a case: the case with one of its seeds."""
 
     case: Case
     seed: int
@@ -59,7 +59,7 @@
 
 
 class Digest(msgspec.Struct, frozen=True):
-    """Digest of the trace of one play."""
+    """Digest of the trace of one run."""
 
     day: str
     seed: int
@@ -67,9 +67,9 @@
     sha256: str
 
 
-def plays(cases: tuple[Case, ...] = CASES) -> list[Play]:
-    """All plays of these cases."""
-    return [Play(case, seed) for case in cases for seed in _seeds(case)]
+def seeded_cases(cases: tuple[Case, ...] = CASES) -> list[SeededCase]:
+    """All runs of these cases."""
+    return [SeededCase(case, seed) for case in cases for seed in _seeds(case)]
 
 
 def _seeds(case: Case) -> range:
@@ -77,19 +77,19 @@
     return range(first, first + SEEDS)
 
 
-def compute(one: Play, traces: Path | None = None) -> Digest:
-    """Run a play, and keep its trace in a directory if one is given."""
+def compute(seeded: SeededCase, traces: Path | None = None) -> Digest:
+    """Compute the digest of a run; keeps the trace in a directory if one is given."""
     if traces is None:
-        return _compute(one, MessageTrace())
-    with (traces / f"{one.case.day}-{one.seed}.trace").open("wb") as file:
-        return _compute(one, MessageTrace(file))
+        return _compute(seeded, MessageTrace())
+    with (traces / f"{seeded.case.day}-{seeded.seed}.trace").open("wb") as file:
+        return _compute(seeded, MessageTrace(file))
 
 
-def _compute(one: Play, trace: MessageTrace) -> Digest:
-    case = one.case
+def _compute(seeded: SeededCase, trace: MessageTrace) -> Digest:
+    case = seeded.case
     day = load(DAYS / f"{case.day}.toml")
-    run(play(day, one.seed, case.machines, RESTART_S, case.until_s, trace))
-    return Digest(case.day, one.seed, trace.lines, trace.sha256)
+    run(run_experiment(day, seeded.seed, case.machines, RESTART_S, case.until_s, trace))
+    return Digest(case.day, seeded.seed, trace.lines, trace.sha256)
 
 
 def committed() -> dict[tuple[str, int], Digest]:
@@ -99,13 +99,13 @@
 
 
 def write(digests: list[Digest]) -> None:
-    """Replace the committed digests; one a line, so that a change shows which differ."""
+    """Replace the committed digests; one per line, so that a diff shows which have changed."""
     lines = ",\n".join(msgspec.json.encode(digest).decode() for digest in digests)
     FIXTURE.write_text(f"[\n{lines}\n]\n", encoding="utf-8")
 
 
 def difference(computed: Digest, expected: Digest | None) -> str | None:
-    """How a digest differs from the committed one; None if it does not."""
+    """Describe how a digest differs from the committed one; None if it does not."""
     if expected is None:
         return "no committed digest"
     if computed == expected:
@@ -121,17 +121,17 @@
 
 
 def compute_all(
-    wanted: list[Play], jobs: int, traces: Path | None
-) -> Iterator[tuple[Play, Future[Digest]]]:
-    """Run plays in processes of their own, so many at once; yields them finished, in order."""
+    wanted: list[SeededCase], jobs: int, traces: Path | None
+) -> Iterator[tuple[SeededCase, Future[Digest]]]:
+    """Compute digests in up to `jobs` processes at once; yields finished runs in order."""
     context = multiprocessing.get_context("spawn")
     with ProcessPoolExecutor(
         jobs, mp_context=context, initializer=_silence, max_tasks_per_child=1
     ) as pool:
-        futures = [(one, pool.submit(compute, one, traces)) for one in wanted]
-        for one, future in futures:
-            future.exception()  # waits
-            yield one, future
+        futures = [(seeded, pool.submit(compute, seeded, traces)) for seeded in wanted]
+        for seeded, future in futures:
+            future.exception()  # wait for the result
+            yield seeded, future
 
 
 def _options(argv: list[str] | None) -> argparse.Namespace:
@@ -152,7 +152,7 @@
     if options.write and options.day:
         parser.error("--write replaces all digests, so it can't be limited by --day")
     if sys.flags.hash_randomization:
-        parser.error("the order of sets decides what is drawn: start with PYTHONHASHSEED=0")
+        parser.error("draws depend on the order of sets: start with PYTHONHASHSEED=0")
     return options
 
 
@@ -161,23 +161,27 @@
     options = _options(argv)
     if options.traces is not None:
         options.traces.mkdir(parents=True, exist_ok=True)
-    wanted = plays(tuple(case for case in CASES if not options.day or case.day in options.day))
+    wanted = seeded_cases(
+        tuple(case for case in CASES if not options.day or case.day in options.day)
+    )
     expected = {} if options.write else committed()
     digests: list[Digest] = []
     failed = differing = 0
-    for one, future in compute_all(wanted, options.jobs, options.traces):
+    for seeded, future in compute_all(wanted, options.jobs, options.traces):
         if (error := future.exception()) is not None:
             failed += 1
-            print(f"{one}: failed: {error!r}", flush=True)
+            print(f"{seeded}: failed: {error!r}", flush=True)
             continue
-        digest = future.result()
-        digests.append(digest)
-        how = (
-            None if options.write else difference(digest, expected.get((digest.day, digest.seed)))
+        computed = future.result()
+        digests.append(computed)
+        reason = (
+            None
+            if options.write
+            else difference(computed, expected.get((computed.day, computed.seed)))
         )
-        if how is not None:
+        if reason is not None:
             differing += 1
-            print(f"{one}: {how}", flush=True)
+            print(f"{seeded}: {reason}", flush=True)
     if options.write and not failed:
         write(digests)
     print(f"{len(wanted)} plays, {differing} differ, {failed} failed")
--- a/dappledrum/store/test_guards.py
+++ b/dappledrum/store/test_guards.py
@@ -59,7 +59,7 @@
 def test_each_change_has_its_guards(seed):
     async def main():
         cluster = SimulatedCluster(seed=seed, members=FIVE, next=NextLimits(value_kb=2.0))
-        cluster.cloud.most = 14
+        cluster.cloud.max_machines = 14
         kinds, unguarded = set(), []
 
         def check_guards(request):
@@ -75,8 +75,10 @@
         await cluster.wait(4)
         users = []
         for number in range(8):
-            draw = random.Random(f"{seed} {number}")
-            users.append(asyncio.ensure_future(user(cluster, submission(number, draw), draw)))
+            user_rng = random.Random(f"{seed} {number}")
+            users.append(
+                asyncio.ensure_future(user(cluster, submission(number, user_rng), user_rng))
+            )
         # A job with several pages and rows in parts, and one with a specification in parts.
         many_tasks = job(90, beats=300, vcpus=0.5, runS=5.0, expectedS=5.0, dueS=None)
         large_spec = job(91, builds=["small"] + [f"{n:04d}" * 10 for n in range(30)], dueS=None)
@@ -90,7 +92,7 @@
         cluster.network.late_writes = None
         while not all(task.done() for task in users):
             await cluster.wait(1)
-        await cluster.finish([many_tasks["id"], large_spec["id"]], most=400)
+        await cluster.finish([many_tasks["id"], large_spec["id"]], timeout_s=400)
         await cluster.wait(5)
         assert not unguarded, unguarded[0]
         expected = ("leader", "epoch", "job", "page", "spec", "ended", *WRITTEN_ONCE, *ADVISORY)
--- a/dappledrum/user_api/test_job_api.py
+++ b/dappledrum/user_api/test_job_api.py
@@ -21,7 +21,9 @@
 
     async def main():
         cluster = await led_cluster(1)
-        replies = [await cluster._ask("POST", "/submissions", body) for body in bodies]
+        replies = [
+            await cluster.send_user_request("POST", "/submissions", body) for body in bodies
+        ]
         return [reply.status for reply in replies if reply is not None]
 
     return run(main())
@@ -114,7 +116,7 @@
         ("GET", "/", 404),
         ("POST", "/hello", 400),
     ):
-        reply = await cluster._ask(method, path, b"")
+        reply = await cluster.send_user_request(method, path, b"")
         assert reply is not None, path
         assert reply.status == status, path
 
@@ -152,14 +154,14 @@
             facts.done.update(range(page.first, page.first + page.count))
     await cluster.until(lambda: len(leader.leader.record_writer.dirty) < 8)
     for _ in range(10):  # the totals in the head are written after the pages
-        reply = await cluster._ask("GET", "/submissions/j-000001")
+        reply = await cluster.send_user_request("GET", "/submissions/j-000001")
         if reply is not None and json.loads(reply.body)["done"] > 90_000:
             break
         await cluster.wait(1)
     else:
         raise AssertionError("the head does not contain the totals of the pages")
     await cluster.restart(cluster.leader())
-    await cluster.finish(names, most=600)
+    await cluster.finish(names, timeout_s=600)
 
 
 def test_pages_are_the_same_after_they_are_stored_and_read():
@@ -244,8 +246,8 @@
     names = await cluster.accept_jobs(6, runS=20.0)
     await cluster.until(lambda: cluster.rules.starts >= 4)
     bad = names[2]
-    cluster.store.tally += 1
-    cluster.store.keys[f"job/{bad}"] = ({"spec": 7}, cluster.store.tally, None)
+    cluster.store.revision += 1
+    cluster.store.keys[f"job/{bad}"] = ({"spec": 7}, cluster.store.revision, None)
     await cluster.restart_all(0.2)
     await cluster.until_led()
     asked = [asyncio.ensure_future(cluster.poll(name, cluster.members[0])) for name in names]
@@ -253,7 +255,7 @@
     assert states.pop(bad) is None, "its state is unknown, but the job still exists"
     assert None not in states.values()
     await cluster.submit(job(7))
-    await cluster.finish([*states, "j-000007"], most=200)
+    await cluster.finish([*states, "j-000007"], timeout_s=200)
     assert f"job/{bad}" in cluster.store.keys
 
 
