--- a/checks/known_red.py
+++ b/checks/known_red.py
@@ -1,7 +1,8 @@
 """Tolerates the test failures listed in KNOWN-RED.txt, and no others.
 
 Each line of that file is `test id | cause | issue`. The run fails if a listed test passes or is
-not collected, if a line is malformed, or if the file has more than three lines.
+listed twice, if a run of all tests does not collect it, if a line is malformed, or if the file has
+more than three lines.
 """
 
 from collections.abc import Iterable
--- a/dappledrum/model/__init__.py
+++ b/dappledrum/model/__init__.py
@@ -1,1 +1,1 @@
-"""Simple reference models and checkers that tests compare the real code with."""
+"""Simple, slow reference models and checkers of the service; for tests and measurements only."""
--- a/dappledrum/model/allotments.py
+++ b/dappledrum/model/allotments.py
@@ -138,10 +138,10 @@
             if self._has(Condition.STARTS_COUNT_BEFORE_CONFIRMATION):
                 counted = self._with_leader(region, partition, used=leader.used + 1)
             yield self._send(counted, Transaction(Change.PLACE, partition))
-            less = region
+            reduced = region
             if self._has(Condition.LEADERS_COUNT_LESS_BEFORE_GIVING):
-                less = self._with_leader(region, partition, allotment=leader.allotment - 1)
-            yield self._send(less, Transaction(Change.GIVE, partition))
+                reduced = self._with_leader(region, partition, allotment=leader.allotment - 1)
+            yield self._send(reduced, Transaction(Change.GIVE, partition))
 
     def _replace_leader(self, region: Region, partition: int) -> Region:
         """Another controller becomes leader and reads the store; the predecessor's transactions no
@@ -159,16 +159,18 @@
     def _deliver(self, region: Region, index: int) -> Iterator[Region]:
         """A transaction is executed or refused; its response arrives or is lost."""
         transaction = region.in_flight[index]
-        left = replace(region, in_flight=region.in_flight[:index] + region.in_flight[index + 1 :])
+        remaining = replace(
+            region, in_flight=region.in_flight[:index] + region.in_flight[index + 1 :]
+        )
         refused = not transaction.sender_leads and self._has(Condition.WRITES_NAME_THE_LEADER_KEY)
         if transaction.change is not Change.PLACE:
             refused |= not transaction.version_matches and self._has(
                 Condition.ALLOTMENTS_ARE_VERSIONED
             )
         if refused:
-            yield left
+            yield remaining
             return
-        done = self._execute(left, transaction)
+        done = self._execute(remaining, transaction)
         yield done
         if transaction.sender_leads:
             yield self._receive_response(done, transaction)
--- a/dappledrum/model/dds.py
+++ b/dappledrum/model/dds.py
@@ -1,7 +1,8 @@
-"""Reference implementation of the paper's algorithms 1 and 2: one task and one start at a time.
+"""Reference implementation of the paper's algorithms 1 and 2, without optimizations.
 
-Written independently of the planner, from the text of the paper and the design document. A machine
-is its list of reservations; times are seconds as numbers. Nothing is cached or grouped.
+Written independently of the planner, from the text of the paper and the design document. Tasks are
+placed one at a time, and every possible start is tried; nothing is cached or grouped. A machine is
+its list of reservations; times are seconds as numbers.
 """
 
 import math
@@ -23,7 +24,7 @@
     fetch: float  # seconds to fetch the image
     image_at: float | None = None
     reserved: list[tuple[float, float, float]] = field(default_factory=list)  # start, finish, cpus
-    fresh: bool = False
+    fresh: bool = False  # not rented yet, so its first task adds the first interval
     spot: bool = True
 
     def committed(self) -> float:
--- a/dappledrum/model/election.py
+++ b/dappledrum/model/election.py
@@ -4,9 +4,9 @@
 Peers run the real `Voter`; leader and candidate are minimal implementations of the rules in
 docs/membership.md. A schedule is drawn from a seed: messages arrive late, in any order, or never;
 processes end and restart without memory, at any moment and several at once; transactions are
-executed late, also when the process that sent them has ended; and the store serves any of the
-controllers. Users cancel jobs at a controller that the store serves, and get the confirmation from
-it, or later from another one.
+executed late, also when the process that sent them has ended; and which controllers the store
+serves changes at any moment. Users cancel jobs at a controller that the store serves, and get the
+confirmation from it, or later from another one.
 
 The invariants are in `election_search.py`, which also searches schedules for a violation.
 """
@@ -211,8 +211,8 @@
     # cancellations
 
     def _cancel(self) -> None:
-        """A user cancels a job at a controller that is served, and gets the confirmation at once,
-        or polls for it later at any other."""
+        """A user cancels a job at a controller that the store serves; the confirmation arrives at
+        once or gets lost. The user polls for it later at any controllers that are served."""
         served = [m for m in self.members if self.served[m]]
         if not served:
             return
--- a/dappledrum/model/election_conditions.py
+++ b/dappledrum/model/election_conditions.py
@@ -16,7 +16,7 @@
 LOOP_INTERVAL = 0.25  # between two steps of a controller
 TRANSACTION_TIMEOUT = LEASE_TTL / 2  # for the transaction of a campaign
 PRE_VOTE_TIMEOUT = 1.5  # longer than in the program, so that more events happen meanwhile
-#: Of a leader that has grants of a majority, but not of all controllers.
+#: How long after its last renewal a leader may keep its term by grants of only a majority.
 MAX_TIME_ON_MAJORITY_GRANTS = 6.0
 GRANT_DURATION = LEASE_GRANT_DURATION.total_seconds()
 WORKER_LEASE = 4.0
@@ -78,7 +78,7 @@
     """A peer's answer: whether it grants a lease, or is free of lease grants."""
 
     agreed: bool
-    strong: bool
+    strong: bool  # agreed, and the lease grant is not weak
 
 
 @dataclass
--- a/dappledrum/model/invariants.py
+++ b/dappledrum/model/invariants.py
@@ -136,7 +136,7 @@
         self.history.announced(spec["id"])
 
     def submit_answer(self, at: float, job: str, status: int, state: str | None) -> None:
-        """A submission was sent and answered at the same moment."""
+        """A submission is answered; counts as sent at the same moment."""
         self._record_exchange(UserRequest.SUBMISSION, at, job, status, state)
 
     def invalid_answered(self, at: float, job: str, status: int | None, expected: int) -> None:
@@ -145,7 +145,7 @@
             self._add_broken("invalid", at, f"{job} answered with {status} instead of {expected}")
 
     def poll_answer(self, at: float, job: str, status: int, state: str | None) -> None:
-        """A status query was sent and answered at the same moment."""
+        """A status query is answered; counts as sent at the same moment."""
         self._record_exchange(UserRequest.QUESTION, at, job, status, state)
 
     def not_answered(self, at: float, job: str) -> None:
@@ -238,7 +238,7 @@
     def started(
         self, at: float, machine: str, kind: tuple[str, str, bool], job: str, task: int
     ) -> None:
-        """A task starts on a machine, which has its image."""
+        """A task starts on a machine that has its image."""
         self.starts += 1
         facts = self.jobs[job]
         facts.begun_at = at if facts.begun_at is None else facts.begun_at
@@ -289,13 +289,13 @@
         )
         wrong = wrong or (spec.get("hall") is not None and zone != spec["hall"])
         wrong = wrong or (spec["oneZone"] and any(other[1] != zone for other in others))
-        here = 1 + sum(other[1] == zone for other in others)
-        wrong = wrong or (spec["spread"] and here > -(-spec["beats"] // 2))
+        tasks_in_zone = 1 + sum(other[1] == zone for other in others)
+        wrong = wrong or (spec["spread"] and tasks_in_zone > -(-spec["beats"] // 2))
         if wrong:
             self._add_broken("wrong_place", at, f"{spec['id']} on {kind}")
 
     def _count_use(self, spec: dict[str, Any], change: int) -> None:
-        """Count one machine more or less that runs a task of a job."""
+        """Change by `change` how many machines run a task of a job."""
         self.in_use.setdefault(spec["crew"], Counter())[spec["vcpus"], spec["accelerators"]] += (
             change
         )
@@ -342,12 +342,12 @@
             ended = facts.reported is not None or self.called_off(facts)
             if not facts.accepted or ended or not all(map(self._is_done, self.needs(job))):
                 continue
-            here = placed.get(job, [])
-            missing = facts.spec["beats"] - len(facts.done | {task for task, _ in here})
+            job_placements = placed.get(job, [])
+            missing = facts.spec["beats"] - len(facts.done | {task for task, _ in job_placements})
             if missing > 0:
                 team = facts.spec["crew"]
                 team_left = self._team_left(team, negative_use.get(team, Amount(0.0, 0.0, 0.0)))
-                zones = tuple(zone for _, zone in here)
+                zones = tuple(zone for _, zone in job_placements)
                 yield WaitingJob(facts.spec, missing, zones, team_left)
 
     def _is_done(self, job: str) -> bool:
--- a/dappledrum/scale/capacity.py
+++ b/dappledrum/scale/capacity.py
@@ -88,7 +88,7 @@
     per_worker: bool = False  # the reading is per worker, so it does not grow with the fleet
 
 
-def _of(role: str, field: str) -> Callable[[PhaseReport], float]:
+def _role_field(role: str, field: str) -> Callable[[PhaseReport], float]:
     """Return a function that reads a field of a role; cores are averaged over its processes."""
 
     def read(phase: PhaseReport) -> float:
@@ -102,35 +102,35 @@
     Need(
         "leader, processor",
         "cores",
-        _of("leader", "cores"),
+        _role_field("leader", "cores"),
         lambda hardware: hardware.cores,
         "one leader for each partition of the fleet; missing",
     ),
     Need(
         "leader, memory",
         "MB",
-        _of("leader", "memory_mb"),
+        _role_field("leader", "memory_mb"),
         lambda hardware: hardware.memory_mb,
         "records of live jobs only; exists",
     ),
     Need(
         "leader, sockets",
         "",
-        _of("leader", "sockets"),
+        _role_field("leader", "sockets"),
         lambda hardware: hardware.sockets,
         "connection limits by role; exists",
     ),
     Need(
         "follower, processor",
         "cores",
-        _of("follower", "cores"),
+        _role_field("follower", "cores"),
         lambda hardware: hardware.cores,
         "any controller serves users; exists",
     ),
     Need(
         "follower, memory",
         "MB",
-        _of("follower", "memory_mb"),
+        _role_field("follower", "memory_mb"),
         lambda hardware: hardware.memory_mb,
         "nothing but final states is kept; exists",
     ),
--- a/dappledrum/scale/run.py
+++ b/dappledrum/scale/run.py
@@ -202,7 +202,8 @@
             self.ordered.release(asyncio.get_running_loop().time())
 
     async def _submit_jobs(self) -> None:
-        """Fill `BUSY_SHARE` of the fleet with jobs, then submit new ones as fast as jobs end."""
+        """Fill `BUSY_SHARE` of the fleet with jobs, then submit new ones at an even rate that
+        keeps it filled."""
         options = self.options
         for _ in range(int(self.capacity * BUSY_SHARE / options.tasks_per_job)):
             self.users.start_user(options.tasks_per_job, self.task_cpus, options.run_s)
@@ -270,11 +271,11 @@
         self.cloud.cut_zone(self.options.zones[0], LEASE_S * 1.5)
 
     async def _stop(self) -> None:
-        for loop in self._background_tasks:
-            loop.cancel()
+        for task in self._background_tasks:
+            task.cancel()
         await self.users.stop()
         await self.controllers.stop()
-        await asyncio.gather(*(one.stop() for one in [*self.hosts, self.state]))
+        await asyncio.gather(*(child.stop() for child in [*self.hosts, self.state]))
         await self.cloud_server.stop()
 
     def _plan_durations_ms(self) -> list[int]:
--- a/dappledrum/scale/sockets.py
+++ b/dappledrum/scale/sockets.py
@@ -20,7 +20,7 @@
 
 
 def make_server(service: Service, source: str = "") -> Server:
-    """Return a server for a simulated service; `source` stands for the sender of each request."""
+    """Return a server for a simulated service; `source` replaces the sender, which is unknown."""
 
     async def handle(request: Request) -> Response:
         reply = await service(source, request.method, request.path, request.body)
--- a/dappledrum/scale/users.py
+++ b/dappledrum/scale/users.py
@@ -74,7 +74,7 @@
 
     @property
     def waiting(self) -> int:
-        """Number of users whose job has not finished."""
+        """Number of users that still submit or poll a job."""
         return len(self._tasks)
 
     def start_user(self, tasks: int, cpus: float, run_s: float, cancels: bool = False) -> None:
