--- a/dappledrum/simulation/costs.py
+++ b/dappledrum/simulation/costs.py
@@ -5,7 +5,7 @@
 Runs five complete controllers with a busy fleet, as in `experiment`; with `--end S` the leader
 crashes at that time. Prints a row for each package: calls of its functions, which are the same on
 every machine for a seed and a size, and seconds in them, which depend on this machine and include
-the overhead of the profiler. The simulation and libraries are left out.
+the overhead of the profiler. The simulation, the model, tests and libraries are left out.
 """
 
 import argparse
@@ -39,14 +39,14 @@
         nonlocal count
         count += event == "call"
 
-    before, collected = sys.getprofile(), gc.isenabled()
+    previous_profiler, gc_was_enabled = sys.getprofile(), gc.isenabled()
     gc.disable()
     sys.setprofile(count_call)
     try:
         action()
     finally:
-        sys.setprofile(before)
-        if collected:
+        sys.setprofile(previous_profiler)
+        if gc_was_enabled:
             gc.enable()
     return count
 
@@ -79,7 +79,7 @@
     parser.add_argument("--machines", type=int, default=60, metavar="N", help="default 60")
     parser.add_argument("--until", type=float, default=90.0, metavar="S", help="default 90")
     parser.add_argument("--seed", type=int, default=1, metavar="N", help="default 1")
-    parser.add_argument("--end", type=float, metavar="S", help="crash the leader then")
+    parser.add_argument("--end", type=float, metavar="S", help="crash the leader after S seconds")
     options = parser.parse_args(argv)
     if not 1 <= options.machines <= 5_000 or not 1 <= options.until <= 86_400:
         parser.error("--machines must be 1 to 5000, --until 1 to 86400")
--- a/dappledrum/simulation/crash_points.py
+++ b/dappledrum/simulation/crash_points.py
@@ -3,7 +3,8 @@
 A step is recognised by a request that is sent, or by one that is about to be answered. The sender
 (or the answering process) crashes before the request is sent, right after it was sent, or so that
 the request is executed up to `MAX_REQUEST_DELAY_S` later, when the restarted process may already
-run. The restart delay is drawn from `RESTART_DELAYS_S`.
+run. An answering process crashes as the request arrives, or right after. The restart delay is
+drawn from `RESTART_DELAYS_S`.
 """
 
 import asyncio
@@ -121,7 +122,7 @@
             return None
         self._crash(member)
         if self.step.answering:
-            return None  # it stays unanswered, or the restarted process answers it
+            return None  # the connection is refused, since no process serves the target
         return self.rng.uniform(0.0, MAX_REQUEST_DELAY_S) if moment == "late" else NEVER_S
 
     def _crash(self, member: str) -> None:
--- a/dappledrum/simulation/experiment.py
+++ b/dappledrum/simulation/experiment.py
@@ -7,7 +7,8 @@
 report (JSON) has figures that the bench lacks: seconds without a leader, the longest time in which
 no heartbeat of a machine was answered, sessions that ended, and for each fault, up to the next
 one, the seconds until nine tenths of the tasks that ran before it run again, and the machines
-rented within 10 s. All figures are simulated.
+rented within 10 s. All figures are simulated. Crashed controllers restart after `--back` seconds;
+users submit jobs until `--until`.
 """
 
 import argparse
--- a/dappledrum/simulation/fault_combinations.py
+++ b/dappledrum/simulation/fault_combinations.py
@@ -27,7 +27,8 @@
 FIVE = tuple(f"drummer-{index}" for index in range(5))
 MACHINES = 10
 USERS = 14
-#: The first fault starts 5 s before a time drawn from this range; users submit until its end.
+#: The first fault starts 5 s before a time drawn from this range; users submit until the end of
+#: the range.
 FAULT_START_S = (15.0, 50.0)
 DURATIONS_S = (0.3, 2.0, 5.0, 12.0, 25.0, 45.0)  # the last one is longer than `cancel_s`
 RESTART_DELAYS_S = (0.0, 0.1, 0.3, 1.0, 5.0)
--- a/dappledrum/simulation/fault_scenarios.py
+++ b/dappledrum/simulation/fault_scenarios.py
@@ -62,15 +62,15 @@
 
     async def fault(cluster: SimulatedCluster) -> None:
         leader = cluster.leader()
-        paused = {
+        frozen = {
             "leader": [leader] if leader is not None else [],
             "follower": cluster.others(leader)[:1],
             "all": list(cluster.members),
         }[which]
-        for member in paused:
+        for member in frozen:
             cluster.freeze(member)
         await cluster.wait(seconds)
-        for member in paused:
+        for member in frozen:
             cluster.thaw(member)
         await cluster.wait(3)
 
--- a/dappledrum/simulation/faults/__init__.py
+++ b/dappledrum/simulation/faults/__init__.py
@@ -59,7 +59,8 @@
 
 
 def end_all(cluster: SimulatedCluster) -> None:
-    """End all faults, restart all controllers, and let the invariants expect progress again."""
+    """End all faults, start all controllers that are down, and let the invariants expect progress
+    again."""
     network = cluster.network
     network.heal()
     network.copies = network.late_writes = network.late_commands = network.watcher = None
--- a/dappledrum/simulation/fleet.py
+++ b/dappledrum/simulation/fleet.py
@@ -14,7 +14,7 @@
 from dappledrum.simulation.key_value_store import json_reply
 from dappledrum.simulation.network import Network
 
-MAX_LIST_LAGS = 2  # the cloud's list is at most so many times its usual lag old
+MAX_LIST_LAGS = 2  # maximum age of the cloud's list, in multiples of its usual lag
 
 
 @dataclass
@@ -56,7 +56,7 @@
     gang_wait_s: float = 30.0
     gang_peer_s: float = 6.0
     step_s: float = 0.5  # resolution of a task's progress; longer steps are cheaper to simulate
-    lease_step_s: float = 0.05  # interval at which a worker checks its lease
+    lease_step_s: float = 0.05  # interval of lease checks: how late a lease may end
     subnet: str = "10.1"  # of the workers' addresses
     # Attempts of each gang, by task, that have fetched their image, on any machine.
     gangs: dict[str, dict[int, "Attempt"]] = field(default_factory=dict)
@@ -130,7 +130,8 @@
         return json_reply(200, self._next_heartbeat())
 
     def restarted(self) -> "Worker":
-        """Restart the worker's process, whose tasks are gone; returns the new worker."""
+        """Start a new worker process on the machine, after the old one has ended with all its
+        tasks; returns the new worker."""
         return Worker(
             self.name,
             self.kind,
@@ -143,7 +144,7 @@
         )
 
     def terminate(self) -> None:
-        """Terminate the machine."""
+        """End the worker and all its tasks; the cloud may still list the machine."""
         self.network.services.pop(self.name, None)
         for task in self.tasks:
             task.cancel()
@@ -378,7 +379,7 @@
     """A rented machine in the cloud."""
 
     name: str
-    kind: tuple[str, str, bool]
+    kind: tuple[str, str, bool]  # machine type, zone, whether it is a spot machine
     rented_at: float
     completes_boot: bool
     worker: Worker | None = None
--- a/dappledrum/simulation/network.py
+++ b/dappledrum/simulation/network.py
@@ -44,8 +44,8 @@
 
 
 class LateWrites(NamedTuple):
-    """Delays a share of the transactions until their senders have given up, so that they may be
-    executed after newer ones of the same sender; or loses only their answers."""
+    """Executes a share of the transactions late and without an answer, possibly after newer ones
+    of the same sender; or executes them at once and loses only their answers."""
 
     share: float
     min_delay_s: float
@@ -54,7 +54,7 @@
 
 
 class LateCommands(NamedTuple):
-    """Delays a share of the direct commands to workers until their senders have given up."""
+    """Executes a share of the direct commands to workers late and without an answer."""
 
     share: float
     min_delay_s: float
@@ -94,7 +94,7 @@
         self.late_writes: LateWrites | None = None
         self.late_commands: LateCommands | None = None
         self.held_requests: list[tuple[str, str, str, str, bytes]] = []
-        self.late_deliveries = 0  # held requests delivered so far
+        self.late_deliveries = 0  # held requests released so far
         self.trace: MessageTrace | None = None  # records every message, if set
 
     def cut(self, a: str, b: str) -> None:
--- a/dappledrum/simulation/network_partitions.py
+++ b/dappledrum/simulation/network_partitions.py
@@ -2,9 +2,9 @@
 
     python3 -m dappledrum.simulation.network_partitions [SEEDS]
 
-Prints for each partition of 45 s, with and without `--reach`: seconds without a leader, the
-longest time in which no heartbeat of a machine was answered (median, 99th percentile, maximum),
-and sessions that ended.
+Prints for each partition of 45 s, with and without `--reach`: seconds without a leader outside
+outages of the store, the longest time in which no heartbeat of a machine was answered (median,
+99th percentile, maximum), and sessions that ended.
 """
 
 import asyncio
--- a/dappledrum/simulation/scenario.py
+++ b/dappledrum/simulation/scenario.py
@@ -84,14 +84,14 @@
     seed: int,
     machines: int = MACHINES,
     users: int = USERS,
-    **of_cluster: Any,  # noqa: ANN401 - any field of the cluster
+    **settings: Any,  # noqa: ANN401 - any field of the cluster
 ) -> AsyncIterator[Scenario]:
     """Run a scenario in which the body of the `async with` injects faults.
 
     After the body all faults end; then every accepted job must finish, and be the same at each
     controller. If the body raises, nothing more is checked.
     """
-    cluster = SimulatedCluster(seed=seed, members=FIVE, lease_s=LEASE_S, **of_cluster)
+    cluster = SimulatedCluster(seed=seed, members=FIVE, lease_s=LEASE_S, **settings)
     cluster.cloud.max_machines = machines + 4
     rng = random.Random(f"meeting {seed}")
     for _ in range(machines):
--- a/dappledrum/simulation/test_days.py
+++ b/dappledrum/simulation/test_days.py
@@ -285,7 +285,8 @@
 
 
 def test_direct_commands_are_executed_late_and_once():
-    """Controllers send none here, so the test sends a stop, which the machine executes late."""
+    """Controllers send no direct commands here, so the test sends a stop, which the machine
+    executes late."""
 
     async def check(cluster):
         worker = cluster.cloud.workers()[0]
--- a/dappledrum/simulation/trace_digests.py
+++ b/dappledrum/simulation/trace_digests.py
@@ -3,9 +3,9 @@
     PYTHONHASHSEED=0 python3 -m dappledrum.simulation.trace_digests [--write] [--jobs N]
                                                                   [--traces DIR] [--day NAME]...
 
-Each run of a day with a seed has its own process. Every run with another digest is printed, and
-the exit status is 1 if there is any. `--write` replaces the committed digests, `--traces` keeps
-the traces themselves, to find the first line that differs.
+Each run of a day with a seed has its own process. Every run that fails or has another digest is
+printed, and the exit status is 1 if there is any. `--write` replaces the committed digests,
+`--traces` keeps the traces themselves, to find the first line that differs.
 """
 
 import argparse
