--- a/dappledrum/simulation/faults/users.py
+++ b/dappledrum/simulation/faults/users.py
@@ -89,11 +89,11 @@
     fit no machine or lack a field."""
 
     def begin(self, cluster: SimulatedCluster, restart_delay_s: float) -> None:
-        task = cluster.start_user(self._ask(cluster))
+        task = cluster.start_user(self._send_requests(cluster))
         cluster.invalid_request_tasks.add(task)
         task.add_done_callback(cluster.invalid_request_tasks.discard)
 
-    async def _ask(self, cluster: SimulatedCluster) -> None:
+    async def _send_requests(self, cluster: SimulatedCluster) -> None:
         end = cluster.now() + self.for_s
         while cluster.now() < end:
             send = cluster.rng.choice((_repeat_submission, _cancel_done, _submit_invalid))
--- a/dappledrum/simulation/invalid_requests.py
+++ b/dappledrum/simulation/invalid_requests.py
@@ -48,7 +48,7 @@
 
     def __init__(self, cluster: SimulatedCluster) -> None:
         self.cluster = cluster
-        self.longest_s = 0.0  # the slowest response
+        self.longest_s = 0.0  # duration of the slowest response
 
     async def prepare(self) -> None:
         """Submit a short job and a long one, and wait for the end of the short one."""
