--- a/dappledrum/simulation/network_partitions.py
+++ b/dappledrum/simulation/network_partitions.py
@@ -70,7 +70,7 @@
 
 def outage_without_one(cluster: SimulatedCluster, leader: str) -> None:
     """A follower is down, and the store has an outage for a third of the time, longer than a
-    lease."""
+    leader's lease."""
     cluster.kill(after(leader, 2))
     cluster.store.in_outage = True
     asyncio.get_running_loop().call_later(PARTITION_S / 3, cluster.store.end_outage)
